--- a/internal/core/source/source.go
+++ b/internal/core/source/source.go
@@ -1,10 +1,11 @@
-// Package source is the reducer that decides from where a process reads what the platform's store holds: from the store
-// itself, or from an entry of its data centre that does. In a large data centre one entry reads the store and the
-// others read from it, since the same bytes would otherwise cross the link between regions once for each process. Where there are more than
-// one entry can send to, they form a tree of two levels: some read from the first entry and the rest from these. It is pure: see package step.
+// Package source holds the reducer that chooses from where a process reads the contents of the platform's store: from the store
+// itself, or from an entry of its own data centre that reads the store. In a large data centre, one entry reads the store and the
+// others read from it; otherwise the same bytes would cross the link between regions once per process. When there are more entries
+// than one can serve, they form a tree of two levels: some read from the first entry, and the rest read from those. The reducer is
+// pure: see package step.
 //
-// A process that reads from an entry is never worse off for long: an entry that does not answer in time, or has not heard
-// from the store itself, is avoided, and the store is read instead.
+// An entry that doesn't answer in time, or has no current data from the store itself, is avoided as a source. The process then uses
+// another source, at last the store, so a failed source delays it only briefly.
 package source
 
 import (
@@ -16,30 +17,30 @@
 )
 
 const (
-	// LeastEntries is how many entries a data centre must have for one of them to read for the others. The reader asks the store up to
-	// three times as often as it would for itself alone, so that fewer save no calls.
+	// LeastEntries is the minimum number of entries in a data centre for one of them to read for the others. The reader calls the
+	// store up to three times as often as it would for itself alone, so that a smaller group saves no calls.
 	LeastEntries = 4
-	// Candidates is how many entries of a small data centre are told to those who ask: the reader, and two to take its place.
+	// Candidates is the number of entries of a small data centre that are reported as sources: the reader and two replacements.
 	Candidates = 3
-	// fanOut is how many entries may read from one before a second level is made. An answer to a first question is some hundred kilobytes, of
-	// which the narrowest host sends so many in a second.
-	fanOut = 8
-	// spare is how many entries more than are read from are told to those who ask, to take the place of some.
-	spare = 2
-	// toldFor is how long an entry counts after somebody told of it; the rarest word comes each three seconds.
-	toldFor = 7 * time.Second
-	// avoidFor is how long an entry that failed as a source is avoided.
-	avoidFor = 2 * time.Second
+	// minFanOut is the number of entries that may read from one before a second level is needed. The answer to an initial read is
+	// some hundred kilobytes, and the host with the slowest link can send this many of them per second.
+	minFanOut = 8
+	// spareCandidates is the number of replacements reported in addition to the entries of the first two levels.
+	spareCandidates = 2
+	// entryTTL is how long an entry counts after it was last reported. The least frequent reports come every 3 s.
+	entryTTL = 7 * time.Second
+	// failureBackoff is how long an entry that failed as a source is avoided.
+	failureBackoff = 2 * time.Second
 )
 
-// Told says which entries a data centre has, as another process counts them.
+// Told reports the entries of the data centre, as counted by another process.
 type Told struct {
-	// Entries are addresses of entries, those that come first in the data centre's order; Count is how many it has.
+	// Entries are the addresses of the entries that rank first in the data centre. Count is the number of all its entries.
 	Entries []string
 	Count   int
 }
 
-// Failed says that an entry did not answer as a source, or had no news of the store itself.
+// Failed reports that an entry didn't answer as a source, or had no current data from the store itself.
 type Failed struct{ Address string }
 
 // Event marks the type as an event.
@@ -52,45 +53,46 @@
 type Changed struct {
 	// Address is the entry to read from; empty for the store.
 	Address string
-	// Entries is how many entries the data centre has, as far as this process knows.
+	// Entries is the number of entries in the data centre, as far as this process knows.
 	Entries int
 }
 
 // Effect marks the type as an effect.
 func (Changed) Effect() {}
 
-// State is what a process knows of the entries of its data centre.
+// State is what a process knows about the entries of its data centre.
 type State struct {
 	self       string
 	dataCentre string
-	// spread is set for agents, which spread over the entries; entries form a tree.
-	spread bool
-	told   map[string]time.Time
-	failed map[string]time.Time
-	// count is how many entries there are: the highest count of the last times, where recent is the highest since countAt.
-	count   int
-	recent  int
-	countAt time.Time
-	address string
+	// spreadsLoad is set for agents, which spread evenly over the entries. Entries form a tree instead.
+	spreadsLoad bool
+	reportedAt  map[string]time.Time
+	failedAt    map[string]time.Time
+	// count is the number of entries: the highest count that was reported within the last entryTTL. recentCount is the highest
+	// count reported since countAt.
+	count       int
+	recentCount int
+	countAt     time.Time
+	address     string
 }
 
-// NewState returns the state of the process at address self. Agents spread over the entries that they know.
-func NewState(self, dataCentre string, spread bool) *State {
-	return &State{self: self, dataCentre: dataCentre, spread: spread, told: map[string]time.Time{}, failed: map[string]time.Time{}}
+// NewState returns the state of the process at address self. spreadsLoad is set for agents, which spread over the known entries.
+func NewState(self, dataCentre string, spreadsLoad bool) *State {
+	return &State{self: self, dataCentre: dataCentre, spreadsLoad: spreadsLoad, reportedAt: map[string]time.Time{}, failedAt: map[string]time.Time{}}
 }
 
-// Address is the entry to read from; empty for the store.
+// Address returns the entry to read from, or an empty string for the store.
 func (s *State) Address() string { return s.address }
 
-// Reduce handles one input.
+// Reduce handles one input and returns the effects to carry out.
 func (s *State) Reduce(in step.Input) []step.Effect {
 	switch ev := in.Event.(type) {
 	case Told:
-		s.hear(in.Now, ev)
+		s.recordReport(in.Now, ev)
 	case Failed:
-		s.failed[ev.Address] = in.Now
+		s.failedAt[ev.Address] = in.Now
 	case step.Tick:
-		s.forget(in.Now)
+		s.expire(in.Now)
 	default:
 		return nil
 	}
@@ -102,30 +104,31 @@
 	return []step.Effect{Changed{Address: address, Entries: s.count}}
 }
 
-func (s *State) hear(now time.Time, ev Told) {
+func (s *State) recordReport(now time.Time, ev Told) {
 	for _, e := range ev.Entries {
-		s.told[e] = now
+		s.reportedAt[e] = now
 	}
-	// Who counts has not met all entries for a while after its start, or never meets all: the highest count of the last seconds is nearest.
-	s.recent = max(s.recent, ev.Count)
+	// A process undercounts for a while after its start, or always if it never receives from some entries. The highest count of
+	// the last seconds is therefore the best estimate.
+	s.recentCount = max(s.recentCount, ev.Count)
 	if ev.Count >= s.count {
 		s.count, s.countAt = ev.Count, now
 	}
 }
 
-func (s *State) forget(now time.Time) {
-	for e, at := range s.told {
-		if now.Sub(at) > toldFor {
-			delete(s.told, e)
+func (s *State) expire(now time.Time) {
+	for e, at := range s.reportedAt {
+		if now.Sub(at) > entryTTL {
+			delete(s.reportedAt, e)
 		}
 	}
-	for e, at := range s.failed {
-		if now.Sub(at) > avoidFor {
-			delete(s.failed, e)
+	for e, at := range s.failedAt {
+		if now.Sub(at) > failureBackoff {
+			delete(s.failedAt, e)
 		}
 	}
-	if now.Sub(s.countAt) > toldFor {
-		s.count, s.recent, s.countAt = s.recent, 0, now
+	if now.Sub(s.countAt) > entryTTL {
+		s.count, s.recentCount, s.countAt = s.recentCount, 0, now
 	}
 }
 
@@ -133,58 +136,58 @@
 	if s.count < LeastEntries {
 		return ""
 	}
-	sound := s.sound(now)
-	if s.spread {
-		return first(step.Rank(s.self, sound))
+	healthy := s.healthyEntries(now)
+	if s.spreadsLoad {
+		return firstOrEmpty(step.Rank(s.self, healthy))
 	}
-	ranked := step.Rank(s.dataCentre, append(sound, s.self))
+	ranked := step.Rank(s.dataCentre, append(healthy, s.self))
 	position := slices.Index(ranked, s.self)
-	switch middle := breadth(s.count); {
+	switch secondLevel := fanOut(s.count); {
 	case position == 0:
-		return "" // It reads the store for those after it.
-	case position <= middle:
+		return "" // The first entry reads the store for the others.
+	case position <= secondLevel:
 		return ranked[0]
 	default:
-		// Whatever others know, an entry reads from one that comes before it, so that nobody reads from itself over others.
-		return first(step.Rank(s.self, ranked[1:middle+1]))
+		// Whatever the other entries know, an entry reads only from one that ranks before it. This rules out cycles.
+		return firstOrEmpty(step.Rank(s.self, ranked[1:secondLevel+1]))
 	}
 }
 
-// sound are the other entries that this process knows and that have not failed of late.
-func (s *State) sound(now time.Time) []string {
-	entries := make([]string, 0, len(s.told)+1)
-	for e := range s.told {
-		if at, failed := s.failed[e]; e != s.self && (!failed || now.Sub(at) > avoidFor) {
+// healthyEntries returns the other known entries that haven't failed within failureBackoff.
+func (s *State) healthyEntries(now time.Time) []string {
+	entries := make([]string, 0, len(s.reportedAt)+1)
+	for e := range s.reportedAt {
+		if at, failed := s.failedAt[e]; e != s.self && (!failed || now.Sub(at) > failureBackoff) {
 			entries = append(entries, e)
 		}
 	}
 	return entries
 }
 
-func first(ranked []string) string {
+func firstOrEmpty(ranked []string) string {
 	if len(ranked) == 0 {
 		return ""
 	}
 	return ranked[0]
 }
 
-// breadth is how many entries of a data centre read from the first one: the square root of all of them, so that neither it nor those that the rest
-// reads from send to more than about that.
-func breadth(entries int) int {
-	return max(fanOut, int(math.Ceil(math.Sqrt(float64(entries)))))
+// fanOut returns how many entries of a data centre read from the first one: the square root of their number, at least minFanOut. Neither
+// the first entry nor an entry of the second level then serves many more than that.
+func fanOut(entries int) int {
+	return max(minFanOut, int(math.Ceil(math.Sqrt(float64(entries)))))
 }
 
-// First returns the entries that the entries of a data centre are told of, of all that it has: those that are read from.
+// First returns the entries that are reported as sources to the entries of a data centre: those that are read from, and spares.
 func First(dataCentre string, entries []string) []string {
-	told := Candidates
-	if middle := breadth(len(entries)); len(entries) > middle+1 {
-		told = 1 + middle + spare
+	count := Candidates
+	if secondLevel := fanOut(len(entries)); len(entries) > secondLevel+1 {
+		count = 1 + secondLevel + spareCandidates
 	}
 	ranked := step.Rank(dataCentre, entries)
-	return ranked[:min(told, len(ranked))]
+	return ranked[:min(count, len(ranked))]
 }
 
-// For returns the entries that an agent is told of, of all entries of its data centre: others than other agents are.
+// For returns the entries that are reported to an agent as sources. Different agents receive different ones, which spreads the load.
 func For(agent string, entries []string) []string {
 	ranked := step.Rank(agent, entries)
 	return ranked[:min(Candidates, len(ranked))]
--- a/internal/core/source/source_test.go
+++ b/internal/core/source/source_test.go
@@ -12,19 +12,19 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// clock drives a state through time.
-type clock struct {
+// process drives the state of one process through time.
+type process struct {
 	*source.State
 	now time.Time
 }
 
-func newClock(self string, agent bool) *clock {
-	return &clock{State: source.NewState(self, "perth-a", agent), now: time.Unix(1000, 0)}
+func newProcess(self string, agent bool) *process {
+	return &process{State: source.NewState(self, "perth-a", agent), now: time.Unix(1000, 0)}
 }
 
-func (c *clock) after(d time.Duration, ev step.Event) []step.Effect {
-	c.now = c.now.Add(d)
-	return c.Reduce(step.Input{Now: c.now, Event: ev})
+func (p *process) after(d time.Duration, ev step.Event) []step.Effect {
+	p.now = p.now.Add(d)
+	return p.Reduce(step.Input{Now: p.now, Event: ev})
 }
 
 func entries(n int) []string {
@@ -35,36 +35,37 @@
 	return list
 }
 
-func told(n int) source.Told {
+func report(n int) source.Told {
 	return source.Told{Entries: source.First("perth-a", entries(n)), Count: n}
 }
 
-func TestASmallDataCentreReadsTheStore(t *testing.T) {
-	c := newClock("10.0.0.99:7700", false)
-	require.Empty(t, c.after(0, told(source.LeastEntries-1)))
-	require.Empty(t, c.Address())
+// TestSmallDataCentreReadsTheStore guards against a tree in a data centre too small to save any calls by it.
+func TestSmallDataCentreReadsTheStore(t *testing.T) {
+	p := newProcess("10.0.0.99:7700", false)
+	require.Empty(t, p.after(0, report(source.LeastEntries-1)))
+	require.Empty(t, p.Address())
 }
 
-// readersIn are from whom the entries of a data centre read, by entry; all know of those that they are told of.
+// readersIn returns the address that each entry of a data centre reads from, by entry. Each entry knows those that First reports.
 func readersIn(dataCentre string, n int) map[string]string {
 	all := entries(n)
 	from := map[string]string{}
 	for _, self := range all {
-		c := &clock{State: source.NewState(self, dataCentre, false), now: time.Unix(1000, 0)}
-		c.after(0, source.Told{Entries: source.First(dataCentre, all), Count: n})
-		from[self] = c.Address()
+		p := &process{State: source.NewState(self, dataCentre, false), now: time.Unix(1000, 0)}
+		p.after(0, source.Told{Entries: source.First(dataCentre, all), Count: n})
+		from[self] = p.Address()
 	}
 	return from
 }
 
-// TestAllEntriesOfALargeDataCentreReadFromTheSameOne guards against two entries of a data centre that read the store, and against some that read from
-// one another in a circle: each reaches the first entry by one other at most.
-func TestAllEntriesOfALargeDataCentreReadFromTheSameOne(t *testing.T) {
+// TestEntriesOfALargeDataCentreReadThroughOneEntry guards against two entries of a data centre that both read the store, and against
+// entries that read from each other in a cycle: each must reach the first entry through at most one other.
+func TestEntriesOfALargeDataCentreReadThroughOneEntry(t *testing.T) {
 	for _, n := range []int{source.LeastEntries, 9, 10, 20, 60, 250} {
 		first, from := source.First("perth-a", entries(n))[0], readersIn("perth-a", n)
 		for self, address := range from {
 			if self == first {
-				require.Empty(t, address, "the first reads the store")
+				require.Empty(t, address, "the first entry reads the store")
 				continue
 			}
 			require.NotEmpty(t, address, "%d entries", n)
@@ -73,95 +74,104 @@
 	}
 }
 
-// TestNoEntryIsReadByMoreThanTheRootOfThem guards against a reader whose bytes grow with the data centre: it sent each list and change to all entries.
-func TestNoEntryIsReadByMoreThanTheRootOfThem(t *testing.T) {
+// TestReadersPerEntryGrowWithTheSquareRoot guards against a source whose traffic grows linearly with the data centre, as it does when one
+// entry sends each list and change to all others.
+func TestReadersPerEntryGrowWithTheSquareRoot(t *testing.T) {
 	const dataCentres, small, large = 12, 60, 240
 	busiest := func(n int) float64 {
 		sum := 0
 		for dataCentre := range dataCentres {
-			children, most := map[string]int{}, 0
+			children, highest := map[string]int{}, 0
 			for _, address := range readersIn(fmt.Sprintf("dc-%d", dataCentre), n) {
 				if address != "" {
 					children[address]++
-					most = max(most, children[address])
+					highest = max(highest, children[address])
 				}
 			}
-			sum += most
+			sum += highest
 		}
 		return float64(sum) / dataCentres
 	}
 	exponent := math.Log(busiest(large)/busiest(small)) / math.Log(large/small)
-	t.Logf("the busiest entry is read by %v of %v entries, %v of %v: power %.2f", busiest(small), small, busiest(large), large, exponent)
-	require.LessOrEqual(t, exponent, 0.55, "the root, and what chance adds")
+	t.Logf("the busiest entry serves %v of %v entries, and %v of %v: exponent %.2f", busiest(small), small, busiest(large), large, exponent)
+	require.LessOrEqual(t, exponent, 0.55, "the square root, with a margin for random variation")
 	require.LessOrEqual(t, busiest(9), 8.0)
 }
 
-func TestAgentsSpreadOverTheEntries(t *testing.T) {
+// TestAgentsSpreadOverAllEntries guards against agents that all read from the same entry.
+func TestAgentsSpreadOverAllEntries(t *testing.T) {
 	used := map[string]int{}
 	for i := range 60 {
-		c := newClock(fmt.Sprintf("10.0.1.%d:7700", i), true)
-		c.after(0, source.Told{Entries: entries(10), Count: 10})
-		used[c.Address()]++
+		p := newProcess(fmt.Sprintf("10.0.1.%d:7700", i), true)
+		p.after(0, source.Told{Entries: entries(10), Count: 10})
+		used[p.Address()]++
 	}
 	require.Len(t, used, 10)
 }
 
-func TestAnEntryThatFailsIsReplacedAndComesBack(t *testing.T) {
-	c := newClock("10.0.0.99:7700", false)
-	c.after(0, told(20))
-	first := c.Address()
-	effects := c.after(0, source.Failed{Address: first})
-	second := c.Address()
+// TestFailedEntryIsReplacedAndUsedAgainLater guards against a process that keeps reading from a failed entry, and against one that never
+// returns to it: failures make it move to the other candidates and at last to the store, for the time of the backoff only.
+func TestFailedEntryIsReplacedAndUsedAgainLater(t *testing.T) {
+	p := newProcess("10.0.0.99:7700", false)
+	p.after(0, report(20))
+	first := p.Address()
+	effects := p.after(0, source.Failed{Address: first})
+	second := p.Address()
 	require.NotEqual(t, first, second)
 	require.Equal(t, []step.Effect{source.Changed{Address: second, Entries: 20}}, effects)
 	failures := 1
-	for ; c.Address() != ""; failures++ {
-		c.after(0, source.Failed{Address: c.Address()})
+	for ; p.Address() != ""; failures++ {
+		p.after(0, source.Failed{Address: p.Address()})
 	}
 	require.GreaterOrEqual(t, failures, source.Candidates)
-	require.LessOrEqual(t, failures, len(told(20).Entries), "with every candidate before it failed the store itself is read")
-	c.after(time.Second, told(20))
-	require.Empty(t, c.Address())
-	c.after(3*time.Second, step.Tick{})
-	require.Equal(t, first, c.Address())
+	require.LessOrEqual(t, failures, len(report(20).Entries), "the store is read once every candidate that ranks before it has failed")
+	p.after(time.Second, report(20))
+	require.Empty(t, p.Address())
+	p.after(3*time.Second, step.Tick{})
+	require.Equal(t, first, p.Address())
 }
 
-func TestTheNextInOrderReadsWhenTheFirstFails(t *testing.T) {
+// TestSecondEntryReadsTheStoreWhenTheFirstFails guards against a data centre that reads from nobody, or in a cycle, when its first entry
+// fails: the next in order must take its place.
+func TestSecondEntryReadsTheStoreWhenTheFirstFails(t *testing.T) {
 	ranked := source.First("perth-a", entries(20))
-	c := newClock(ranked[1], false)
-	c.after(0, told(20))
-	require.Equal(t, ranked[0], c.Address())
-	c.after(0, source.Failed{Address: ranked[0]})
-	require.Empty(t, c.Address())
+	p := newProcess(ranked[1], false)
+	p.after(0, report(20))
+	require.Equal(t, ranked[0], p.Address())
+	p.after(0, source.Failed{Address: ranked[0]})
+	require.Empty(t, p.Address())
 }
 
-func TestEntriesThatNobodyTellsOfAreForgotten(t *testing.T) {
-	c := newClock("10.0.0.99:7700", false)
-	c.after(0, told(20))
-	require.NotEmpty(t, c.Address())
-	c.after(8*time.Second, step.Tick{})
-	require.Empty(t, c.Address())
+// TestEntriesThatAreNoLongerReportedExpire guards against reading from entries that have left the data centre.
+func TestEntriesThatAreNoLongerReportedExpire(t *testing.T) {
+	p := newProcess("10.0.0.99:7700", false)
+	p.after(0, report(20))
+	require.NotEmpty(t, p.Address())
+	p.after(8*time.Second, step.Tick{})
+	require.Empty(t, p.Address())
 }
 
-// TestAYoungTellerDoesNotLowerTheCount has a process that has met two entries so far tell of them beside one that has met all.
-func TestAYoungTellerDoesNotLowerTheCount(t *testing.T) {
-	c := newClock("10.0.0.99:7700", false)
-	c.after(0, told(20))
-	c.after(time.Second, source.Told{Entries: entries(2), Count: 2})
-	require.NotEmpty(t, c.Address())
+// TestLowCountOfANewProcessDoesNotLowerTheCount covers a process that has received heartbeats of only two entries so far and reports that
+// count, beside one that reports all of them.
+func TestLowCountOfANewProcessDoesNotLowerTheCount(t *testing.T) {
+	p := newProcess("10.0.0.99:7700", false)
+	p.after(0, report(20))
+	p.after(time.Second, source.Told{Entries: entries(2), Count: 2})
+	require.NotEmpty(t, p.Address())
 }
 
-// TestAHighCountThatIsNotHeardAgainGivesWayToTheNextHighest guards against a process that turns to the store for a moment, with all others of its data
-// centre, each time that the highest count grows old: agents count fewer entries than a seed does.
-func TestAHighCountThatIsNotHeardAgainGivesWayToTheNextHighest(t *testing.T) {
-	c := newClock("10.0.0.99:7700", true)
-	c.after(0, source.Told{Entries: entries(20), Count: 60})
+// TestExpiredHighCountIsReplacedByTheNextHighest guards against a process that reads the store for a moment each time the highest count
+// expires, together with all others of its data centre. Agents count fewer entries than a seed does, so the highest count isn't
+// always reported again.
+func TestExpiredHighCountIsReplacedByTheNextHighest(t *testing.T) {
+	p := newProcess("10.0.0.99:7700", true)
+	p.after(0, source.Told{Entries: entries(20), Count: 60})
 	for range 300 {
-		c.after(100*time.Millisecond, source.Told{Entries: entries(20), Count: 28})
-		c.after(0, step.Tick{})
-		require.NotEmpty(t, c.Address())
+		p.after(100*time.Millisecond, source.Told{Entries: entries(20), Count: 28})
+		p.after(0, step.Tick{})
+		require.NotEmpty(t, p.Address())
 	}
-	c.after(15*time.Second, step.Tick{})
-	c.after(15*time.Second, step.Tick{})
-	require.Empty(t, c.Address(), "nobody tells of entries any more")
+	p.after(15*time.Second, step.Tick{})
+	p.after(15*time.Second, step.Tick{})
+	require.Empty(t, p.Address(), "no entries are reported any more")
 }
