--- a/internal/core/catalog/catalog_test.go
+++ b/internal/core/catalog/catalog_test.go
@@ -183,8 +183,8 @@
 	})
 }
 
-// TestSuccessorIsTheEarliestActivationOfANewerVersion receives the activations of two versions out of order. The time of a version must end
-// with the earliest activation of a newer one.
+// TestSuccessorIsTheEarliestActivationOfANewerVersion receives the activations of two versions out of order. The expiry of a version
+// must be counted from the earliest activation of a newer one.
 func TestSuccessorIsTheEarliestActivationOfANewerVersion(t *testing.T) {
 	s := catalog.NewState()
 	_, ok := s.Successor("m", 1)
--- a/internal/core/catalog/version.go
+++ b/internal/core/catalog/version.go
@@ -127,7 +127,7 @@
 }
 
 // RequiredVersion returns the version on which requests for a model must start at the given time: the newest one that was activated
-// at least within ago. 0 means that any version may be used.
+// at least the duration within ago. 0 means that any version may be used.
 func (s *State) RequiredVersion(model string, now time.Time, within time.Duration) int64 {
 	required := int64(0)
 	for _, n := range s.history[model] {
@@ -138,7 +138,7 @@
 	return required
 }
 
-// Successor returns the activation that ends the time of a version: the earliest activation of a newer version. ok is false when
+// Successor returns the activation from which a version's expiry is counted: the earliest activation of a newer version. ok is false when
 // there is none.
 func (s *State) Successor(model string, version int64) (first Naming, ok bool) {
 	for _, n := range s.history[model] {
--- a/internal/core/source/source_test.go
+++ b/internal/core/source/source_test.go
@@ -131,8 +131,8 @@
 	require.Equal(t, first, p.Address())
 }
 
-// TestSecondEntryReadsTheStoreWhenTheFirstFails guards against a data centre that reads from nobody, or in a cycle, when its first entry
-// fails: the next in order must take its place.
+// TestSecondEntryReadsTheStoreWhenTheFirstFails guards against a data centre in which no entry reads the store, or entries read from each
+// other in a cycle, when the first entry fails: the next in order must take its place.
 func TestSecondEntryReadsTheStoreWhenTheFirstFails(t *testing.T) {
 	ranked := source.First("perth-a", entries(20))
 	p := newProcess(ranked[1], false)
