--- a/internal/core/install/install.go
+++ b/internal/core/install/install.go
@@ -1,8 +1,8 @@
-// Package install is the agent's reducer that brings one engine to the versions of weights in force: it asks for the
-// version's manifest, waits until every chunk is on this host, has the pieces laid out for the engine and read back,
-// and orders the engine to load them, in turn with the other engines. It is pure: see package step.
+// Package install holds the agent's reducer that brings one engine to the versions of weights in force. It resolves a version to its
+// content digest, waits until every chunk is on this host, has the chunks staged for the engine and read back, and orders the engine
+// to load them, in turn with the other engines of its service. The reducer is pure: see package step.
 //
-// No decision rests on the answer to an order: a lost, repeated or late one is settled by reading the engine.
+// No decision relies on the answer to a load order: the engine is read again, which settles lost, repeated and late answers.
 package install
 
 import (
@@ -14,114 +14,115 @@
 )
 
 const (
-	// resolveTimeout is how long the question what a version consists of may be unanswered.
+	// resolveTimeout is how long a request for a version's manifest may remain unanswered.
 	resolveTimeout = 4 * time.Second
-	// resolveRetry is the wait before a manifest that could not be had is asked for again.
+	// resolveRetry is the delay before a failed request for a manifest is repeated.
 	resolveRetry = 100 * time.Millisecond
-	// prepareRetry is the wait after pieces could not be laid out.
+	// prepareRetry is the delay before chunks are staged again after a failure.
 	prepareRetry = 200 * time.Millisecond
-	// orderRetry is the wait after an order that showed no effect. An order that was accepted shows as busy at the next reading.
+	// orderRetry is the delay before an order without effect is repeated. An accepted order shows as Busy in the next reading.
 	orderRetry = 500 * time.Millisecond
-	// orderSilent is how long an order may be unanswered.
-	orderSilent = 3 * time.Second
-	// maxCheckAge is how old the oldest reading of a piece may be when the engine is ordered to load. Stored pieces can go bad;
-	// an engine that loads one soon after its check is within what the platform tolerates.
+	// orderTimeout is how long a load order may remain unanswered.
+	orderTimeout = 3 * time.Second
+	// maxCheckAge is the maximum age of the oldest chunk check when the engine is ordered to load. Stored chunks can become corrupted;
+	// a load that follows its check within this time stays within what the platform tolerates.
 	maxCheckAge = 2 * time.Second
-	// servingShare is the part of the host's link that transfers may use while the engine works on requests: its answers take the same way.
+	// servingShare is the fraction of the host's link that transfers may use while the engine processes requests. Its answers use
+	// the same link.
 	servingShare = 0.8
-	// idleShare is the same while the engine is idle; what the hosts tell one another takes the rest.
+	// idleShare is the same fraction while the engine is idle. Control traffic between hosts takes the rest.
 	idleShare = 0.92
-	// engineSilent is how long an engine may not answer before it counts as down: some readings, which are made each 100 ms.
-	engineSilent = 800 * time.Millisecond
+	// engineTimeout is how long an engine may fail to answer before it counts as down: several readings, which are made every 100 ms.
+	engineTimeout = 800 * time.Millisecond
 )
 
-// Phase is where a version stands on this host.
+// Phase is the progress of a version on this host, or of a model on the engine.
 type Phase string
 
 // The phases of a version.
 const (
-	// Resolving: it is being found out what the version consists of.
+	// Resolving is the phase in which the version's digest is requested.
 	Resolving Phase = "resolving"
-	// Fetching: its chunks are on their way.
+	// Fetching is the phase in which the version's chunks are transferred.
 	Fetching Phase = "fetching"
-	// Whole: every chunk is on this host.
-	Whole Phase = "whole"
+	// Fetched is the phase of a complete version: every chunk is on this host.
+	Fetched Phase = "whole"
 )
 
 // The phases of an engine, for a model.
 const (
-	// Idle: the engine is left alone.
+	// Idle is the phase without a load in progress.
 	Idle Phase = "idle"
-	// Waiting: the engine is to load, and waits for its turn.
+	// Waiting is the phase in which the engine has a version to load and waits for its turn.
 	Waiting Phase = "waiting for its turn"
-	// Preparing: the pieces are being laid out and read back.
+	// Preparing is the phase in which the chunks are staged and read back.
 	Preparing Phase = "preparing"
-	// Ordering: an order is with the engine.
+	// Ordering is the phase in which a load order awaits the engine's answer.
 	Ordering Phase = "ordering"
-	// Loading: the engine finishes what runs and loads.
+	// Loading is the phase in which the engine completes its running requests and loads.
 	Loading Phase = "loading"
 )
 
-// Named says that a version of a model is to be on the engine.
+// Named reports that a version of a model was activated and is to be loaded.
 type Named struct {
 	Model   string
 	Version int64
-	// Age is how long it has been in force at least.
+	// Age is the minimum time for which the version has been in force.
 	Age time.Duration
 }
 
-// Resolved says what a version consists of; an empty digest says that it could not be found out.
+// Resolved reports the digest of a version's content. An empty digest means that it could not be determined.
 type Resolved struct {
 	Model   string
 	Version int64
 	Digest  string
 }
 
-// Refuted says that the origin now tells something else of what a digest stands for, so that one of the two was spoilt.
+// Refuted reports that the origin's present answer contradicts a digest, so that one of the two was corrupted.
 type Refuted struct{ Digest string }
 
-// Complete says that every chunk of a digest is on this host.
+// Complete reports that every chunk of a digest's content is on this host.
 type Complete struct{ Digest string }
 
-// EngineRead is a reading of the engine.
+// EngineRead reports the state of the engine as read from it.
 type EngineRead struct {
-	// Born is when the engine started, in milliseconds since 1970; 0 when it does not say.
+	// Born is the engine's start time, in milliseconds since 1970; 0 when it is unknown.
 	Born int64
-	// Loaded are the versions that it holds whole, by model.
+	// Loaded maps each model to the version that the engine holds completely.
 	Loaded map[string]int64
-	// Busy is set while an order is in progress.
+	// Busy is set while a load order is in progress.
 	Busy bool
-	// Sequence counts the orders that it accepted since its start.
+	// Sequence is the number of load orders that the engine has accepted since its start.
 	Sequence int64
-	// Occupied counts the requests that it works on or has queued.
+	// Occupied is the number of requests that the engine processes or has queued.
 	Occupied int
-	// Slowdown is how many times as long as its service says it takes; 0 when it does not say.
+	// Slowdown is the engine's processing time relative to what its service declares; 0 when it is unknown.
 	Slowdown float64
-	// Notice is what it says of itself beside that.
+	// Notice is what the engine reports about itself besides.
 	Notice catalog.Notice
 }
 
-// EngineFailed says that the engine did not answer a reading.
+// EngineFailed reports that the engine didn't answer a reading.
 type EngineFailed struct{}
 
-// Prepared says whether the pieces of a version lie at the engine, each read back and right.
+// Prepared reports whether the chunks of a version are staged at the engine and were read back without an error.
 type Prepared struct {
 	Model   string
 	Version int64
 	OK      bool
-	// Checked is when the first piece was read back.
+	// Checked is when the first chunk was read back.
 	Checked time.Time
 }
 
-// OrderEnded says that the engine answered an order, or that the call failed.
+// OrderEnded reports that the engine answered a load order, or that the call failed.
 type OrderEnded struct {
 	Model   string
 	Version int64
-	// Accepted is set when the engine took the order.
+	// Accepted is set when the engine accepted the order.
 	Accepted bool
 }
 
-// PeersChanged says which hosts bring weights to engines of the same service.
+// PeersChanged reports the hosts that load weights into engines of the same service, this host included.
 type PeersChanged struct{ Peers []string }
 
 // Event marks the type as an event.
@@ -151,43 +152,43 @@
 // Event marks the type as an event.
 func (PeersChanged) Event() {}
 
-// Resolve has the shell find out what a version consists of.
+// Resolve has the shell determine the content of a version.
 type Resolve struct {
 	Model   string
 	Version int64
-	// Try counts the tries before this one. The more there were, the more hosts ask the origin themselves.
+	// Try is the number of earlier attempts. The more there were, the more hosts ask the origin directly.
 	Try int
 }
 
-// Fetch says that the versions whose chunks are wanted on this host have changed; see State.Wanted.
+// Fetch reports that the versions whose chunks are wanted on this host have changed; see State.Wanted.
 type Fetch struct{}
 
-// Want is a version whose chunks are to be on this host.
+// Want is a version whose chunks are wanted on this host.
 type Want struct {
 	Model   string
 	Version int64
 	Digest  string
 }
 
-// Prepare has the shell lay the pieces out for the engine and read each back.
+// Prepare has the shell stage the chunks for the engine and read each one back.
 type Prepare struct {
 	Model   string
 	Version int64
 	Digest  string
 }
 
-// Order has the shell order the engine to load.
+// Order has the shell send a load order to the engine.
 type Order struct {
 	Model   string
 	Version int64
-	// Sequence is what the engine's count of orders must be.
+	// Sequence is the number of accepted orders that the engine must have for the order to apply.
 	Sequence int64
-	// Checked is when the first piece was read back; an order later than MaxAge after it must not be sent.
+	// Checked is when the first chunk was read back. The order must not be sent later than MaxAge after it.
 	Checked time.Time
 	MaxAge  time.Duration
 }
 
-// Moved tells the shell that a model entered a phase, for its log.
+// Moved tells the shell to log that a model or version entered a phase.
 type Moved struct {
 	Model   string
 	Version int64
@@ -210,36 +211,36 @@
 // Effect marks the type as an effect.
 func (Moved) Effect() {}
 
-// version is one version of a model on its way to the engine.
+// version is one version of a model that may be loaded.
 type version struct {
 	number int64
 	digest string
 	phase  Phase
-	// next is when a manifest that could not be had is asked for again, and tries how often it was.
-	next  time.Time
-	tries int
+	// nextAt is when a failed request for the manifest is repeated. attempts counts the repetitions.
+	nextAt   time.Time
+	attempts int
 }
 
-// model is what is known of one model.
+// model is what is known about one model.
 type model struct {
 	name string
-	// named is when each version was named, as far as known, also those that the engine will leave out: their time ends that of the
-	// versions before them all the same.
-	named map[int64]time.Time
-	// versions are those that the engine may still need, the oldest first; see keep.
+	// activatedAt maps each version to its activation time as far as known. It includes versions that the engine skips, because
+	// the expiry of the earlier versions is counted from their activation too.
+	activatedAt map[int64]time.Time
+	// versions are the versions that the engine may still need, oldest first; see retained.
 	versions []*version
-	// phase is where the engine stands, and loading the version that it is about.
-	phase   Phase
-	loading int64
-	// next is when the phase may go on.
-	next time.Time
+	// phase is the engine's phase for this model, and target the version that it applies to.
+	phase  Phase
+	target int64
+	// nextAt is the earliest time at which the phase may end.
+	nextAt time.Time
 }
 
-// State is what an agent knows of its engine and of the versions that it should hold.
+// State is what an agent knows about its engine and the versions to load.
 type State struct {
 	// Self is this host's address among the peers.
 	Self string
-	// VersionTime is how long after the naming of a version requests may still begin on an older one.
+	// VersionTime is how long after the activation of a version requests may still start on an older one.
 	VersionTime time.Duration
 
 	models map[string]*model
@@ -247,21 +248,21 @@
 	engine EngineRead
 	// readAt is when the engine last answered.
 	readAt time.Time
-	// bornAt is the latest start of the engine that is known; see EngineRead.
-	bornAt int64
-	// complete are the digests whose chunks are all here.
+	// startedAt is the latest known start time of the engine; see EngineRead.
+	startedAt int64
+	// complete holds the digests whose content is complete on this host.
 	complete map[string]bool
 }
 
-// NewState returns the state of a fresh agent.
+// NewState returns the state of an agent that knows nothing about its engine yet.
 func NewState(self string, versionTime time.Duration) *State {
 	return &State{Self: self, VersionTime: versionTime, models: map[string]*model{}, complete: map[string]bool{}}
 }
 
-// Loaded returns the versions that the engine holds whole, by model.
+// Loaded maps each model to the version that the engine holds completely.
 func (s *State) Loaded() map[string]int64 { return s.engine.Loaded }
 
-// Closing tells whether the engine takes no new requests now or in a moment.
+// Closing reports whether the engine accepts no new requests now or in a moment.
 func (s *State) Closing() bool {
 	for _, m := range s.models {
 		if m.phase == Ordering || m.phase == Loading {
@@ -271,7 +272,7 @@
 	return s.engine.Busy
 }
 
-// LinkShare is the part of the host's link that transfers may use, above 0 up to 1: nearly the whole while the engine answers nobody.
+// LinkShare returns the fraction of the host's link that transfers may use, above 0 up to 1. It is higher while the engine is idle.
 func (s *State) LinkShare() float64 {
 	if s.engine.Occupied > 0 {
 		return servingShare
@@ -279,16 +280,16 @@
 	return idleShare
 }
 
-// Answered tells whether the engine has ever answered.
+// Answered reports whether the engine has ever answered.
 func (s *State) Answered() bool { return !s.readAt.IsZero() }
 
-// Born is when the engine started, as of its last reading.
+// Born returns the engine's start time as of the last reading, in milliseconds since 1970; 0 when it is unknown.
 func (s *State) Born() int64 { return s.engine.Born }
 
-// ColdLeft is how much longer the engine says that it is cold; 0 when it does not say.
+// ColdLeft returns the remaining time for which the engine reports to be cold; 0 when it doesn't report any.
 func (s *State) ColdLeft() time.Duration { return s.engine.Notice.ColdLeft }
 
-// Slowdown is how many times as long as its service says the engine takes; 0 for no longer, or when it does not say.
+// Slowdown returns the engine's processing time relative to what its service declares; 0 when it is at most 1 or unknown.
 func (s *State) Slowdown() float64 {
 	if s.engine.Slowdown <= 1 {
 		return 0
@@ -296,7 +297,7 @@
 	return s.engine.Slowdown
 }
 
-// RateLimit is the limit that the engine names, in requests a second from all entries together; nil for none.
+// RateLimit returns the limit that the engine reports, in requests per second for all entries together; nil for none.
 func (s *State) RateLimit() *float64 {
 	if !s.engine.Notice.Limited {
 		return nil
@@ -305,14 +306,14 @@
 	return &limit
 }
 
-// Leaving tells whether the engine says that it shuts down.
+// Leaving reports whether the engine is shutting down.
 func (s *State) Leaving() bool { return s.engine.Notice.Leaving }
 
-// Occupied counts the requests at the engine.
+// Occupied returns the number of requests that the engine processes or has queued.
 func (s *State) Occupied() int { return s.engine.Occupied }
 
-// Wanted returns the versions whose chunks are to be on this host, those that are here whole included: other hosts may still need
-// them.
+// Wanted returns the versions whose chunks are wanted on this host. It includes complete versions, because other hosts may still
+// fetch them from here.
 func (s *State) Wanted() []Want {
 	var wants []Want
 	for _, name := range s.Models() {
@@ -325,7 +326,7 @@
 	return wants
 }
 
-// Newest returns the newest version of a model that was named; 0 for none.
+// Newest returns the newest activated version of a model; 0 for none.
 func (s *State) Newest(name string) int64 {
 	if m := s.models[name]; m != nil {
 		return m.newest().number
@@ -343,16 +344,16 @@
 	return names
 }
 
-// Reduce handles one input.
+// Reduce handles one input and returns the effects to carry out.
 func (s *State) Reduce(in step.Input) []step.Effect {
 	var effects []step.Effect
 	switch ev := in.Event.(type) {
 	case Named:
-		effects = s.named(in, ev)
+		effects = s.versionActivated(in, ev)
 	case Resolved:
 		effects = s.resolved(in, ev)
 	case Refuted:
-		effects = s.refuted(in, ev)
+		effects = s.contradicted(in, ev)
 	case Complete:
 		s.complete[ev.Digest] = true
 	case EngineRead:
--- a/internal/core/install/install_test.go
+++ b/internal/core/install/install_test.go
@@ -18,38 +18,38 @@
 	versionTime = 8 * time.Second
 )
 
-// rig is an agent's reducer with an engine that it is told of.
-type rig struct {
+// harness drives an agent's reducer and the readings of its engine.
+type harness struct {
 	state *install.State
 	now   time.Duration
-	// engine is what the next reading says.
+	// engine is the next reading.
 	engine install.EngineRead
 }
 
-func newRig(peers ...string) *rig {
-	r := &rig{state: install.NewState(self, versionTime), engine: install.EngineRead{Loaded: map[string]int64{}}}
-	r.step(install.PeersChanged{Peers: append([]string{self}, peers...)})
-	return r
+func newHarness(peers ...string) *harness {
+	h := &harness{state: install.NewState(self, versionTime), engine: install.EngineRead{Loaded: map[string]int64{}}}
+	h.step(install.PeersChanged{Peers: append([]string{self}, peers...)})
+	return h
 }
 
-func (r *rig) step(ev step.Event) []step.Effect {
-	return r.state.Reduce(step.Input{Now: begin.Add(r.now), Event: ev})
+func (h *harness) step(ev step.Event) []step.Effect {
+	return h.state.Reduce(step.Input{Now: begin.Add(h.now), Event: ev})
 }
 
-func (r *rig) read() []step.Effect { return r.step(r.engine) }
+func (h *harness) read() []step.Effect { return h.step(h.engine) }
 
-// pass lets time go by, with a reading each tenth of a second, and returns the effects but for the log's.
-func (r *rig) pass(d time.Duration) []step.Effect {
+// pass advances time, with a reading every 100 ms, and returns the effects other than Moved and Fetch.
+func (h *harness) pass(d time.Duration) []step.Effect {
 	var effects []step.Effect
 	for range int(d / (100 * time.Millisecond)) {
-		r.now += 100 * time.Millisecond
-		effects = append(effects, r.read()...)
+		h.now += 100 * time.Millisecond
+		effects = append(effects, h.read()...)
 	}
-	return orders(effects)
+	return actions(effects)
 }
 
-// orders leaves out the effects that are only for the log, and the word that other chunks are wanted.
-func orders(effects []step.Effect) []step.Effect {
+// actions returns the effects other than Moved, which is only logged, and Fetch.
+func actions(effects []step.Effect) []step.Effect {
 	var list []step.Effect
 	for _, e := range effects {
 		switch e.(type) {
@@ -61,156 +61,168 @@
 	return list
 }
 
-// bring names a version and has its chunks come.
-func (r *rig) bring(version int64, digest string) []step.Effect {
-	r.step(install.Named{Model: "m", Version: version})
-	r.step(install.Resolved{Model: "m", Version: version, Digest: digest})
-	return orders(r.step(install.Complete{Digest: digest}))
+// fetch activates a version and completes its content.
+func (h *harness) fetch(version int64, digest string) []step.Effect {
+	h.step(install.Named{Model: "m", Version: version})
+	h.step(install.Resolved{Model: "m", Version: version, Digest: digest})
+	return actions(h.step(install.Complete{Digest: digest}))
 }
 
-func TestAnEmptyEngineLoadsAtOnce(t *testing.T) {
-	r := newRig("10.0.0.2:7700")
-	r.read()
-	require.Contains(t, r.step(install.Named{Model: "m", Version: 1}), install.Resolve{Model: "m", Version: 1})
-	require.Contains(t, r.step(install.Resolved{Model: "m", Version: 1, Digest: "d1"}), install.Fetch{})
-	require.Equal(t, []install.Want{{Model: "m", Version: 1, Digest: "d1"}}, r.state.Wanted())
-	r.step(install.Complete{Digest: "d1"})
-	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, r.pass(200*time.Millisecond))
-	checked := begin.Add(r.now)
-	effects := orders(r.step(install.Prepared{Model: "m", Version: 1, OK: true, Checked: checked}))
+// TestEngineWithoutWeightsLoadsAtOnce guards against an engine that waits for a turn although it receives no requests. It also checks that
+// the agent reports the engine as not accepting requests from the load order on.
+func TestEngineWithoutWeightsLoadsAtOnce(t *testing.T) {
+	h := newHarness("10.0.0.2:7700")
+	h.read()
+	require.Contains(t, h.step(install.Named{Model: "m", Version: 1}), install.Resolve{Model: "m", Version: 1})
+	require.Contains(t, h.step(install.Resolved{Model: "m", Version: 1, Digest: "d1"}), install.Fetch{})
+	require.Equal(t, []install.Want{{Model: "m", Version: 1, Digest: "d1"}}, h.state.Wanted())
+	h.step(install.Complete{Digest: "d1"})
+	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, h.pass(200*time.Millisecond))
+	checked := begin.Add(h.now)
+	effects := actions(h.step(install.Prepared{Model: "m", Version: 1, OK: true, Checked: checked}))
 	require.Len(t, effects, 1)
 	require.Equal(t, checked, effects[0].(install.Order).Checked)
-	require.True(t, r.state.Closing(), "entries send nothing from the order on")
-	r.step(install.OrderEnded{Model: "m", Version: 1, Accepted: true})
-	r.engine = install.EngineRead{Loaded: map[string]int64{"m": 1}, Sequence: 1}
-	require.Empty(t, r.pass(time.Second))
-	require.False(t, r.state.Closing())
+	require.True(t, h.state.Closing(), "no requests from the order on")
+	h.step(install.OrderEnded{Model: "m", Version: 1, Accepted: true})
+	h.engine = install.EngineRead{Loaded: map[string]int64{"m": 1}, Sequence: 1}
+	require.Empty(t, h.pass(time.Second))
+	require.False(t, h.state.Closing())
 }
 
-func TestALostAnswerToAnOrderIsSettledByReading(t *testing.T) {
-	r := newRig()
-	r.read()
-	r.bring(1, "d1")
-	r.pass(200 * time.Millisecond)
-	r.step(install.Prepared{Model: "m", Version: 1, OK: true, Checked: begin.Add(r.now)})
-	r.step(install.OrderEnded{Model: "m", Version: 1})
-	r.engine.Busy, r.engine.Sequence = true, 1
-	require.Empty(t, r.pass(3*time.Second), "the engine took the order: no other is given while it is busy")
-	r.engine.Busy, r.engine.Loaded = false, map[string]int64{"m": 1}
-	require.Empty(t, r.pass(2*time.Second))
+// TestLostOrderAnswerIsSettledByReading guards against a second load order when the engine accepted the first but its answer was lost.
+func TestLostOrderAnswerIsSettledByReading(t *testing.T) {
+	h := newHarness()
+	h.read()
+	h.fetch(1, "d1")
+	h.pass(200 * time.Millisecond)
+	h.step(install.Prepared{Model: "m", Version: 1, OK: true, Checked: begin.Add(h.now)})
+	h.step(install.OrderEnded{Model: "m", Version: 1})
+	h.engine.Busy, h.engine.Sequence = true, 1
+	require.Empty(t, h.pass(3*time.Second), "no further order while the engine is busy with the accepted one")
+	h.engine.Busy, h.engine.Loaded = false, map[string]int64{"m": 1}
+	require.Empty(t, h.pass(2*time.Second))
 }
 
-func TestAnOrderThatShowsNoEffectIsPreparedAnew(t *testing.T) {
-	r := newRig()
-	r.read()
-	r.bring(1, "d1")
-	r.pass(200 * time.Millisecond)
-	r.step(install.Prepared{Model: "m", Version: 1, OK: true, Checked: begin.Add(r.now)})
-	r.step(install.OrderEnded{Model: "m", Version: 1})
-	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, r.pass(2*time.Second))
+// TestOrderWithoutEffectIsPreparedAgain guards against an engine that is never loaded because its load order was lost. The chunks must be
+// checked again before the next order.
+func TestOrderWithoutEffectIsPreparedAgain(t *testing.T) {
+	h := newHarness()
+	h.read()
+	h.fetch(1, "d1")
+	h.pass(200 * time.Millisecond)
+	h.step(install.Prepared{Model: "m", Version: 1, OK: true, Checked: begin.Add(h.now)})
+	h.step(install.OrderEnded{Model: "m", Version: 1})
+	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, h.pass(2*time.Second))
 }
 
-func TestAnEngineThatCameBackEmptyLoadsAgain(t *testing.T) {
-	r := newRig()
-	r.read()
-	r.bring(1, "d1")
-	r.engine.Loaded = map[string]int64{"m": 1}
-	r.pass(time.Second)
-	r.engine = install.EngineRead{Loaded: map[string]int64{}}
-	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, r.pass(time.Second))
+// TestEngineThatLostItsWeightsLoadsAgain guards against an engine that stays empty after a crash because it was loaded before.
+func TestEngineThatLostItsWeightsLoadsAgain(t *testing.T) {
+	h := newHarness()
+	h.read()
+	h.fetch(1, "d1")
+	h.engine.Loaded = map[string]int64{"m": 1}
+	h.pass(time.Second)
+	h.engine = install.EngineRead{Loaded: map[string]int64{}}
+	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, h.pass(time.Second))
 }
 
-func TestADeadEngineIsLeftAlone(t *testing.T) {
-	r := newRig()
-	r.read()
-	r.bring(1, "d1")
-	r.now += 5 * time.Second
-	require.Empty(t, orders(r.step(install.EngineFailed{})))
-	require.Empty(t, orders(r.step(step.Tick{})))
+// TestUnresponsiveEngineGetsNoOrder guards against staging and load orders for an engine that has stopped answering.
+func TestUnresponsiveEngineGetsNoOrder(t *testing.T) {
+	h := newHarness()
+	h.read()
+	h.fetch(1, "d1")
+	h.now += 5 * time.Second
+	require.Empty(t, actions(h.step(install.EngineFailed{})))
+	require.Empty(t, actions(h.step(step.Tick{})))
 }
 
-func TestPiecesThatCouldNotBeLaidOutAreTriedAgain(t *testing.T) {
-	r := newRig()
-	r.read()
-	r.bring(1, "d1")
-	r.pass(200 * time.Millisecond)
-	require.Empty(t, orders(r.step(install.Prepared{Model: "m", Version: 1})), "no order without a check")
-	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, r.pass(time.Second))
+// TestFailedStagingIsRepeated guards against a load order for chunks that failed their check, and against giving up after one failure.
+func TestFailedStagingIsRepeated(t *testing.T) {
+	h := newHarness()
+	h.read()
+	h.fetch(1, "d1")
+	h.pass(200 * time.Millisecond)
+	require.Empty(t, actions(h.step(install.Prepared{Model: "m", Version: 1})), "no order without a check")
+	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, h.pass(time.Second))
 }
 
-func TestAManifestThatCouldNotBeHadIsAskedForAgain(t *testing.T) {
-	r := newRig()
-	r.read()
-	r.step(install.Named{Model: "m", Version: 1})
-	r.step(install.Resolved{Model: "m", Version: 1})
-	require.Equal(t, []step.Effect{install.Resolve{Model: "m", Version: 1, Try: 1}}, r.pass(500*time.Millisecond))
+// TestFailedResolveIsRepeated guards against a version that is never fetched because one request for its manifest failed.
+func TestFailedResolveIsRepeated(t *testing.T) {
+	h := newHarness()
+	h.read()
+	h.step(install.Named{Model: "m", Version: 1})
+	h.step(install.Resolved{Model: "m", Version: 1})
+	require.Equal(t, []step.Effect{install.Resolve{Model: "m", Version: 1, Try: 1}}, h.pass(500*time.Millisecond))
 }
 
-func TestAVersionWhoseManifestWasSpoiltIsFoundOutAnew(t *testing.T) {
-	r := newRig()
-	r.read()
-	r.step(install.Named{Model: "m", Version: 1})
-	r.step(install.Resolved{Model: "m", Version: 1, Digest: "wrong"})
-	require.Equal(t, []step.Effect{install.Resolve{Model: "m", Version: 1}}, orders(r.step(install.Refuted{Digest: "wrong"})))
-	require.Contains(t, r.step(install.Resolved{Model: "m", Version: 1, Digest: "right"}), install.Fetch{})
-	require.Equal(t, []install.Want{{Model: "m", Version: 1, Digest: "right"}}, r.state.Wanted())
+// TestContradictedDigestIsResolvedAgain guards against fetching forever for a corrupted digest, whose chunks exist nowhere.
+func TestContradictedDigestIsResolvedAgain(t *testing.T) {
+	h := newHarness()
+	h.read()
+	h.step(install.Named{Model: "m", Version: 1})
+	h.step(install.Resolved{Model: "m", Version: 1, Digest: "wrong"})
+	require.Equal(t, []step.Effect{install.Resolve{Model: "m", Version: 1}}, actions(h.step(install.Refuted{Digest: "wrong"})))
+	require.Contains(t, h.step(install.Resolved{Model: "m", Version: 1, Digest: "right"}), install.Fetch{})
+	require.Equal(t, []install.Want{{Model: "m", Version: 1, Digest: "right"}}, h.state.Wanted())
 }
 
-// TestAVersionThatIsSoonOvertakenIsGivenUp names two versions 2 s apart: the first would be of use for 2 s only.
-func TestAVersionThatIsSoonOvertakenIsGivenUp(t *testing.T) {
-	r := newRig()
-	r.engine.Loaded["m"] = 1
-	r.read()
-	r.step(install.Named{Model: "m", Version: 2})
-	r.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
-	r.pass(2 * time.Second)
-	r.step(install.Named{Model: "m", Version: 3})
-	require.Empty(t, r.state.Wanted())
-	r.step(install.Complete{Digest: "d2"})
-	require.Empty(t, r.pass(time.Second))
-	r.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
-	r.step(install.Complete{Digest: "d3"})
-	require.Contains(t, r.pass(versionTime), install.Prepare{Model: "m", Version: 3, Digest: "d3"})
+// TestSoonSupersededVersionIsDropped activates two versions 2 s apart. The first would be usable for 2 s only, which isn't worth a load.
+func TestSoonSupersededVersionIsDropped(t *testing.T) {
+	h := newHarness()
+	h.engine.Loaded["m"] = 1
+	h.read()
+	h.step(install.Named{Model: "m", Version: 2})
+	h.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
+	h.pass(2 * time.Second)
+	h.step(install.Named{Model: "m", Version: 3})
+	require.Empty(t, h.state.Wanted())
+	h.step(install.Complete{Digest: "d2"})
+	require.Empty(t, h.pass(time.Second))
+	h.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
+	h.step(install.Complete{Digest: "d3"})
+	require.Contains(t, h.pass(versionTime), install.Prepare{Model: "m", Version: 3, Digest: "d3"})
 }
 
-// TestTheVersionThatIsDueFirstIsFinished names three versions and has the origin go away: the first, most of which has come, is
-// finished and loaded; the second is left out.
-func TestTheVersionThatIsDueFirstIsFinished(t *testing.T) {
-	r := newRig()
-	r.engine.Loaded["m"] = 1
-	r.read()
-	r.step(install.Named{Model: "m", Version: 2})
-	r.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
-	r.pass(3 * time.Second)
-	r.step(install.Named{Model: "m", Version: 3})
-	r.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
-	require.Len(t, r.state.Wanted(), 2)
-	r.pass(time.Second)
-	r.step(install.Named{Model: "m", Version: 4})
-	r.step(install.Resolved{Model: "m", Version: 4, Digest: "d4"})
-	require.Equal(t, []install.Want{{Model: "m", Version: 2, Digest: "d2"}, {Model: "m", Version: 4, Digest: "d4"}}, r.state.Wanted())
-	r.step(install.Complete{Digest: "d2"})
-	require.Contains(t, r.pass(versionTime), install.Prepare{Model: "m", Version: 2, Digest: "d2"})
-	r.step(install.Named{Model: "m", Version: 3})
-	require.Equal(t, int64(4), r.state.Newest("m"), "an older version never comes back")
+// TestFirstRequiredVersionIsFetchedToTheEnd activates three versions during an origin outage. The first one, most of which has arrived,
+// must be completed and loaded; the second is skipped. If each activation dropped the version being fetched, none would arrive in time.
+func TestFirstRequiredVersionIsFetchedToTheEnd(t *testing.T) {
+	h := newHarness()
+	h.engine.Loaded["m"] = 1
+	h.read()
+	h.step(install.Named{Model: "m", Version: 2})
+	h.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
+	h.pass(3 * time.Second)
+	h.step(install.Named{Model: "m", Version: 3})
+	h.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
+	require.Len(t, h.state.Wanted(), 2)
+	h.pass(time.Second)
+	h.step(install.Named{Model: "m", Version: 4})
+	h.step(install.Resolved{Model: "m", Version: 4, Digest: "d4"})
+	require.Equal(t, []install.Want{{Model: "m", Version: 2, Digest: "d2"}, {Model: "m", Version: 4, Digest: "d4"}}, h.state.Wanted())
+	h.step(install.Complete{Digest: "d2"})
+	require.Contains(t, h.pass(versionTime), install.Prepare{Model: "m", Version: 2, Digest: "d2"})
+	h.step(install.Named{Model: "m", Version: 3})
+	require.Equal(t, int64(4), h.state.Newest("m"), "an older version never replaces a newer one")
 }
 
-func TestAVersionThatTheEngineHasPassedIsNotWantedAnyMore(t *testing.T) {
-	r := newRig()
-	r.engine.Loaded["m"] = 1
-	r.read()
-	r.bring(2, "d2")
-	r.step(install.Named{Model: "m", Version: 3})
-	r.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
-	require.Len(t, r.state.Wanted(), 2)
-	r.engine.Loaded["m"] = 3
-	r.read()
-	r.step(install.Complete{Digest: "d3"})
-	require.Equal(t, []install.Want{{Model: "m", Version: 3, Digest: "d3"}}, r.state.Wanted())
+// TestVersionOlderThanTheLoadedOneIsNotWanted guards against fetching and keeping versions that the engine will never load.
+func TestVersionOlderThanTheLoadedOneIsNotWanted(t *testing.T) {
+	h := newHarness()
+	h.engine.Loaded["m"] = 1
+	h.read()
+	h.fetch(2, "d2")
+	h.step(install.Named{Model: "m", Version: 3})
+	h.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
+	require.Len(t, h.state.Wanted(), 2)
+	h.engine.Loaded["m"] = 3
+	h.read()
+	h.step(install.Complete{Digest: "d3"})
+	require.Equal(t, []install.Want{{Model: "m", Version: 3, Digest: "d3"}}, h.state.Wanted())
 }
 
-// turns returns when each of n hosts prepares a version, after its naming at 0 and its chunks at 3 s.
-func turns(t *testing.T, n int, overtaken bool) []time.Duration {
+// turns returns when each of n hosts prepares version 2, which is activated at 0 and complete on every host at 3 s. With superseded,
+// version 3 is activated 600 ms after that.
+func turns(t *testing.T, n int, superseded bool) []time.Duration {
 	t.Helper()
 	var hosts []string
 	for i := range n {
@@ -218,26 +230,26 @@
 	}
 	var times []time.Duration
 	for _, host := range hosts {
-		r := &rig{state: install.NewState(host, versionTime), engine: install.EngineRead{Loaded: map[string]int64{"m": 1}}}
-		r.step(install.PeersChanged{Peers: hosts})
-		r.read()
-		r.step(install.Named{Model: "m", Version: 2})
-		r.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
-		r.pass(3 * time.Second)
-		done := prepares(r.step(install.Complete{Digest: "d2"}))
-		if overtaken {
-			done = prepares(r.pass(600*time.Millisecond)) || done
-			done = prepares(r.step(install.Named{Model: "m", Version: 3})) || done
+		h := &harness{state: install.NewState(host, versionTime), engine: install.EngineRead{Loaded: map[string]int64{"m": 1}}}
+		h.step(install.PeersChanged{Peers: hosts})
+		h.read()
+		h.step(install.Named{Model: "m", Version: 2})
+		h.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
+		h.pass(3 * time.Second)
+		done := hasPrepare(h.step(install.Complete{Digest: "d2"}))
+		if superseded {
+			done = hasPrepare(h.pass(600*time.Millisecond)) || done
+			done = hasPrepare(h.step(install.Named{Model: "m", Version: 3})) || done
 		}
-		for !done && !prepares(r.pass(100*time.Millisecond)) {
-			require.Less(t, r.now, 30*time.Second)
+		for !done && !hasPrepare(h.pass(100*time.Millisecond)) {
+			require.Less(t, h.now, 30*time.Second)
 		}
-		times = append(times, r.now)
+		times = append(times, h.now)
 	}
 	return times
 }
 
-func prepares(effects []step.Effect) bool {
+func hasPrepare(effects []step.Effect) bool {
 	for _, e := range effects {
 		if _, ok := e.(install.Prepare); ok {
 			return true
@@ -246,72 +258,77 @@
 	return false
 }
 
-func TestEnginesTakeTurnsInTheTimeOfTheOldVersion(t *testing.T) {
-	most := 0
-	count := map[time.Duration]int{}
+// TestEnginesLoadInTurnsWhileTheOldVersionIsUsable guards against engines of a service that all load at the same time, so that none accepts
+// requests, and against a turn after the old version has expired.
+func TestEnginesLoadInTurnsWhileTheOldVersionIsUsable(t *testing.T) {
+	highest := 0
+	perSecond := map[time.Duration]int{}
 	for _, at := range turns(t, 20, false) {
 		require.LessOrEqual(t, at, versionTime)
-		count[at.Truncate(time.Second)]++
+		perSecond[at.Truncate(time.Second)]++
 	}
-	for _, n := range count {
-		most = max(most, n)
+	for _, n := range perSecond {
+		highest = max(highest, n)
 	}
-	require.LessOrEqual(t, most, 8, "%v", count)
+	require.LessOrEqual(t, highest, 8, "%v", perSecond)
 }
 
-func TestHalfOfTheEnginesLeaveOutAnOvertakenVersion(t *testing.T) {
-	late := 0
+// TestHalfOfTheEnginesSkipASupersededVersion guards against two loads of every engine for two activations in quick succession: each load
+// costs the engine's capacity while its running requests complete.
+func TestHalfOfTheEnginesSkipASupersededVersion(t *testing.T) {
+	skipping := 0
 	for _, at := range turns(t, 20, true) {
 		if at > 7*time.Second {
-			late++
+			skipping++
 		}
 	}
-	require.Equal(t, 10, late)
+	require.Equal(t, 10, skipping)
 }
 
-// TestNoOrderWithoutAFreshCheck plays random events and finds a check of the pieces before each order, and one order at a time.
-func TestNoOrderWithoutAFreshCheck(t *testing.T) {
+// TestOrdersFollowAFreshCheck plays random events and requires a check of the chunks before each load order, and one order at a time.
+// Stored chunks can become corrupted, and an order without a check would load them.
+func TestOrdersFollowAFreshCheck(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig("10.0.0.2:7700", "10.0.0.3:7700")
-		r.engine.Loaded["m"] = 1
+		h := newHarness("10.0.0.2:7700", "10.0.0.3:7700")
+		h.engine.Loaded["m"] = 1
 		preparing := false
-		named := int64(1)
+		newest := int64(1)
 		for range 60 {
 			var effects []step.Effect
 			switch rapid.IntRange(0, 8).Draw(t, "event") {
 			case 0:
-				named += int64(rapid.IntRange(0, 1).Draw(t, "newer"))
-				effects = r.step(install.Named{Model: "m", Version: named})
+				newest += int64(rapid.IntRange(0, 1).Draw(t, "newer"))
+				effects = h.step(install.Named{Model: "m", Version: newest})
 			case 1:
-				effects = r.step(install.Resolved{Model: "m", Version: named, Digest: string(rune('a' + named%26))})
+				effects = h.step(install.Resolved{Model: "m", Version: newest, Digest: string(rune('a' + newest%26))})
 			case 2:
-				effects = r.step(install.Complete{Digest: string(rune('a' + named%26))})
+				effects = h.step(install.Complete{Digest: string(rune('a' + newest%26))})
 			case 3:
-				effects = r.step(install.EngineFailed{})
+				effects = h.step(install.EngineFailed{})
 			case 4:
-				r.engine.Busy = rapid.Bool().Draw(t, "busy")
-				effects = r.read()
+				h.engine.Busy = rapid.Bool().Draw(t, "busy")
+				effects = h.read()
 			case 5:
-				r.engine.Loaded = map[string]int64{"m": rapid.Int64Range(0, named).Draw(t, "loaded")}
-				effects = r.read()
+				h.engine.Loaded = map[string]int64{"m": rapid.Int64Range(0, newest).Draw(t, "loaded")}
+				effects = h.read()
 			case 6:
-				effects = r.step(install.OrderEnded{Model: "m", Version: named, Accepted: rapid.Bool().Draw(t, "accepted")})
+				effects = h.step(install.OrderEnded{Model: "m", Version: newest, Accepted: rapid.Bool().Draw(t, "accepted")})
 			case 7:
 				ok := rapid.Bool().Draw(t, "ok")
-				effects = r.step(install.Prepared{Model: "m", Version: named, OK: ok, Checked: begin.Add(r.now)})
+				effects = h.step(install.Prepared{Model: "m", Version: newest, OK: ok, Checked: begin.Add(h.now)})
 				for _, e := range effects {
 					if _, order := e.(install.Order); order {
 						require.True(t, preparing && ok)
 					}
 				}
 			default:
-				r.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-				effects = r.step(step.Tick{})
+				h.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
+				effects = h.step(step.Tick{})
 			}
 			for _, e := range effects {
 				switch e.(type) {
 				case install.Prepare:
-					require.False(t, r.engine.Busy, "an engine that is busy is left alone")
+					require.False(t, h.engine.Busy, "nothing is prepared for a busy engine")
 					preparing = true
 				case install.Order:
 					require.True(t, preparing)
@@ -322,30 +339,30 @@
 	})
 }
 
-// TestAnEngineThatStartsAgainUnderItsIDIsOrderedAnew has an engine crash while its pieces are laid out, and be back before a reading missed
-// it. Its count of orders starts anew, and the order that was being prepared is not given to it.
-func TestAnEngineThatStartsAgainUnderItsIDIsOrderedAnew(t *testing.T) {
-	r := newRig()
-	r.engine = install.EngineRead{Born: 100, Loaded: map[string]int64{}, Sequence: 7}
-	r.read()
-	r.bring(1, "d1")
-	r.pass(200 * time.Millisecond)
-	r.engine = install.EngineRead{Born: 200, Loaded: map[string]int64{}}
-	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, r.pass(300*time.Millisecond))
-	effects := orders(r.step(install.Prepared{Model: "m", Version: 1, OK: true, Checked: begin.Add(r.now)}))
+// TestRestartedEngineWithTheSameIDIsOrderedAgain has an engine crash while its chunks are staged, and restart before any reading fails. Its
+// order sequence restarts at 0, and the order that was being prepared for its previous instance must not be sent to the new one.
+func TestRestartedEngineWithTheSameIDIsOrderedAgain(t *testing.T) {
+	h := newHarness()
+	h.engine = install.EngineRead{Born: 100, Loaded: map[string]int64{}, Sequence: 7}
+	h.read()
+	h.fetch(1, "d1")
+	h.pass(200 * time.Millisecond)
+	h.engine = install.EngineRead{Born: 200, Loaded: map[string]int64{}}
+	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, h.pass(300*time.Millisecond))
+	effects := actions(h.step(install.Prepared{Model: "m", Version: 1, OK: true, Checked: begin.Add(h.now)}))
 	require.Len(t, effects, 1)
 	require.Zero(t, effects[0].(install.Order).Sequence)
 }
 
-// TestTransfersHaveMostOfTheLinkWhileTheEngineIsIdle is the pattern of empty engines that join, of a fleet that has lost power, and of engines whose
-// version is out of use.
-func TestTransfersHaveMostOfTheLinkWhileTheEngineIsIdle(t *testing.T) {
-	r := newRig()
-	require.InDelta(t, 0.92, r.state.LinkShare(), 0, "nothing is known of the engine")
-	r.engine.Loaded["m"], r.engine.Occupied = 1, 2
-	r.read()
-	require.InDelta(t, 0.8, r.state.LinkShare(), 0)
-	r.engine.Occupied = 0
-	r.read()
-	require.InDelta(t, 0.92, r.state.LinkShare(), 0)
+// TestTransfersUseMostOfTheLinkWhileTheEngineIsIdle guards against slow transfers where no answers need the link: engines that join without
+// weights, a fleet that restarts after a power failure, and engines whose version is no longer usable.
+func TestTransfersUseMostOfTheLinkWhileTheEngineIsIdle(t *testing.T) {
+	h := newHarness()
+	require.InDelta(t, 0.92, h.state.LinkShare(), 0, "nothing is known about the engine")
+	h.engine.Loaded["m"], h.engine.Occupied = 1, 2
+	h.read()
+	require.InDelta(t, 0.8, h.state.LinkShare(), 0)
+	h.engine.Occupied = 0
+	h.read()
+	require.InDelta(t, 0.92, h.state.LinkShare(), 0)
 }
--- a/internal/core/install/restart_test.go
+++ b/internal/core/install/restart_test.go
@@ -19,21 +19,19 @@
 	"samphireweir.example/samphireweir/platform"
 )
 
-// TestAVersionIsInUseInTimeThoughEveryProcessStartedAnew names a version while all engines hold the one before, and has every entry and every
-// agent end three seconds later and start again at once, the engines going on.
+// TestVersionIsUsedInTimeAfterAllProcessesRestart activates a version while all engines hold the previous one. Three seconds later, every
+// entry and every agent ends and restarts at once, while the engines keep running.
 //
-// What is seen: for as long as the processes had known of the version before they ended, requests go on to begin on the old one after its time,
-// and engines that could have loaded the new one are ordered to after it.
-// How it comes about: a process that starts finds the version in the store's list and takes it to have been named at that moment. The age
-// travels with greetings and reports, but nobody is left who knew it.
-// Cause: a version's time is counted from the moment at which a process heard of it, and runs from the store's confirmation. The store's list
-// does not say how long ago that was.
-func TestAVersionIsInUseInTimeThoughEveryProcessStartedAnew(t *testing.T) {
+// It guards against requests that start on the old version after it has expired, and against load orders that come too late, by as long as
+// the processes had known of the version before the restart. A process that starts finds the version in the store's list, which has no
+// activation times. If it takes the version as activated at that moment, the time that has already passed is lost: heartbeats and load
+// reports carry the age, but no process is left that knows it.
+func TestVersionIsUsedInTimeAfterAllProcessesRestart(t *testing.T) {
 	const never = time.Duration(0)
 	for _, c := range []struct {
 		name      string
 		restartAt time.Duration
-		// survivors is how many agents go on.
+		// survivors is the number of agents that keep running.
 		survivors int
 	}{
 		{name: "nobody starts anew", restartAt: never},
@@ -42,36 +40,36 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(3, 10)
-			f.name(2)
+			f.activate(2)
 			for f.now < versionTime+4*time.Second {
 				if c.restartAt != never && f.now == c.restartAt {
 					f.restart(c.survivors)
 				}
 				if f.now == 4*time.Second {
-					f.bring(2)
+					f.completeAll(2)
 				}
 				f.pass()
 			}
-			assert.Empty(t, f.late, "requests that began on version 1 after its time, by the time since version 2 was named")
+			assert.Empty(t, f.expired, "requests that started on version 1 after it expired, by time since the activation of version 2")
 			for _, a := range f.agents {
-				assert.Less(t, a.orderedAt, versionTime, "the order to the engine of %s, since version 2 was named", a.host)
+				assert.Less(t, a.orderedAt, versionTime, "load order to the engine of %s, by time since the activation of version 2", a.host)
 			}
 		})
 	}
 }
 
-// fleet is entries and agents with their engines in one data centre, as far as their reducers go. It starts as version 2 is named.
+// fleet simulates the reducers of entries and agents, and the agents' engines, in one data centre. It starts as version 2 is activated.
 type fleet struct {
 	now     time.Duration
 	version int64
 	entries []*forward.State
 	agents  []*fleetAgent
 	nextID  uint64
-	// late are the times at which requests began on version 1 that had to begin on version 2.
-	late []time.Duration
+	// expired are the times at which requests started on version 1 although version 2 was required.
+	expired []time.Duration
 }
 
-// fleetAgent is an agent with its engine, which goes on when the agent ends.
+// fleetAgent is an agent with its engine. The engine keeps running when the agent ends.
 type fleetAgent struct {
 	host      string
 	catalog   *catalog.State
@@ -79,22 +77,22 @@
 	engine    install.EngineRead
 	loadedBy  time.Duration
 	orderedAt time.Duration
-	// here is set once the chunks of the version are on this host, which they stay when the agent ends: they lie at the engine.
-	here bool
+	// complete is set once all chunks of the version are on this host. It survives a restart of the agent, as stored chunks do.
+	complete bool
 }
 
 const (
-	// loadTime is how long an engine is away for a load.
+	// loadTime is how long an engine is unavailable during a load.
 	loadTime = 1500 * time.Millisecond
-	// listInterval is the time between two lists of an agent.
+	// listInterval is the interval between two lists that an agent reads.
 	listInterval = 2 * time.Second
-	// tellInterval is the time between two greetings, and between two reports.
-	tellInterval = time.Second
+	// reportInterval is the interval between heartbeats, and between load reports.
+	reportInterval = time.Second
 	// fleetModel is the model of the fleet's engines.
 	fleetModel = "m"
 )
 
-// host has the settings of the fleet's hosts.
+// host holds the settings of the fleet's hosts.
 var host = hostconfig.Host{VersionTime: versionTime, Settle: 3 * time.Second}
 
 func newFleet(entries, agents int) *fleet {
@@ -109,7 +107,7 @@
 	return f
 }
 
-// restart has all entries and all agents but the first few end and start again. They read the store's lists at once.
+// restart ends and restarts all entries, and all agents but the first few. The new processes read the store's lists at once.
 func (f *fleet) restart(survivors int) {
 	for i := range f.entries {
 		c := catalog.NewState()
@@ -132,14 +130,14 @@
 			f.step(a, ev)
 		}
 		f.versions(func(ev step.Event) { f.step(a, ev) }).Listed(f.object())
-		if a.here {
-			f.complete(a)
+		if a.complete {
+			f.completeContent(a)
 		}
 	}
 }
 
-// lists are what a process reads of the store when it starts beside the version in force: the manifest, and the engines, which started an hour
-// ago and hold version 1.
+// lists returns what a starting process reads from the store besides the version in force: the manifest, and the engines, which
+// started an hour ago.
 func (f *fleet) lists() []step.Event {
 	route := &catalog.Route{
 		Name: "reports", Host: "h", Prefix: "/reports/", Kind: catalog.Streaming, Resumable: true, MaxUpstreams: 2,
@@ -157,20 +155,20 @@
 		catalog.UpstreamsListed{Revision: 100 + f.version, Upstreams: upstreams}, catalog.TopicListed{Topic: catalog.UpstreamTopic})
 }
 
-// versions turns objects of the store that name versions into events, as a process does.
-func (f *fleet) versions(take func(step.Event)) *storewatch.Follower {
-	return storewatch.Beliefs{Step: take, Log: zerolog.Nop()}.Follower(nil, platform.VersionKind)
+// versions returns a follower that converts the store's version objects to events, as in a real process.
+func (f *fleet) versions(handle func(step.Event)) *storewatch.Follower {
+	return storewatch.Beliefs{Step: handle, Log: zerolog.Nop()}.Follower(nil, platform.VersionKind)
 }
 
-// object is the store's object that names the version in force, with the store's revision.
+// object returns the store's object of the version in force, with the store revision.
 func (f *fleet) object() (revision int64, objects []platform.Object) {
 	revision = 100 + f.version
 	spec := json.RawMessage(fmt.Sprintf(`{"model":%q,"version":%d}`, fleetModel, f.version))
 	return revision, []platform.Object{{Name: fleetModel, Revision: revision, Spec: spec}}
 }
 
-// name has the operator name a version, of which every process hears at once by its wait for changes.
-func (f *fleet) name(version int64) {
+// activate has the operator activate a version. Every process receives it at once through its watch for changes.
+func (f *fleet) activate(version int64) {
 	f.version = version
 	_, objects := f.object()
 	for _, e := range f.entries {
@@ -181,15 +179,15 @@
 	}
 }
 
-// bring has the chunks of a version come to every host.
-func (f *fleet) bring(version int64) {
+// completeAll completes the version in force on every host.
+func (f *fleet) completeAll(version int64) {
 	for _, a := range f.agents {
-		a.here = true
-		f.complete(a)
+		a.complete = true
+		f.completeContent(a)
 	}
 }
 
-func (f *fleet) complete(a *fleetAgent) {
+func (f *fleet) completeContent(a *fleetAgent) {
 	digest := fmt.Sprint("digest of version ", f.version)
 	f.step(a, install.Resolved{Model: fleetModel, Version: f.version, Digest: digest})
 	f.step(a, install.Complete{Digest: digest})
@@ -203,12 +201,12 @@
 	return list
 }
 
-// input is an event at this moment.
+// input returns an input with the event at the current time.
 func (f *fleet) input(ev step.Event) step.Input {
 	return step.Input{Now: begin.Add(f.now), Rand: step.Score(fmt.Sprint(f.nextID), ""), Event: ev}
 }
 
-// pass lets a tenth of a second go by, in which each entry gets a request.
+// pass advances time by one tick of 100 ms, in which each entry receives a request.
 func (f *fleet) pass() {
 	f.now += step.TickInterval
 	for _, a := range f.agents {
@@ -229,29 +227,29 @@
 			f.versions(func(ev step.Event) { f.step(a, ev) }).Listed(f.object())
 		}
 	}
-	if f.now%tellInterval == 0 {
-		f.tell()
+	if f.now%reportInterval == 0 {
+		f.report()
 	}
 	for _, e := range f.entries {
 		f.request(e)
 	}
 }
 
-// tell has entries and agents tell one another the versions that they know, with their ages.
-func (f *fleet) tell() {
+// report exchanges the known versions and their ages between entries and agents.
+func (f *fleet) report() {
 	for _, e := range f.entries {
 		for _, a := range f.agents {
-			for _, ev := range f.told(a.catalog) {
+			for _, ev := range f.reports(a.catalog) {
 				e.Catalog.Reduce(f.input(ev))
 			}
-			for _, ev := range f.told(e.Catalog) {
+			for _, ev := range f.reports(e.Catalog) {
 				f.step(a, ev)
 			}
 		}
 	}
 }
 
-func (f *fleet) told(c *catalog.State) []step.Event {
+func (f *fleet) reports(c *catalog.State) []step.Event {
 	var events []step.Event
 	now := begin.Add(f.now)
 	for _, n := range loadreport.Namings(now, c.Told(now, versionTime)) {
@@ -260,12 +258,12 @@
 	return events
 }
 
-// request has a request come to an entry, and be begun by the engine to which it is sent at once.
+// request sends a request to an entry. The engine that the entry chooses starts it at once.
 func (f *fleet) request(e *forward.State) {
 	f.nextID++
 	arrived := forward.Arrived{ID: f.nextID, Host: "h", Path: "/reports/x", Model: fleetModel, Fingerprint: f.nextID}
 	for _, effect := range e.Reduce(f.input(arrived)) {
-		send, ok := effect.(forward.Send)
+		attempt, ok := effect.(forward.Send)
 		if !ok {
 			continue
 		}
@@ -273,21 +271,21 @@
 		for _, a := range f.agents {
 			held := a.engine.Loaded[fleetModel]
 			switch {
-			case a.host != send.Upstream.Address:
+			case a.host != attempt.Upstream.Address:
 			case a.engine.Busy:
 				outcome = forward.Declined
-			case send.Version > 0 && send.Version != held:
+			case attempt.Version > 0 && attempt.Version != held:
 				outcome = forward.Misdirected
 			case held < 2 && f.now > versionTime:
-				f.late = append(f.late, f.now)
+				f.expired = append(f.expired, f.now)
 			}
 		}
-		e.Reduce(f.input(forward.SendEnded{ID: send.ID, Outcome: outcome}))
+		e.Reduce(f.input(forward.SendEnded{ID: attempt.ID, Outcome: outcome}))
 	}
 	e.Reduce(f.input(forward.CallerGone{ID: f.nextID}))
 }
 
-// step has an agent's reducers take an event, and carries out what they answer.
+// step passes an event to an agent's reducers and carries out the effects.
 func (f *fleet) step(a *fleetAgent, ev step.Event) {
 	in := f.input(ev)
 	effects := a.catalog.Reduce(in)
--- a/internal/core/install/superseded_test.go
+++ b/internal/core/install/superseded_test.go
@@ -10,61 +10,62 @@
 	"samphireweir.example/samphireweir/internal/core/install"
 )
 
-// TestEnginesTakeTurnsInTheTimeOfTheVersionThatIsDueFirst names version 3 two seconds after version 2, which is given up for it, and has its
-// chunks come five seconds after the naming of version 2. The engines hold version 1, on which requests must not begin from the time of version
-// 2 on, whether or not anybody has that one.
+// TestLoadTurnsEndWithTheFirstRequiredVersion activates version 3 two seconds after version 2, which is dropped in its favour. The chunks of
+// version 3 arrive five seconds after the activation of version 2. The engines hold version 1, on which no request may start once version 2
+// is required, whether or not any engine holds version 2.
 //
-// What is seen: half of the engines still hold version 1 when entries send it nothing any more, and stand idle for up to 1.7 s until their turn.
-// How it comes about: with version 2 out of the list, the first newer version is 3, and the turns fill the time until that one is due.
-// Cause: until when a version may be used is reckoned from the versions that are still worth having, and not from all that were named.
-func TestEnginesTakeTurnsInTheTimeOfTheVersionThatIsDueFirst(t *testing.T) {
+// It guards against load turns that last until version 3 is required: half of the engines would still hold version 1 when entries stop
+// sending requests to it, and would be idle for up to 1.7 s until their turn. This happens if the expiry of a version is derived from
+// the versions that are still to be loaded, rather than from all activated versions.
+func TestLoadTurnsEndWithTheFirstRequiredVersion(t *testing.T) {
 	var hosts []string
 	for i := range 10 {
 		hosts = append(hosts, string(rune('a'+i)))
 	}
 	for _, host := range hosts {
-		r := &rig{state: install.NewState(host, versionTime), engine: install.EngineRead{Loaded: map[string]int64{"m": 1}}}
-		r.step(install.PeersChanged{Peers: hosts})
-		r.read()
-		r.step(install.Named{Model: "m", Version: 2})
-		r.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
-		r.pass(2 * time.Second)
-		r.step(install.Named{Model: "m", Version: 3})
-		r.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
-		r.pass(3 * time.Second)
-		done := prepares(r.step(install.Complete{Digest: "d3"}))
-		for !done && !prepares(r.pass(100*time.Millisecond)) {
-			require.Less(t, r.now, 30*time.Second)
+		h := &harness{state: install.NewState(host, versionTime), engine: install.EngineRead{Loaded: map[string]int64{"m": 1}}}
+		h.step(install.PeersChanged{Peers: hosts})
+		h.read()
+		h.step(install.Named{Model: "m", Version: 2})
+		h.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
+		h.pass(2 * time.Second)
+		h.step(install.Named{Model: "m", Version: 3})
+		h.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
+		h.pass(3 * time.Second)
+		done := hasPrepare(h.step(install.Complete{Digest: "d3"}))
+		for !done && !hasPrepare(h.pass(100*time.Millisecond)) {
+			require.Less(t, h.now, 30*time.Second)
 		}
-		require.LessOrEqual(t, r.now, versionTime-catalog.VersionMargin, "the turn of the engine of %s, since version 2 was named", host)
+		require.LessOrEqual(t, h.now, versionTime-catalog.VersionMargin, "load turn of the engine of %s, since the activation of version 2", host)
 	}
 }
 
-// TestAnEngineThatServesNobodyLoadsAVersionForItsLastSeconds is the pattern of an origin that goes away right after two namings and comes back when
-// the time of the version that engines hold is over: the first of the new ones arrives some seconds before the second must be in use. An
-// engine that still serves leaves such a version out.
-func TestAnEngineThatServesNobodyLoadsAVersionForItsLastSeconds(t *testing.T) {
-	const named, outOfUse = 3 * time.Second, versionTime - catalog.VersionMargin
+// TestEngineWithoutAUsableVersionLoadsOneForItsLastSeconds covers an origin outage that starts right after two activations and ends when
+// the version that the engines hold is no longer usable. The first of the new versions then arrives some seconds before the second one is
+// required. An engine that receives no requests must load it even for such a short time, one that still serves requests skips it, and
+// neither loads it when less than about 1 s is left.
+func TestEngineWithoutAUsableVersionLoadsOneForItsLastSeconds(t *testing.T) {
+	const secondActivation, endOfUse = 3 * time.Second, versionTime - catalog.VersionMargin
 	for _, c := range []struct {
 		held  int64
 		at    time.Duration
 		loads bool
 	}{
-		{held: 1, at: outOfUse + 300*time.Millisecond, loads: true},
-		{held: 0, at: outOfUse - time.Second, loads: true},
-		{held: 1, at: outOfUse + named - 900*time.Millisecond, loads: false},
-		{held: 0, at: outOfUse + named - 900*time.Millisecond, loads: false},
+		{held: 1, at: endOfUse + 300*time.Millisecond, loads: true},
+		{held: 0, at: endOfUse - time.Second, loads: true},
+		{held: 1, at: endOfUse + secondActivation - 900*time.Millisecond, loads: false},
+		{held: 0, at: endOfUse + secondActivation - 900*time.Millisecond, loads: false},
 	} {
-		r := newRig()
+		h := newHarness()
 		if c.held > 0 {
-			r.engine.Loaded["m"] = c.held
+			h.engine.Loaded["m"] = c.held
 		}
-		r.read()
-		r.step(install.Named{Model: "m", Version: 2})
-		r.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
-		r.pass(named)
-		r.step(install.Named{Model: "m", Version: 3})
-		r.pass(c.at - named)
-		require.Equal(t, c.loads, prepares(r.step(install.Complete{Digest: "d2"})) || prepares(r.pass(100*time.Millisecond)), "%+v", c)
+		h.read()
+		h.step(install.Named{Model: "m", Version: 2})
+		h.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
+		h.pass(secondActivation)
+		h.step(install.Named{Model: "m", Version: 3})
+		h.pass(c.at - secondActivation)
+		require.Equal(t, c.loads, hasPrepare(h.step(install.Complete{Digest: "d2"})) || hasPrepare(h.pass(100*time.Millisecond)), "%+v", c)
 	}
 }
