--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -40,7 +40,7 @@
 	r       *http.Request
 	body    []byte
 	// holder accounts for the memory of the body and of what the caller has not taken of its answer.
-	holder *membudget.Holder
+	holder *membudget.Reservation
 	// arrived is when the request's head was read.
 	arrived time.Time
 	// fingerprint names what is asked and by whom; see package quarantine.
@@ -105,14 +105,14 @@
 // endSlow ends a request whose caller took nothing for so long that its memory went to others.
 func (x *exchange) endSlow() {
 	x.gateway.step(forward.CallerGone{ID: x.id})
-	x.ended("slow caller ended", membudget.ErrEnded.Error())
+	x.ended("slow caller ended", membudget.ErrEvicted.Error())
 	x.logIfEnded()
 	panic(http.ErrAbortHandler)
 }
 
 // logIfEnded logs that the request was ended to make room for others.
 func (x *exchange) logIfEnded() {
-	if x.holder.Ended() {
+	if x.holder.Evicted() {
 		logevent.Warn(x.gateway.log, logevent.SlowCallerEnded).Str("request", x.call.ID).Str("route", x.routeName()).Bool("answering", x.begun).
 			Int64("held", x.gateway.memory.Used()).Dur("took_ms", time.Since(x.arrived)).Msg("slow caller ended")
 	}
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -19,7 +19,7 @@
 
 // openHolder returns the holder of what is held for a request. When its caller is ended to make room for others, the connection is of no use any more:
 // reads and writes on it end at once.
-func (g *Gateway) openHolder(w http.ResponseWriter, key string) *membudget.Holder {
+func (g *Gateway) openHolder(w http.ResponseWriter, key string) *membudget.Reservation {
 	caller := http.NewResponseController(w)
 	return g.memory.Open(key, func() {
 		past := time.Now().Add(-time.Second)
@@ -34,7 +34,7 @@
 // heldReader reads something that is held in memory.
 type heldReader struct {
 	io.Reader
-	holder *membudget.Holder
+	holder *membudget.Reservation
 	// room takes room for what was read; see heldBody and heldAnswer.
 	room func(n int) error
 }
@@ -43,7 +43,7 @@
 func (r heldReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
-		r.holder.Moved()
+		r.holder.Progress()
 		if full := r.room(n); full != nil {
 			return n, full
 		}
@@ -52,17 +52,17 @@
 }
 
 // heldBody reads the body of a caller's request: one that finds no room can be refused.
-func heldBody(body io.Reader, h *membudget.Holder) io.Reader {
+func heldBody(body io.Reader, h *membudget.Reservation) io.Reader {
 	return heldReader{Reader: body, holder: h, room: h.Grow}
 }
 
 // heldAnswer reads an answer, which waits for room.
-func heldAnswer(ctx context.Context, answer io.Reader, h *membudget.Holder) io.Reader {
+func heldAnswer(ctx context.Context, answer io.Reader, h *membudget.Reservation) io.Reader {
 	return heldReader{Reader: answer, holder: h, room: func(n int) error { return growOnceThereIsRoom(ctx, h, n) }}
 }
 
 // growOnceThereIsRoom takes room for n bytes of an answer.
-func growOnceThereIsRoom(ctx context.Context, h *membudget.Holder, n int) error {
+func growOnceThereIsRoom(ctx context.Context, h *membudget.Reservation, n int) error {
 	for {
 		err := h.Grow(n)
 		if !errors.Is(err, membudget.ErrFull) {
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -63,7 +63,7 @@
 	x.current.Store(a)
 	defer x.current.Store(nil)
 	outcome, err := a.make(ctx)
-	if outcome != forward.Answered && x.holder.Ended() {
+	if outcome != forward.Answered && x.holder.Evicted() {
 		x.endSlow()
 	}
 	if outcome != forward.Answered && x.ctx.Err() != nil {
--- a/internal/membudget/membudget.go
+++ b/internal/membudget/membudget.go
@@ -1,6 +1,6 @@
-// Package membudget bounds, in bytes, what a process holds for its callers: bodies that were read, and answers that callers have not taken. Each
-// request has a Holder. When there is no room for more, the holder that has made no progress for the longest is ended, since
-// its caller is the one who costs the others most.
+// Package membudget limits the bytes that a process holds for its callers: request bodies, and responses that callers have not read yet. Each
+// request has a Reservation. When the budget is exhausted, the reservation that has made no progress for the longest time is
+// evicted, since its caller costs the others most.
 package membudget
 
 import (
@@ -11,151 +11,151 @@
 )
 
 const (
-	// ownerShare is the part of the budget that the requests of one owner may hold, as a divisor.
-	ownerShare = 2
-	// leastStall is how long a holder must have made no progress to be ended for another one.
-	leastStall = 500 * time.Millisecond
+	// ownerDivisor limits the reservations of one owner to half of the budget.
+	ownerDivisor = 2
+	// minStall is how long a reservation must have made no progress before it can be evicted.
+	minStall = 500 * time.Millisecond
 )
 
-// ErrFull says that there is no room, and nobody who could be ended for it.
-var ErrFull = errors.New("the memory for callers' requests is full")
+// ErrFull means that the budget is exhausted and no reservation can be evicted.
+var ErrFull = errors.New("memory budget for callers' requests is exhausted")
 
-// ErrEnded says that the holder was ended to make room for others.
-var ErrEnded = errors.New("ended to make room: its caller took nothing for the longest time")
+// ErrEvicted means that the reservation was evicted to free memory for others.
+var ErrEvicted = errors.New("evicted to free memory: its caller made no progress for the longest time")
 
-// Budget is shared by all requests of a process. It is safe for concurrent use.
+// Budget is a memory budget shared by all requests of a process. It is safe for concurrent use.
 type Budget struct {
 	limit int64
 	now   func() time.Time
 
-	mu      sync.Mutex
-	used    int64
-	owners  map[string]int64
-	holders map[*Holder]struct{}
+	mu           sync.Mutex
+	used         int64
+	owners       map[string]int64
+	reservations map[*Reservation]struct{}
 }
 
-// New returns a budget of limit bytes. now is the steady clock.
+// New returns a budget of limit bytes. now returns the current time of a monotonic clock.
 func New(limit int64, now func() time.Time) *Budget {
-	return &Budget{limit: limit, now: now, owners: map[string]int64{}, holders: map[*Holder]struct{}{}}
+	return &Budget{limit: limit, now: now, owners: map[string]int64{}, reservations: map[*Reservation]struct{}{}}
 }
 
-// Used is how many bytes are held.
+// Used returns the number of bytes reserved.
 func (b *Budget) Used() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used
 }
 
-// Holder is what is held for one request.
-type Holder struct {
+// Reservation is the memory held for one request.
+type Reservation struct {
 	budget *Budget
 	owner  string
-	end    func()
-	// held, moved and ended are guarded by the budget's lock; moved is when the caller last gave or took something.
-	held  int64
-	moved time.Time
-	ended bool
+	evict  func()
+	// size (in bytes), progressAt and evicted are guarded by the budget's lock. progressAt is when the caller last sent or read data.
+	size       int64
+	progressAt time.Time
+	evicted    bool
 }
 
-// Open returns a holder for a request of an owner, which is whatever tells callers apart. end is called at most once, if the holder is ended to
-// make room for others; it must not wait.
-func (b *Budget) Open(owner string, end func()) *Holder {
-	h := &Holder{budget: b, owner: owner, end: end, moved: b.now()}
+// Open returns an empty reservation for a request of an owner; owner is any key that distinguishes callers. If the reservation is evicted to
+// free memory for others, evict is called once. It runs with the budget's lock held and must not block.
+func (b *Budget) Open(owner string, evict func()) *Reservation {
+	r := &Reservation{budget: b, owner: owner, evict: evict, progressAt: b.now()}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.holders[h] = struct{}{}
-	return h
+	b.reservations[r] = struct{}{}
+	return r
 }
 
-// Grow takes room for n bytes more. It ends others where that helps, and returns ErrFull where it does not.
-func (h *Holder) Grow(n int) error {
-	b := h.budget
+// Grow reserves n more bytes. It evicts other reservations if that frees enough, and returns ErrFull if it does not.
+func (r *Reservation) Grow(n int) error {
+	b := r.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for {
 		switch {
-		case h.ended:
-			return ErrEnded
-		case b.owners[h.owner]+int64(n) > b.limit/ownerShare:
-			if !b.endSlowest(func(o *Holder) bool { return o != h && o.owner == h.owner }) {
+		case r.evicted:
+			return ErrEvicted
+		case b.owners[r.owner]+int64(n) > b.limit/ownerDivisor:
+			if !b.evictSlowest(func(other *Reservation) bool { return other != r && other.owner == r.owner }) {
 				return ErrFull
 			}
 		case b.used+int64(n) > b.limit:
-			if !b.endSlowest(func(o *Holder) bool { return o != h }) {
+			if !b.evictSlowest(func(other *Reservation) bool { return other != r }) {
 				return ErrFull
 			}
 		default:
-			h.add(int64(n))
+			r.add(int64(n))
 			return nil
 		}
 	}
 }
 
-// Moved notes that the caller has given or taken something.
-func (h *Holder) Moved() {
-	h.budget.mu.Lock()
-	defer h.budget.mu.Unlock()
-	h.moved = h.budget.now()
+// Progress records that the caller sent or read data.
+func (r *Reservation) Progress() {
+	r.budget.mu.Lock()
+	defer r.budget.mu.Unlock()
+	r.progressAt = r.budget.now()
 }
 
-// Shrink gives back the room of n bytes that the caller has taken.
-func (h *Holder) Shrink(n int) {
-	h.budget.mu.Lock()
-	defer h.budget.mu.Unlock()
-	h.moved = h.budget.now()
-	if !h.ended { // An ended holder has given back all.
-		h.add(-int64(n))
+// Shrink releases n bytes that the caller has read.
+func (r *Reservation) Shrink(n int) {
+	r.budget.mu.Lock()
+	defer r.budget.mu.Unlock()
+	r.progressAt = r.budget.now()
+	if !r.evicted { // An evicted reservation has released everything.
+		r.add(-int64(n))
 	}
 }
 
-// Ended tells whether the holder was ended to make room for others.
-func (h *Holder) Ended() bool {
-	h.budget.mu.Lock()
-	defer h.budget.mu.Unlock()
-	return h.ended
+// Evicted reports whether the reservation was evicted to free memory for others.
+func (r *Reservation) Evicted() bool {
+	r.budget.mu.Lock()
+	defer r.budget.mu.Unlock()
+	return r.evicted
 }
 
-// Close gives back all room.
-func (h *Holder) Close() {
-	b := h.budget
+// Close releases the whole reservation.
+func (r *Reservation) Close() {
+	b := r.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	h.release()
+	r.release()
 }
 
-// endSlowest ends the holder that made no progress for the longest among some. It is called with the lock held.
-func (b *Budget) endSlowest(among func(*Holder) bool) bool {
-	var slowest *Holder
+// evictSlowest evicts the eligible reservation that made no progress for the longest time, and reports whether there was one. The caller holds the lock.
+func (b *Budget) evictSlowest(eligible func(*Reservation) bool) bool {
+	var slowest *Reservation
 	now := b.now()
-	for h := range b.holders {
-		if h.held == 0 || now.Sub(h.moved) < leastStall || !among(h) {
+	for r := range b.reservations {
+		if r.size == 0 || now.Sub(r.progressAt) < minStall || !eligible(r) {
 			continue
 		}
-		if slowest == nil || h.moved.Before(slowest.moved) {
-			slowest = h
+		if slowest == nil || r.progressAt.Before(slowest.progressAt) {
+			slowest = r
 		}
 	}
 	if slowest == nil {
 		return false
 	}
-	slowest.ended = true
+	slowest.evicted = true
 	slowest.release()
-	slowest.end()
+	slowest.evict()
 	return true
 }
 
-// add is called with the lock held.
-func (h *Holder) add(n int64) {
-	h.held += n
-	h.budget.used += n
-	h.budget.owners[h.owner] += n
-	if h.budget.owners[h.owner] == 0 {
-		delete(h.budget.owners, h.owner)
+// add changes the reserved size by n bytes. The caller holds the lock.
+func (r *Reservation) add(n int64) {
+	r.size += n
+	r.budget.used += n
+	r.budget.owners[r.owner] += n
+	if r.budget.owners[r.owner] == 0 {
+		delete(r.budget.owners, r.owner)
 	}
 }
 
-// release is called with the lock held.
-func (h *Holder) release() {
-	h.add(-h.held)
-	delete(h.budget.holders, h)
+// release frees the reservation. The caller holds the lock.
+func (r *Reservation) release() {
+	r.add(-r.size)
+	delete(r.budget.reservations, r)
 }
