--- /dev/null
+++ b/internal/gateway/attempt.go
@@ -0,0 +1,259 @@
+package gateway
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"samphireweir.example/samphireweir/internal/core/catalog"
+	"samphireweir.example/samphireweir/internal/core/forward"
+	"samphireweir.example/samphireweir/internal/logevent"
+	"samphireweir.example/samphireweir/platform"
+)
+
+// maxBufferedResponse is the size limit, in bytes, of a response that is buffered completely before it is passed on.
+const maxBufferedResponse = 16 << 20
+
+// errUpstreamTimeout ends an attempt whose upstream sent nothing within the attempt's timeout.
+var errUpstreamTimeout = errors.New("timed out waiting for data from the upstream")
+
+// errWithdrawn ends an attempt that its engine has not started while the engine's version is about to expire.
+var errWithdrawn = errors.New("withdrawn before the upstream started it: the engine's version is about to expire")
+
+// attempt is one attempt to have an upstream execute a request.
+type attempt struct {
+	x        *exchange
+	decision forward.Send
+	// connected is set once bytes may have reached the upstream.
+	connected atomic.Bool
+	cancel    context.CancelCauseFunc
+	timer     *time.Timer
+	// createdAt is when the attempt was created. version is the version on which the upstream says it started; see markStarted.
+	createdAt time.Time
+	version   int64
+	// stage is stagePending until the upstream has started the request or the attempt is withdrawn, whichever comes first.
+	stage atomic.Int32
+}
+
+// Stages of an attempt.
+const (
+	stagePending int32 = iota
+	stageStarted
+	stageWithdrawn
+)
+
+// runAttempt makes one attempt and reports its outcome to the reducer. It returns true if the request ended with it.
+func (x *exchange) runAttempt(e forward.Send) bool {
+	if !time.Now().Before(e.By) {
+		return false // The request's deadline passed before the decision was carried out; run reports that to the reducer.
+	}
+	logevent.Info(x.gateway.log, logevent.RequestSent).Str("request", x.call.ID).Str("route", x.routeName()).Str("upstream", e.Upstream.ID).
+		Int64("entry_revision", e.Upstream.Revision).Int("sends", e.Number).Bool("resume", e.Resume).
+		Int64("version", e.Version).Stringer("homes", e.Homes).Bool("came_back", e.CameBack).Dur("waited_ms", time.Since(x.arrivedAt)).Msg("request sent")
+	x.gateway.metrics.Attempts.Add(1, x.routeName(), "", strconv.Itoa(e.Number))
+	ctx, cancel := context.WithCancelCause(x.ctx)
+	a := &attempt{x: x, decision: e, cancel: cancel, createdAt: time.Now()}
+	defer cancel(nil)
+	x.current.Store(a)
+	defer x.current.Store(nil)
+	outcome, err := a.do(ctx)
+	if outcome != forward.Answered && x.reservation.Evicted() {
+		x.abortEvicted()
+	}
+	if outcome != forward.Answered && x.ctx.Err() != nil {
+		// The caller left or the deadline passed; run reports to the reducer which.
+		x.unsent = !a.connected.Load()
+		return false
+	}
+	if err != nil {
+		logevent.Warn(x.gateway.log, logevent.AttemptFailed).Str("request", x.call.ID).Str("upstream", e.Upstream.ID).Int("sends", e.Number).
+			Str("outcome", string(outcome)).Uint64("fingerprint", x.fingerprint).Str("last_event", x.lastEventID).Err(err).Msg("attempt failed")
+		x.gateway.metrics.AttemptsFailed.Add(1, string(outcome))
+	}
+	x.reportAttemptEnd(outcome)
+	if outcome == forward.Answered {
+		x.recordEnd("answered", "")
+		return true
+	}
+	return false
+}
+
+func (a *attempt) do(ctx context.Context) (forward.Outcome, error) {
+	a.startTimer()
+	defer a.stopTimer()
+	ctx = platform.Connected(ctx, func() { a.connected.Store(true) })
+	req, err := platform.NewUpstreamRequest(ctx, a.x.r, a.x.body, a.decision, a.x.lastEventID)
+	if err != nil {
+		return forward.NotSent, err
+	}
+	resp, err := a.x.gateway.upstreamTransport.RoundTrip(req)
+	if err != nil {
+		return a.outcomeOf(ctx, err), err
+	}
+	defer func() { _ = resp.Body.Close() }()
+	reading := platform.ReadHead(resp, a.x.call.ID)
+	a.version = reading.Version
+	a.x.gateway.step(forward.Noticed{Upstream: a.decision.Upstream.Life(), Sent: a.createdAt, Outcome: reading.Outcome, Notice: reading.Notice})
+	switch {
+	case reading.Outcome == forward.ServerFailed:
+		return a.readFailure(ctx, resp, reading)
+	case reading.Outcome != forward.Answered:
+		return reading.Outcome, errors.New(reading.Problem)
+	case a.isStream(resp):
+		err = a.copyStream(ctx, resp, reading.Header)
+	default:
+		err = a.copyBuffered(ctx, resp, reading.Header)
+	}
+	if err != nil {
+		return a.outcomeOf(ctx, err), err
+	}
+	return forward.Answered, nil
+}
+
+// outcomeOf classifies an attempt that ended with an error.
+func (a *attempt) outcomeOf(ctx context.Context, err error) forward.Outcome {
+	isWithdrawn := errors.Is(context.Cause(ctx), errWithdrawn) || errors.Is(err, errWithdrawn)
+	switch {
+	case isWithdrawn && !a.connected.Load():
+		return forward.Unsent
+	case isWithdrawn:
+		return forward.Withdrawn
+	case !a.connected.Load():
+		return forward.NotSent
+	case errors.Is(context.Cause(ctx), errUpstreamTimeout), errors.Is(err, errUpstreamTimeout):
+		return forward.Silent
+	}
+	return forward.Broken
+}
+
+// markStarted records that the upstream started the request: a stream starts with its first event, any other response with its
+// head. It reports whether the response may be passed on, which is false for an attempt that was withdrawn first.
+func (a *attempt) markStarted() bool {
+	if !a.stage.CompareAndSwap(stagePending, stageStarted) {
+		return a.stage.Load() == stageStarted
+	}
+	a.x.startedVersion = a.version
+	a.x.gateway.metrics.UpstreamFirstByte.Observe(time.Since(a.createdAt), a.x.routeName(), "", "")
+	a.x.gateway.step(forward.Began{ID: a.x.id, Version: a.version})
+	return true
+}
+
+// withdraw cancels the current attempt if it is the one that e names and its upstream has not started it.
+func (x *exchange) withdraw(e forward.Withdraw) {
+	if a := x.current.Load(); a != nil && a.decision.Number == e.Number && a.stage.CompareAndSwap(stagePending, stageWithdrawn) {
+		a.cancel(errWithdrawn)
+	}
+}
+
+func (a *attempt) startTimer() {
+	if a.decision.Patience > 0 {
+		a.timer = time.AfterFunc(a.decision.Patience, func() { a.cancel(errUpstreamTimeout) })
+	}
+}
+
+func (a *attempt) stopTimer() {
+	if a.timer != nil {
+		a.timer.Stop()
+	}
+}
+
+// resetTimer restarts the timeout for the next event of a stream.
+func (a *attempt) resetTimer() {
+	if a.timer != nil {
+		a.timer.Reset(a.decision.GapPatience)
+	}
+}
+
+func (a *attempt) isStream(resp *http.Response) bool {
+	return a.x.admission.Route.Kind == catalog.Streaming && resp.StatusCode == http.StatusOK &&
+		strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
+}
+
+// readFailure buffers an upstream's own failure, so that it can be passed on if no other upstream is tried.
+func (a *attempt) readFailure(ctx context.Context, resp *http.Response, reading platform.Reading) (forward.Outcome, error) {
+	body, err := a.readAll(ctx, resp)
+	if err != nil {
+		return a.outcomeOf(ctx, err), errors.Wrap(err, "reading the upstream's error response")
+	}
+	a.x.upstreamFailure = &response{status: resp.StatusCode, header: reading.Header, body: body}
+	return forward.ServerFailed, errors.New(reading.Problem)
+}
+
+// copyBuffered reads a complete response before it passes any of it on, so that another attempt can replace one that breaks off.
+func (a *attempt) copyBuffered(ctx context.Context, resp *http.Response, header http.Header) error {
+	if !a.markStarted() {
+		return errWithdrawn
+	}
+	body, err := a.readAll(ctx, resp)
+	if err != nil {
+		return errors.Wrap(err, "reading the upstream's response")
+	}
+	a.stopTimer()
+	if a.x.r.Method != http.MethodHead {
+		header.Set("Content-Length", strconv.Itoa(len(body)))
+	}
+	a.x.writeResponse(&response{status: resp.StatusCode, header: header, body: body})
+	return nil
+}
+
+func (a *attempt) readAll(ctx context.Context, resp *http.Response) ([]byte, error) {
+	return io.ReadAll(accountedResponse(ctx, io.LimitReader(resp.Body, maxBufferedResponse), a.x.reservation))
+}
+
+// copyStream passes on the events of a stream as they arrive, each one complete.
+func (a *attempt) copyStream(ctx context.Context, resp *http.Response, header http.Header) error {
+	events := newEventQueue()
+	go a.readEvents(ctx, resp.Body, events)
+	callerConn := http.NewResponseController(a.x.w)
+	for {
+		ev, err := events.pop()
+		if errors.Is(err, io.EOF) {
+			a.x.writeHeader(resp.StatusCode, header)
+			return nil
+		}
+		if err != nil {
+			return errors.Wrap(err, "reading the upstream's stream")
+		}
+		if !a.markStarted() {
+			return errWithdrawn
+		}
+		if err := a.x.checkEventOrder(ev); err != nil {
+			return err
+		}
+		a.x.timing.recordRead(ev.readAt)
+		header.Del("Content-Length") // The rest of the stream may come from another upstream.
+		a.x.writeHeader(resp.StatusCode, header)
+		writeStart := time.Now()
+		if _, err := a.x.w.Write(ev.raw); err != nil {
+			return errors.Wrap(err, "writing to the caller")
+		}
+		if err := callerConn.Flush(); err != nil {
+			return errors.Wrap(err, "writing to the caller")
+		}
+		a.x.reservation.Shrink(len(ev.raw))
+		a.x.lastWriteAt = time.Now()
+		a.x.timing.recordWrite(a.x.lastWriteAt.Sub(writeStart))
+		if ev.id != "" {
+			a.x.lastEventID = ev.id
+		}
+	}
+}
+
+// checkEventOrder returns an error if ev does not directly follow the last event passed on: a stream that skips or repeats an event is broken.
+func (x *exchange) checkEventOrder(ev event) error {
+	if x.lastEventID == "" || ev.id == "" {
+		return nil
+	}
+	last, errLast := strconv.ParseInt(x.lastEventID, 10, 64)
+	id, errID := strconv.ParseInt(ev.id, 10, 64)
+	if errLast != nil || errID != nil || id != last+1 {
+		return errors.Errorf("event %q does not follow event %q", ev.id, x.lastEventID)
+	}
+	return nil
+}
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -9,12 +9,12 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// evacuationTime is what the users' platform allows.
+// evacuationTime is the time that the users' platform allows until an evacuation takes effect.
 const evacuationTime = 5 * time.Second
 
-// TestAnEvacuationHoldsFromTheStoresWordOn guards against work for a data centre that is being evacuated: at an entry that runs, at one that starts
-// during the evacuation, and while the store is away after it. It ends when the operator takes it back.
-func TestAnEvacuationHoldsFromTheStoresWordOn(t *testing.T) {
+// TestEvacuatedDataCentreGetsNoRequests guards against requests sent to a data centre under evacuation: by a running entry, by an entry that
+// starts during the evacuation, and by both while the store is down. Requests are sent again once the operator ends the evacuation.
+func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	desk := fleet.AddService("i-desk")
@@ -23,20 +23,20 @@
 	running := startHost(t, fleet, host)
 	require.Equal(t, 200, running.Post("/once/1").Status)
 	fleet.Store.Put("evacuations", "perth-a", map[string]any{})
-	require.Eventually(t, func() bool { return running.Post("/once/1").Status == 503 }, patience, pollInterval)
-	late := fleet.Host(standin.NextIP(), false)
-	late.EvacuationTime = evacuationTime
-	starting := startHost(t, fleet, late)
+	require.Eventually(t, func() bool { return running.Post("/once/1").Status == 503 }, testTimeout, pollInterval)
+	startingHost := fleet.Host(standin.NextIP(), false)
+	startingHost.EvacuationTime = evacuationTime
+	starting := startHost(t, fleet, startingHost)
 	fleet.Store.SetDown(true)
-	reached := desk.Arrived()
+	arrivedBefore := desk.Arrived()
 	for range 20 {
 		require.Equal(t, 503, running.Post("/once/1").Status)
 		require.Equal(t, 503, starting.Post("/once/1").Status)
 		time.Sleep(20 * time.Millisecond)
 	}
-	require.Equal(t, reached, desk.Arrived())
+	require.Equal(t, arrivedBefore, desk.Arrived())
 	fleet.Store.SetDown(false)
 	fleet.Store.Delete("evacuations", "perth-a")
-	require.Eventually(t, func() bool { return running.Post("/once/1").Status == 200 }, patience, pollInterval)
-	require.Eventually(t, func() bool { return starting.Post("/once/1").Status == 200 }, patience, pollInterval)
+	require.Eventually(t, func() bool { return running.Post("/once/1").Status == 200 }, testTimeout, pollInterval)
+	require.Eventually(t, func() bool { return starting.Post("/once/1").Status == 200 }, testTimeout, pollInterval)
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -9,25 +9,25 @@
 	"github.com/pkg/errors"
 )
 
-// maxEvent bounds an event of a stream in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes is the size limit of one event of a stream, in bytes.
+const maxEventBytes = 1 << 20
 
-// event is one whole event of a stream.
+// event is one complete event of a stream.
 type event struct {
-	// raw are its bytes, the empty line at its end included.
+	// raw holds the event's bytes, including the empty line at its end.
 	raw []byte
-	// id is empty for an event without one.
+	// id is empty for an event without an id.
 	id string
-	// at is when it was read.
-	at time.Time
+	// readAt is when the event was read completely.
+	readAt time.Time
 }
 
-// eventReader cuts a stream into whole events.
+// eventReader splits a stream into complete events.
 type eventReader struct{ r *bufio.Reader }
 
 func newEventReader(r io.Reader) *eventReader { return &eventReader{r: bufio.NewReader(r)} }
 
-// next returns the next whole event. A stream that ends within an event gives io.ErrUnexpectedEOF.
+// next returns the next complete event. It returns io.ErrUnexpectedEOF for a stream that ends within an event.
 func (e *eventReader) next() (event, error) {
 	var ev event
 	for {
@@ -39,15 +39,15 @@
 			return event{}, err
 		}
 		ev.raw = append(ev.raw, line...)
-		if len(ev.raw) > maxEvent {
-			return event{}, errors.Errorf("an event of over %d bytes", maxEvent)
+		if len(ev.raw) > maxEventBytes {
+			return event{}, errors.Errorf("stream event exceeds %d bytes", maxEventBytes)
 		}
-		text := bytes.TrimRight(line, "\r\n")
-		if id, ok := bytes.CutPrefix(text, []byte("id:")); ok {
+		content := bytes.TrimRight(line, "\r\n")
+		if id, ok := bytes.CutPrefix(content, []byte("id:")); ok {
 			ev.id = string(bytes.TrimSpace(id))
 		}
-		if len(text) == 0 {
-			ev.at = time.Now()
+		if len(content) == 0 {
+			ev.readAt = time.Now()
 			return ev, nil
 		}
 	}
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -11,38 +11,38 @@
 	"samphireweir.example/samphireweir/internal/loadreport"
 )
 
-// Step hands an event to the reducers, as the shell does.
+// Step passes an event to the reducers, as the shell does.
 func (g *Gateway) Step(ev step.Event) { g.step(ev) }
 
-// SendThrough has requests go to upstreams another way.
-func (g *Gateway) SendThrough(way http.RoundTripper) { g.upstreams = way }
+// SetUpstreamTransport replaces the transport for requests to upstreams.
+func (g *Gateway) SetUpstreamTransport(transport http.RoundTripper) { g.upstreamTransport = transport }
 
-// Greeting is what the agents are told now.
-func (g *Gateway) Greeting() loadreport.Message {
-	_, m := g.greeting(time.Now())
+// Heartbeat returns the message that a heartbeat would carry now.
+func (g *Gateway) Heartbeat() loadreport.Message {
+	_, m := g.heartbeat(time.Now())
 	return m
 }
 
-// Hear takes a message.
-func (g *Gateway) Hear(from netip.AddrPort, m loadreport.Message) { g.heard(from, m) }
+// Receive handles a message as if it had come from the socket.
+func (g *Gateway) Receive(from netip.AddrPort, m loadreport.Message) { g.handleMessage(from, m) }
 
-// RequiredVersion is the version on which requests for a model must begin in a while.
+// RequiredVersion returns the version on which requests for a model must start at the given time from now.
 func (g *Gateway) RequiredVersion(model string, after, within time.Duration) int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.catalog.RequiredVersion(model, time.Now().Add(after), within)
 }
 
-// OutcomeOfWithdrawnAnswer is what a send ends as that is withdrawn at the moment at which its first event is there.
-func OutcomeOfWithdrawnAnswer() forward.Outcome {
+// OutcomeOfWithdrawnResponse returns the outcome of an attempt that is withdrawn at the moment its first event arrives.
+func OutcomeOfWithdrawnResponse() forward.Outcome {
 	a := &attempt{}
 	a.connected.Store(true)
-	a.stage.Store(withdrawn)
-	if a.begin() {
+	a.stage.Store(stageWithdrawn)
+	if a.markStarted() {
 		return forward.Answered
 	}
-	return a.failed(context.Background(), errWithdrawn)
+	return a.outcomeOf(context.Background(), errWithdrawn)
 }
 
-// Held is how many bytes are held for callers.
-func (g *Gateway) Held() int64 { return g.memory.Used() }
+// MemoryUsed returns the number of bytes held for callers.
+func (g *Gateway) MemoryUsed() int64 { return g.memory.Used() }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway runs the entry on the platform: it takes callers' requests, sends each straight to a registered upstream
-// and passes the answer on. Decisions are made by the reducers catalog and forward; this package carries them out.
+// Package gateway is the shell of the entry on the platform: it accepts callers' requests, sends each one directly to a registered
+// upstream and passes the response on. The reducers catalog and forward make the decisions; the shell carries out their effects.
 package gateway
 
 import (
@@ -30,14 +30,14 @@
 )
 
 const (
-	// tickInterval is the time between two looks at what waits for room; waits are tens of milliseconds.
+	// tickInterval is how often queued requests are checked for free capacity. Requests queue for tens of milliseconds.
 	tickInterval = 20 * time.Millisecond
-	// upstreamDial bounds the making of a connection to an upstream: some tens of round trips between regions.
-	upstreamDial = 400 * time.Millisecond
-	// storeDial bounds the making of a connection to the store.
-	storeDial = time.Second
-	// keepAliveProbe is how often an open connection to the store is probed; it shows a connection that went silent.
-	keepAliveProbe = time.Second
+	// upstreamDialTimeout limits connecting to an upstream; it allows some tens of round trips between regions.
+	upstreamDialTimeout = 400 * time.Millisecond
+	// storeDialTimeout limits connecting to the store.
+	storeDialTimeout = time.Second
+	// storeKeepAliveInterval is how often an open connection to the store is probed, to detect a peer that no longer responds.
+	storeKeepAliveInterval = time.Second
 )
 
 // Gateway is one entry.
@@ -45,16 +45,16 @@
 	host    hostconfig.Host
 	log     zerolog.Logger
 	metrics *telemetry.Metrics
-	// upstreams sends requests to upstreams; traces is nil when tracing is off.
-	upstreams  http.RoundTripper
-	traces     *telemetry.Traces
-	neighbours *storefeed.Neighbours
-	// cache is what was read of the store, for the processes that read through this one; store reads it.
+	// upstreamTransport sends requests to upstreams; traces is nil when tracing is off.
+	upstreamTransport http.RoundTripper
+	traces            *telemetry.Traces
+	storePeers        *storefeed.Neighbours
+	// cache holds what was read from the store, for the processes that read the store through this one; store reads through it.
 	cache  *storefeed.Cache
 	store  *storefeed.Reader
 	self   string
 	socket *loadreport.Socket
-	// memory bounds what is held for callers.
+	// memory limits the bytes held for callers.
 	memory *membudget.Budget
 
 	mu        sync.Mutex
@@ -65,65 +65,65 @@
 	nextID   atomic.Uint64
 	ready    atomic.Bool
 	stopping atomic.Bool
-	open     atomic.Int64
+	inFlight atomic.Int64
 }
 
-// New returns an entry of a host. Its metrics are written to m; traces is nil when tracing is off.
+// New returns the entry of a host. It records its metrics in m; traces is nil when tracing is off.
 func New(host hostconfig.Host, log zerolog.Logger, m *telemetry.Metrics, traces *telemetry.Traces) *Gateway {
-	c, self := catalog.NewState(), net.JoinHostPort(host.IP, strconv.Itoa(host.PeerPort))
-	c.ListedSince, c.FollowsEvacuations = time.Now().Add(-host.ListedAge()), host.EvacuationTime > 0
-	neighbours, cache := storefeed.NewNeighbours(host, self, false, log), storefeed.NewCache(host.ChangeTime())
-	transport := newStoreTransport()
-	upstreams := &http.Client{Transport: newUpstreamTransport()}
-	traces.Client(upstreams, telemetry.NameSend)
+	catalogState, self := catalog.NewState(), net.JoinHostPort(host.IP, strconv.Itoa(host.PeerPort))
+	catalogState.ListedSince, catalogState.FollowsEvacuations = time.Now().Add(-host.ListedAge()), host.EvacuationTime > 0
+	storePeers, cache := storefeed.NewNeighbours(host, self, false, log), storefeed.NewCache(host.ChangeTime())
+	storeTransport := newStoreTransport()
+	upstreamClient := &http.Client{Transport: newUpstreamTransport()}
+	traces.Client(upstreamClient, telemetry.NameSend)
 	return &Gateway{
-		host: host, self: self, log: log, metrics: m, catalog: c, neighbours: neighbours, cache: cache,
+		host: host, self: self, log: log, metrics: m, catalog: catalogState, storePeers: storePeers, cache: cache,
 		forward: forward.NewState(forward.Self{
 			Name: host.Name, DataCentre: host.DataCentre, Region: host.Region, Regions: host.Regions,
 			Retries: host.Retries, VersionTime: host.VersionTime,
-		}, c),
-		exchanges: map[uint64]*exchange{}, memory: membudget.New(callersMemory(host), time.Now),
-		upstreams: upstreams.Transport, traces: traces,
-		store: neighbours.Reader(
-			platform.NewStore(host.Store, &http.Client{Transport: transport}), control.NewPool(self, "", transport.DialContext), cache),
+		}, catalogState),
+		exchanges: map[uint64]*exchange{}, memory: membudget.New(callerMemoryLimit(host), time.Now),
+		upstreamTransport: upstreamClient.Transport, traces: traces,
+		store: storePeers.Reader(
+			platform.NewStore(host.Store, &http.Client{Transport: storeTransport}), control.NewPool(self, "", storeTransport.DialContext), cache),
 	}
 }
 
 const (
-	// callersShare is the part of a process's memory that is held for callers at most, as a divisor; the runtime takes about as much again, and
-	// beliefs and buffers the rest.
-	callersShare = 4
-	// usualMemory stands for a limit that the platform does not say, in bytes.
-	usualMemory = 256 << 20
+	// callerMemoryDivisor limits the bytes held for callers to a quarter of the process's memory. The runtime takes about as much again; the
+	// known state and buffers take the rest.
+	callerMemoryDivisor = 4
+	// defaultMemoryBytes is used when the platform sets no memory limit.
+	defaultMemoryBytes = 256 << 20
 )
 
-// callersMemory is how many bytes are held for callers at most.
-func callersMemory(host hostconfig.Host) int64 {
+// callerMemoryLimit returns the maximum number of bytes held for callers.
+func callerMemoryLimit(host hostconfig.Host) int64 {
 	if host.Memory <= 0 {
-		return usualMemory / callersShare
+		return defaultMemoryBytes / callerMemoryDivisor
 	}
-	return host.Memory / callersShare
+	return host.Memory / callerMemoryDivisor
 }
 
-// newUpstreamTransport returns a transport that makes a connection for each request. A connection that is used once can't have
-// gone silent, be about to be closed by the other side, or carry a late answer to an earlier request; each of these would
-// leave open whether a request ran. A connection costs one round trip.
+// newUpstreamTransport returns a transport that opens a connection for each request. A reused connection may no longer be served, may be
+// about to be closed by the other side, or may carry a late response to an earlier request. Each of these would leave it unknown
+// whether a request ran. A connection costs one round trip.
 func newUpstreamTransport() *http.Transport {
 	return &http.Transport{
-		DialContext:        (&net.Dialer{Timeout: upstreamDial, KeepAlive: -1}).DialContext,
+		DialContext:        (&net.Dialer{Timeout: upstreamDialTimeout, KeepAlive: -1}).DialContext,
 		DisableKeepAlives:  true,
 		DisableCompression: true,
 	}
 }
 
 func newStoreTransport() *http.Transport {
-	dialer := &net.Dialer{Timeout: storeDial, KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: keepAliveProbe, Interval: keepAliveProbe, Count: 2,
+	dialer := &net.Dialer{Timeout: storeDialTimeout, KeepAliveConfig: net.KeepAliveConfig{
+		Enable: true, Idle: storeKeepAliveInterval, Interval: storeKeepAliveInterval, Count: 2,
 	}}
 	return &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 4}
 }
 
-// step hands an event to the reducers and carries out what they answer.
+// step passes an event to the reducers and carries out the effects that they return.
 func (g *Gateway) step(ev step.Event) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -131,56 +131,56 @@
 	effects := g.catalog.Reduce(in)
 	effects = append(effects, g.forward.Reduce(in)...)
 	for _, e := range effects {
-		g.carry(e)
+		g.execute(e)
 	}
 	if !g.ready.Load() && g.catalog.Ready() {
 		g.ready.Store(true)
 		logevent.Info(g.log, logevent.Ready).Int("upstreams", len(g.catalog.Upstreams)).Msg("ready")
-		go g.greetAll() // Agents that start as well wait to hear of entries.
+		go g.sendHeartbeats() // Agents that are starting too wait for heartbeats of entries.
 	}
 }
 
-// carry logs a change of belief, or hands an effect to the request that it concerns. It holds the lock.
-func (g *Gateway) carry(e step.Effect) {
+// execute logs a change of the known state, or passes an effect to the request that it concerns. The caller holds the lock.
+func (g *Gateway) execute(e step.Effect) {
 	switch e := e.(type) {
 	case catalog.Change:
 		logevent.Info(g.log, logevent.BeliefChanged).Str("what", string(e.Topic)).Str("of", e.Name).Str("value", e.Value).
 			Int64("revision", e.Revision).Msg("belief changed")
 	case forward.Suspected:
-		g.heldBack(e.Fingerprint, quarantine.HoldFor, e.Upstream)
-		go g.greetAll()
+		g.logQuarantine(e.Fingerprint, quarantine.HoldFor, e.Upstream)
+		go g.sendHeartbeats()
 	case forward.HeldBack:
-		g.heldBack(e.Fingerprint, e.Left, "")
+		g.logQuarantine(e.Fingerprint, e.Left, "")
 	case forward.CrashesDropped:
 		logevent.Warn(g.log, logevent.CrashesDropped).Int("count", e.Count).Msg("crashes dropped")
 	case forward.BegunLate:
-		g.begunLate(e)
+		g.logLateStart(e)
 	case forward.UpstreamSaid:
-		g.upstreamSaid(e)
+		g.logUpstreamNotice(e)
 	case forward.Withdraw:
 		if x := g.exchanges[e.ID]; x != nil {
 			x.withdraw(e)
 		}
 	case forward.Admitted:
-		g.hand(e.ID, e)
+		g.dispatch(e.ID, e)
 	case forward.Send:
-		g.hand(e.ID, e)
+		g.dispatch(e.ID, e)
 	case forward.Refuse:
-		g.hand(e.ID, e)
+		g.dispatch(e.ID, e)
 	case forward.Deliver:
-		g.hand(e.ID, e)
+		g.dispatch(e.ID, e)
 	case forward.Abort:
-		g.hand(e.ID, e)
+		g.dispatch(e.ID, e)
 	}
 }
 
-// heldBack logs that a request is held back; upstream is the one whose crash decided it, empty when another process told.
-func (g *Gateway) heldBack(fingerprint uint64, left time.Duration, upstream string) {
+// logQuarantine logs that a request is quarantined. upstream is the one whose crash caused it; it is empty if another process reported the quarantine.
+func (g *Gateway) logQuarantine(fingerprint uint64, left time.Duration, upstream string) {
 	logevent.Warn(g.log, logevent.RequestHeldBack).Uint64("fingerprint", fingerprint).Dur("left_ms", left).Str("upstream", upstream).
 		Bool("told", upstream == "").Msg("request held back")
 }
 
-func (g *Gateway) upstreamSaid(e forward.UpstreamSaid) {
+func (g *Gateway) logUpstreamNotice(e forward.UpstreamSaid) {
 	g.metrics.UpstreamNotices.Add(1)
 	logevent.Info(g.log, logevent.UpstreamSaid).Str("upstream", e.Upstream).Bool("limited", e.Notice.Limited).Float64("rate_limit", e.Notice.RateLimit).
 		Bool("garbled", e.Notice.Garbled).Bool("leaving", e.Notice.Leaving).Dur("retry_after_ms", e.Notice.RetryAfter).
@@ -188,7 +188,7 @@
 		Msg("upstream said")
 }
 
-func (g *Gateway) begunLate(e forward.BegunLate) {
+func (g *Gateway) logLateStart(e forward.BegunLate) {
 	g.metrics.BegunLate.Add(1)
 	if x := g.exchanges[e.ID]; x != nil {
 		logevent.Warn(g.log, logevent.BegunLate).Str("request", x.call.ID).Str("upstream", e.Upstream).Int64("version", e.Version).
@@ -196,7 +196,7 @@
 	}
 }
 
-func (g *Gateway) hand(id uint64, e step.Effect) {
+func (g *Gateway) dispatch(id uint64, e step.Effect) {
 	if x := g.exchanges[id]; x != nil {
 		x.effects <- e
 	}
@@ -208,7 +208,7 @@
 	g.exchanges[x.id] = x
 }
 
-// forget ends what is known of a request. One that ended in another way than by the reducer's word counts as left.
+// forget drops the state of a request. The reducer treats a request that it did not end itself as left by its caller.
 func (g *Gateway) forget(id uint64) {
 	g.step(forward.CallerGone{ID: id})
 	g.mu.Lock()
@@ -216,7 +216,7 @@
 	delete(g.exchanges, id)
 }
 
-// Run serves until ctx ends and the graceful shutdown after it is over.
+// Run serves until ctx ends and the graceful shutdown that follows has completed.
 func (g *Gateway) Run(ctx context.Context) error {
 	socket, err := loadreport.Listen(g.host.IP, g.host.PeerPort)
 	if err != nil {
@@ -224,38 +224,38 @@
 	}
 	g.socket = socket
 	defer socket.Close()
-	listener, err := net.Listen("tcp", g.host.Callers)
+	callerListener, err := net.Listen("tcp", g.host.Callers)
 	if err != nil {
 		return err
 	}
-	readiness, err := net.Listen("tcp", g.host.Readiness)
+	readinessListener, err := net.Listen("tcp", g.host.Readiness)
 	if err != nil {
 		return err
 	}
-	peers, err := net.Listen("tcp", g.self)
+	peerListener, err := net.Listen("tcp", g.self)
 	if err != nil {
 		return err
 	}
-	peerServer := g.peerServer()
+	peerServer := g.newPeerServer()
 	defer func() { _ = peerServer.Close() }()
-	go g.servePeers(peerServer, peers)
-	work, cancel := context.WithCancel(context.Background())
+	go g.servePeers(peerServer, peerListener)
+	workCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g.follow(work)
-	go socket.Run(g.heard, g.log)
-	go g.greet(work)
-	go g.neighbours.GreetSeeds(work, socket, g.ready.Load)
-	go periodic.Run(work, tickInterval, g.tick)
-	go g.serveReadiness(readiness)
-	server := g.callersServer()
-	go g.serveCallers(server, listener)
+	g.followStore(workCtx)
+	go socket.Run(g.handleMessage, g.log)
+	go g.runHeartbeats(workCtx)
+	go g.storePeers.GreetSeeds(workCtx, socket, g.ready.Load)
+	go periodic.Run(workCtx, tickInterval, g.tick)
+	go g.serveReadiness(readinessListener)
+	callerServer := g.newCallerServer()
+	go g.serveCallers(callerServer, callerListener)
 	logevent.Info(g.log, logevent.Listening).Str("callers", g.host.Callers).Str("readiness", g.host.Readiness).Msg("listening")
 	<-ctx.Done()
-	g.stop(server)
+	g.stop(callerServer)
 	return nil
 }
 
 func (g *Gateway) tick() {
 	g.step(step.Tick{})
-	g.neighbours.Tick()
+	g.storePeers.Tick()
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,13 +16,13 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// patience bounds what a test waits for; it is far above what is needed, since machines can be busy.
-const patience = 30 * time.Second
+// testTimeout limits how long a test waits for a condition. It is far longer than needed, since test machines can be busy.
+const testTimeout = 30 * time.Second
 
-// pollInterval is how often a test looks.
+// pollInterval is how often a test checks a condition.
 const pollInterval = 10 * time.Millisecond
 
-// entry is a running entry with its callers.
+// entry is a running entry together with a caller.
 type entry struct {
 	standin.Caller
 	host    hostconfig.Host
@@ -37,13 +37,13 @@
 
 func startHost(t *testing.T, fleet *standin.Fleet, host hostconfig.Host) *entry {
 	t.Helper()
-	g := gateway.New(host, logOf(t), telemetry.NewMetrics(), nil)
+	g := gateway.New(host, newTestLogger(t), telemetry.NewMetrics(), nil)
 	e := &entry{Caller: standin.Caller{Address: host.Callers, Name: t.Name()}, host: host, gateway: g, stop: fleet.Run(g.Run)}
-	require.Eventually(t, func() bool { return e.ready() == http.StatusOK }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return e.ready() == http.StatusOK }, testTimeout, 10*time.Millisecond)
 	return e
 }
 
-// ready asks as the balancer does; 0 stands for no answer.
+// ready returns the status of a readiness check as the load balancer makes it; 0 means no response.
 func (e *entry) ready() int {
 	resp, err := http.Get("http://" + e.host.Readiness + "/v1/readyz")
 	if err != nil {
@@ -53,8 +53,8 @@
 	return resp.StatusCode
 }
 
-// whole is a stream of n events.
-func whole(n int) string {
+// streamBody returns the body of a complete stream of n events.
+func streamBody(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: token %d\n\n", i, i)
@@ -62,7 +62,9 @@
 	return b.String()
 }
 
-func TestAnAnswerIsPassedOnWithWhatTheUpstreamMustKnow(t *testing.T) {
+// TestForwardedRequestCarriesMetadata guards against requests that reach an upstream without the client account, instance and deadline that
+// it needs, or with the caller's key, and against responses that are changed on the way.
+func TestForwardedRequestCarriesMetadata(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	desk := fleet.AddService("i-desk")
@@ -80,10 +82,11 @@
 	require.Equal(t, "kept", seen.Header.Get("Custom"))
 	require.Empty(t, seen.Key)
 	require.Positive(t, seen.Deadline)
-	require.LessOrEqual(t, seen.Deadline, 2000, "the route allows less than the caller")
+	require.LessOrEqual(t, seen.Deadline, 2000, "the route's limit is below the caller's")
 }
 
-func TestOwnRefusals(t *testing.T) {
+// TestEntryRefusals guards against refusals that do not tell the caller whether its request ran and when to retry.
+func TestEntryRefusals(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	e := start(t, fleet)
@@ -98,13 +101,15 @@
 	require.Empty(t, r.Seal)
 }
 
+// TestFaultsOfUpstreams guards against a second run of a request that must run only once, and against a failed response to one that may be
+// retried. The upstream shows each fault once, on the first attempt.
 func TestFaultsOfUpstreams(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name, path string
 		faults     []standin.Fault
 		status     int
-		// runs is how often the request runs in all.
+		// runs is the total number of times that the request runs.
 		runs int
 	}{
 		{"a call that runs once survives a refusal", "/once/1", []standin.Fault{standin.Decline}, 200, 1},
@@ -134,7 +139,8 @@
 	}
 }
 
-func TestABrokenStreamGoesOnAtAnotherEngine(t *testing.T) {
+// TestBrokenStreamResumesAtAnotherEngine guards against lost, repeated or incomplete events when the connection to an engine breaks within a stream.
+func TestBrokenStreamResumesAtAnotherEngine(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.AddEngine("i-1", standin.NextIP(), 1)
@@ -143,63 +149,67 @@
 	fleet.Faults.Next(standin.BreakEvent)
 	r := e.Post("/stream/1")
 	require.NoError(t, r.Err)
-	require.Equal(t, whole(6), r.Body, "each event once, in order, and none of the broken one")
+	require.Equal(t, streamBody(6), r.Body, "each event once and in order, without the incomplete one")
 	fleet.Faults.Next(standin.BreakEvent, standin.BreakEvent)
 	r = e.Post("/stream/2")
-	require.Error(t, r.Err, "a route with two upstreams allows no third: the answer is cut and does not look whole")
+	require.Error(t, r.Err, "a route that allows two upstreams has no third attempt: the response is cut off and does not look complete")
 }
 
-func TestAStreamGoesOnWhereItsCallerWas(t *testing.T) {
+// TestStreamResumesAtCallersPosition guards against repeated events when a caller resumes a stream after the last event that it received.
+func TestStreamResumesAtCallersPosition(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.AddEngine("i-1", standin.NextIP(), 1)
 	e := start(t, fleet)
 	r := e.Do(context.Background(), standin.Request{Path: "/stream/1", LastEvent: 4})
 	require.NoError(t, r.Err)
-	require.Equal(t, strings.TrimPrefix(whole(6), whole(4)), r.Body)
+	require.Equal(t, strings.TrimPrefix(streamBody(6), streamBody(4)), r.Body)
 }
 
-func TestWorkEndsWhenItsCallerLeaves(t *testing.T) {
+// TestUpstreamRequestIsCancelledWhenCallerLeaves guards against engines that go on generating for a caller that has closed its connection.
+func TestUpstreamRequestIsCancelledWhenCallerLeaves(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	engine := fleet.AddEngine("i-1", standin.NextIP(), 1)
 	engine.Events, engine.Pace = 100000, 10*time.Millisecond
 	e := start(t, fleet)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan standin.Reply, 1)
-	go func() { ended <- e.Do(ctx, standin.Request{Path: "/stream/1"}) }()
-	require.Eventually(t, func() bool { return engine.Last() != nil }, patience, 5*time.Millisecond)
+	replies := make(chan standin.Reply, 1)
+	go func() { replies <- e.Do(ctx, standin.Request{Path: "/stream/1"}) }()
+	require.Eventually(t, func() bool { return engine.Last() != nil }, testTimeout, 5*time.Millisecond)
 	cancel()
-	<-ended
-	require.Eventually(t, func() bool { return engine.Cancelled() == 1 }, patience, 5*time.Millisecond)
+	<-replies
+	require.Eventually(t, func() bool { return engine.Cancelled() == 1 }, testTimeout, 5*time.Millisecond)
 }
 
-func TestAStreamWhoseTimeEndsIsCutAndNotEnded(t *testing.T) {
+// TestStreamPastDeadlineIsAborted guards against a stream that is ended normally at its deadline, which its caller would take for complete.
+func TestStreamPastDeadlineIsAborted(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	engine := fleet.AddEngine("i-1", standin.NextIP(), 1)
 	engine.Events, engine.Pace = 100000, 10*time.Millisecond
 	e := start(t, fleet)
 	r := e.Do(context.Background(), standin.Request{Path: "/stream/1", DeadlineMS: 300})
-	require.Error(t, r.Err, "the connection is cut, so that the answer does not look whole")
+	require.Error(t, r.Err, "the connection is closed, so that the response does not look complete")
 	require.NotContains(t, r.Body, `"code"`)
 }
 
-func TestADueVersionIsNotServedByAnOldEngine(t *testing.T) {
+// TestRequiredVersionIsNotServedByOldEngine guards against requests served on an old version after a newer one has become required.
+func TestRequiredVersionIsNotServedByOldEngine(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.AddEngine("i-1", standin.NextIP(), 1)
 	e := start(t, fleet)
 	require.Equal(t, http.StatusOK, e.Post("/stream/1").Status)
 	fleet.Name(2)
-	require.Eventually(t, func() bool { return e.Post("/stream/1").Status == http.StatusServiceUnavailable }, patience, 100*time.Millisecond)
+	require.Eventually(t, func() bool { return e.Post("/stream/1").Status == http.StatusServiceUnavailable }, testTimeout, 100*time.Millisecond)
 }
 
-// TestChangesComeInForceWhateverTheWatchDoes changes the manifest while watches are cut, silent or without history, and after the
-// store was away.
-func TestChangesComeInForceWhateverTheWatchDoes(t *testing.T) {
+// TestConfigChangesApplyDespiteWatchFailures guards against changes that are missed because a watch was compacted, went silent or broke
+// while the store was down.
+func TestConfigChangesApplyDespiteWatchFailures(t *testing.T) {
 	t.Parallel()
-	for name, trouble := range map[string]func(s *standin.Store) (after func()){
+	for name, inject := range map[string]func(s *standin.Store) (restore func()){
 		"calm":    func(*standin.Store) func() { return func() {} },
 		"compact": func(s *standin.Store) func() { return s.Compact },
 		"silent": func(s *standin.Store) func() {
@@ -217,57 +227,61 @@
 			desk := fleet.AddService("i-desk")
 			e := start(t, fleet)
 			require.Equal(t, http.StatusOK, e.Post("/again/1").Status)
-			after := trouble(fleet.Store)
+			restore := inject(fleet.Store)
 			fleet.Routes = fleet.Routes[:1]
 			fleet.Configure()
 			fleet.AddService("i-new")
 			fleet.Store.Delete("servers", "i-desk")
-			after()
-			require.Eventually(t, func() bool { return e.Post("/again/1").Status == http.StatusNotFound }, patience, 20*time.Millisecond)
+			restore()
+			require.Eventually(t, func() bool { return e.Post("/again/1").Status == http.StatusNotFound }, testTimeout, 20*time.Millisecond)
 			require.Eventually(t, func() bool {
 				r := e.Post("/once/1")
 				return r.Status == http.StatusOK && desk.Runs(r.ID) == 0
-			}, patience, 20*time.Millisecond)
+			}, testTimeout, 20*time.Millisecond)
 		})
 	}
 }
 
-func TestAGracefulShutdownCutsNothing(t *testing.T) {
+// TestGracefulShutdownCompletesOpenRequests guards against a shutdown that cuts off open streams, or refuses requests that the load balancer
+// still sends before it has seen the failed readiness check.
+func TestGracefulShutdownCompletesOpenRequests(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	engine := fleet.AddEngine("i-1", standin.NextIP(), 1)
 	engine.Events, engine.Pace = 50, 20*time.Millisecond
 	host := fleet.Host(standin.NextIP(), false)
-	host.Grace = patience
+	host.Grace = testTimeout
 	e := startHost(t, fleet, host)
-	ended := make(chan standin.Reply, 1)
-	go func() { ended <- e.Post("/stream/1") }()
-	require.Eventually(t, func() bool { return engine.Last() != nil }, patience, 5*time.Millisecond)
+	replies := make(chan standin.Reply, 1)
+	go func() { replies <- e.Post("/stream/1") }()
+	require.Eventually(t, func() bool { return engine.Last() != nil }, testTimeout, 5*time.Millisecond)
 	stopped := make(chan struct{})
 	go func() {
 		e.stop()
 		close(stopped)
 	}()
-	require.Eventually(t, func() bool { return e.ready() == http.StatusServiceUnavailable }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return e.ready() == http.StatusServiceUnavailable }, testTimeout, 5*time.Millisecond)
 	late := e.Post("/stream/2")
-	require.NoError(t, late.Err, "requests are taken until the balancer has heard")
+	require.NoError(t, late.Err, "requests are accepted until the load balancer has noticed the shutdown")
 	require.True(t, late.Header.Get("Connection") == "close" || late.Status == http.StatusOK)
-	r := <-ended
+	r := <-replies
 	require.NoError(t, r.Err)
-	require.Equal(t, whole(50), r.Body)
+	require.Equal(t, streamBody(50), r.Body)
 	<-stopped
 }
 
-func TestAProcessThatKnowsNothingIsNotReady(t *testing.T) {
+// TestEntryIsNotReadyWithoutConfig guards against an entry that reports ready before it has read its configuration, as when it starts while
+// the store is down.
+func TestEntryIsNotReadyWithoutConfig(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.Store.SetDown(true)
 	host := fleet.Host(standin.NextIP(), false)
-	g := gateway.New(host, logOf(t), telemetry.NewMetrics(), nil)
+	g := gateway.New(host, newTestLogger(t), telemetry.NewMetrics(), nil)
 	e := &entry{Caller: standin.Caller{Address: host.Callers, Name: t.Name()}, host: host, gateway: g, stop: fleet.Run(g.Run)}
-	require.Eventually(t, func() bool { return e.ready() == http.StatusServiceUnavailable }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return e.ready() == http.StatusServiceUnavailable }, testTimeout, 10*time.Millisecond)
 	r := e.Post("/once/1")
 	require.Equal(t, http.StatusServiceUnavailable, r.Status)
 	fleet.Store.SetDown(false)
-	require.Eventually(t, func() bool { return e.ready() == http.StatusOK }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return e.ready() == http.StatusOK }, testTimeout, 10*time.Millisecond)
 }
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -11,9 +11,9 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// TestEntriesKeepTheLimitThatAnEngineNames guards against entries that pass on the answers in which an engine names a limit and go on as
-// before: 21 requests in four seconds reached one that had said 1 a second.
-func TestEntriesKeepTheLimitThatAnEngineNames(t *testing.T) {
+// TestEntriesRespectRateLimitFromResponses guards against entries that ignore the rate limit which an engine sets in its responses: 21 requests
+// in four seconds reached an engine that allows 1 a second.
+func TestEntriesRespectRateLimitFromResponses(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	limited, other := fleet.AddEngine("i-limited", standin.NextIP(), 1), fleet.AddEngine("i-other", standin.NextIP(), 1)
@@ -29,8 +29,8 @@
 			}
 		})
 	}
-	require.Eventually(t, func() bool { return limited.Arrived() > 0 }, patience, pollInterval)
-	from := limited.Arrivals()[0].At.Add(3 * time.Second) // From then on the limit holds.
+	require.Eventually(t, func() bool { return limited.Arrived() > 0 }, testTimeout, pollInterval)
+	from := limited.Arrivals()[0].At.Add(3 * time.Second) // The limit must hold from then on.
 	time.Sleep(time.Until(from.Add(4 * time.Second)))
 	cancel()
 	callers.Wait()
@@ -40,6 +40,6 @@
 			within++
 		}
 	}
-	require.LessOrEqual(t, within, 11, "one and a half times what it takes in four seconds, and five more")
-	require.Greater(t, other.Arrived(), 20, "callers are served elsewhere")
+	require.LessOrEqual(t, within, 11, "1.5 times what it allows in four seconds, plus five")
+	require.Greater(t, other.Arrived(), 20, "callers are served by the other engine")
 }
--- a/internal/gateway/log_test.go
+++ b/internal/gateway/log_test.go
@@ -8,8 +8,8 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// logOf returns a log that is printed when the test fails.
-func logOf(t *testing.T) zerolog.Logger {
+// newTestLogger returns a logger whose output is printed if the test fails.
+func newTestLogger(t *testing.T) zerolog.Logger {
 	t.Helper()
 	log := &standin.Log{}
 	t.Cleanup(func() {
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -11,8 +11,8 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// TestTheLogTellsWhatUpstreamsSayOfThemselves guards against an entry of which nobody can see what it was told in the head of an answer.
-func TestTheLogTellsWhatUpstreamsSayOfThemselves(t *testing.T) {
+// TestUpstreamNoticesAreLogged guards against limits and shutdowns that upstreams signal in response heads and that operators can't see in the log.
+func TestUpstreamNoticesAreLogged(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	desk := fleet.AddService("i-desk")
@@ -20,12 +20,12 @@
 	g := gateway.New(host, zerolog.New(log), telemetry.NewMetrics(), nil)
 	fleet.Run(g.Run)
 	e := &entry{Caller: standin.Caller{Address: host.Callers, Name: t.Name()}, host: host, gateway: g}
-	require.Eventually(t, func() bool { return e.ready() == 200 }, patience, pollInterval)
+	require.Eventually(t, func() bool { return e.ready() == 200 }, testTimeout, pollInterval)
 	desk.Say(standin.Notice{Limit: "750.5"})
 	require.Equal(t, 200, e.Post("/again/1").Status)
 	require.Equal(t, 200, e.Post("/again/1").Status)
 	require.Contains(t, log.String(), `"event":2011,"upstream":"i-desk","limited":true,"rate_limit":750.5`)
-	require.NotContains(t, log.String(), `"limited_before":true`, "what was said before is no news")
+	require.NotContains(t, log.String(), `"limited_before":true`, "an unchanged limit is not logged again")
 	desk.Say(standin.Notice{Leaving: true})
 	require.Equal(t, 200, e.Post("/again/1").Status)
 	require.Contains(t, log.String(), `"leaving":true`)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -15,18 +15,18 @@
 	"samphireweir.example/samphireweir/internal/periodic"
 )
 
-// greetInterval is how often an entry greets the agents, which forget an entry that is silent for some of these.
-const greetInterval = time.Second
+// heartbeatInterval is how often an entry sends heartbeats to the agents, which drop an entry after several missed heartbeats.
+const heartbeatInterval = time.Second
 
-// greet asks the agents beside the engines for their load, again and again.
-func (g *Gateway) greet(ctx context.Context) {
-	g.greetAll()
-	periodic.Run(ctx, greetInterval, g.greetAll)
+// runHeartbeats sends heartbeats until ctx ends; agents that receive them report their engine's load.
+func (g *Gateway) runHeartbeats(ctx context.Context) {
+	g.sendHeartbeats()
+	periodic.Run(ctx, heartbeatInterval, g.sendHeartbeats)
 }
 
-// greetAll greets the agents that the reducer chose once and tells it the versions in force.
-func (g *Gateway) greetAll() {
-	agents, message := g.greeting(time.Now())
+// sendHeartbeats sends one heartbeat, with the active versions, to each agent that the reducer selected.
+func (g *Gateway) sendHeartbeats() {
+	agents, message := g.heartbeat(time.Now())
 	for _, a := range agents {
 		if err := g.socket.Send(a, message); err != nil {
 			logevent.Info(g.log, logevent.PeerFailed).Str("peer", a.String()).Err(err).Msg("peer failed")
@@ -34,24 +34,24 @@
 	}
 }
 
-func (g *Gateway) greeting(now time.Time) ([]netip.AddrPort, loadreport.Message) {
+func (g *Gateway) heartbeat(now time.Time) ([]netip.AddrPort, loadreport.Message) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m := loadreport.Message{DataCentre: g.host.DataCentre, Crashes: g.forward.Crashes.Reports(now)}
-	m.Named = loadreport.Namings(now, g.catalog.Told(now, g.host.VersionTime))
+	message := loadreport.Message{DataCentre: g.host.DataCentre, Crashes: g.forward.Crashes.Reports(now)}
+	message.Named = loadreport.Namings(now, g.catalog.Told(now, g.host.VersionTime))
 	var agents []netip.AddrPort
 	for _, u := range g.forward.Greet() {
 		if a, err := netip.ParseAddrPort(u.Address); err == nil {
 			agents = append(agents, netip.AddrPortFrom(a.Addr(), uint16(g.host.PeerPort)))
 		}
 	}
-	return agents, m
+	return agents, message
 }
 
-// heard takes what an agent says.
-func (g *Gateway) heard(from netip.AddrPort, m loadreport.Message) {
-	g.neighbours.Heard(from, m)
-	g.neighbours.Answer(g.socket, from, m)
+// handleMessage applies a message from an agent or from another entry.
+func (g *Gateway) handleMessage(from netip.AddrPort, m loadreport.Message) {
+	g.storePeers.Heard(from, m)
+	g.storePeers.Answer(g.socket, from, m)
 	for _, n := range m.Named {
 		g.step(n.Event())
 	}
@@ -67,15 +67,15 @@
 	}
 }
 
-// peerServer answers the processes that read the store through this one.
-func (g *Gateway) peerServer() *http.Server {
+// newPeerServer returns the server for processes that read the store through this one.
+func (g *Gateway) newPeerServer() *http.Server {
 	mux := http.NewServeMux()
 	mux.Handle(control.Path, control.NewServer(g.cache.Handlers()))
-	return &http.Server{Handler: mux, ReadHeaderTimeout: headTime}
+	return &http.Server{Handler: mux, ReadHeaderTimeout: headTimeout}
 }
 
 func (g *Gateway) servePeers(server *http.Server, l net.Listener) {
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		logevent.Warn(g.log, logevent.ServerError).Err(err).Msg("peers' server ended")
+		logevent.Warn(g.log, logevent.ServerError).Err(err).Msg("peer HTTP server failed")
 	}
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	// headTime bounds the reading of a request's head; the manifest allows callers about three seconds.
-	headTime = 10 * time.Second
-	// idleTime is how long an idle connection of a caller is kept, far beyond what manifests promise callers.
-	idleTime = 2 * time.Minute
-	// maxHead bounds the head of a request in bytes.
-	maxHead = 64 << 10
-	// maxBody bounds what is read of a body in bytes; the manifest's limit is lower.
-	maxBody = 16 << 20
-	// acceptAfterStop is how long new requests are taken after the request to stop. The balancer asks once a second
-	// and takes a host out after two misses.
+	// headTimeout limits reading a request's head; the manifest allows callers about three seconds.
+	headTimeout = 10 * time.Second
+	// idleTimeout is how long an idle connection of a caller is kept, far longer than manifests promise callers.
+	idleTimeout = 2 * time.Minute
+	// maxHeadBytes is the size limit of a request's head.
+	maxHeadBytes = 64 << 10
+	// maxBodyBytes is the size limit up to which a request's body is read; the manifest's limit is lower.
+	maxBodyBytes = 16 << 20
+	// acceptAfterStop is how long new requests are accepted after a shutdown was requested. The load balancer checks readiness once a
+	// second and removes a host after two failed checks.
 	acceptAfterStop = 3 * time.Second
-	// stopMargin is how long before the kill the process ends by itself.
+	// stopMargin is how long before the platform's kill the process exits by itself.
 	stopMargin = 300 * time.Millisecond
-	// stopPoll is how often the shutdown looks for open requests.
-	stopPoll = 50 * time.Millisecond
+	// stopPollInterval is how often the shutdown checks for open requests.
+	stopPollInterval = 50 * time.Millisecond
 )
 
-func (g *Gateway) callersServer() *http.Server {
+func (g *Gateway) newCallerServer() *http.Server {
 	return &http.Server{
-		Handler: g.traces.EntryServer(http.HandlerFunc(g.serve)), ReadHeaderTimeout: headTime, IdleTimeout: idleTime, MaxHeaderBytes: maxHead,
-		ErrorLog: stdlog.New(io.Discard, "", 0), // Connections that callers break are no news.
+		Handler: g.traces.EntryServer(http.HandlerFunc(g.serve)), ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeadBytes,
+		ErrorLog: stdlog.New(io.Discard, "", 0), // Connections closed by callers are not worth logging.
 	}
 }
 
 func (g *Gateway) serveCallers(server *http.Server, l net.Listener) {
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		logevent.Warn(g.log, logevent.ServerError).Err(err).Msg("callers' server ended")
+		logevent.Warn(g.log, logevent.ServerError).Err(err).Msg("caller HTTP server failed")
 	}
 }
 
-// serveReadiness answers the balancer. The path does not matter.
+// serveReadiness answers the load balancer's readiness checks on any path.
 func (g *Gateway) serveReadiness(l net.Listener) {
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !g.ready.Load() || g.stopping.Load() {
@@ -52,37 +52,37 @@
 		}
 		w.WriteHeader(http.StatusOK)
 	})
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headTime, IdleTimeout: idleTime}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout}
 	if err := server.Serve(l); err != nil {
-		logevent.Warn(g.log, logevent.ServerError).Err(err).Msg("readiness server ended")
+		logevent.Warn(g.log, logevent.ServerError).Err(err).Msg("readiness HTTP server failed")
 	}
 }
 
-// stop is the graceful shutdown: the balancer is told at once, requests are taken until it has heard, and those that are
-// open have until shortly before the kill.
+// stop shuts down gracefully: readiness checks fail at once, new requests are accepted until the load balancer has noticed, and open
+// requests may run until shortly before the platform's kill.
 func (g *Gateway) stop(server *http.Server) {
-	began := time.Now()
+	start := time.Now()
 	g.stopping.Store(true)
-	logevent.Info(g.log, logevent.StopAsked).Int64("open", g.open.Load()).Msg("stop asked")
+	logevent.Info(g.log, logevent.StopAsked).Int64("open", g.inFlight.Load()).Msg("stop asked")
 	time.Sleep(min(acceptAfterStop, max(0, g.host.Grace-stopMargin)))
 	g.step(forward.StopAsked{})
-	for g.open.Load() > 0 && time.Since(began) < g.host.Grace-stopMargin {
-		time.Sleep(stopPoll)
+	for g.inFlight.Load() > 0 && time.Since(start) < g.host.Grace-stopMargin {
+		time.Sleep(stopPollInterval)
 	}
-	logevent.Info(g.log, logevent.Stopped).Int64("open", g.open.Load()).Dur("took_ms", time.Since(began)).Msg("stopped")
+	logevent.Info(g.log, logevent.Stopped).Int64("open", g.inFlight.Load()).Dur("took_ms", time.Since(start)).Msg("stopped")
 	_ = server.Close()
 }
 
 // serve handles one request of a caller.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
-	head := time.Now()
-	g.open.Add(1)
-	defer g.open.Add(-1)
+	arrivedAt := time.Now()
+	g.inFlight.Add(1)
+	defer g.inFlight.Add(-1)
 	if g.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	x := newExchange(g, w, r, head)
-	defer x.holder.Close()
+	x := newExchange(g, w, r, arrivedAt)
+	defer x.reservation.Close()
 	if !x.readBody() {
 		return
 	}
--- a/internal/gateway/slow_body_test.go
+++ b/internal/gateway/slow_body_test.go
@@ -10,23 +10,23 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// TestACallersTimeCountsFromItsHead has a body come long after its head: an upstream is handed what the caller has left by then. It was handed
-// all that the caller had at first, and could work for a caller who had gone. What passes on the way of the head to the entry, on a busy machine some
-// milliseconds, nobody can tell the entry.
-func TestACallersTimeCountsFromItsHead(t *testing.T) {
+// TestDeadlineCountsFromRequestHead guards against an upstream that works for a caller which has already left. This happens if the deadline
+// that the entry passes on does not include the time spent reading a slow body. The entry can't know how long the head was in
+// transit, which takes some milliseconds on a busy machine.
+func TestDeadlineCountsFromRequestHead(t *testing.T) {
 	t.Parallel()
-	const deadline, pause, headsWay = 1500 * time.Millisecond, 700 * time.Millisecond, 100 * time.Millisecond
+	const deadline, bodyDelay, headTransit = 1500 * time.Millisecond, 700 * time.Millisecond, 100 * time.Millisecond
 	fleet := standin.NewFleet(t)
 	desk := fleet.AddService("i-1")
 	e := start(t, fleet)
-	status, err := e.DoSlowly(standin.Request{Path: "/again/1", DeadlineMS: int(deadline.Milliseconds())}, pause)
+	status, err := e.DoSlowly(standin.Request{Path: "/again/1", DeadlineMS: int(deadline.Milliseconds())}, bodyDelay)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
-	require.LessOrEqual(t, desk.Last().Deadline, int((deadline - pause + headsWay).Milliseconds()))
+	require.LessOrEqual(t, desk.Last().Deadline, int((deadline - bodyDelay + headTransit).Milliseconds()))
 }
 
-// TestARequestWhoseTimeIsOverWithItsBodyIsRefusedAtOnce has a body come after all of its caller's time.
-func TestARequestWhoseTimeIsOverWithItsBodyIsRefusedAtOnce(t *testing.T) {
+// TestRequestThatExpiresWhileReadingBodyIsRefused guards against sending a request whose deadline passed while its body was read.
+func TestRequestThatExpiresWhileReadingBodyIsRefused(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	desk := fleet.AddService("i-1")
--- a/internal/gateway/slow_reader_test.go
+++ b/internal/gateway/slow_reader_test.go
@@ -10,8 +10,8 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// slowReaders is an entry of 184 MB with an engine whose streams are larger than the buffers of connections, and n callers that read nothing.
-func slowReaders(t *testing.T, n, events, eventBytes int) (*entry, *standin.Upstream) {
+// startWithSlowReaders starts an entry with 184 MB of memory, an engine whose streams exceed the connections' buffers, and n callers that read nothing.
+func startWithSlowReaders(t *testing.T, n, events, eventBytes int) (*entry, *standin.Upstream) {
 	t.Helper()
 	fleet := standin.NewFleet(t)
 	fleet.Slots = n + 10
@@ -29,28 +29,28 @@
 	return e, engine
 }
 
-// TestAnEngineIsReadWhoeverReadsSlowly guards against an engine whose answer is left unread, which it cuts off after some seconds, because its
-// caller does not read.
-func TestAnEngineIsReadWhoeverReadsSlowly(t *testing.T) {
+// TestEngineIsReadDespiteSlowCaller guards against a response that is left unread because its caller does not read. The engine closes such a
+// connection after some seconds.
+func TestEngineIsReadDespiteSlowCaller(t *testing.T) {
 	t.Parallel()
 	const events = 40
-	_, engine := slowReaders(t, 1, events, 256<<10)
-	require.Eventually(t, func() bool { return engine.Ended() == 1 }, patience, pollInterval)
+	_, engine := startWithSlowReaders(t, 1, events, 256<<10)
+	require.Eventually(t, func() bool { return engine.Ended() == 1 }, testTimeout, pollInterval)
 }
 
-// TestAThousandSlowReadersStayWithinTheMemory guards against a process that holds what a thousand callers do not read until it is killed, and
-// against one that serves nobody else meanwhile.
-func TestAThousandSlowReadersStayWithinTheMemory(t *testing.T) {
+// TestThousandSlowReadersStayWithinMemoryBudget guards against a process that buffers the responses of a thousand slow callers until it is
+// killed for its memory use, and against one that meanwhile serves nobody else.
+func TestThousandSlowReadersStayWithinMemoryBudget(t *testing.T) {
 	t.Parallel()
 	const readers, events, eventBytes = 1000, 8, 128 << 10
-	e, engine := slowReaders(t, readers, events, eventBytes)
-	require.Eventually(t, func() bool { return e.gateway.Held() > 0 }, patience, pollInterval)
-	most := int64(0)
+	e, engine := startWithSlowReaders(t, readers, events, eventBytes)
+	require.Eventually(t, func() bool { return e.gateway.MemoryUsed() > 0 }, testTimeout, pollInterval)
+	maxUsed := int64(0)
 	require.Eventually(t, func() bool {
-		most = max(most, e.gateway.Held())
+		maxUsed = max(maxUsed, e.gateway.MemoryUsed())
 		r := e.Post("/stream/1")
-		most = max(most, e.gateway.Held())
+		maxUsed = max(maxUsed, e.gateway.MemoryUsed())
 		return r.Err == nil && r.Status == 200 && strings.Count(r.Body, "id:") == events && engine.Ended() > 0
-	}, patience, pollInterval, "others are served")
-	require.LessOrEqual(t, most, int64(184<<20)/4, "a quarter of the process's memory")
+	}, testTimeout, pollInterval, "other callers are served")
+	require.LessOrEqual(t, maxUsed, int64(184<<20)/4, "a quarter of the process's memory")
 }
--- a/internal/gateway/neighbours_test.go
+++ b/internal/gateway/store_reader_test.go
@@ -17,9 +17,9 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// TestInALargeDataCentreOneEntryReadsForTheOthers starts as many entries as make a data centre large. All but one read from the same
-// entry; a new manifest is in force at each; and it is so again when the one that reads has stopped.
-func TestInALargeDataCentreOneEntryReadsForTheOthers(t *testing.T) {
+// TestOneEntryReadsTheStoreForALargeDataCentre guards against load on the store that grows with the entries of a data centre, and against
+// entries that miss changes when the entry they read through stops. It starts as many entries as make a data centre large.
+func TestOneEntryReadsTheStoreForALargeDataCentre(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.AddService("i-desk")
@@ -39,22 +39,22 @@
 		logs[addresses[i]] = log
 		entries[addresses[i]] = &entry{Caller: standin.Caller{Address: host.Callers, Name: ip}, host: host, stop: fleet.Run(g.Run)}
 	}
-	first := source.First("perth-a", addresses)[0]
+	reader := source.First("perth-a", addresses)[0]
 	for address, log := range logs {
-		if address != first {
-			require.Eventually(t, func() bool { return log.Has(`"what":"source","value":"` + first + `"`) }, patience, 10*time.Millisecond)
+		if address != reader {
+			require.Eventually(t, func() bool { return log.Has(`"what":"source","value":"` + reader + `"`) }, testTimeout, 10*time.Millisecond)
 		}
 	}
-	requireInForce := func(prefix string) {
+	requireRouteActive := func(prefix string) {
 		fleet.AddRoute(prefix)
 		for _, e := range entries {
 			require.Eventually(t, func() bool {
 				return e.Do(context.Background(), standin.Request{Path: prefix}).Status == http.StatusOK
-			}, patience, 20*time.Millisecond)
+			}, testTimeout, 20*time.Millisecond)
 		}
 	}
-	requireInForce("/added/")
-	entries[first].stop()
-	delete(entries, first)
-	requireInForce("/added-later/")
+	requireRouteActive("/added/")
+	entries[reader].stop()
+	delete(entries, reader)
+	requireRouteActive("/added-later/")
 }
--- a/internal/gateway/trace_test.go
+++ b/internal/gateway/trace_test.go
@@ -14,8 +14,8 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// TestARequestHasASpanAndSoHasEachSend follows a request that is declined once: the spans belong to the caller's trace.
-func TestARequestHasASpanAndSoHasEachSend(t *testing.T) {
+// TestRequestAndEachAttemptHaveSpans guards against attempts that are missing from the caller's trace. The request is declined once.
+func TestRequestAndEachAttemptHaveSpans(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.AddService("i-1")
@@ -24,14 +24,14 @@
 	spans := tracetest.NewInMemoryExporter()
 	g := gateway.New(host, zerolog.Nop(), telemetry.NewMetrics(), telemetry.NewTracesTo(spans, "entry", host.Name))
 	e := &entry{Caller: standin.Caller{Address: host.Callers, Name: t.Name()}, host: host, stop: fleet.Run(g.Run)}
-	require.Eventually(t, func() bool { return e.ready() == http.StatusOK }, patience, pollInterval)
+	require.Eventually(t, func() bool { return e.ready() == http.StatusOK }, testTimeout, pollInterval)
 	fleet.Faults.Next(standin.Decline)
 	const parent = "4bf92f3577b34da6a3ce929d0e0e4736"
 	r := e.Do(context.Background(), standin.Request{
 		Path: "/again/1", Header: http.Header{"Traceparent": {"00-" + parent + "-00f067aa0ba902b7-01"}},
 	})
 	require.Equal(t, http.StatusOK, r.Status)
-	require.Eventually(t, func() bool { return len(spans.GetSpans()) == 3 }, patience, pollInterval)
+	require.Eventually(t, func() bool { return len(spans.GetSpans()) == 3 }, testTimeout, pollInterval)
 	names := map[string]int{}
 	for _, s := range spans.GetSpans() {
 		names[s.Name]++
--- a/internal/gateway/unsent_test.go
+++ b/internal/gateway/unsent_test.go
@@ -10,35 +10,35 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// unreachable is a way to upstreams on which no connection comes about until it is given up.
-type unreachable struct{}
+// hangingTransport never connects: each call waits until its context ends.
+type hangingTransport struct{}
 
-// RoundTrip waits until the call is given up.
-func (unreachable) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip waits until the request's context ends and returns its error.
+func (hangingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
 
-// TestARequestWhoseTimeEndsBeforeItIsSentHasNotRun has the time of a request that runs once end while its connection is being made. Nothing of it
-// was sent: its caller may send it again.
-func TestARequestWhoseTimeEndsBeforeItIsSentHasNotRun(t *testing.T) {
+// TestRequestThatExpiresBeforeItIsSentIsReportedNotRun guards against a caller that is told that its request may have run, although its deadline
+// passed while the connection was being made. Nothing was sent, so the caller may retry even a request that must run only once.
+func TestRequestThatExpiresBeforeItIsSentIsReportedNotRun(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	desk := fleet.AddService("i-1")
 	e := start(t, fleet)
-	e.gateway.SendThrough(unreachable{})
-	began := time.Now()
+	e.gateway.SetUpstreamTransport(hangingTransport{})
+	sentAt := time.Now()
 	r := e.Post("/once/1")
 	require.NoError(t, r.Err)
-	require.GreaterOrEqual(t, time.Since(began), 2*time.Second, "the route's time")
+	require.GreaterOrEqual(t, time.Since(sentAt), 2*time.Second, "the route's time limit")
 	require.Equal(t, http.StatusServiceUnavailable, r.Status, r.Body)
 	require.Contains(t, r.Body, `"ran":"not run"`)
 	require.Zero(t, desk.Runs(r.ID))
 }
 
-// TestARequestThatIsTakenBackBeforeItIsSentHasNotRun takes a stream that runs once back before its connection was made, as its version's
-// time ends.
-func TestARequestThatIsTakenBackBeforeItIsSentHasNotRun(t *testing.T) {
+// TestRequestWithdrawnBeforeItIsSentIsReportedNotRun guards against the same report for a request that is withdrawn before its connection was
+// made, because the engine's version is about to expire.
+func TestRequestWithdrawnBeforeItIsSentIsReportedNotRun(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.AddStream("/single/", false)
@@ -47,12 +47,12 @@
 	host := fleet.Host(standin.NextIP(), false)
 	host.VersionTime = 2 * time.Second
 	e := startHost(t, fleet, host)
-	e.gateway.SendThrough(unreachable{})
-	ended := make(chan standin.Reply, 1)
-	go func() { ended <- e.Post("/single/1") }()
-	time.Sleep(hearing)
+	e.gateway.SetUpstreamTransport(hangingTransport{})
+	replies := make(chan standin.Reply, 1)
+	go func() { replies <- e.Post("/single/1") }()
+	time.Sleep(watchDelay)
 	fleet.Name(2)
-	r := <-ended
+	r := <-replies
 	require.Equal(t, http.StatusServiceUnavailable, r.Status, r.Body)
 	require.Contains(t, r.Body, `"ran":"not run"`)
 }
