--- a/internal/hostagent/export_test.go
+++ b/internal/hostagent/export_test.go
@@ -10,17 +10,17 @@
 	"samphireweir.example/samphireweir/internal/manifest"
 )
 
-// Hear takes a message.
-func (a *Agent) Hear(from netip.AddrPort, m loadreport.Message) { a.heard(from, m) }
+// Receive handles a message as if it had come from the socket.
+func (a *Agent) Receive(from netip.AddrPort, m loadreport.Message) { a.handleHeartbeat(from, m) }
 
-// Named are the versions that a report tells now.
-func (a *Agent) Named() []loadreport.Naming {
-	_, named := a.loadNow(time.Now())
-	return named
+// ActiveVersions returns the versions that a report would carry now.
+func (a *Agent) ActiveVersions() []loadreport.Naming {
+	_, versions := a.currentLoad(time.Now())
+	return versions
 }
 
-// Learn has the agent know what a version consists of.
-func (a *Agent) Learn(model string, version int64, raw []byte, m *manifest.Manifest) error {
+// AddManifest gives the agent the manifest of a version.
+func (a *Agent) AddManifest(model string, version int64, raw []byte, m *manifest.Manifest) error {
 	digest := manifest.Digest(raw)
 	if _, err := a.fetcher.Memory.AddVersion(digest, raw, m); err != nil {
 		return err
@@ -29,17 +29,17 @@
 	return nil
 }
 
-// PeerHandler answers the agents of other hosts.
-func (a *Agent) PeerHandler() http.Handler { return a.peerServer().Handler }
+// PeerHandler returns the handler for requests of other hosts' agents.
+func (a *Agent) PeerHandler() http.Handler { return a.newPeerServer().Handler }
 
-// Tick lets a moment pass.
+// Tick runs one tick.
 func (a *Agent) Tick() { a.tick() }
 
-// AskersAt gives the number of hosts that ask the origin at a try.
-func AskersAt(try int) int { return askersAt(try) }
+// OriginRequestersAt returns how many hosts may ask the origin at a try.
+func OriginRequestersAt(try int) int { return originRequestersAt(try) }
 
-// StartWait is how long a host that has just started waits to know the others.
-const StartWait = startWait
+// DiscoveryTimeout is how long a host that has just started waits until the others are known.
+const DiscoveryTimeout = discoveryTimeout
 
-// WaitUpTo bounds the waits for other hosts and for the origin, in place of the product's.
-func (a *Agent) WaitUpTo(d time.Duration) { a.waits = waits{start: d, origin: d} }
+// SetTimeouts replaces the timeouts for other hosts and for the origin.
+func (a *Agent) SetTimeouts(d time.Duration) { a.timeouts = timeouts{discovery: d, origin: d} }
--- a/internal/hostagent/growth_test.go
+++ b/internal/hostagent/growth_test.go
@@ -17,8 +17,8 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// learnVersion has an agent know a version of many chunks.
-func learnVersion(t *testing.T, a *hostagent.Agent) {
+// addVersion gives an agent the manifest of a version of many chunks.
+func addVersion(t *testing.T, a *hostagent.Agent) {
 	t.Helper()
 	m := &manifest.Manifest{Model: "m", Version: "2", SHA256: strings.Repeat("ab", 32), ChunkSize: 4}
 	for i := range 64 {
@@ -28,11 +28,11 @@
 	raw, err := json.Marshal(m)
 	require.NoError(t, err)
 	a.Step(install.Named{Model: "m", Version: 2})
-	require.NoError(t, a.Learn("m", 2, raw, m))
+	require.NoError(t, a.AddManifest("m", 2, raw, m))
 }
 
-// allocatedByAList is how many bytes an agent that fetches a version takes as it reads a list of n upstreams for the first time.
-func allocatedByAList(t *testing.T, n int) float64 {
+// allocatedByUpstreamList returns how many bytes an agent that fetches a version allocates when it reads a list of n upstreams for the first time.
+func allocatedByUpstreamList(t *testing.T, n int) float64 {
 	t.Helper()
 	var upstreams []*catalog.Upstream
 	for i := range n {
@@ -40,28 +40,28 @@
 			ID: fmt.Sprintf("i-%d", i), Service: "model", Address: fmt.Sprintf("10.%d.%d.%d:8080", i%5, i/200, i%200+1), DataCentre: fmt.Sprintf("dc-%d", i%5), Revision: 1,
 		})
 	}
-	least := math.Inf(1)
-	for range 3 { // Other tests may run beside this one.
+	minAllocated := math.Inf(1)
+	for range 3 { // Other tests may run in parallel and allocate too.
 		var log standin.Log
-		a := startingAgent(&log, "127.0.0.1", 7700, "http://127.0.0.1:1")
-		learnVersion(t, a)
+		a := newStartingAgent(&log, "127.0.0.1", 7700, "http://127.0.0.1:1")
+		addVersion(t, a)
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		a.Step(catalog.UpstreamsListed{Revision: 1, Upstreams: upstreams})
 		a.Tick()
 		runtime.ReadMemStats(&after)
-		least = min(least, float64(after.TotalAlloc-before.TotalAlloc))
+		minAllocated = min(minAllocated, float64(after.TotalAlloc-before.TotalAlloc))
 	}
-	return least
+	return minAllocated
 }
 
-// TestAListOfUpstreamsCostsAsMuchAsItIsLong guards against an agent that works out its neighbours anew for each upstream of a list: a fleet of twice the
-// size took four times as long to start, after which its engines serve.
-func TestAListOfUpstreamsCostsAsMuchAsItIsLong(t *testing.T) {
+// TestUpstreamListCostGrowsLinearly guards against an agent that recomputes its peers for each upstream of a list. The cost is then quadratic: a
+// fleet of twice the size took four times as long to start and to serve requests.
+func TestUpstreamListCostGrowsLinearly(t *testing.T) {
 	const small, large = 150, 1200
-	before, after := allocatedByAList(t, small), allocatedByAList(t, large)
-	exponent := math.Log(after/before) / math.Log(float64(large)/small)
-	t.Logf("%.0f bytes for %d upstreams, %.0f for %d: power %.2f", before, small, after, large, exponent)
+	smallBytes, largeBytes := allocatedByUpstreamList(t, small), allocatedByUpstreamList(t, large)
+	exponent := math.Log(largeBytes/smallBytes) / math.Log(float64(large)/small)
+	t.Logf("%.0f bytes for %d upstreams, %.0f for %d: power %.2f", smallBytes, small, largeBytes, large, exponent)
 	require.LessOrEqual(t, exponent, 1.2)
 }
--- a/internal/hostagent/hostagent.go
+++ b/internal/hostagent/hostagent.go
@@ -1,6 +1,6 @@
-// Package hostagent runs the agent beside a model engine on the platform: it brings the weights in force to the engine,
-// spreads them to the other hosts, and tells entries how loaded the engine is. Decisions are made by the reducers
-// catalog, weights and install; this package carries them out.
+// Package hostagent is the shell of the agent beside a model engine on the platform: it brings the active weights to the engine, spreads
+// them to the other hosts, and reports the engine's load to the entries. The reducers catalog, weights and install make the
+// decisions; the shell carries out their effects.
 package hostagent
 
 import (
@@ -33,27 +33,27 @@
 )
 
 const (
-	// readInterval is how often the engine's state is read; the call is free on its own host.
-	readInterval = 100 * time.Millisecond
-	// readTimeout bounds such a call.
-	readTimeout = 400 * time.Millisecond
-	// versionPoll, upstreamPoll and configPoll are the times between two stale lists. Versions come by the entries first;
-	// new hosts introduce themselves to the others.
-	versionPoll  = 2 * time.Second
-	upstreamPoll = 4 * time.Second
-	configPoll   = 10 * time.Second
-	// unknownPoll is the time between two lists as long as nothing is known.
-	unknownPoll = 500 * time.Millisecond
-	// usualUpstreams is how many upstreams the intervals are meant for; with more they grow in proportion.
-	usualUpstreams = 100
-	// originIdle is how long a connection to the origin is kept between two calls.
-	originIdle = 300 * time.Millisecond
-	// dialTimeout bounds the making of a connection.
+	// engineReadInterval is how often the engine's state is read. The call stays on the host and is cheap.
+	engineReadInterval = 100 * time.Millisecond
+	// engineReadTimeout limits one such call.
+	engineReadTimeout = 400 * time.Millisecond
+	// versionPollInterval, upstreamPollInterval and configPollInterval are the times between two reads of a list that may be stale. They
+	// can be long: entries report versions sooner, and new hosts announce themselves to the others.
+	versionPollInterval  = 2 * time.Second
+	upstreamPollInterval = 4 * time.Second
+	configPollInterval   = 10 * time.Second
+	// initialPollInterval is the time between two reads until the manifest and the upstreams are known.
+	initialPollInterval = 500 * time.Millisecond
+	// baseUpstreams is the number of upstreams that the poll intervals are meant for; in larger fleets they grow in proportion.
+	baseUpstreams = 100
+	// originIdleTimeout is how long an idle connection to the origin is kept.
+	originIdleTimeout = 300 * time.Millisecond
+	// dialTimeout limits connecting to a host.
 	dialTimeout = 700 * time.Millisecond
-	// chunkMemoryShare is the part of the process's memory that chunks may take.
-	chunkMemoryShare = 4
-	// headTime bounds the reading of the head of a peer's request.
-	headTime = 5 * time.Second
+	// chunkMemoryDivisor limits the memory for chunks to a quarter of the process's memory.
+	chunkMemoryDivisor = 4
+	// headTimeout limits reading the head of a peer's request.
+	headTimeout = 5 * time.Second
 )
 
 // Agent is the process beside one engine.
@@ -62,91 +62,91 @@
 	self    string
 	log     zerolog.Logger
 	metrics *telemetry.Metrics
-	// neighbours are the entries through which the store is read in a large data centre.
-	neighbours *storefeed.Neighbours
+	// storePeers are the entries through which the store is read in a large data centre.
+	storePeers *storefeed.Neighbours
 	store      *storefeed.Reader
 	engine     *platform.Engine
 	origin     *platform.Origin
 	client     *http.Client
 	fetcher    *transfer.Fetcher
 	socket     *loadreport.Socket
-	waits      waits
+	timeouts   timeouts
 
 	mu      sync.Mutex
 	catalog *catalog.State
 	weights *weights.State
 	install *install.State
-	// peersChanged is set while the upstreams have changed and nothing was told of it yet; see tellPeers.
+	// peersChanged is set while the reducers have not been informed of a change of the upstreams; see updatePeers.
 	peersChanged bool
-	reports      reports
+	reporter     reporter
 }
 
-// New returns the agent of a host. Its metrics are written to m; traces is nil when tracing is off.
+// New returns the agent of a host. It records its metrics in m; traces is nil when tracing is off.
 func New(host hostconfig.Host, log zerolog.Logger, m *telemetry.Metrics, traces *telemetry.Traces) *Agent {
 	self := net.JoinHostPort(host.IP, strconv.Itoa(host.PeerPort))
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 	client := &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 4, IdleConnTimeout: 5 * time.Second}}
 	traces.Client(client, telemetry.NamePeerCall)
-	origin := newOriginClient(dialer)
-	traces.Client(origin, telemetry.NameOriginCall)
-	neighbours, pool := storefeed.NewNeighbours(host, self, true, log), control.NewPool(self, "", dialer.DialContext)
+	originClient := newOriginClient(dialer)
+	traces.Client(originClient, telemetry.NameOriginCall)
+	storePeers, pool := storefeed.NewNeighbours(host, self, true, log), control.NewPool(self, "", dialer.DialContext)
 	a := &Agent{
 		host: host, self: self, log: log, metrics: m, client: client,
-		neighbours: neighbours, store: neighbours.Reader(platform.NewStore(host.Store, client), pool, nil), engine: platform.NewEngine(host.Engine, client),
-		catalog: catalog.NewState(),
-		weights: weights.NewState(weights.Peer{Address: self, Place: host.DataCentre, Region: host.Region}),
-		install: install.NewState(self, host.VersionTime),
-		reports: newReports(), waits: defaultWaits(),
+		storePeers: storePeers, store: storePeers.Reader(platform.NewStore(host.Store, client), pool, nil), engine: platform.NewEngine(host.Engine, client),
+		catalog:  catalog.NewState(),
+		weights:  weights.NewState(weights.Peer{Address: self, Place: host.DataCentre, Region: host.Region}),
+		install:  install.NewState(self, host.VersionTime),
+		reporter: newReporter(), timeouts: defaultTimeouts(),
 	}
 	a.catalog.ListedSince = time.Now().Add(-host.ListedAge())
-	a.origin = platform.NewOrigin(origin, a.originPlace)
+	a.origin = platform.NewOrigin(originClient, a.originParams)
 	a.fetcher = &transfer.Fetcher{
-		Memory: transfer.NewMemory(host.Memory / chunkMemoryShare), Sources: []transfer.Source{a.origin},
+		Memory: transfer.NewMemory(host.Memory / chunkMemoryDivisor), Sources: []transfer.Source{a.origin},
 		Pool: pool, Client: client, Self: self,
 		Up: transfer.NewLink(host.Link), Down: transfer.NewLink(host.Link), Steps: a, Log: log,
 	}
 	return a
 }
 
-// newOriginClient returns a client for the origin, which takes a bounded number of connections from all hosts together: one for each
-// host, and only as long as it is in use.
+// newOriginClient returns a client for the origin. The origin accepts a bounded number of connections from all hosts together, so a host
+// opens one at a time and keeps it only while it is in use.
 func newOriginClient(dialer *net.Dialer) *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, DisableCompression: true, MaxConnsPerHost: 1, IdleConnTimeout: originIdle,
+		DialContext: dialer.DialContext, DisableCompression: true, MaxConnsPerHost: 1, IdleConnTimeout: originIdleTimeout,
 	}}
 }
 
-// originPlace returns the origin's address and how many pieces a version has.
-func (a *Agent) originPlace() (string, int) {
+// originParams returns the origin's address and the number of chunks of a version.
+func (a *Agent) originParams() (string, int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	pieces := 0
-	if e := a.engineTerms(); e != nil {
-		pieces = e.Chunks
+	chunks := 0
+	if engine := a.engineConfig(); engine != nil {
+		chunks = engine.Chunks
 	}
-	return a.catalog.Origin(), pieces
+	return a.catalog.Origin(), chunks
 }
 
-// engineTerms returns what the manifest says of this host's engine; nil when it says nothing.
-func (a *Agent) engineTerms() *catalog.Engine {
+// engineConfig returns the manifest's settings for this host's engine, nil if there are none.
+func (a *Agent) engineConfig() *catalog.Engine {
 	if a.catalog.Manifest == nil {
 		return nil
 	}
-	s := a.catalog.Manifest.Services[a.host.EngineService]
-	if s == nil {
+	service := a.catalog.Manifest.Services[a.host.EngineService]
+	if service == nil {
 		return nil
 	}
-	return s.Engine
+	return service.Engine
 }
 
-// Step hands an event to the reducers and carries out what they answer.
+// Step passes an event to the reducers and carries out the effects that they return.
 func (a *Agent) Step(ev step.Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.reduce(ev)
 	switch ev.(type) {
 	case catalog.UpstreamsListed, step.Tick:
-		a.tellPeers()
+		a.updatePeers()
 	}
 	if failed, ok := ev.(weights.ChunkFailed); ok && failed.Reason == weights.Changed {
 		a.reduce(install.Refuted{Digest: failed.Digest})
@@ -159,15 +159,15 @@
 	effects = append(effects, a.weights.Reduce(in)...)
 	effects = append(effects, a.install.Reduce(in)...)
 	for _, e := range effects {
-		a.carry(in, e)
+		a.execute(in, e)
 	}
 }
 
-// carry carries out one effect. It holds the lock; what takes time runs beside it.
-func (a *Agent) carry(in step.Input, e step.Effect) {
+// execute carries out one effect. The caller holds the lock; slow effects run in their own goroutine.
+func (a *Agent) execute(in step.Input, e step.Effect) {
 	switch e := e.(type) {
 	case catalog.Change:
-		a.changed(e)
+		a.logCatalogChange(e)
 	case catalog.NamingChanged:
 		a.reduce(install.Named{Model: e.Naming.Model, Version: e.Naming.Version, Age: in.Now.Sub(e.Naming.Since)})
 	case install.Moved:
@@ -176,11 +176,11 @@
 	case install.Resolve:
 		go a.resolve(e)
 	case install.Fetch:
-		a.setWants(in)
+		a.updateWants(in)
 	case install.Prepare:
 		go a.prepare(e)
 	case install.Order:
-		go a.order(e)
+		go a.orderLoad(e)
 	case weights.Completed:
 		a.fetcher.Carry(e)
 		a.reduce(install.Complete{Digest: e.Digest})
@@ -189,8 +189,8 @@
 	}
 }
 
-// changed logs a change of belief and tells the other reducers what follows from it.
-func (a *Agent) changed(c catalog.Change) {
+// logCatalogChange logs a change of the known state. A change of an upstream is only marked, for updatePeers.
+func (a *Agent) logCatalogChange(c catalog.Change) {
 	if c.Topic == catalog.UpstreamTopic {
 		a.peersChanged = true
 		return
@@ -199,19 +199,19 @@
 		Int64("revision", c.Revision).Msg("belief changed")
 }
 
-// tellPeers tells the reducers which hosts there are, once for all that changed since the last tick or with a list: who shares what with whom is
-// worked out over all of them.
-func (a *Agent) tellPeers() {
+// updatePeers informs the reducers of the hosts in the fleet. It does so once for all changes since the last tick or list, since each
+// time the reducers recompute over all hosts who shares chunks with whom.
+func (a *Agent) updatePeers() {
 	if !a.peersChanged {
 		return
 	}
 	a.peersChanged = false
 	a.reduce(install.PeersChanged{Peers: a.peerAddresses()})
-	a.setWants(step.Input{Now: time.Now(), Rand: rand.Uint64()})
+	a.updateWants(step.Input{Now: time.Now(), Rand: rand.Uint64()})
 }
 
-// setWants tells the weights reducer which versions this host wants, and who else does.
-func (a *Agent) setWants(in step.Input) {
+// updateWants informs the weights reducer of the versions that this host needs and of the hosts that need them too.
+func (a *Agent) updateWants(in step.Input) {
 	var wants []weights.Want
 	peers := a.peers()
 	for _, w := range a.install.Wanted() {
@@ -220,7 +220,7 @@
 		})
 	}
 	for _, e := range a.weights.SetWants(in, wants) {
-		a.carry(in, e)
+		a.execute(in, e)
 	}
 }
 
@@ -228,7 +228,7 @@
 	return weights.Ref{Model: model, Version: strconv.FormatInt(version, 10)}
 }
 
-// peers are the other hosts with an engine of the same service.
+// peers returns the other hosts with an engine of the same service.
 func (a *Agent) peers() []weights.Peer {
 	var list []weights.Peer
 	for _, u := range a.catalog.Upstreams {
@@ -237,7 +237,7 @@
 		}
 		ip, err := platform.HostIP(u.Address)
 		if err != nil || ip == a.host.IP {
-			continue // Addresses were checked when the entry was read.
+			continue // Can't fail: addresses are validated when the store's entry is read.
 		}
 		list = append(list, weights.Peer{
 			Address: net.JoinHostPort(ip, strconv.Itoa(a.host.PeerPort)), Place: u.DataCentre, Region: a.host.Regions[u.DataCentre],
@@ -246,7 +246,7 @@
 	return list
 }
 
-// peerAddresses are the addresses of all hosts with an engine of the service, this one included.
+// peerAddresses returns the addresses of all hosts with an engine of the service, including this one.
 func (a *Agent) peerAddresses() []string {
 	list := []string{a.self}
 	for _, p := range a.peers() {
@@ -255,7 +255,7 @@
 	return list
 }
 
-// Run serves until ctx ends. An agent holds nothing that must end in an orderly way, so that it ends at once.
+// Run serves until ctx ends. It then returns at once, since an agent has no work that needs a graceful shutdown.
 func (a *Agent) Run(ctx context.Context) error {
 	socket, err := loadreport.Listen(a.host.IP, a.host.PeerPort)
 	if err != nil {
@@ -267,70 +267,70 @@
 	if err != nil {
 		return err
 	}
-	peers := a.peerServer()
-	defer func() { _ = peers.Close() }()
-	go a.servePeers(peers, listener)
-	go socket.Run(a.heard, a.log)
-	go a.neighbours.GreetSeeds(ctx, socket, a.knows)
-	go periodic.Run(ctx, readInterval, func() { a.readEngine(ctx) })
+	peerServer := a.newPeerServer()
+	defer func() { _ = peerServer.Close() }()
+	go a.servePeers(peerServer, listener)
+	go socket.Run(a.handleHeartbeat, a.log)
+	go a.storePeers.GreetSeeds(ctx, socket, a.initialized)
+	go periodic.Run(ctx, engineReadInterval, func() { a.pollEngine(ctx) })
 	go periodic.Run(ctx, step.TickInterval, a.tick)
-	a.follow(ctx)
+	a.followStore(ctx)
 	logevent.Info(a.log, logevent.Listening).Str("peers", a.self).Str("engine", a.host.Engine).Msg("listening")
 	<-ctx.Done()
 	logevent.Info(a.log, logevent.Stopped).Msg("stopped")
 	return nil
 }
 
-// peerServer answers the agents of other hosts.
-func (a *Agent) peerServer() *http.Server {
+// newPeerServer returns the server for the agents of other hosts.
+func (a *Agent) newPeerServer() *http.Server {
 	mux := http.NewServeMux()
 	handlers := control.Handlers{}
 	a.fetcher.Routes(mux, handlers)
 	mux.Handle(control.Path, control.NewServer(handlers))
-	mux.HandleFunc("GET "+versionsPath+"{model}/{version}", a.serveVersion)
-	return &http.Server{Handler: mux, ReadHeaderTimeout: headTime}
+	mux.HandleFunc("GET "+versionsPath+"{model}/{version}", a.serveManifest)
+	return &http.Server{Handler: mux, ReadHeaderTimeout: headTimeout}
 }
 
 func (a *Agent) servePeers(server *http.Server, l net.Listener) {
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		logevent.Warn(a.log, logevent.ServerError).Err(err).Msg("peers' server ended")
+		logevent.Warn(a.log, logevent.ServerError).Err(err).Msg("peer HTTP server failed")
 	}
 }
 
 func (a *Agent) tick() {
 	a.Step(step.Tick{})
-	a.nameUnnamed()
-	a.neighbours.Tick()
+	a.activateDefaultVersions()
+	a.storePeers.Tick()
 }
 
-// follow reads the manifest, the upstreams and the versions from the store.
-func (a *Agent) follow(ctx context.Context) {
-	beliefs := storewatch.Beliefs{Step: a.Step, Log: a.log}
+// followStore reads the manifest, the upstreams and the versions from the store.
+func (a *Agent) followStore(ctx context.Context) {
+	watch := storewatch.Beliefs{Step: a.Step, Log: a.log}
 	for kind, interval := range map[string]time.Duration{
-		platform.ConfigKind: configPoll, platform.ServerKind: upstreamPoll, platform.VersionKind: versionPoll,
+		platform.ConfigKind: configPollInterval, platform.ServerKind: upstreamPollInterval, platform.VersionKind: versionPollInterval,
 	} {
-		f := beliefs.Follower(a.store, kind)
-		f.Shared = a.store.Shared
-		go f.Poll(ctx, func() time.Duration { return a.pollInterval(interval) })
+		follower := watch.Follower(a.store, kind)
+		follower.Shared = a.store.Shared
+		go follower.Poll(ctx, func() time.Duration { return a.pollInterval(interval) })
 	}
 }
 
-// pollInterval is the time to the next list: short until the manifest and the upstreams are known, and longer the more upstreams there
-// are, so that the store sends no more to a large fleet than to a small one.
+// pollInterval returns the time until the next read of a list. It is short until the manifest and the upstreams are known, and grows with the
+// number of upstreams, so that the store sends no more to a large fleet than to a small one.
 func (a *Agent) pollInterval(interval time.Duration) time.Duration {
-	if !a.knows() {
-		return unknownPoll
+	if !a.initialized() {
+		return initialPollInterval
 	}
 	if a.store.Shared() {
 		return interval
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return interval * time.Duration(1+len(a.catalog.Upstreams)/usualUpstreams)
+	return interval * time.Duration(1+len(a.catalog.Upstreams)/baseUpstreams)
 }
 
-// knows tells whether this agent knows enough to work.
-func (a *Agent) knows() bool {
+// initialized reports whether the agent knows the manifest and the upstreams.
+func (a *Agent) initialized() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.catalog.Manifest != nil && len(a.catalog.Upstreams) > 0
--- a/internal/hostagent/hostagent_test.go
+++ b/internal/hostagent/hostagent_test.go
@@ -12,10 +12,10 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// patience bounds what a test waits for; it is far above what is needed, since machines can be busy.
-const patience = 60 * time.Second
+// testTimeout limits how long a test waits for a condition. It is far longer than needed, since test machines can be busy.
+const testTimeout = 60 * time.Second
 
-// start runs an agent beside each of n engines that hold a version.
+// start runs n engines that hold a version, and an agent beside each.
 func start(t *testing.T, fleet *standin.Fleet, n int, version int64) (engines []*standin.Upstream, stops []func()) {
 	t.Helper()
 	for i := range n {
@@ -30,26 +30,28 @@
 func requireLoaded(t *testing.T, engines []*standin.Upstream, version int64) {
 	t.Helper()
 	for _, e := range engines {
-		require.Eventually(t, func() bool { return e.Weights.Loaded() == version }, patience, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return e.Weights.Loaded() == version }, testTimeout, 20*time.Millisecond)
 	}
 	for _, e := range engines {
-		spoilt, _ := e.Weights.Spoilt()
-		require.Zero(t, spoilt, "an engine loaded pieces that were missing or wrong")
+		corrupted, _ := e.Weights.Spoilt()
+		require.Zero(t, corrupted, "an engine loaded chunks that were missing or corrupted")
 	}
 }
 
-func TestEmptyEnginesGetTheWeightsAndTheOriginSendsAboutOneCopy(t *testing.T) {
+// TestEmptyEnginesLoadWeightsWithFewOriginReads guards against hosts that each read a whole copy of the weights from the origin instead of
+// sharing chunks with each other.
+func TestEmptyEnginesLoadWeightsWithFewOriginReads(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.Name(1)
 	engines, _ := start(t, fleet, 4, 0)
 	requireLoaded(t, engines, 1)
-	require.LessOrEqual(t, fleet.Origin.Sent(), 3*fleet.Origin.Pieces, "four hosts that draw for themselves would take four copies")
+	require.LessOrEqual(t, fleet.Origin.Sent(), 3*fleet.Origin.Pieces, "four hosts that do not share chunks would read four copies")
 }
 
-// TestAHostAsksTheOriginOneThingAtATime has a host draw all pieces from an origin that is slow: the origin takes a bounded number of
-// connections from all hosts together.
-func TestAHostAsksTheOriginOneThingAtATime(t *testing.T) {
+// TestHostSendsOneOriginRequestAtATime guards against a host that opens several connections to the origin, which accepts a bounded number from
+// all hosts together. The origin responds slowly, so that concurrent requests would overlap.
+func TestHostSendsOneOriginRequestAtATime(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.Origin.AnswerTime = 30 * time.Millisecond
@@ -59,7 +61,8 @@
 	require.Equal(t, 1, fleet.Origin.MostAtOnce())
 }
 
-func TestANewVersionReachesEachEngine(t *testing.T) {
+// TestNewVersionReachesEveryEngine guards against engines that stay on an old version when two versions are activated in quick succession.
+func TestNewVersionReachesEveryEngine(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.Name(1)
@@ -70,7 +73,8 @@
 	requireLoaded(t, engines, 3)
 }
 
-func TestPiecesThatRotAreReplacedBeforeTheNextLoad(t *testing.T) {
+// TestCorruptedChunksAreReplacedBeforeNextLoad guards against a load of staged chunks that were corrupted after an earlier load.
+func TestCorruptedChunksAreReplacedBeforeNextLoad(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.Name(1)
@@ -81,22 +85,24 @@
 	require.Eventually(t, func() bool {
 		_, orders := engines[0].Weights.Spoilt()
 		return orders == 2
-	}, patience, 20*time.Millisecond)
+	}, testTimeout, 20*time.Millisecond)
 	requireLoaded(t, engines, 1)
 }
 
-func TestAnEngineThatLostPowerIsFilledAgain(t *testing.T) {
+// TestEngineIsRefilledAfterPowerLoss guards against an agent that takes chunks for staged which the engine's host lost with its power.
+func TestEngineIsRefilledAfterPowerLoss(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.Name(1)
 	engines, _ := start(t, fleet, 2, 0)
 	requireLoaded(t, engines, 1)
 	engines[0].Weights.Crash(true)
-	require.Eventually(t, func() bool { return engines[0].Weights.Loaded() == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return engines[0].Weights.Loaded() == 0 }, testTimeout, time.Millisecond)
 	requireLoaded(t, engines, 1)
 }
 
-func TestSpoiltAnswersOfTheOriginAreNotUsed(t *testing.T) {
+// TestCorruptedOriginResponsesAreRejected guards against chunks that are loaded although the origin sent them corrupted.
+func TestCorruptedOriginResponsesAreRejected(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.Origin.SpoilNext(5)
@@ -105,8 +111,8 @@
 	requireLoaded(t, engines, 1)
 }
 
-// TestAnAgentThatIsStartedAnewTakesOverWhatLiesThere has the successor find the pieces at the engine: the origin sends nothing again.
-func TestAnAgentThatIsStartedAnewTakesOverWhatLiesThere(t *testing.T) {
+// TestRestartedAgentReusesStagedChunks guards against an agent that reads a version from the origin again although its chunks are staged at the engine.
+func TestRestartedAgentReusesStagedChunks(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.Name(1)
@@ -125,9 +131,9 @@
 	require.Equal(t, sent, fleet.Origin.Sent())
 }
 
-// TestAnAgentThatStartsBeforeItsEngineTakesOverWhatLiesThere is the pattern of hosts that start again: the agent hears of the version at once, and its
-// engine, beside which the pieces lie, answers a second and a half later. The origin, which is slow, sends no second copy.
-func TestAnAgentThatStartsBeforeItsEngineTakesOverWhatLiesThere(t *testing.T) {
+// TestAgentStartedBeforeEngineReusesStagedChunks guards against the same when a host restarts: the agent learns of the version at once, but
+// its engine, with the staged chunks, responds 1.5 s later. The slow origin must not send a second copy.
+func TestAgentStartedBeforeEngineReusesStagedChunks(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.Origin.AnswerTime = 300 * time.Millisecond
--- a/internal/hostagent/joining_test.go
+++ b/internal/hostagent/joining_test.go
@@ -17,10 +17,10 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// TestWeightsAreOnTheirWayWhileTheEngineStarts is the pattern of empty engines that join under load: the agent runs a second before its engine
-// answers. In a fleet that runs it names the models' first version as soon as it knows that the operator has named none; in one that starts
-// at once, where the pieces may lie beside the engine, it waits for that.
-func TestWeightsAreOnTheirWayWhileTheEngineStarts(t *testing.T) {
+// TestWeightsAreFetchedWhileTheEngineStarts guards against empty engines that join under load and get their weights late: the agent runs a
+// second before its engine responds. In a running fleet the agent activates the models' first version as soon as it knows that the
+// operator has activated none. In a fleet that starts all at once it waits for the engine, where chunks may be staged.
+func TestWeightsAreFetchedWhileTheEngineStarts(t *testing.T) {
 	t.Parallel()
 	for _, running := range []time.Duration{time.Second, time.Minute} {
 		var log standin.Log
@@ -30,11 +30,11 @@
 		}, zerolog.New(&log), telemetry.NewMetrics(), nil)
 		m := catalog.NewManifest(1, nil, nil)
 		m.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{Models: []string{"m"}}}
-		a.Hear(entryAddress, loadreport.Message{EntryCount: 7, RunningMS: running.Milliseconds()})
+		a.Receive(entryAddress, loadreport.Message{EntryCount: 7, RunningMS: running.Milliseconds()})
 		a.Step(catalog.ManifestRead{Revision: 1, Manifest: m})
 		a.Step(catalog.TopicListed{Topic: catalog.UpstreamTopic})
 		a.Tick()
-		require.Zero(t, log.Count(`"resolving"`), "the operator may have named a version")
+		require.Zero(t, log.Count(`"resolving"`), "the operator may have activated a version")
 		a.Step(catalog.TopicListed{Topic: catalog.VersionTopic})
 		a.Tick()
 		if running == time.Second {
--- a/internal/hostagent/notice_test.go
+++ b/internal/hostagent/notice_test.go
@@ -15,9 +15,9 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// TestAnAgentTellsEntriesWhatItsEngineSaysOfItself guards against a limit or a leaving that only those entries know which have passed on an answer
-// since.
-func TestAnAgentTellsEntriesWhatItsEngineSaysOfItself(t *testing.T) {
+// TestAgentReportsEngineNoticesToEntries guards against a rate limit or a shutdown signalled by an engine that only those entries know which have
+// received a response from it since.
+func TestAgentReportsEngineNoticesToEntries(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	host := fleet.Host(standin.NextIP(), true)
@@ -27,25 +27,25 @@
 	socket, err := loadreport.Listen(entry, standin.PeerPort)
 	require.NoError(t, err)
 	defer socket.Close()
-	var told atomic.Pointer[loadreport.Load]
+	var reported atomic.Pointer[loadreport.Load]
 	go socket.Run(func(_ netip.AddrPort, m loadreport.Message) {
 		if m.Load != nil {
-			told.Store(m.Load)
+			reported.Store(m.Load)
 		}
 	}, zerolog.Nop())
 	agent := netip.AddrPortFrom(netip.MustParseAddr(host.IP), standin.PeerPort)
-	tells := func(what func(*loadreport.Load) bool) func() bool {
+	reports := func(matches func(*loadreport.Load) bool) func() bool {
 		return func() bool {
-			_ = socket.Send(agent, loadreport.Message{DataCentre: "perth-a"}) // The agent may not listen yet.
-			load := told.Load()
-			return load != nil && what(load)
+			_ = socket.Send(agent, loadreport.Message{DataCentre: "perth-a"}) // The agent may not be listening yet.
+			load := reported.Load()
+			return load != nil && matches(load)
 		}
 	}
-	require.Eventually(t, tells(func(l *loadreport.Load) bool { return l.RateLimit == nil }), patience, 10*time.Millisecond)
+	require.Eventually(t, reports(func(l *loadreport.Load) bool { return l.RateLimit == nil }), testTimeout, 10*time.Millisecond)
 	engine.Say(standin.Notice{Limit: "2.5"})
-	require.Eventually(t, tells(func(l *loadreport.Load) bool { return l.RateLimit != nil && *l.RateLimit == 2.5 }), patience, 10*time.Millisecond)
+	require.Eventually(t, reports(func(l *loadreport.Load) bool { return l.RateLimit != nil && *l.RateLimit == 2.5 }), testTimeout, 10*time.Millisecond)
 	engine.Say(standin.Notice{Leaving: true})
-	require.Eventually(t, tells(func(l *loadreport.Load) bool { return l.Leaving }), patience, 10*time.Millisecond)
+	require.Eventually(t, reports(func(l *loadreport.Load) bool { return l.Leaving }), testTimeout, 10*time.Millisecond)
 	engine.Say(standin.Notice{})
-	require.Eventually(t, tells(func(l *loadreport.Load) bool { return l.RateLimit == nil }), patience, 10*time.Millisecond)
+	require.Eventually(t, reports(func(l *loadreport.Load) bool { return l.RateLimit == nil }), testTimeout, 10*time.Millisecond)
 }
--- a/internal/hostagent/reports.go
+++ b/internal/hostagent/reports.go
@@ -14,160 +14,160 @@
 )
 
 const (
-	// listenerFor is how long an entry that greeted is told the load; entries greet each second.
-	listenerFor = 3500 * time.Millisecond
-	// nearInterval and farInterval are the least times between two reports to an entry that has a change to hear, in this data centre
-	// and elsewhere. Entries elsewhere send work only when their own engines are full.
-	nearInterval = 90 * time.Millisecond
-	farInterval  = 400 * time.Millisecond
-	// calmInterval is the time between two reports without a change, and nearCalm the same to entries of this data centre, which send most
-	// of the work and must notice soon when this host freezes.
-	calmInterval = 900 * time.Millisecond
-	nearCalm     = 300 * time.Millisecond
+	// subscriberTimeout is how long after its last heartbeat an entry still receives load reports; entries send a heartbeat each second.
+	subscriberTimeout = 3500 * time.Millisecond
+	// nearMinInterval and farMinInterval are the minimum times between two reports to an entry when the load has changed, in this data
+	// centre and in others. Entries in other data centres send requests here only when their own engines are full.
+	nearMinInterval = 90 * time.Millisecond
+	farMinInterval  = 400 * time.Millisecond
+	// idleInterval is the time between two reports without a change. nearIdleInterval is the same for entries of this data centre, which send
+	// most of the requests and must notice quickly when this host freezes.
+	idleInterval     = 900 * time.Millisecond
+	nearIdleInterval = 300 * time.Millisecond
 )
 
-// listener is an entry that hears of this engine's load.
-type listener struct {
+// subscriber is an entry that receives this engine's load.
+type subscriber struct {
 	dataCentre string
 	// near is set for an entry in this data centre.
-	near    bool
-	greeted time.Time
-	told    time.Time
-	last    loadreport.Load
-	// crashes is the count of quarantine.Table.Changes at which it was last told of crashes, and crashesTold is when.
-	crashes     uint64
-	crashesTold time.Time
-	// entriesTold is when it was last told of the entries of its data centre.
-	entriesTold time.Time
-}
-
-// reports are the entries that listen.
-type reports struct {
-	mu        sync.Mutex
-	listeners map[netip.AddrPort]*listener
-	// crashes are what greetings told of requests that bring upstreams down; it goes on to all listeners.
+	near        bool
+	heartbeatAt time.Time
+	reportedAt  time.Time
+	lastLoad    loadreport.Load
+	// crashChanges is the value of quarantine.Table.Changes when crashes were last sent to the entry, at crashesSentAt.
+	crashChanges  uint64
+	crashesSentAt time.Time
+	// entriesSentAt is when the entry was last sent the entries of its data centre.
+	entriesSentAt time.Time
+}
+
+// reporter sends load reports to the entries that subscribed with a heartbeat.
+type reporter struct {
+	mu          sync.Mutex
+	subscribers map[netip.AddrPort]*subscriber
+	// crashes holds what heartbeats reported of requests that crash upstreams; it is passed on to all subscribers.
 	crashes *quarantine.Table
 }
 
-func newReports() reports {
-	return reports{listeners: map[netip.AddrPort]*listener{}, crashes: quarantine.NewTable()}
+func newReporter() reporter {
+	return reporter{subscribers: map[netip.AddrPort]*subscriber{}, crashes: quarantine.NewTable()}
 }
 
-// heard takes an entry's greeting and what it knows of the versions in force.
-func (a *Agent) heard(from netip.AddrPort, m loadreport.Message) {
-	a.neighbours.Heard(from, m)
+// handleHeartbeat handles an entry's heartbeat, with the versions and crashes that the entry knows.
+func (a *Agent) handleHeartbeat(from netip.AddrPort, m loadreport.Message) {
+	a.storePeers.Heard(from, m)
 	if m.DataCentre == "" {
-		return // It is a seed's answer.
+		return // A seed's response, not a heartbeat.
 	}
 	for _, n := range m.Named {
 		a.Step(n.Event())
 	}
-	a.reports.mu.Lock()
-	defer a.reports.mu.Unlock()
-	a.reports.crashes.Merge(time.Now(), m.Crashes)
-	l := a.reports.listeners[from]
-	if l == nil {
-		l = &listener{}
-		a.reports.listeners[from] = l
+	a.reporter.mu.Lock()
+	defer a.reporter.mu.Unlock()
+	a.reporter.crashes.Merge(time.Now(), m.Crashes)
+	s := a.reporter.subscribers[from]
+	if s == nil {
+		s = &subscriber{}
+		a.reporter.subscribers[from] = s
 	}
-	l.greeted, l.dataCentre, l.near = time.Now(), m.DataCentre, m.DataCentre == a.host.DataCentre
+	s.heartbeatAt, s.dataCentre, s.near = time.Now(), m.DataCentre, m.DataCentre == a.host.DataCentre
 }
 
-// readEngine reads the engine's state and tells the entries of it.
-func (a *Agent) readEngine(ctx context.Context) {
-	a.readOnce(ctx)
-	a.report()
+// pollEngine reads the engine's state and reports it to the entries.
+func (a *Agent) pollEngine(ctx context.Context) {
+	a.readEngineState(ctx)
+	a.sendReports()
 }
 
-func (a *Agent) readOnce(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+func (a *Agent) readEngineState(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, engineReadTimeout)
 	defer cancel()
-	reading, err := a.engine.Read(ctx)
+	state, err := a.engine.Read(ctx)
 	if err != nil {
 		a.Step(install.EngineFailed{})
 		return
 	}
-	a.Step(reading)
-	a.shareLink()
+	a.Step(state)
+	a.updateLinkShare()
 }
 
-// shareLink lets transfers use as much of the link as the engine leaves.
-func (a *Agent) shareLink() {
+// updateLinkShare lets transfers use the part of the link that the engine does not need.
+func (a *Agent) updateLinkShare() {
 	a.mu.Lock()
 	share := a.install.LinkShare()
 	a.mu.Unlock()
 	a.fetcher.Carry(weights.SetShare{Share: share})
 }
 
-// nameUnnamed gives models that the operator has named no version of the newest version that an engine holds, once it is known what was
-// named. It waits for this host's engine, beside which the pieces may lie, but where that joins a fleet that runs: its weights are on their way
-// while it starts.
-func (a *Agent) nameUnnamed() {
+// activateDefaultVersions activates the newest version that an engine holds for each model without a version activated by the operator. It
+// does so once the operator's activations are known, and waits for this host's engine, since chunks may be staged there. In
+// a running fleet it does not wait for the engine, so that the weights are fetched while the engine starts.
+func (a *Agent) activateDefaultVersions() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	terms := a.engineTerms()
-	if terms == nil || !a.catalog.Ready() || !a.install.Answered() && !a.joins() {
+	engine := a.engineConfig()
+	if engine == nil || !a.catalog.Ready() || !a.install.Answered() && !a.joinsRunningFleet() {
 		return
 	}
-	for _, model := range terms.Models {
+	for _, model := range engine.Models {
 		if a.install.Newest(model) > 0 {
 			continue
 		}
-		a.reduce(install.Named{Model: model, Version: a.newestHeld(model)})
+		a.reduce(install.Named{Model: model, Version: a.newestVersionInFleet(model)})
 	}
 }
 
-// joins tells whether this host is new to a fleet that runs. It is called with the lock held.
-func (a *Agent) joins() bool {
-	return a.catalog.At(a.host.Engine, 0) == nil && a.neighbours.FleetRuns()
+// joinsRunningFleet reports whether this host is new to a running fleet. The caller holds the lock.
+func (a *Agent) joinsRunningFleet() bool {
+	return a.catalog.At(a.host.Engine, 0) == nil && a.storePeers.FleetRuns()
 }
 
-// firstVersion is the version that models begin with.
-const firstVersion = 1
+// initialVersion is the first version of a model.
+const initialVersion = 1
 
-func (a *Agent) newestHeld(model string) int64 {
-	newest := int64(firstVersion)
+func (a *Agent) newestVersionInFleet(model string) int64 {
+	newest := int64(initialVersion)
 	for _, u := range a.catalog.Upstreams {
 		newest = max(newest, u.Versions[model])
 	}
 	return newest
 }
 
-// report tells each entry that is due the engine's load.
-func (a *Agent) report() {
+// sendReports sends the engine's load to each entry whose report is due.
+func (a *Agent) sendReports() {
 	now := time.Now()
-	load, named := a.loadNow(now)
-	a.reports.mu.Lock()
-	defer a.reports.mu.Unlock()
-	for address, l := range a.reports.listeners {
-		if now.Sub(l.greeted) > listenerFor {
-			delete(a.reports.listeners, address)
+	load, versions := a.currentLoad(now)
+	a.reporter.mu.Lock()
+	defer a.reporter.mu.Unlock()
+	for address, s := range a.reporter.subscribers {
+		if now.Sub(s.heartbeatAt) > subscriberTimeout {
+			delete(a.reporter.subscribers, address)
 		}
 	}
-	load.Entries = len(a.reports.listeners)
-	for _, l := range a.reports.listeners {
-		if l.near {
+	load.Entries = len(a.reporter.subscribers)
+	for _, s := range a.reporter.subscribers {
+		if s.near {
 			load.Near++
 		}
 	}
-	a.reports.crashes.Expire(now)
-	if n := a.reports.crashes.TakeDropped(); n > 0 {
+	a.reporter.crashes.Expire(now)
+	if n := a.reporter.crashes.TakeDropped(); n > 0 {
 		logevent.Warn(a.log, logevent.CrashesDropped).Int("count", n).Msg("crashes dropped")
 	}
-	crashes, changes := a.reports.crashes.Reports(now), a.reports.crashes.Changes()
-	for address, l := range a.reports.listeners {
-		if !l.due(now, load) && !l.dueCrashes(now, changes) {
+	crashes, changes := a.reporter.crashes.Reports(now), a.reporter.crashes.Changes()
+	for address, s := range a.reporter.subscribers {
+		if !s.reportDue(now, load) && !s.crashesDue(now, changes) {
 			continue
 		}
-		l.told, l.last = now, load
-		m := loadreport.Message{Load: &load, Named: named}
-		if l.dueCrashes(now, changes) {
-			l.crashes, l.crashesTold = changes, now
+		s.reportedAt, s.lastLoad = now, load
+		m := loadreport.Message{Load: &load, Named: versions}
+		if s.crashesDue(now, changes) {
+			s.crashChanges, s.crashesSentAt = changes, now
 			m.Crashes = crashes
 		}
-		if now.Sub(l.entriesTold) >= calmInterval { // Told with each report they would be a good part of it.
-			l.entriesTold = now
-			a.neighbours.Tell(l.dataCentre, &m)
+		if now.Sub(s.entriesSentAt) >= idleInterval { // Sent with each report, they would take up much of it.
+			s.entriesSentAt = now
+			a.storePeers.Tell(s.dataCentre, &m)
 		}
 		if err := a.socket.Send(address, m); err != nil {
 			logevent.Info(a.log, logevent.PeerFailed).Str("peer", address.String()).Err(err).Msg("peer failed")
@@ -175,44 +175,44 @@
 	}
 }
 
-// calm is how long an entry may hear nothing.
-func (l *listener) calm() time.Duration {
-	if l.near {
-		return nearCalm
+// maxInterval returns the maximum time between two reports to the entry.
+func (s *subscriber) maxInterval() time.Duration {
+	if s.near {
+		return nearIdleInterval
 	}
-	return calmInterval
+	return idleInterval
 }
 
-// urgent tells whether an entry that was told one load must hear of another at once: it may send what the engine does not take, or nothing to one
-// that takes it.
-func urgent(told, load loadreport.Load) bool {
-	limited := (load.RateLimit != nil) != (told.RateLimit != nil)
-	cold := (load.ColdMS > 0) != (told.ColdMS > 0)
-	return limited || cold || load.Born != told.Born || load.Closing != told.Closing || load.Leaving != told.Leaving
+// needsImmediateReport reports whether a change from the previous to the current load must be reported at once. Otherwise an entry may send
+// requests that the engine does not accept, or none to an engine that accepts them.
+func needsImmediateReport(previous, current loadreport.Load) bool {
+	limited := (current.RateLimit != nil) != (previous.RateLimit != nil)
+	cold := (current.ColdMS > 0) != (previous.ColdMS > 0)
+	return limited || cold || current.Born != previous.Born || current.Closing != previous.Closing || current.Leaving != previous.Leaving
 }
 
-// due tells whether an entry is to hear of the load now.
-func (l *listener) due(now time.Time, load loadreport.Load) bool {
-	since := now.Sub(l.told)
-	if since >= l.calm() || urgent(l.last, load) {
+// reportDue reports whether the load is to be sent to the entry now.
+func (s *subscriber) reportDue(now time.Time, load loadreport.Load) bool {
+	elapsed := now.Sub(s.reportedAt)
+	if elapsed >= s.maxInterval() || needsImmediateReport(s.lastLoad, load) {
 		return true
 	}
-	if load.Occupied == l.last.Occupied {
+	if load.Occupied == s.lastLoad.Occupied {
 		return false
 	}
-	if l.near {
-		return since >= nearInterval
+	if s.near {
+		return elapsed >= nearMinInterval
 	}
-	return since >= farInterval
+	return elapsed >= farMinInterval
 }
 
-// dueCrashes tells whether an entry is to hear of crashes now: at once of each change, and again and again, since datagrams get lost. They are
-// not told with each report: at eleven a second they would be most of it.
-func (l *listener) dueCrashes(now time.Time, changes uint64) bool {
-	return changes != l.crashes || now.Sub(l.crashesTold) >= calmInterval
+// crashesDue reports whether crashes are to be sent to the entry now: at once after each change, and repeatedly, since datagrams get
+// lost. They are not sent with each report: at eleven reports a second they would take up most of the traffic.
+func (s *subscriber) crashesDue(now time.Time, changes uint64) bool {
+	return changes != s.crashChanges || now.Sub(s.crashesSentAt) >= idleInterval
 }
 
-func (a *Agent) loadNow(now time.Time) (loadreport.Load, []loadreport.Naming) {
+func (a *Agent) currentLoad(now time.Time) (loadreport.Load, []loadreport.Naming) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	load := loadreport.Load{
--- a/internal/hostagent/resolve.go
+++ b/internal/hostagent/resolve.go
@@ -18,43 +18,43 @@
 )
 
 const (
-	// versionsPath begins the path at which peers tell what a version consists of.
+	// versionsPath is the path prefix under which peers serve the manifest of a version.
 	versionsPath = "/versions/"
-	// fanOut is how many hosts ask the same one what a version consists of: the hosts form a tree in the version's rendezvous order.
-	fanOut = 8
-	// originAskers is how many hosts of that order ask the origin at the first try, and how many more at each of the next quickSteps tries: the
-	// first ones may be gone. After that so many more join at each slowStep tries only. An origin that comes back after seconds would
-	// otherwise send the list to everybody before the first chunk.
-	originAskers = 3
-	quickSteps   = 3
-	slowStep     = 8
-	// peerTimeout bounds such a question, and originTimeout one to the origin; see waits.
+	// treeFanOut is how many hosts ask the same host for a manifest. The hosts form a tree in the version's rendezvous order.
+	treeFanOut = 8
+	// originRequesters is how many hosts, in rendezvous order, may ask the origin at the first try. As many more may at each of the next
+	// fastTries tries, since the first hosts may be down, and after that as many more only at every slowTries-th try. Without
+	// this limit an origin that recovers after seconds would send the manifest to every host before the first chunk.
+	originRequesters = 3
+	fastTries        = 3
+	slowTries        = 8
+	// peerTimeout limits a request to a peer, and originTimeout one to the origin; see timeouts.
 	peerTimeout   = 500 * time.Millisecond
 	originTimeout = 2 * time.Second
-	// peerAgain is the wait before peers are asked again that did not know.
-	peerAgain = 100 * time.Millisecond
-	// questionHeld is how long a host that does not know the answer yet keeps such a question, and lookInterval how often it looks: the
-	// answer goes down the tree as it comes, and no level waits for the next to ask again.
-	questionHeld = 350 * time.Millisecond
-	lookInterval = 10 * time.Millisecond
-	// startWait is how long a host that has just started waits to know the other hosts and the origin: without them it would take itself for
-	// the first, and a fleet that starts at once would ask the origin all together.
-	startWait = time.Second
+	// peerRetryInterval is the delay before peers that did not know a version are asked again.
+	peerRetryInterval = 100 * time.Millisecond
+	// requestHoldTime is how long a host without the manifest holds a peer's request for it, and manifestPollInterval how often it checks
+	// meanwhile. The manifest then passes down the tree as soon as it arrives, without waiting for the next level to ask again.
+	requestHoldTime      = 350 * time.Millisecond
+	manifestPollInterval = 10 * time.Millisecond
+	// discoveryTimeout is how long a host that has just started waits until the other hosts and the origin are known. Without them it would
+	// take itself for the first in rendezvous order, and in a simultaneous restart all hosts of a fleet would ask the origin.
+	discoveryTimeout = time.Second
 )
 
-// waits bound how long the question what a version consists of waits for others.
-type waits struct {
-	// start is for the other hosts and the origin to become known.
-	start time.Duration
-	// origin is for the origin's answer.
+// timeouts limit how long resolving a version waits for other processes.
+type timeouts struct {
+	// discovery limits the wait until the other hosts and the origin are known.
+	discovery time.Duration
+	// origin limits the wait for the origin's response.
 	origin time.Duration
 }
 
-func defaultWaits() waits { return waits{start: startWait, origin: originTimeout} }
+func defaultTimeouts() timeouts { return timeouts{discovery: discoveryTimeout, origin: originTimeout} }
 
-// resolve finds out what a version consists of, and takes over what of it lies at the engine already.
+// resolve gets the manifest of a version and reuses the chunks of it that are already staged at the engine.
 func (a *Agent) resolve(e install.Resolve) {
-	raw, err := a.versionManifest(e)
+	raw, err := a.fetchManifest(e)
 	var m *manifest.Manifest
 	if err == nil {
 		m, err = manifest.Parse(raw)
@@ -65,94 +65,95 @@
 		_, err = a.fetcher.Memory.AddVersion(digest, raw, m)
 	}
 	if err != nil {
-		logevent.Warn(a.log, logevent.BurstStuck).Str("model", e.Model).Int64("version", e.Version).Err(err).Msg("manifest not known")
+		logevent.Warn(a.log, logevent.BurstStuck).Str("model", e.Model).Int64("version", e.Version).Err(err).Msg("resolving the version's manifest failed")
 		a.Step(install.Resolved{Model: e.Model, Version: e.Version})
 		return
 	}
-	_, err = a.takeOver(e.Model, m)
+	_, err = a.reuseStaged(e.Model, m)
 	a.Step(install.Resolved{Model: e.Model, Version: e.Version, Digest: digest})
 	if err != nil {
-		a.takeOverLater(e.Model, digest, m)
+		a.reuseStagedLater(e.Model, digest, m)
 	}
 }
 
-// errNotMyTurn says that no peer asked knows a version, and that others ask the origin.
-var errNotMyTurn = errors.New("the peers asked do not know the version yet")
+// errOriginNotPermitted means that no queried peer knows a version and that it is not this host's turn to ask the origin.
+var errOriginNotPermitted = errors.New("no queried peer knows the version yet")
 
-// versionManifest asks peers, and the origin when it is this host's turn.
-func (a *Agent) versionManifest(e install.Resolve) ([]byte, error) {
-	a.awaitOthers()
-	position, peers := a.place(e.Model, e.Version)
-	if raw := a.askPeers(peers, e.Model, e.Version); raw != nil {
+// fetchManifest asks peers for a version's manifest, and then the origin if it is this host's turn.
+func (a *Agent) fetchManifest(e install.Resolve) ([]byte, error) {
+	a.awaitPeers()
+	position, peers := a.treePosition(e.Model, e.Version)
+	if raw := a.queryPeers(peers, e.Model, e.Version); raw != nil {
 		return raw, nil
 	}
-	if position >= askersAt(e.Try) {
-		return nil, errNotMyTurn
+	if position >= originRequestersAt(e.Try) {
+		return nil, errOriginNotPermitted
 	}
-	return a.askOrigin(e, peers)
+	return a.queryOrigin(e, peers)
 }
 
-// askersAt is how many hosts ask the origin at a try, counted from 0.
-func askersAt(try int) int {
-	return originAskers * (1 + min(try, quickSteps) + max(0, try-quickSteps)/slowStep)
+// originRequestersAt returns how many hosts may ask the origin at a try, counted from 0.
+func originRequestersAt(try int) int {
+	return originRequesters * (1 + min(try, fastTries) + max(0, try-fastTries)/slowTries)
 }
 
-// askOrigin asks the origin, and meanwhile the peers again: an origin that is away or busy answers nobody for seconds, and these may know first.
-func (a *Agent) askOrigin(e install.Resolve, peers []string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), a.waits.origin)
+// queryOrigin asks the origin and meanwhile keeps asking the peers. An origin that is down or overloaded may not respond for seconds, and a peer may
+// have the manifest sooner.
+func (a *Agent) queryOrigin(e install.Resolve, peers []string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), a.timeouts.origin)
 	defer cancel()
-	told := make(chan []byte, 1)
+	peerResponse := make(chan []byte, 1)
 	go func() {
 		for ctx.Err() == nil {
-			if raw := a.askPeers(peers, e.Model, e.Version); raw != nil {
-				told <- raw
+			if raw := a.queryPeers(peers, e.Model, e.Version); raw != nil {
+				peerResponse <- raw
 				cancel()
 				return
 			}
-			periodic.Sleep(ctx, peerAgain)
+			periodic.Sleep(ctx, peerRetryInterval)
 		}
 	}()
 	raw, err := a.origin.Manifest(ctx, ref(e.Model, e.Version))
 	select {
-	case raw := <-told:
+	case raw := <-peerResponse:
 		return raw, nil
 	default:
 		return raw, err
 	}
 }
 
-// awaitOthers waits until the other hosts and the origin are known, for a bounded time.
-func (a *Agent) awaitOthers() {
-	for began := time.Now(); !a.knows() && time.Since(began) < a.waits.start; {
-		time.Sleep(lookInterval)
+// awaitPeers waits until the other hosts and the origin are known, but no longer than the discovery timeout.
+func (a *Agent) awaitPeers() {
+	for start := time.Now(); !a.initialized() && time.Since(start) < a.timeouts.discovery; {
+		time.Sleep(manifestPollInterval)
 	}
 }
 
-// askPeers asks some hosts at once and returns the first answer, nil for none. One of them may be gone without a word.
-func (a *Agent) askPeers(peers []string, model string, version int64) []byte {
-	answers := make(chan []byte, len(peers))
+// queryPeers asks the given hosts concurrently and returns the first manifest, nil if there is none. A host may be down and not respond at all.
+func (a *Agent) queryPeers(peers []string, model string, version int64) []byte {
+	responses := make(chan []byte, len(peers))
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
 	for _, peer := range peers {
 		go func() {
-			raw, err := a.askPeer(ctx, peer, model, version)
+			raw, err := a.queryPeer(ctx, peer, model, version)
 			if err != nil {
 				logevent.Debug(a.log, logevent.PeerFailed).Str("peer", peer).Err(err).Msg("peer failed")
 			}
-			answers <- raw
+			responses <- raw
 		}()
 	}
 	for range peers {
-		if raw := <-answers; raw != nil {
+		if raw := <-responses; raw != nil {
 			return raw
 		}
 	}
 	return nil
 }
 
-// place returns this host's position in a version's rendezvous order, and the hosts that it asks: the one above it in the tree, and
-// the one next to that.
-func (a *Agent) place(model string, version int64) (position int, ask []string) {
+// treePosition returns this host's position in a version's rendezvous order and the hosts that it asks: its parent in the tree and the
+// host next to that.
+func (a *Agent) treePosition(model string, version int64) (position int, parents []string) {
 	a.mu.Lock()
 	ranked := step.Rank(model+"/"+strconv.FormatInt(version, 10), a.peerAddresses())
 	a.mu.Unlock()
@@ -160,42 +161,42 @@
 	if position <= 0 {
 		return position, nil
 	}
-	parent := (position - 1) / fanOut
+	parent := (position - 1) / treeFanOut
 	return position, ranked[parent:min(parent+2, position)]
 }
 
-func (a *Agent) askPeer(ctx context.Context, peer, model string, version int64) ([]byte, error) {
-	target := "http://" + peer + versionsPath + model + "/" + strconv.FormatInt(version, 10)
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+func (a *Agent) queryPeer(ctx context.Context, peer, model string, version int64) ([]byte, error) {
+	url := "http://" + peer + versionsPath + model + "/" + strconv.FormatInt(version, 10)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask a peer")
+		return nil, errors.Wrap(err, "asking a peer for a manifest")
 	}
 	resp, err := a.client.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask a peer")
+		return nil, errors.Wrap(err, "asking a peer for a manifest")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("ask a peer: status %d", resp.StatusCode)
+		return nil, errors.Errorf("asking a peer for a manifest: status %d", resp.StatusCode)
 	}
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, manifest.MaxBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "ask a peer")
+		return nil, errors.Wrap(err, "asking a peer for a manifest")
 	}
 	return raw, nil
 }
 
-// serveVersion tells a peer what a version consists of, once this host knows.
-func (a *Agent) serveVersion(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), questionHeld)
+// serveManifest sends a peer the manifest of a version, as soon as this host has it.
+func (a *Agent) serveManifest(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), requestHoldTime)
 	defer cancel()
 	for {
-		if raw := a.versionHere(r.PathValue("model"), r.PathValue("version")); raw != nil {
-			_, _ = w.Write(raw) // A peer that left asks another.
+		if raw := a.localManifest(r.PathValue("model"), r.PathValue("version")); raw != nil {
+			_, _ = w.Write(raw) // If the peer is gone, it asks another host.
 			return
 		}
 		select {
-		case <-time.After(lookInterval):
+		case <-time.After(manifestPollInterval):
 		case <-ctx.Done():
 			w.WriteHeader(http.StatusNotFound)
 			return
@@ -203,8 +204,8 @@
 	}
 }
 
-// versionHere is what a version consists of, nil as long as this host does not know.
-func (a *Agent) versionHere(model, version string) []byte {
+// localManifest returns the manifest of a version, nil while this host does not have it.
+func (a *Agent) localManifest(model, version string) []byte {
 	a.mu.Lock()
 	wanted := a.install.Wanted()
 	a.mu.Unlock()
--- a/internal/hostagent/staging.go
+++ b/internal/hostagent/staging.go
@@ -16,59 +16,59 @@
 )
 
 const (
-	// stageTimeout bounds the laying out of a version's pieces.
+	// stageTimeout limits staging the chunks of a version at the engine.
 	stageTimeout = 10 * time.Second
-	// stagePasses is how often the pieces are gone through before the engine is left alone for a while.
+	// stagePasses is the maximum number of passes over the chunks in one attempt to stage them.
 	stagePasses = 4
-	// orderTimeout bounds an order.
+	// orderTimeout limits a load order.
 	orderTimeout = 2 * time.Second
 )
 
-// takeOver puts the right pieces that lie at the engine into the chunk memory, from which other hosts get them, and returns their numbers. An
-// error says that the engine did not answer.
-func (a *Agent) takeOver(model string, m *manifest.Manifest) ([]int, error) {
+// reuseStaged puts the intact chunks that are staged at the engine into the chunk memory, from which other hosts get them, and returns their
+// indexes. It returns an error if the engine did not respond.
+func (a *Agent) reuseStaged(model string, m *manifest.Manifest) ([]int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), stageTimeout)
 	defer cancel()
-	held, err := a.engine.StageHeld(ctx, model)
+	staged, err := a.engine.StageHeld(ctx, model)
 	if err != nil {
 		logevent.Warn(a.log, logevent.EngineCallFailed).Err(err).Msg("engine call failed")
 		return nil, err
 	}
-	var taken []int
-	for n, piece := range held {
-		if piece < 0 || piece >= len(m.Chunks) {
+	var reused []int
+	for n, index := range staged {
+		if index < 0 || index >= len(m.Chunks) {
 			continue
 		}
-		data, err := a.engine.StageGet(ctx, model, piece)
-		if err != nil || !matches(data, m.Chunks[piece]) {
+		data, err := a.engine.StageGet(ctx, model, index)
+		if err != nil || !matches(data, m.Chunks[index]) {
 			if n == 0 {
-				return nil, nil // Another version lies there.
+				return nil, nil // Another version is staged.
 			}
 			continue
 		}
-		if err := a.fetcher.Memory.Put(m.Chunks[piece].SHA256, data); err != nil {
-			logevent.Warn(a.log, logevent.ChunkRefused).Int("chunk", piece).Err(err).Msg("chunk refused")
+		if err := a.fetcher.Memory.Put(m.Chunks[index].SHA256, data); err != nil {
+			logevent.Warn(a.log, logevent.ChunkRefused).Int("chunk", index).Err(err).Msg("chunk refused")
 			continue
 		}
-		taken = append(taken, piece)
+		reused = append(reused, index)
 	}
-	return taken, nil
+	return reused, nil
 }
 
-// takeOverLater takes over what lies at an engine that starts later than this agent, once it answers. Its weights are being fetched meanwhile: after
-// a loss of power nothing lies there.
-func (a *Agent) takeOverLater(model, digest string, m *manifest.Manifest) {
-	for began := time.Now(); time.Since(began) < stageTimeout; {
-		time.Sleep(readInterval)
+// reuseStagedLater reuses the chunks staged at an engine that starts after this agent, as soon as the engine responds. The weights are being
+// fetched meanwhile, because a power loss would have left nothing staged.
+func (a *Agent) reuseStagedLater(model, digest string, m *manifest.Manifest) {
+	for start := time.Now(); time.Since(start) < stageTimeout; {
+		time.Sleep(engineReadInterval)
 		if !a.engineAnswered() {
 			continue
 		}
-		pieces, err := a.takeOver(model, m)
+		chunks, err := a.reuseStaged(model, m)
 		if err != nil {
 			continue
 		}
-		for _, piece := range pieces {
-			a.Step(weights.ChunkStored{Digest: digest, Index: piece, From: weights.Source(a.self)})
+		for _, index := range chunks {
+			a.Step(weights.ChunkStored{Digest: digest, Index: index, From: weights.Source(a.self)})
 		}
 		return
 	}
@@ -85,78 +85,78 @@
 	return hex.EncodeToString(sum[:]) == c.SHA256
 }
 
-// prepare lays the pieces of a version out for the engine and reads each back, until all are right.
+// prepare stages the chunks of a version at the engine and reads each one back, until all are intact.
 func (a *Agent) prepare(e install.Prepare) {
 	ctx, cancel := context.WithTimeout(context.Background(), stageTimeout)
 	defer cancel()
-	checked, err := a.layOut(ctx, e)
+	checked, err := a.stageChunks(ctx, e)
 	if err != nil {
 		logevent.Warn(a.log, logevent.EngineCallFailed).Str("model", e.Model).Int64("version", e.Version).Err(err).Msg("engine call failed")
 	}
 	a.Step(install.Prepared{Model: e.Model, Version: e.Version, OK: err == nil, Checked: checked})
 }
 
-// layOut returns when it began the pass in which every piece was right.
-func (a *Agent) layOut(ctx context.Context, e install.Prepare) (time.Time, error) {
+// stageChunks returns the start time of the pass in which every chunk was intact.
+func (a *Agent) stageChunks(ctx context.Context, e install.Prepare) (time.Time, error) {
 	_, m := a.fetcher.Memory.Manifest(e.Digest)
 	if m == nil {
-		return time.Time{}, errors.New("the version's manifest is not here")
+		return time.Time{}, errors.New("the version's manifest is not in memory")
 	}
-	held, err := a.engine.StageHeld(ctx, e.Model)
+	indexes, err := a.engine.StageHeld(ctx, e.Model)
 	if err != nil {
 		return time.Time{}, err
 	}
-	lies := map[int]bool{}
-	for _, piece := range held {
-		lies[piece] = true
+	staged := map[int]bool{}
+	for _, index := range indexes {
+		staged[index] = true
 	}
 	for range stagePasses {
-		began := time.Now()
-		put, err := a.stagePass(ctx, e.Model, m, lies)
+		start := time.Now()
+		stored, err := a.stagePass(ctx, e.Model, m, staged)
 		if err != nil {
 			return time.Time{}, err
 		}
-		if put == 0 {
-			return began, nil
+		if stored == 0 {
+			return start, nil
 		}
 	}
-	return time.Time{}, errors.Errorf("pieces were wrong in %d passes", stagePasses)
+	return time.Time{}, errors.Errorf("staged chunks were missing or corrupted in each of %d passes", stagePasses)
 }
 
-// stagePass reads each piece and puts those that are missing or wrong. It returns how many it put.
-func (a *Agent) stagePass(ctx context.Context, model string, m *manifest.Manifest, lies map[int]bool) (int, error) {
-	put := 0
-	for piece, c := range m.Chunks {
-		if lies[piece] {
-			data, err := a.engine.StageGet(ctx, model, piece)
+// stagePass reads each staged chunk and stores those that are missing or corrupted. It returns how many it stored.
+func (a *Agent) stagePass(ctx context.Context, model string, m *manifest.Manifest, staged map[int]bool) (int, error) {
+	stored := 0
+	for index, c := range m.Chunks {
+		if staged[index] {
+			data, err := a.engine.StageGet(ctx, model, index)
 			if err == nil && matches(data, c) {
 				continue
 			}
 			if ctx.Err() != nil {
-				return put, ctx.Err()
+				return stored, ctx.Err()
 			}
 		}
 		data := a.fetcher.Memory.Chunk(c.SHA256)
 		if data == nil {
-			return put, errors.Errorf("chunk %d is not here any more", piece)
+			return stored, errors.Errorf("chunk %d is no longer in memory", index)
 		}
-		if err := a.engine.StagePut(ctx, model, piece, data); err != nil {
-			return put, err
+		if err := a.engine.StagePut(ctx, model, index, data); err != nil {
+			return stored, err
 		}
-		lies[piece] = true
-		put++
+		staged[index] = true
+		stored++
 	}
-	return put, nil
+	return stored, nil
 }
 
-// order orders the engine to load, unless the check of the pieces is too old by now, as after a freeze of this process.
-func (a *Agent) order(e install.Order) {
-	a.report() // Entries hear that the engine closes before it does.
+// orderLoad sends the engine a load order, unless the last check of the staged chunks is too old, as after a freeze of this process.
+func (a *Agent) orderLoad(e install.Order) {
+	a.sendReports() // Reports to entries that the engine stops accepting requests before it does.
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	accepted := false
-	err := errors.Errorf("the pieces were read back over %v ago", e.MaxAge)
-	if fresh(e.Checked, e.MaxAge) {
+	err := errors.Errorf("the staged chunks were last checked more than %v ago", e.MaxAge)
+	if withinAge(e.Checked, e.MaxAge) {
 		accepted, err = a.engine.Load(ctx, e)
 	}
 	line := logevent.Info(a.log, logevent.LoadOrdered)
@@ -169,11 +169,11 @@
 	a.Step(install.OrderEnded{Model: e.Model, Version: e.Version, Accepted: accepted})
 }
 
-// fresh tells whether a moment is at most age ago, by the steady clock and by the time of day: the steady clock stands still
-// while the host is suspended.
-func fresh(moment time.Time, age time.Duration) bool {
+// withinAge reports whether t is at most maxAge ago, by the monotonic clock and by the wall clock: the monotonic clock stops while the
+// host is suspended.
+func withinAge(t time.Time, maxAge time.Duration) bool {
 	now := time.Now()
-	return now.Sub(moment) <= age && now.Round(0).Sub(moment.Round(0)) <= age
+	return now.Sub(t) <= maxAge && now.Round(0).Sub(t.Round(0)) <= maxAge
 }
 
 var _ transfer.Stepper = (*Agent)(nil)
