--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -33,7 +33,8 @@
 	// connected is set once bytes may have reached the upstream.
 	connected atomic.Bool
 	cancel    context.CancelCauseFunc
-	timer     *time.Timer
+	// timer cancels the attempt when its timeout ends; nil for an attempt without a timeout.
+	timer *time.Timer
 	// createdAt is when the attempt was created. version is the version on which the upstream says it started; see markStarted.
 	createdAt time.Time
 	version   int64
@@ -84,6 +85,7 @@
 	return false
 }
 
+// do sends the request and passes the response on. It returns the attempt's outcome, and an error unless that is forward.Answered.
 func (a *attempt) do(ctx context.Context) (forward.Outcome, error) {
 	a.startTimer()
 	defer a.stopTimer()
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -102,7 +102,7 @@
 	return true
 }
 
-// abortEvicted ends a request whose reservation was evicted because its caller read nothing for too long.
+// abortEvicted ends a request whose reservation was evicted because its caller made no progress for too long.
 func (x *exchange) abortEvicted() {
 	x.gateway.step(forward.CallerGone{ID: x.id})
 	x.recordEnd("slow caller ended", membudget.ErrEvicted.Error())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,7 +40,7 @@
 	storeKeepAliveInterval = time.Second
 )
 
-// Gateway is one entry.
+// Gateway is one entry. Use New to create one and Run to serve.
 type Gateway struct {
 	host    hostconfig.Host
 	log     zerolog.Logger
@@ -48,7 +48,8 @@
 	// upstreamTransport sends requests to upstreams; traces is nil when tracing is off.
 	upstreamTransport http.RoundTripper
 	traces            *telemetry.Traces
-	storePeers        *storefeed.Neighbours
+	// storePeers are the entries of the data centre, through one of which the store is read in a large one.
+	storePeers *storefeed.Neighbours
 	// cache holds what was read from the store, for the processes that read the store through this one; store reads through it.
 	cache  *storefeed.Cache
 	store  *storefeed.Reader
