--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,7 +1,8 @@
-// Package loadreport carries small datagrams between entries and the agents beside engines: an entry greets the agents
-// whose engines it uses, and each agent tells the entries that greeted it how loaded its engine is. Both tell
-// which versions of weights they know to be in force, so that one process that reaches the store is enough for its
-// neighbours. A lost datagram costs nothing but time: each is whole and replaces the one before.
+// Package loadreport sends and receives small UDP datagrams between entries and the agents beside engines. An entry sends
+// heartbeats to the agents whose engines it uses, and each agent reports the load of its engine to the entries whose
+// heartbeats it received. Both also report which versions of weights they know to be in force, so that one process that
+// reaches the store is enough for its peers. Datagrams are neither acknowledged nor retried: each one is complete and
+// replaces the one before, so a lost datagram only delays the information until the next.
 package loadreport
 
 import (
@@ -18,102 +19,110 @@
 	"samphireweir.example/samphireweir/internal/logevent"
 )
 
-// maxDatagram bounds a datagram in bytes; what is sent stays far below.
+// maxDatagram is the maximum size of a received datagram, in bytes. The datagrams that are sent are much smaller.
 const maxDatagram = 4096
 
-// Naming is a version of weights in force, as its sender knows it.
+// Naming is the activation of a version of weights, as the sender knows it.
 type Naming struct {
 	Model    string `json:"m"`
 	Version  int64  `json:"v"`
 	Revision int64  `json:"r"`
-	// AgeMS is how long its sender has known of it, in milliseconds, and Assumed is set when the sender only assumes so.
+	// AgeMS is how long the sender has known of the activation, in milliseconds. Assumed is set when the sender only
+	// assumes this age.
 	AgeMS   int64 `json:"a"`
 	Assumed bool  `json:"u,omitempty"`
 }
 
-// Namings returns what a process tells of the namings that it knows.
+// Namings encodes the activations that a process knows at now for a datagram.
 func Namings(now time.Time, list []catalog.Naming) []Naming {
-	var told []Naming
+	var encoded []Naming
 	for _, n := range list {
-		told = append(told, Naming{Model: n.Model, Version: n.Version, Revision: n.Revision, AgeMS: now.Sub(n.Since).Milliseconds(), Assumed: n.Assumed})
+		encoded = append(encoded, Naming{Model: n.Model, Version: n.Version, Revision: n.Revision, AgeMS: now.Sub(n.Since).Milliseconds(), Assumed: n.Assumed})
 	}
-	return told
+	return encoded
 }
 
-// Event returns what the sender's word says.
+// Event returns the activation as an event for package catalog.
 func (n Naming) Event() catalog.VersionNamed {
 	return catalog.VersionNamed{
 		Model: n.Model, Version: n.Version, Revision: n.Revision, Age: time.Duration(n.AgeMS) * time.Millisecond, Assumed: n.Assumed,
 	}
 }
 
-// Load is what an agent says of its engine.
+// Load is an agent's load report for its engine.
 type Load struct {
-	// Address is the engine's, where callers' requests go.
+	// Address is the engine's address, to which callers' requests are sent.
 	Address string `json:"e"`
-	// Born is when the engine started, in milliseconds since 1970; 0 when it does not say.
-	Born     int64            `json:"b,omitempty"`
-	Occupied int              `json:"o"`
-	Closing  bool             `json:"c,omitempty"`
+	// Born is the start time of the engine, in milliseconds since 1970; 0 if the engine does not report it.
+	Born int64 `json:"b,omitempty"`
+	// Occupied is the number of requests at the engine.
+	Occupied int `json:"o"`
+	// Closing is set while the engine is not accepting requests.
+	Closing bool `json:"c,omitempty"`
+	// Versions holds the version of weights that the engine has loaded completely, by model.
 	Versions map[string]int64 `json:"v"`
-	// RateLimit is the limit that the engine names, in requests a second from all entries together; nil for none.
+	// RateLimit is the limit that the engine requests, in requests per second from all entries together; nil for none.
 	RateLimit *float64 `json:"q,omitempty"`
-	// Leaving is set when the engine says that it shuts down.
+	// Leaving is set when the engine reports that it is shutting down.
 	Leaving bool `json:"z,omitempty"`
-	// ColdMS is how much longer the engine says that it is cold, in milliseconds; 0 when it does not say.
+	// ColdMS is how much longer the engine expects to be cold, in milliseconds; 0 if it does not report it.
 	ColdMS int64 `json:"h,omitempty"`
-	// Slowdown is how many times as long as usual the engine says it takes; absent when it takes no longer.
+	// Slowdown is the factor by which the engine is slower than usual, as it reports itself; absent if it is not slower.
 	Slowdown float64 `json:"y,omitempty"`
-	// Entries counts the entries that greeted the agent of late, and Near those of them in its data centre.
+	// Entries is the number of entries that recently sent a heartbeat to the agent, and Near is the number of those in
+	// the agent's data centre.
 	Entries int `json:"n"`
 	Near    int `json:"i"`
 }
 
-// Message is one datagram. Load is set by agents only.
+// Message is one datagram. Only agents set Load.
 type Message struct {
-	// DataCentre is the sender's, in a greeting, and Agent is set when an agent greets.
+	// DataCentre is the sender's data centre; it is set in heartbeats only. Agent is set in heartbeats of agents.
 	DataCentre string `json:"d,omitempty"`
 	Agent      bool   `json:"g,omitempty"`
-	// Entries are the first entries of the receiver's data centre, and EntryCount is how many it has; see package source.
+	// Entries holds the addresses of the entries from which the receiver may read the store, and EntryCount is the
+	// number of entries in the receiver's data centre; see package source.
 	Entries    []string `json:"e,omitempty"`
 	EntryCount int      `json:"k,omitempty"`
-	// RunningMS is how long a seed that answers a greeting has run, in milliseconds.
-	RunningMS int64    `json:"r,omitempty"`
-	Load      *Load    `json:"l,omitempty"`
-	Named     []Naming `json:"w,omitempty"`
-	// Crashes are the requests under which upstreams went down of late.
+	// RunningMS is the uptime of a seed that answers a heartbeat, in milliseconds.
+	RunningMS int64 `json:"r,omitempty"`
+	Load      *Load `json:"l,omitempty"`
+	// Named holds the activations that the sender knows.
+	Named []Naming `json:"w,omitempty"`
+	// Crashes holds the requests that recently crashed upstreams.
 	Crashes []quarantine.Report `json:"x,omitempty"`
 }
 
 // Socket sends and receives messages.
 type Socket struct{ conn *net.UDPConn }
 
-// Listen opens a socket at an IP address and port.
+// Listen opens a UDP socket on an IP address and port.
 func Listen(ip string, port int) (*Socket, error) {
 	addr, err := netip.ParseAddr(ip)
 	if err != nil {
-		return nil, errors.Wrapf(err, "address of the datagrams %q", ip)
+		return nil, errors.Wrapf(err, "parsing datagram listen address %q", ip)
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, uint16(port))))
-	return &Socket{conn: conn}, errors.Wrapf(err, "listen for datagrams on %s:%d", ip, port)
+	return &Socket{conn: conn}, errors.Wrapf(err, "listening for datagrams on %s:%d", ip, port)
 }
 
-// Close ends the socket and Run.
+// Close closes the socket. Run returns then.
 func (s *Socket) Close() { _ = s.conn.Close() }
 
-// Send sends a message. It does not wait and does not tell whether the message arrived.
+// Send sends a message. A nil error does not mean that the message arrived.
 func (s *Socket) Send(to netip.AddrPort, m Message) error {
 	raw, err := json.Marshal(m)
 	if err != nil {
-		return errors.Wrap(err, "encode a datagram")
+		return errors.Wrap(err, "encoding datagram")
 	}
 	_, err = s.conn.WriteToUDPAddrPort(raw, to)
-	return errors.Wrapf(err, "send a datagram to %s", to)
+	return errors.Wrapf(err, "sending datagram to %s", to)
 }
 
-// Run hands on each message that can be read until the socket is closed. Others are logged.
+// Run calls handle for each message received until the socket is closed. It logs and skips datagrams that can't be
+// decoded.
 func (s *Socket) Run(handle func(from netip.AddrPort, m Message), log zerolog.Logger) {
-	bad := func(err error) { logevent.Warn(log, logevent.BadEntry).Err(err).Msg("bad datagram") }
+	logFailure := func(err error) { logevent.Warn(log, logevent.BadEntry).Err(err).Msg("failed to read datagram") }
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buffer)
@@ -121,13 +130,13 @@
 			return
 		}
 		if err != nil {
-			bad(err)
-			time.Sleep(10 * time.Millisecond) // A socket that keeps failing must not take the processor.
+			logFailure(err)
+			time.Sleep(10 * time.Millisecond) // Keeps a socket that fails repeatedly from occupying the CPU.
 			continue
 		}
 		var m Message
 		if err := json.Unmarshal(buffer[:n], &m); err != nil {
-			bad(errors.Wrapf(err, "datagram from %s", from))
+			logFailure(errors.Wrapf(err, "datagram from %s", from))
 			continue
 		}
 		handle(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), m)
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -16,10 +16,12 @@
 	"samphireweir.example/samphireweir/internal/loadreport"
 )
 
-func TestMessagesArriveAndOthersAreReported(t *testing.T) {
-	probe, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+// TestMessagesAreDeliveredAndMalformedDatagramsLogged guards against messages that change on the way, and against a
+// malformed datagram that is dropped without a log line with the sender's address.
+func TestMessagesAreDeliveredAndMalformedDatagramsLogged(t *testing.T) {
+	sender, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	defer func() { _ = probe.Close() }()
+	defer func() { _ = sender.Close() }()
 	port := func() int {
 		free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		require.NoError(t, err)
@@ -28,31 +30,33 @@
 	}()
 	s, err := loadreport.Listen("127.0.0.1", port)
 	require.NoError(t, err)
-	got, bad := make(chan loadreport.Message, 1), make(lines, 1)
-	go s.Run(func(_ netip.AddrPort, m loadreport.Message) { got <- m }, zerolog.New(bad))
+	received, logged := make(chan loadreport.Message, 1), make(logLines, 1)
+	go s.Run(func(_ netip.AddrPort, m loadreport.Message) { received <- m }, zerolog.New(logged))
 	defer s.Close()
 	to := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port))
 	sent := loadreport.Message{Load: &loadreport.Load{Address: "10.0.0.1:80", Occupied: 3}, Crashes: []quarantine.Report{
 		{Fingerprint: 7, HeldMS: 30000}, {Fingerprint: 8, Crashes: []quarantine.Crash{{Upstream: 1, AgeMS: 20}}},
 	}}
 	require.NoError(t, s.Send(to, sent))
-	require.Equal(t, sent, <-got)
-	_, err = probe.WriteToUDPAddrPort([]byte("{"), to)
+	require.Equal(t, sent, <-received)
+	_, err = sender.WriteToUDPAddrPort([]byte("{"), to)
 	require.NoError(t, err)
-	require.Contains(t, <-bad, `"error":"datagram from `+probe.LocalAddr().String())
+	require.Contains(t, <-logged, `"error":"datagram from `+sender.LocalAddr().String())
 }
 
-// lines hands on log lines.
-type lines chan string
+// logLines is a log writer that delivers each line to a channel.
+type logLines chan string
 
-// Write hands on a line.
-func (l lines) Write(p []byte) (int, error) {
+// Write delivers one line.
+func (l logLines) Write(p []byte) (int, error) {
 	l <- string(p)
 	return len(p), nil
 }
 
-// TestAFullListOfCrashesFitsADatagram has as many requests held back and suspected as are told at once, with the longest numbers.
-func TestAFullListOfCrashesFitsADatagram(t *testing.T) {
+// TestMaximalCrashReportFitsInDatagram guards against crash reports that exceed the size of a datagram. It fills the
+// table with quarantined and suspected requests whose numbers have the maximum number of digits; the reports must stay
+// below 2048 bytes, half of a datagram.
+func TestMaximalCrashReportFitsInDatagram(t *testing.T) {
 	table, now := quarantine.NewTable(), time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	for i := range uint64(100) {
 		fingerprint := math.MaxUint64 - i
@@ -69,15 +73,17 @@
 	require.Less(t, len(text), 2048)
 }
 
-func TestANamingArrivesAsItWasToldAndSaysWhetherItsAgeIsAssumed(t *testing.T) {
+// TestActivationKeepsAgeAndAssumedFlag guards against an activation that loses a field when it is encoded and decoded,
+// such as the flag that its age is only assumed.
+func TestActivationKeepsAgeAndAssumedFlag(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, assumed := range []bool{false, true} {
 		n := catalog.Naming{Model: "m", Version: 2, Revision: 9, Since: now.Add(-3 * time.Second), Assumed: assumed}
 		text, err := json.Marshal(loadreport.Namings(now, []catalog.Naming{n}))
 		require.NoError(t, err)
-		var told []loadreport.Naming
-		require.NoError(t, json.Unmarshal(text, &told))
-		require.Len(t, told, 1)
-		require.Equal(t, catalog.VersionNamed{Model: "m", Version: 2, Revision: 9, Age: 3 * time.Second, Assumed: assumed}, told[0].Event())
+		var decoded []loadreport.Naming
+		require.NoError(t, json.Unmarshal(text, &decoded))
+		require.Len(t, decoded, 1)
+		require.Equal(t, catalog.VersionNamed{Model: "m", Version: 2, Revision: 9, Age: 3 * time.Second, Assumed: assumed}, decoded[0].Event())
 	}
 }
--- a/internal/storefeed/neighbours.go
+++ b/internal/storefeed/neighbours.go
@@ -53,9 +53,9 @@
 	log        zerolog.Logger
 	choice     Choice
 
-	mu    sync.Mutex
-	roll  loadreport.Roll
-	state *source.State
+	mu         sync.Mutex
+	heartbeats loadreport.HeartbeatRegistry
+	state      *source.State
 	// running is how much longer than this process a seed said to have run at least.
 	running time.Duration
 	// told is what was last told to a data centre's processes; it is used again for a while, since agents report often.
@@ -118,7 +118,7 @@
 	}
 	now := time.Now()
 	n.mu.Lock()
-	n.roll.Note(now, from, m.DataCentre)
+	n.heartbeats.Record(now, from, m.DataCentre)
 	entries := n.entries(now, n.dataCentre)
 	n.mu.Unlock()
 	if m.DataCentre == n.dataCentre {
@@ -143,7 +143,7 @@
 
 // entries are the entries of a data centre, this process included. It is called with the lock held.
 func (n *Neighbours) entries(now time.Time, dataCentre string) []string {
-	list := n.roll.Entries(now, dataCentre)
+	list := n.heartbeats.Entries(now, dataCentre)
 	if !n.agent && dataCentre == n.dataCentre {
 		list = append(list, n.self)
 	}
