--- a/internal/storefeed/cache.go
+++ b/internal/storefeed/cache.go
@@ -1,6 +1,7 @@
-// Package storefeed lets the processes of a data centre share what they read of the platform's store: a process keeps what
-// it has read and answers others from it, and reads from another where package source says so. What is passed on is as the
-// store wrote it, with the store's revisions, so that a reader can change between the store and another process at any moment.
+// Package storefeed lets the processes of a data centre share what they read from the platform's store. A process caches
+// the objects that it has read and serves them to its peers. Package source decides from which peer a process reads, or
+// whether it reads the store itself. Objects are passed on as the store wrote them, with the store's revisions, so that a
+// reader can switch between the store and a peer at any time.
 package storefeed
 
 import (
@@ -12,186 +13,197 @@
 )
 
 const (
-	// leastChangeTime is assumed where the platform does not say in which time a change must be known.
-	leastChangeTime = 2 * time.Second
-	// waitShare is the part of that time which a call for changes may wait when others depend on it.
-	waitShare = 4
-	// answerSlack is how much longer than its wait such a call may take, with the slack of the store's client.
-	answerSlack = 800 * time.Millisecond
-	// keepRemoved is how long it is remembered that an object was removed; who asks from before that lists again.
-	keepRemoved = 30 * time.Second
+	// defaultChangeTime is the change time of a platform that does not specify one; see NewCache.
+	defaultChangeTime = 2 * time.Second
+	// storeWaitDivisor gives the maximum wait of a watch call to the store while peers depend on it: the change time
+	// divided by 4.
+	storeWaitDivisor = 4
+	// responseSlack is how much longer than its wait such a call may take, including the slack of the store's client.
+	responseSlack = 800 * time.Millisecond
+	// tombstoneTTL is how long the removal of an object is remembered. A reader whose revision is older than a forgotten
+	// removal must list again.
+	tombstoneTTL = 30 * time.Second
 )
 
-// held is an object, or the removal of one, and from when it is known.
-type held struct {
+// cachedObject is an object, or the removal of one.
+type cachedObject struct {
 	object platform.Object
-	// mark is the store's revision as of which the object was read; who has read up to there knows it.
-	mark int64
-	// at is when it was read; only removals need it.
-	at time.Time
+	// asOf is the revision of the store as of which the object was read. A reader that has read up to this revision
+	// knows the object.
+	asOf int64
+	// readAt is when the object was read; it is used for removals only.
+	readAt time.Time
 }
 
-// kindCache is what is known of a kind.
+// kindCache is the cache of one kind.
 type kindCache struct {
-	objects map[string]held
-	// revision is the store's as of the last answer; floor is the first from which changes can be told.
+	objects map[string]cachedObject
+	// revision is the store's revision as of its last response.
 	revision int64
-	floor    int64
-	// last is the mark of the last change.
-	last   int64
-	heard  time.Time
+	// oldest is the oldest revision since which all changes are known.
+	oldest int64
+	// lastChange is the highest asOf of all objects.
+	lastChange int64
+	// storeReadAt is when the store last responded, to this process or to the peer that it reads from.
+	storeReadAt time.Time
+	// listed is set once a complete list was read.
 	listed bool
-	// changed is closed and replaced when something is new.
+	// changed is closed and replaced after each response of the store.
 	changed chan struct{}
-	// packed are answers as of last.
-	packed packed
+	// packed holds compressed responses as of lastChange.
+	packed packedResponses
 }
 
 // Cache keeps the objects of some kinds. It is safe for concurrent use.
 type Cache struct {
 	mu    sync.Mutex
 	kinds map[string]*kindCache
-	// asked is when another process last asked.
-	asked time.Time
-	// storeWait is how long a call for changes waits when others depend on it: an entry that has lost the store, and who reads from it,
-	// must notice in less than the time in which a change must be known.
+	// lastRequest is when a peer last sent a read request.
+	lastRequest time.Time
+	// storeWait is how long a watch call to the store waits while peers depend on it. An entry that has lost the store,
+	// and the peers that read from it, must notice the loss in less than the change time.
 	storeWait time.Duration
 }
 
-// NewCache returns an empty cache. changeTime is how long after the store took it a change may be unknown; 0 when the platform does not say.
+// NewCache returns an empty cache. changeTime is the maximum time between a write to the store and the moment at which
+// all processes know the change; 0 if the platform does not specify it.
 func NewCache(changeTime time.Duration) *Cache {
 	if changeTime <= 0 {
-		changeTime = leastChangeTime
+		changeTime = defaultChangeTime
 	}
-	return &Cache{kinds: map[string]*kindCache{}, storeWait: changeTime / waitShare}
+	return &Cache{kinds: map[string]*kindCache{}, storeWait: changeTime / storeWaitDivisor}
 }
 
-// maxAge is how long ago the store must have been heard for an answer from the cache.
-func (c *Cache) maxAge() time.Duration { return c.storeWait + answerSlack }
+// maxAge is the maximum time since the last response of the store for which the cache serves its objects.
+func (c *Cache) maxAge() time.Duration { return c.storeWait + responseSlack }
 
-// kind returns the cache of a kind. It is called with the lock held.
+// kind returns the cache of a kind, and creates it if needed. The caller must hold the lock.
 func (c *Cache) kind(name string) *kindCache {
 	k := c.kinds[name]
 	if k == nil {
-		k = &kindCache{objects: map[string]held{}, changed: make(chan struct{}), packed: packed{}}
+		k = &kindCache{objects: map[string]cachedObject{}, changed: make(chan struct{}), packed: packedResponses{}}
 		c.kinds[name] = k
 	}
 	return k
 }
 
-// listed notes all objects of a kind as of a revision. age is how long ago the store was heard. What happened before the list is not
-// known: an object may have come and gone since the last one, and somebody else may have seen it. Who asks from before lists again.
-func (c *Cache) listed(kind string, objects []platform.Object, revision int64, age time.Duration) {
+// putList replaces all objects of a kind by a list as of a revision. age is the time since the store responded. Readers
+// that know only an earlier revision must list again: an object may have been created and removed between this list and
+// the one before, and such a reader may have seen it elsewhere.
+func (c *Cache) putList(kind string, objects []platform.Object, revision int64, age time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k, now := c.kind(kind), time.Now()
 	if revision < k.revision {
-		return // An older list than what is known.
+		return // The cache already holds a newer state.
 	}
-	k.objects = make(map[string]held, len(objects))
+	k.objects = make(map[string]cachedObject, len(objects))
 	clear(k.packed)
 	for _, o := range objects {
-		k.put(held{object: o, mark: revision, at: now})
+		k.put(cachedObject{object: o, asOf: revision, readAt: now})
 	}
-	k.listed, k.floor = true, revision
-	k.heardAt(now.Add(-age), revision)
+	k.listed, k.oldest = true, revision
+	k.recordResponse(now.Add(-age), revision)
 }
 
-// changedSince notes what has changed up to a revision.
-func (c *Cache) changedSince(kind string, objects []platform.Object, revision int64, age time.Duration) {
+// putChanges adds the objects of a kind that changed up to a revision. age is the time since the store responded.
+func (c *Cache) putChanges(kind string, objects []platform.Object, revision int64, age time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k, now := c.kind(kind), time.Now()
 	for _, o := range objects {
 		if old, known := k.objects[o.Name]; !known || old.object.Revision <= o.Revision {
-			k.put(held{object: o, mark: max(revision, k.revision), at: now})
+			k.put(cachedObject{object: o, asOf: max(revision, k.revision), readAt: now})
 		}
 	}
-	k.heardAt(now.Add(-age), revision)
+	k.recordResponse(now.Add(-age), revision)
 }
 
-// put takes an object. It is called with the lock held.
-func (k *kindCache) put(h held) {
-	k.objects[h.object.Name] = h
-	k.last = max(k.last, h.mark)
+// put stores an object. The caller must hold the cache's lock.
+func (k *kindCache) put(o cachedObject) {
+	k.objects[o.object.Name] = o
+	k.lastChange = max(k.lastChange, o.asOf)
 	clear(k.packed)
 }
 
-// heardAt notes when the store was heard, and wakes who waits. It is called with the lock held.
-func (k *kindCache) heardAt(at time.Time, revision int64) {
+// recordResponse records a response of the store, drops expired removals and wakes all waiting requests. The caller must
+// hold the cache's lock.
+func (k *kindCache) recordResponse(at time.Time, revision int64) {
 	k.revision = max(k.revision, revision)
-	if at.After(k.heard) {
-		k.heard = at
+	if at.After(k.storeReadAt) {
+		k.storeReadAt = at
 	}
-	for name, h := range k.objects {
-		if h.object.Deleted && time.Since(h.at) > keepRemoved {
+	for name, o := range k.objects {
+		if o.object.Deleted && time.Since(o.readAt) > tombstoneTTL {
 			delete(k.objects, name)
-			k.floor = max(k.floor, h.mark)
+			k.oldest = max(k.oldest, o.asOf)
 		}
 	}
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// answer tells of a kind since a revision; 0 asks for all of it.
-func (c *Cache) answer(kind string, since int64) (a Answer, changed <-chan struct{}) {
+// read returns the changes of a kind since a revision, or all its objects if since is 0. The channel is closed after the
+// next response of the store.
+func (c *Cache) read(kind string, since int64) (resp ReadResponse, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = time.Now()
+	c.lastRequest = time.Now()
 	k := c.kind(kind)
-	a = Answer{Revision: max(k.revision, since), AgeMS: time.Since(k.heard).Milliseconds()}
+	resp = ReadResponse{Revision: max(k.revision, since), AgeMS: time.Since(k.storeReadAt).Milliseconds()}
 	switch {
-	case !k.listed || time.Since(k.heard) > c.maxAge():
-		a.State = Behind
-	case since > 0 && since < k.floor:
-		a.State = Gone
-	case since == 0 || since < k.last:
-		a.State = Told
-		a.Objects, a.Packed = k.packed.answer(since, k.after(since))
+	case !k.listed || time.Since(k.storeReadAt) > c.maxAge():
+		resp.State = StateStale
+	case since > 0 && since < k.oldest:
+		resp.State = StateHistoryGone
+	case since == 0 || since < k.lastChange:
+		resp.State = StateUpdated
+		resp.Objects, resp.Packed = k.packed.encode(since, k.objectsSince(since))
 	default:
-		a.State = Same
+		resp.State = StateUnchanged
 	}
-	return a, k.changed
+	return resp, k.changed
 }
 
-// after returns the objects that a reader of a revision does not know. It is called with the lock held.
-func (k *kindCache) after(since int64) []Object {
+// objectsSince returns the objects that changed after a revision. The caller must hold the cache's lock.
+func (k *kindCache) objectsSince(since int64) []Object {
 	var list []Object
-	for _, h := range k.objects {
-		if since == 0 && h.object.Deleted || h.mark <= since {
+	for _, o := range k.objects {
+		if since == 0 && o.object.Deleted || o.asOf <= since {
 			continue
 		}
-		list = append(list, Object(h.object))
+		list = append(list, Object(o.object))
 	}
 	return list
 }
 
-// serving tells whether other processes read from this one.
-func (c *Cache) serving() bool {
+// hasReaders reports whether peers read from this process.
+func (c *Cache) hasReaders() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Since(c.asked) < servingFor
+	return time.Since(c.lastRequest) < readerTTL
 }
 
-// wait answers as soon as there is news or this process is behind, or after the wait that was asked for.
-func (c *Cache) wait(ctx context.Context, q Question) Answer {
-	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(q.WaitMS)*time.Millisecond, maxWait))
+// waitForChanges responds as soon as there are changes or the cache is stale, and at the latest after the requested wait.
+func (c *Cache) waitForChanges(ctx context.Context, req ReadRequest) ReadResponse {
+	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(req.WaitMS)*time.Millisecond, maxWait))
 	defer cancel()
 	for {
-		a, changed := c.answer(q.Kind, q.Since)
-		// A first list is worth waiting for: this process is about to have it. Who has one is better off with the store.
-		if a.State == Told || a.State == Gone || a.State == Behind && q.Since > 0 {
-			return a
+		resp, changed := c.read(req.Kind, req.Since)
+		// A request for a first list waits while the cache is stale, since this process is about to read its own list. A
+		// peer that already has a list is told at once, so that it can read the store instead.
+		if resp.State == StateUpdated || resp.State == StateHistoryGone || resp.State == StateStale && req.Since > 0 {
+			return resp
 		}
-		fresh := c.maxAge() - time.Duration(a.AgeMS)*time.Millisecond
-		if a.State == Behind {
-			fresh = maxWait // It can only become better.
+		untilStale := c.maxAge() - time.Duration(resp.AgeMS)*time.Millisecond
+		if resp.State == StateStale {
+			untilStale = maxWait // The cache is stale already: only a response of the store changes its state.
 		}
 		select {
 		case <-changed:
-		case <-time.After(fresh + time.Millisecond):
+		case <-time.After(untilStale + time.Millisecond):
 		case <-ctx.Done():
-			return a
+			return resp
 		}
 	}
 }
--- a/internal/storefeed/cache_test.go
+++ b/internal/storefeed/cache_test.go
@@ -14,24 +14,24 @@
 
 const (
 	kind = "things"
-	// changeTime is how long a change may be unknown.
+	// changeTime is the change time of the cache under test; see NewCache.
 	changeTime = 2 * time.Second
 )
 
-// model is a store that keeps all its history.
-type model struct {
+// modelStore is a store that keeps its complete history.
+type modelStore struct {
 	revision int64
 	objects  map[string]platform.Object
 	changes  []platform.Object
 }
 
-func (m *model) put(name string) {
+func (m *modelStore) put(name string) {
 	m.revision++
 	m.objects[name] = platform.Object{Name: name, Revision: m.revision}
 	m.changes = append(m.changes, m.objects[name])
 }
 
-func (m *model) remove(name string) {
+func (m *modelStore) remove(name string) {
 	if _, known := m.objects[name]; !known {
 		return
 	}
@@ -40,7 +40,7 @@
 	m.changes = append(m.changes, platform.Object{Name: name, Revision: m.revision, Deleted: true})
 }
 
-func (m *model) list() []platform.Object {
+func (m *modelStore) list() []platform.Object {
 	var list []platform.Object
 	for _, o := range m.objects {
 		list = append(list, o)
@@ -48,7 +48,7 @@
 	return list
 }
 
-func (m *model) since(revision int64) []platform.Object {
+func (m *modelStore) since(revision int64) []platform.Object {
 	var list []platform.Object
 	for _, o := range m.changes {
 		if o.Revision > revision {
@@ -58,70 +58,72 @@
 	return list
 }
 
-// follower is what a process has read.
-type follower struct {
+// modelReader holds what a process has read.
+type modelReader struct {
 	revision int64
 	objects  map[string]int64
 }
 
-func (f *follower) listed(revision int64, objects []platform.Object) {
-	f.revision, f.objects = revision, map[string]int64{}
-	f.changed(revision, objects)
+func (r *modelReader) putList(revision int64, objects []platform.Object) {
+	r.revision, r.objects = revision, map[string]int64{}
+	r.putChanges(revision, objects)
 }
 
-func (f *follower) changed(revision int64, objects []platform.Object) {
+func (r *modelReader) putChanges(revision int64, objects []platform.Object) {
 	for _, o := range objects {
 		if o.Deleted {
-			delete(f.objects, o.Name)
+			delete(r.objects, o.Name)
 		} else {
-			f.objects[o.Name] = o.Revision
+			r.objects[o.Name] = o.Revision
 		}
 	}
-	f.revision = max(f.revision, revision)
+	r.revision = max(r.revision, revision)
 }
 
-// ask reads once from a cache, as Reader does.
-func (f *follower) ask(c *Cache) State {
-	a, _ := c.answer(kind, f.revision)
+// readCache reads once from a cache, as Reader does.
+func (r *modelReader) readCache(c *Cache) State {
+	resp, _ := c.read(kind, r.revision)
 	var objects []platform.Object
-	for _, o := range a.Objects {
+	for _, o := range resp.Objects {
 		objects = append(objects, platform.Object(o))
 	}
 	switch {
-	case a.State == Gone:
-		f.revision = 0
-	case a.State == Told && f.revision == 0:
-		f.listed(a.Revision, objects)
-	case a.State == Told, a.State == Same:
-		f.changed(a.Revision, objects)
+	case resp.State == StateHistoryGone:
+		r.revision = 0
+	case resp.State == StateUpdated && r.revision == 0:
+		r.putList(resp.Revision, objects)
+	case resp.State == StateUpdated, resp.State == StateUnchanged:
+		r.putChanges(resp.Revision, objects)
 	}
-	return a.State
+	return resp.State
 }
 
-func (m *model) held() map[string]int64 {
-	held := map[string]int64{}
+// revisions returns the revision of each object, by name.
+func (m *modelStore) revisions() map[string]int64 {
+	revisions := map[string]int64{}
 	for name, o := range m.objects {
-		held[name] = o.Revision
+		revisions[name] = o.Revision
 	}
-	return held
+	return revisions
 }
 
-// TestWhoeverReadsFromWhomEndsWithWhatTheStoreHolds changes a store, has one process read it in lists and changes, and another read
-// now from the first and now from the store.
-func TestWhoeverReadsFromWhomEndsWithWhatTheStoreHolds(t *testing.T) {
+// TestReaderThatSwitchesSourcesConvergesOnStore guards against a reader that misses a write or a removal when it switches
+// between the store and a peer. One process reads the store in lists and changes, and a second one reads from the first or
+// from the store, in random order.
+func TestReaderThatSwitchesSourcesConvergesOnStore(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{revision: 1, objects: map[string]platform.Object{}}
-		first, second, cache := &follower{objects: map[string]int64{}}, &follower{objects: map[string]int64{}}, NewCache(changeTime)
+		m := &modelStore{revision: 1, objects: map[string]platform.Object{}}
+		first, second, cache := &modelReader{objects: map[string]int64{}}, &modelReader{objects: map[string]int64{}}, NewCache(changeTime)
 		readFirst := func(list bool) {
 			if list || first.revision == 0 {
-				first.listed(m.revision, m.list())
-				cache.listed(kind, m.list(), m.revision, 0)
+				first.putList(m.revision, m.list())
+				cache.putList(kind, m.list(), m.revision, 0)
 				return
 			}
-			news := m.since(first.revision)
-			first.changed(m.revision, news)
-			cache.changedSince(kind, news, m.revision, 0)
+			changes := m.since(first.revision)
+			first.putChanges(m.revision, changes)
+			cache.putChanges(kind, changes, m.revision, 0)
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			name := fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "name"))
@@ -135,77 +137,83 @@
 			case "relist":
 				readFirst(true)
 			case "second":
-				second.ask(cache)
+				second.readCache(cache)
 			case "second from the store":
 				if second.revision == 0 {
-					second.listed(m.revision, m.list())
+					second.putList(m.revision, m.list())
 				} else {
-					second.changed(m.revision, m.since(second.revision))
+					second.putChanges(m.revision, m.since(second.revision))
 				}
 			}
 		}
 		readFirst(false)
-		second.ask(cache)
-		if second.revision == 0 { // It was told to list again.
-			second.ask(cache)
+		second.readCache(cache)
+		if second.revision == 0 { // The cache required a new list.
+			second.readCache(cache)
 		}
-		require.Equal(t, m.held(), second.objects)
+		require.Equal(t, m.revisions(), second.objects)
 	})
 }
 
-// TestAnObjectThatCameAndWentBetweenTwoListsIsNotKept has a process see an object in the store that the one it reads from never saw.
-func TestAnObjectThatCameAndWentBetweenTwoListsIsNotKept(t *testing.T) {
+// TestObjectMissedBetweenListsIsRemovedFromReader guards against a reader that keeps a removed object forever. The object
+// exists only between two lists of the peer, which never sees it; the reader saw it in the store before it switched to the
+// peer.
+func TestObjectMissedBetweenListsIsRemovedFromReader(t *testing.T) {
 	t.Parallel()
-	c, f := NewCache(changeTime), &follower{}
-	c.listed(kind, nil, 5, 0)
-	f.listed(7, []platform.Object{{Name: "a", Revision: 6}})
-	c.listed(kind, nil, 9, 0)
-	require.Equal(t, Gone, f.ask(c))
-	require.Equal(t, Told, f.ask(c))
-	require.Empty(t, f.objects)
+	c, r := NewCache(changeTime), &modelReader{}
+	c.putList(kind, nil, 5, 0)
+	r.putList(7, []platform.Object{{Name: "a", Revision: 6}})
+	c.putList(kind, nil, 9, 0)
+	require.Equal(t, StateHistoryGone, r.readCache(c))
+	require.Equal(t, StateUpdated, r.readCache(c))
+	require.Empty(t, r.objects)
 }
 
-func TestACacheThatHasNotHeardOfLateIsBehind(t *testing.T) {
+// TestCacheWithoutRecentStoreResponseIsStale guards against a cache that serves objects although the store has not
+// responded recently: its readers would miss changes without noticing.
+func TestCacheWithoutRecentStoreResponseIsStale(t *testing.T) {
 	t.Parallel()
 	c := NewCache(changeTime)
-	a, _ := c.answer(kind, 0)
-	require.Equal(t, Behind, a.State, "nothing was read")
-	c.listed(kind, []platform.Object{{Name: "a", Revision: 3}}, 5, 0)
-	a, _ = c.answer(kind, 0)
-	require.Equal(t, Told, a.State)
+	resp, _ := c.read(kind, 0)
+	require.Equal(t, StateStale, resp.State, "nothing was read")
+	c.putList(kind, []platform.Object{{Name: "a", Revision: 3}}, 5, 0)
+	resp, _ = c.read(kind, 0)
+	require.Equal(t, StateUpdated, resp.State)
 	c = NewCache(changeTime)
-	c.listed(kind, []platform.Object{{Name: "a", Revision: 3}}, 5, c.maxAge()+time.Millisecond)
-	a, _ = c.answer(kind, 0)
-	require.Equal(t, Behind, a.State, "the process that this one read from had not heard of late")
+	c.putList(kind, []platform.Object{{Name: "a", Revision: 3}}, 5, c.maxAge()+time.Millisecond)
+	resp, _ = c.read(kind, 0)
+	require.Equal(t, StateStale, resp.State, "the data of the peer was too old")
 }
 
-// TestAQuestionIsAnsweredAsSoonAsTheProcessIsBehind has a process lose the store shortly after it was asked, with a wait that is longer
-// than the time after which it counts as behind.
-func TestAQuestionIsAnsweredAsSoonAsTheProcessIsBehind(t *testing.T) {
+// TestWaitEndsWhenCacheBecomesStale guards against a reader that waits on a peer which lost the store, and so notices the
+// loss too late. The cache becomes stale 100 ms after the request arrives, well before the requested wait ends.
+func TestWaitEndsWhenCacheBecomesStale(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := NewCache(changeTime)
-		c.listed(kind, []platform.Object{{Name: "a", Revision: 3}}, 5, 0)
-		began := time.Now()
+		c.putList(kind, []platform.Object{{Name: "a", Revision: 3}}, 5, 0)
+		startedAt := time.Now()
 		time.Sleep(c.maxAge() - 100*time.Millisecond)
-		a := c.wait(t.Context(), Question{Kind: kind, Since: 5, WaitMS: peerWait.Milliseconds()})
-		require.Equal(t, Behind, a.State)
-		require.Less(t, time.Since(began), c.maxAge()+10*time.Millisecond)
+		resp := c.waitForChanges(t.Context(), ReadRequest{Kind: kind, Since: 5, WaitMS: maxPeerWait.Milliseconds()})
+		require.Equal(t, StateStale, resp.State)
+		require.Less(t, time.Since(startedAt), c.maxAge()+10*time.Millisecond)
 	})
 }
 
-func TestWhoAsksFromBeforeAForgottenRemovalListsAgain(t *testing.T) {
+// TestReadFromBeforeForgottenRemovalRequiresNewList guards against a reader that keeps a removed object: the cache drops
+// removals after tombstoneTTL and can't report them to a reader with an older revision.
+func TestReadFromBeforeForgottenRemovalRequiresNewList(t *testing.T) {
 	t.Parallel()
 	c := NewCache(changeTime)
-	c.listed(kind, []platform.Object{{Name: "a", Revision: 3}}, 5, 0)
-	c.changedSince(kind, []platform.Object{{Name: "a", Revision: 7, Deleted: true}}, 8, 0)
+	c.putList(kind, []platform.Object{{Name: "a", Revision: 3}}, 5, 0)
+	c.putChanges(kind, []platform.Object{{Name: "a", Revision: 7, Deleted: true}}, 8, 0)
 	k := c.kind(kind)
-	h := k.objects["a"]
-	h.at = time.Now().Add(-2 * keepRemoved)
-	k.objects["a"] = h
-	c.changedSince(kind, nil, 9, 0)
-	a, _ := c.answer(kind, 6)
-	require.Equal(t, Gone, a.State)
-	a, _ = c.answer(kind, 8)
-	require.Equal(t, Same, a.State)
+	o := k.objects["a"]
+	o.readAt = time.Now().Add(-2 * tombstoneTTL)
+	k.objects["a"] = o
+	c.putChanges(kind, nil, 9, 0)
+	resp, _ := c.read(kind, 6)
+	require.Equal(t, StateHistoryGone, resp.State)
+	resp, _ = c.read(kind, 8)
+	require.Equal(t, StateUnchanged, resp.State)
 }
--- a/internal/storefeed/pack.go
+++ b/internal/storefeed/pack.go
@@ -10,46 +10,48 @@
 )
 
 const (
-	// packFrom is from how many bytes of content on an answer is packed: entries of upstreams are much alike, and a list of them shrinks to a tenth.
-	packFrom = 2 << 10
-	// maxUnpacked bounds an unpacked answer in bytes.
-	maxUnpacked = 32 << 20
+	// minPackedBytes is the minimum content of a response, in bytes, for which it is compressed. The entries of upstreams
+	// are similar to each other, and a list of them shrinks to a tenth.
+	minPackedBytes = 2 << 10
+	// maxUnpackedBytes is the maximum size of a decompressed response, in bytes.
+	maxUnpackedBytes = 32 << 20
 )
 
-// pack encodes objects in fewer bytes.
+// pack encodes objects as compressed JSON.
 func pack(objects []Object) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
 	if err != nil {
-		return nil, errors.Wrap(err, "pack objects")
+		return nil, errors.Wrap(err, "compressing objects")
 	}
 	if err := json.NewEncoder(w).Encode(objects); err != nil {
-		return nil, errors.Wrap(err, "pack objects")
+		return nil, errors.Wrap(err, "compressing objects")
 	}
 	if err := w.Close(); err != nil {
-		return nil, errors.Wrap(err, "pack objects")
+		return nil, errors.Wrap(err, "compressing objects")
 	}
 	return b.Bytes(), nil
 }
 
-// unpack decodes what pack encoded.
+// unpack decodes objects that pack encoded.
 func unpack(raw []byte) ([]Object, error) {
 	r := flate.NewReader(bytes.NewReader(raw))
 	var objects []Object
-	if err := json.NewDecoder(io.LimitReader(r, maxUnpacked)).Decode(&objects); err != nil {
-		return nil, errors.Wrap(err, "unpack objects")
+	if err := json.NewDecoder(io.LimitReader(r, maxUnpackedBytes)).Decode(&objects); err != nil {
+		return nil, errors.Wrap(err, "decompressing objects")
 	}
 	return objects, nil
 }
 
-// packed keeps the packed answers since some revisions, as long as nothing changes: those who read from a process ask for the same.
-type packed map[int64][]byte
+// packedResponses holds compressed objects by the revision since which they were requested. They are valid until the next
+// change: most peers that read from a process request the same objects.
+type packedResponses map[int64][]byte
 
-// maxPacked bounds the packed answers that are kept of a kind.
-const maxPacked = 8
+// maxPackedResponses is the maximum number of compressed responses that are kept for a kind.
+const maxPackedResponses = 8
 
-// contentOf is how many bytes the content of some objects has.
-func contentOf(objects []Object) int {
+// contentSize returns the total size of the objects' contents, in bytes.
+func contentSize(objects []Object) int {
 	n := 0
 	for _, o := range objects {
 		n += len(o.Spec)
@@ -57,21 +59,21 @@
 	return n
 }
 
-// answer returns the objects since a revision, packed where they are many.
-func (p packed) answer(since int64, objects []Object) (plain []Object, small []byte) {
-	if small := p[since]; small != nil {
-		return nil, small
+// encode returns the objects since a revision, either as they are or, if their content is large, compressed.
+func (p packedResponses) encode(since int64, objects []Object) (plain []Object, compressed []byte) {
+	if compressed := p[since]; compressed != nil {
+		return nil, compressed
 	}
-	if contentOf(objects) < packFrom {
+	if contentSize(objects) < minPackedBytes {
 		return objects, nil
 	}
-	small, err := pack(objects)
+	compressed, err := pack(objects)
 	if err != nil {
-		return objects, nil // What the store wrote is JSON; if not, it is the reader's to say.
+		return objects, nil // Content that is not valid JSON can't be packed. The reader reports it.
 	}
-	if len(p) >= maxPacked {
+	if len(p) >= maxPackedResponses {
 		clear(p)
 	}
-	p[since] = small
-	return nil, small
+	p[since] = compressed
+	return nil, compressed
 }
--- a/internal/storefeed/pack_test.go
+++ b/internal/storefeed/pack_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAListIsPackedOnceForAllWhoAsk guards against a reader that packs the same list for each of those that read from it, and against one that goes on
-// telling what it packed before a change.
-func TestAListIsPackedOnceForAllWhoAsk(t *testing.T) {
+// TestListIsCompressedOnceForAllReaders guards against a process that compresses the same list for each of its readers, and
+// against compressed lists that are larger than a fifth of the original or can't be decompressed.
+func TestListIsCompressedOnceForAllReaders(t *testing.T) {
 	var objects []Object
 	for i := range 700 {
 		objects = append(objects, Object{
@@ -22,15 +22,15 @@
 	}
 	raw, err := json.Marshal(objects)
 	require.NoError(t, err)
-	p := packed{}
-	_, small := p.answer(0, objects)
-	_, again := p.answer(0, objects)
-	require.Same(t, &small[0], &again[0])
-	require.Less(t, 5*len(small), len(raw), "%d of %d bytes", len(small), len(raw))
-	back, err := unpack(small)
+	p := packedResponses{}
+	_, compressed := p.encode(0, objects)
+	_, again := p.encode(0, objects)
+	require.Same(t, &compressed[0], &again[0])
+	require.Less(t, 5*len(compressed), len(raw), "%d of %d bytes", len(compressed), len(raw))
+	unpacked, err := unpack(compressed)
 	require.NoError(t, err)
-	require.Equal(t, objects, back)
-	plain, none := packed{}.answer(0, objects[:2])
+	require.Equal(t, objects, unpacked)
+	plain, none := packedResponses{}.encode(0, objects[:2])
 	require.Len(t, plain, 2)
 	require.Nil(t, none)
 	_, err = unpack([]byte("no list"))
--- /dev/null
+++ b/internal/storefeed/peers.go
@@ -0,0 +1,263 @@
+package storefeed
+
+import (
+	"context"
+	"net/netip"
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"samphireweir.example/samphireweir/internal/core/source"
+	"samphireweir.example/samphireweir/internal/core/step"
+	"samphireweir.example/samphireweir/internal/hostconfig"
+	"samphireweir.example/samphireweir/internal/loadreport"
+	"samphireweir.example/samphireweir/internal/logevent"
+)
+
+const (
+	// initialSeedInterval is the time between the first two heartbeats to the seeds while this process is not ready. The
+	// interval doubles with each heartbeat, up to maxSeedInterval. All hosts may start within a few tenths of a second of
+	// each other, and a seed must answer all of them.
+	initialSeedInterval = 100 * time.Millisecond
+	maxSeedInterval     = 800 * time.Millisecond
+	// readySeedInterval is the time between two heartbeats to the seeds once this process is ready, so that the seeds know
+	// which entries are running.
+	readySeedInterval = 3 * time.Second
+	// entryListTTL is how long the entry list of a data centre is reused for the processes there, once the discovery time is
+	// over.
+	entryListTTL = 500 * time.Millisecond
+	// entryStartWait and agentStartWait are how long an entry or agent of a large fleet waits at its start to learn from
+	// which entry to read, before it reads the store itself. Otherwise, when all hosts start at once, they fill the links
+	// between regions with the same lists, whose bytes grow with the square of the fleet. Entries learn it from the seeds,
+	// which know all entries within two heartbeats. Agents learn it from the seeds too, and then from the entries that have
+	// read their lists.
+	entryStartWait = time.Second
+	agentStartWait = 3 * time.Second
+	// settleTime is how long after its start a process assumes that its peers do not know all entries yet. A process that
+	// relied on such a list could take itself for the first entry of its data centre, and read the store, when it is not.
+	settleTime = 250 * time.Millisecond
+	// discoveryTime is how long after its start a process keeps discovering its peers. Entry lists are not reused
+	// meanwhile.
+	discoveryTime = time.Second
+	// minUptimeLead is how much longer than this process a seed must have run for this process to have joined a running
+	// fleet.
+	minUptimeLead = 5 * time.Second
+	// largeFleetReads is the rate of reads, in reads per second, from which a fleet counts as large. The platform allows
+	// this rate to all processes together; it allows about a hundred per host.
+	largeFleetReads = 10000
+)
+
+// Neighbours is what a process knows of the entries of its data centre, and where it reads the store from. It is safe for
+// concurrent use.
+type Neighbours struct {
+	self       string
+	dataCentre string
+	agent      bool
+	startedAt  time.Time
+	seeds      []netip.AddrPort
+	log        zerolog.Logger
+	source     Source
+
+	mu         sync.Mutex
+	heartbeats loadreport.HeartbeatRegistry
+	state      *source.State
+	// seedUptimeLead is how much longer than this process a seed has run at least.
+	seedUptimeLead time.Duration
+	// entryLists holds the last entry list of each data centre. The lists are reused for a while, since agents report
+	// often.
+	entryLists map[string]entryList
+}
+
+// entryList is what the processes of a data centre are sent about its entries.
+type entryList struct {
+	createdAt time.Time
+	entries   []string
+	count     int
+}
+
+// NewNeighbours returns the known peers of the process at address self, initially none. agent is set for an agent.
+func NewNeighbours(host hostconfig.Host, self string, agent bool, log zerolog.Logger) *Neighbours {
+	n := &Neighbours{
+		self: self, dataCentre: host.DataCentre, agent: agent, log: log, state: source.NewState(self, host.DataCentre, agent),
+		startedAt:  time.Now(),
+		entryLists: map[string]entryList{},
+	}
+	for _, s := range host.Seeds {
+		if a, err := netip.ParseAddrPort(s); err == nil && s != self {
+			n.seeds = append(n.seeds, a)
+		}
+	}
+	if host.StoreReads >= largeFleetReads {
+		n.source.delayLists(n.startWait())
+	}
+	return n
+}
+
+// startWait is how long this process waits at its start to learn from which entry to read.
+func (n *Neighbours) startWait() time.Duration {
+	if n.agent {
+		return agentStartWait
+	}
+	return entryStartWait
+}
+
+// Reader returns a reader of a store that reads through peers in a large data centre. cache is nil for a process that no
+// peer reads from.
+func (n *Neighbours) Reader(direct Store, caller Caller, cache *Cache) *Reader {
+	return &Reader{Direct: direct, Caller: caller, Cache: cache, Source: &n.source, OnPeerFailure: n.peerFailed, DelayDirectReads: n.agent}
+}
+
+func (n *Neighbours) peerFailed(address string, err error) {
+	logevent.Info(n.log, logevent.PeerFailed).Str("peer", address).Err(err).Msg("peer failed")
+	n.step(source.Failed{Address: address})
+}
+
+// Heard handles a received datagram: the heartbeat of an entry, or a report of the entries of this data centre.
+func (n *Neighbours) Heard(from netip.AddrPort, m loadreport.Message) {
+	if m.EntryCount > 0 {
+		n.step(source.Told{Entries: m.Entries, Count: m.EntryCount})
+	}
+	if m.RunningMS > 0 {
+		n.recordSeedUptime(time.Duration(m.RunningMS) * time.Millisecond)
+	}
+	if m.DataCentre == "" || m.Agent {
+		return
+	}
+	now := time.Now()
+	n.mu.Lock()
+	n.heartbeats.Record(now, from, m.DataCentre)
+	entries := n.entries(now, n.dataCentre)
+	n.mu.Unlock()
+	if m.DataCentre == n.dataCentre {
+		n.step(source.Told{Entries: entries, Count: len(entries)})
+	}
+}
+
+// recordSeedUptime records how long a seed has been running.
+func (n *Neighbours) recordSeedUptime(uptime time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.seedUptimeLead = max(n.seedUptimeLead, uptime-time.Since(n.startedAt))
+}
+
+// FleetRuns reports whether this process has joined a fleet that was already running, as far as it knows. The processes
+// of a fleet that starts at once all start within a second.
+func (n *Neighbours) FleetRuns() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.seedUptimeLead > minUptimeLead
+}
+
+// entries returns the known entries of a data centre, including this process if it is one. The caller must hold the lock.
+func (n *Neighbours) entries(now time.Time, dataCentre string) []string {
+	list := n.heartbeats.Entries(now, dataCentre)
+	if !n.agent && dataCentre == n.dataCentre {
+		list = append(list, n.self)
+	}
+	return list
+}
+
+// Tell adds to a message what its receiver must know of the entries of its data centre. It adds nothing for a data centre
+// with fewer entries than source.LeastEntries, where each process reads the store itself.
+func (n *Neighbours) Tell(dataCentre string, m *loadreport.Message) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := time.Now()
+	l, known := n.entryLists[dataCentre]
+	if discovering := now.Sub(n.startedAt) < discoveryTime; !known || discovering || now.Sub(l.createdAt) > entryListTTL {
+		entries := n.entries(now, dataCentre)
+		l = entryList{createdAt: now, entries: source.First(dataCentre, entries), count: len(entries)}
+		if l.count >= source.LeastEntries { // A shorter list is not reused: after a start, more entries follow soon.
+			n.entryLists[dataCentre] = l
+		}
+	}
+	if l.count >= source.LeastEntries {
+		m.Entries, m.EntryCount = l.entries, l.count
+	}
+}
+
+// AddEntriesForAgent adds to a message to an agent from which entries of its data centre it may read.
+func (n *Neighbours) AddEntriesForAgent(agent, dataCentre string, m *loadreport.Message) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if entries := n.entries(time.Now(), dataCentre); len(entries) >= source.LeastEntries {
+		m.Entries, m.EntryCount = source.For(agent, entries), len(entries)
+	}
+}
+
+// Sender sends messages; see loadreport.Socket.
+type Sender interface {
+	Send(to netip.AddrPort, m loadreport.Message) error
+}
+
+// Answer replies to the heartbeat of a process that uses this one as a seed. It ignores messages that are not heartbeats.
+func (n *Neighbours) Answer(socket Sender, from netip.AddrPort, m loadreport.Message) {
+	if m.DataCentre == "" {
+		return
+	}
+	var reply loadreport.Message
+	if m.Agent {
+		n.AddEntriesForAgent(from.String(), m.DataCentre, &reply)
+	} else {
+		n.Tell(m.DataCentre, &reply)
+	}
+	if reply.EntryCount > 0 {
+		reply.RunningMS = time.Since(n.startedAt).Milliseconds()
+		n.send(socket, from, reply)
+	}
+}
+
+// GreetSeeds sends heartbeats to the seeds until ctx is cancelled: often while this process is not ready, and every 3
+// seconds afterwards. For an agent it returns when the agent is ready: entries then send heartbeats to it, so that it no
+// longer needs the seeds.
+func (n *Neighbours) GreetSeeds(ctx context.Context, socket Sender, ready func() bool) {
+	m := loadreport.Message{DataCentre: n.dataCentre, Agent: n.agent}
+	for wait := initialSeedInterval; ctx.Err() == nil; wait = min(2*wait, maxSeedInterval) {
+		for _, seed := range n.seeds {
+			n.send(socket, seed, m)
+		}
+		interval := wait
+		if ready() {
+			interval = readySeedInterval
+		}
+		if ready() && n.agent {
+			return
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(interval):
+		}
+	}
+}
+
+func (n *Neighbours) send(socket Sender, to netip.AddrPort, m loadreport.Message) {
+	if err := socket.Send(to, m); err != nil {
+		logevent.Info(n.log, logevent.PeerFailed).Str("peer", to.String()).Err(err).Msg("peer failed")
+	}
+}
+
+// releaseListsIfKnown ends the delay of lists once it is known from where to read. The caller must hold the lock.
+func (n *Neighbours) releaseListsIfKnown() {
+	if n.state.Address() != "" || time.Since(n.startedAt) > settleTime {
+		n.source.releaseLists()
+	}
+}
+
+// Tick removes outdated information on peers. It must be called regularly.
+func (n *Neighbours) Tick() { n.step(step.Tick{}) }
+
+// step applies an event to the state and carries out its effects.
+func (n *Neighbours) step(ev step.Event) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if told, ok := ev.(source.Told); ok && told.Count >= source.LeastEntries {
+		defer n.releaseListsIfKnown()
+	}
+	for _, e := range n.state.Reduce(step.Input{Now: time.Now(), Event: ev}) {
+		if c, changed := e.(source.Changed); changed {
+			logevent.Info(n.log, logevent.BeliefChanged).Str("what", "source").Str("value", c.Address).Int("entries", c.Entries).Msg("belief changed")
+			n.source.Set(c.Address)
+		}
+	}
+}
--- /dev/null
+++ b/internal/storefeed/reader.go
@@ -0,0 +1,263 @@
+package storefeed
+
+import (
+	"context"
+	"encoding/json"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"samphireweir.example/samphireweir/internal/control"
+	"samphireweir.example/samphireweir/platform"
+)
+
+const (
+	// Method is the control method with which a process reads from a peer.
+	Method = "store.read"
+	// maxWait is the maximum time that a read request may wait for changes. It is below the timeout of a control call.
+	maxWait = 2500 * time.Millisecond
+	// readerTTL is how long after the last read request a process assumes that peers read from it.
+	readerTTL = 3 * time.Second
+	// maxPeerWait is the maximum time that a read request to a peer waits for changes. It is short so that a peer that
+	// stopped responding is noticed soon.
+	maxPeerWait = 500 * time.Millisecond
+	// peerSlack is how much longer than the requested wait a peer may take before the request times out.
+	peerSlack = 300 * time.Millisecond
+	// peerListTimeout is the timeout of a list from a peer. The peer may still wait for its own list, and a megabyte takes
+	// one second over an agent's link.
+	peerListTimeout = 2900 * time.Millisecond
+	// directReadDelay is how long a process with DelayDirectReads keeps reading from stale entries before it reads the
+	// store itself. It is longer than entries need to reach a store that has recovered.
+	directReadDelay = 8 * time.Second
+)
+
+// Object is an object of the store as processes exchange it; see platform.Object.
+type Object struct {
+	Name     string          `json:"name"`
+	Revision int64           `json:"revision"`
+	Deleted  bool            `json:"deleted,omitempty"`
+	Spec     json.RawMessage `json:"spec,omitempty"`
+}
+
+// ReadRequest requests the changes of a kind.
+type ReadRequest struct {
+	Kind string `json:"kind"`
+	// Since is the revision up to which the reader knows the kind; 0 requests all objects.
+	Since int64 `json:"since"`
+	// WaitMS is how long to wait for changes, in milliseconds.
+	WaitMS int64 `json:"wait_ms"`
+}
+
+// State is the outcome of a read request.
+type State string
+
+// The outcomes of a read request.
+const (
+	// StateUpdated means that the response holds the changed objects, or all objects if Since was 0.
+	StateUpdated State = "told"
+	// StateUnchanged means that nothing changed.
+	StateUnchanged State = "same"
+	// StateHistoryGone means that the changes since the requested revision are no longer known.
+	StateHistoryGone State = "gone"
+	// StateStale means that the responding process has had no recent response from the store.
+	StateStale State = "behind"
+)
+
+// ReadResponse is the response to a ReadRequest.
+type ReadResponse struct {
+	State    State    `json:"state"`
+	Revision int64    `json:"revision"`
+	Objects  []Object `json:"objects,omitempty"`
+	// Packed holds the objects in compressed form, instead of Objects, if they are large; see pack.
+	Packed []byte `json:"packed,omitempty"`
+	// AgeMS is the time since the store last responded, in milliseconds.
+	AgeMS int64 `json:"age_ms"`
+}
+
+// Handlers returns the control handlers that serve the cache to peers.
+func (c *Cache) Handlers() control.Handlers {
+	return control.Handlers{Method: func(ctx context.Context, _ string, params json.RawMessage) (any, error) {
+		var req ReadRequest
+		if err := control.Decode(params, &req); err != nil {
+			return nil, err
+		}
+		return c.waitForChanges(ctx, req), nil
+	}}
+}
+
+// errStale means that a peer has had no recent response from the store.
+var errStale = errors.New("peer has no recent data from the store")
+
+// Store is the platform's store.
+type Store interface {
+	List(ctx context.Context, kind string, stale bool) ([]platform.Object, int64, error)
+	Watch(ctx context.Context, kind string, revision int64, wait time.Duration) ([]platform.Object, int64, error)
+}
+
+// Caller makes control calls to peers; see control.Pool.
+type Caller interface {
+	Call(ctx context.Context, address, method string, params, answer any) error
+}
+
+// Reader reads the store, either directly or through a peer, and caches what it read. It implements Store.
+type Reader struct {
+	// Direct is the store itself.
+	Direct Store
+	// Caller makes the calls to peers.
+	Caller Caller
+	// Cache keeps what is read; nil for a process that no peer reads from.
+	Cache *Cache
+	// Source is where to read from.
+	Source *Source
+	// OnPeerFailure is called when a peer did not respond or responded that it is stale.
+	OnPeerFailure func(address string, err error)
+	// DelayDirectReads keeps the process from reading the store as soon as its peers are stale. It is set for processes
+	// that receive urgent changes in another way. Otherwise, when a store recovers, all processes of a large fleet would
+	// request the same objects at once and fill the links between regions.
+	DelayDirectReads bool
+
+	mu sync.Mutex
+	// staleSince is since when the peers have been stale; zero when they are not.
+	staleSince time.Time
+}
+
+// List reads all objects of a kind. If the source changes while a list is in progress, the list is started again from the
+// new source.
+func (r *Reader) List(ctx context.Context, kind string, stale bool) ([]platform.Object, int64, error) {
+	r.Source.waitUntilReleased(ctx)
+	for {
+		address, listCtx, done := r.Source.beginList(ctx)
+		objects, revision, age, err := r.list(listCtx, address, kind, stale)
+		sourceChanged := listCtx.Err() != nil && ctx.Err() == nil
+		done()
+		switch {
+		case err == nil:
+			r.updateCache(func(c *Cache) { c.putList(kind, objects, revision, age) })
+			return objects, revision, nil
+		case sourceChanged:
+			continue
+		case address == "", ctx.Err() != nil:
+			return nil, 0, err
+		}
+		r.peerFailed(address, err)
+	}
+}
+
+func (r *Reader) list(ctx context.Context, address, kind string, stale bool) ([]platform.Object, int64, time.Duration, error) {
+	if address == "" && r.mustWait() {
+		return nil, 0, 0, errStale
+	}
+	if address == "" {
+		objects, revision, err := r.Direct.List(ctx, kind, stale)
+		if err == nil {
+			r.clearStale()
+		}
+		return objects, revision, 0, err
+	}
+	return r.readPeer(ctx, address, ReadRequest{Kind: kind, WaitMS: maxWait.Milliseconds()}, peerListTimeout)
+}
+
+// Watch waits for changes of a kind. If the peer does not respond, Watch reads the store at once. If the peer is stale and
+// another peer is available, Watch returns an error, so that the caller tries again with that one.
+func (r *Reader) Watch(ctx context.Context, kind string, revision int64, wait time.Duration) ([]platform.Object, int64, error) {
+	if address := r.Source.Address(); address != "" {
+		peerWait := min(wait, maxPeerWait)
+		req := ReadRequest{Kind: kind, Since: revision, WaitMS: peerWait.Milliseconds()}
+		objects, at, age, err := r.readPeer(ctx, address, req, peerWait+peerSlack)
+		if err == nil {
+			r.updateCache(func(c *Cache) { c.putChanges(kind, objects, at, age) })
+		}
+		if err == nil || errors.Is(err, platform.ErrHistoryGone) || ctx.Err() != nil {
+			return objects, at, err
+		}
+		r.peerFailed(address, err)
+		if errors.Is(err, errStale) && r.Source.Address() != "" {
+			return nil, 0, err // The next peer may have recent data, and the store may refuse this process, too.
+		}
+		wait = 0 // A change that the peer did not report may have been waiting in the store for a while.
+	}
+	if r.mustWait() {
+		return nil, 0, errStale
+	}
+	if r.Cache != nil && r.Cache.hasReaders() {
+		wait = min(wait, r.Cache.storeWait)
+	}
+	objects, at, err := r.Direct.Watch(ctx, kind, revision, wait)
+	if err == nil {
+		r.clearStale()
+		r.updateCache(func(c *Cache) { c.putChanges(kind, objects, at, 0) })
+	}
+	return objects, at, err
+}
+
+// peerFailed records that a read from a peer failed with err, so that the next read uses another source.
+func (r *Reader) peerFailed(address string, err error) {
+	if errors.Is(err, errStale) {
+		r.markStale()
+	}
+	r.OnPeerFailure(address, err)
+}
+
+// markStale records that a peer that this process reads from is stale.
+func (r *Reader) markStale() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.staleSince.IsZero() {
+		r.staleSince = time.Now()
+	}
+}
+
+// mustWait reports whether this process must not read the store yet, because DelayDirectReads is set and its peers have
+// become stale only recently.
+func (r *Reader) mustWait() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.DelayDirectReads && !r.staleSince.IsZero() && time.Since(r.staleSince) < directReadDelay
+}
+
+// clearStale records that recent data arrived, from the store or from a peer.
+func (r *Reader) clearStale() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.staleSince = time.Time{}
+}
+
+// Shared reports whether the process reads from a peer. Such calls cost nothing at the store.
+func (r *Reader) Shared() bool { return r.Source.Address() != "" }
+
+// updateCache calls update with the cache, if there is one.
+func (r *Reader) updateCache(update func(*Cache)) {
+	if r.Cache != nil {
+		update(r.Cache)
+	}
+}
+
+// readPeer sends a read request to a peer. It returns the objects, their revision and the age of the peer's data.
+func (r *Reader) readPeer(ctx context.Context, address string, req ReadRequest, timeout time.Duration) ([]platform.Object, int64, time.Duration, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	var resp ReadResponse
+	if err := r.Caller.Call(ctx, address, Method, req, &resp); err != nil {
+		return nil, 0, 0, err
+	}
+	switch {
+	case resp.State == StateHistoryGone:
+		return nil, 0, 0, platform.ErrHistoryGone
+	case resp.State == StateStale, resp.State == StateUnchanged && req.Since == 0:
+		return nil, 0, 0, errStale
+	}
+	r.clearStale()
+	if len(resp.Packed) > 0 {
+		unpacked, err := unpack(resp.Packed)
+		if err != nil {
+			return nil, 0, 0, err
+		}
+		resp.Objects = unpacked
+	}
+	objects := make([]platform.Object, 0, len(resp.Objects))
+	for _, o := range resp.Objects {
+		objects = append(objects, platform.Object(o))
+	}
+	return objects, resp.Revision, time.Duration(resp.AgeMS) * time.Millisecond, nil
+}
