--- a/internal/control/codec.go
+++ b/internal/control/codec.go
@@ -9,14 +9,14 @@
 	"samphireweir.example/samphireweir/internal/code"
 )
 
-// MaxMessage bounds one message, in bytes. A longer one ends its connection.
+// MaxMessage is the maximum size of a message, in bytes. A larger message closes its connection.
 const MaxMessage = 4 << 20
 
-// lengthSize is the size of the length before each message, in bytes.
+// lengthSize is the size of the length prefix of each message, in bytes.
 const lengthSize = 4
 
-// boundedCodec writes a message as its length (big endian) and its JSON, and refuses lengths over MaxMessage
-// before it reads them.
+// boundedCodec encodes a message as its length (big endian) followed by its JSON. It rejects a length above MaxMessage
+// before it reads the message.
 type boundedCodec struct{ meter Meter }
 
 // WriteObject writes one message.
@@ -37,11 +37,11 @@
 
 // ReadObject reads one message into v.
 func (c boundedCodec) ReadObject(r *bufio.Reader, v any) error {
-	var head [lengthSize]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var prefix [lengthSize]byte
+	if _, err := io.ReadFull(r, prefix[:]); err != nil {
 		return err
 	}
-	n := binary.BigEndian.Uint32(head[:])
+	n := binary.BigEndian.Uint32(prefix[:])
 	if n > MaxMessage {
 		return code.Errorf(code.BadMessage, "length", "%d bytes, at most %d", n, MaxMessage)
 	}
@@ -56,6 +56,7 @@
 	return nil
 }
 
+// count adds a message to the meter, including its length prefix.
 func (c boundedCodec) count(direction string, length int) {
 	if c.meter != nil {
 		c.meter.ControlBytes(direction, lengthSize+length)
--- a/internal/control/codec_test.go
+++ b/internal/control/codec_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// exact decodes JSON with its numbers as they are written: a float64 does not hold each valid number.
-func exact(t *testing.T, raw []byte) any {
+// decodeExact decodes JSON and keeps numbers as they are written, since a float64 can't hold every valid number.
+func decodeExact(t *testing.T, raw []byte) any {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
 	var v any
@@ -18,15 +18,16 @@
 	return v
 }
 
-// FuzzReadObject feeds arbitrary bytes to the codec: it returns an error or a message that it writes back the same.
+// FuzzReadObject guards against input that makes the codec panic, or that it decodes to another message than the one that
+// it encodes again.
 func FuzzReadObject(f *testing.F) {
-	var good bytes.Buffer
-	_ = boundedCodec{}.WriteObject(&good, map[string]int{"a": 1})
-	f.Add(good.Bytes())
+	var valid bytes.Buffer
+	_ = boundedCodec{}.WriteObject(&valid, map[string]int{"a": 1})
+	f.Add(valid.Bytes())
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0, 0, 0, 1, '{'})
-	f.Add([]byte("\x00\x00\x00\a10E1000"))   // Valid JSON that no float64 holds.
-	f.Add([]byte("\x00\x00\x00\a \"00&\" ")) // Escaped on the way back.
+	f.Add([]byte("\x00\x00\x00\a10E1000"))   // Valid JSON that a float64 can't hold.
+	f.Add([]byte("\x00\x00\x00\a \"00&\" ")) // The encoder escapes the ampersand.
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var v json.RawMessage
 		if (boundedCodec{}).ReadObject(bufio.NewReader(bytes.NewReader(raw)), &v) != nil {
@@ -36,6 +37,6 @@
 		require.NoError(t, boundedCodec{}.WriteObject(&again, v))
 		var w json.RawMessage
 		require.NoError(t, boundedCodec{}.ReadObject(bufio.NewReader(&again), &w))
-		require.Equal(t, exact(t, v), exact(t, w))
+		require.Equal(t, decodeExact(t, v), decodeExact(t, w))
 	})
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,6 @@
-// Package control carries the control messages between the system's processes: JSON-RPC 2.0 over one long-lived
-// connection for each pair that talks. A connection begins as an HTTP request for an upgrade, so that one address
-// of a host serves control and bulk data alike.
+// Package control carries the control messages between the processes: JSON-RPC 2.0 over one long-lived connection for each
+// pair of processes that communicate. A connection starts as an HTTP upgrade request, so that one address of a host serves
+// both control messages and bulk data.
 package control
 
 import (
@@ -20,46 +20,46 @@
 )
 
 const (
-	// Path is where a connection asks to be upgraded.
+	// Path is the HTTP path of the upgrade request.
 	Path = "/control"
 	// Protocol is the value of the Upgrade header.
 	Protocol = "samphireweir-control"
-	// CallTimeout bounds one call; a peer that does not answer in time loses its connection.
+	// CallTimeout is the timeout of a call. The connection to a peer that does not respond in time is closed.
 	CallTimeout = 3 * time.Second
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout is the timeout of opening a connection, including the upgrade.
 	DialTimeout = time.Second
-	// FromHeader names the caller's own address in the upgrade request.
+	// FromHeader is the header of the upgrade request that holds the caller's own address.
 	FromHeader = "Samphireweir-From"
 )
 
-// Handler answers one method. params is the raw JSON of the parameters.
+// Handler handles the calls of one method. from is the caller's address, and params the raw JSON of the parameters.
 type Handler func(ctx context.Context, from string, params json.RawMessage) (any, error)
 
-// Handlers maps methods to what answers them.
+// Handlers maps method names to their handlers.
 type Handlers map[string]Handler
 
-// Meter counts control calls and the bytes of their messages. Direction is DirectionIn or DirectionOut.
+// Meter counts control calls and the bytes of their messages. The direction is DirectionIn or DirectionOut.
 type Meter interface {
 	ControlCall(method, direction string)
 	ControlBytes(direction string, n int)
 }
 
-// The directions that a Meter tells apart.
+// The directions of calls and messages.
 const (
 	DirectionIn  = "in"
 	DirectionOut = "out"
 )
 
-// noMeter counts nothing.
-type noMeter struct{}
+// noopMeter is a Meter that counts nothing.
+type noopMeter struct{}
 
-// ControlCall counts nothing.
-func (noMeter) ControlCall(string, string) {}
+// ControlCall does nothing.
+func (noopMeter) ControlCall(string, string) {}
 
-// ControlBytes counts nothing.
-func (noMeter) ControlBytes(string, int) {}
+// ControlBytes does nothing.
+func (noopMeter) ControlBytes(string, int) {}
 
-// Authorize sets the shared secret on a request between processes.
+// Authorize adds the shared secret of the processes to the headers of a request.
 func Authorize(h http.Header, secret string) { h.Set("Authorization", "Bearer "+secret) }
 
 // Server accepts control connections.
@@ -67,14 +67,14 @@
 	handlers Handlers
 	// Meter may be set before the first connection.
 	Meter Meter
-	// OnPanic, when set, hears of panics that were contained in one message.
+	// OnPanic, if set, is called with the value of each panic that was recovered from a handler.
 	OnPanic func(cause any)
 }
 
-// NewServer returns a server of handlers.
-func NewServer(h Handlers) *Server { return &Server{handlers: h, Meter: noMeter{}} }
+// NewServer returns a server that dispatches calls to handlers.
+func NewServer(h Handlers) *Server { return &Server{handlers: h, Meter: noopMeter{}} }
 
-// ServeHTTP upgrades a connection and serves it until it ends.
+// ServeHTTP upgrades a connection and serves calls on it until it is closed.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Upgrade") != Protocol {
 		http.Error(w, "want an upgrade to "+Protocol, http.StatusUpgradeRequired)
@@ -93,13 +93,14 @@
 	}
 	from := r.Header.Get(FromHeader)
 	h := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(func(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
-		return s.answer(ctx, from, req)
+		return s.dispatch(ctx, from, req)
 	}))
-	c := jsonrpc2.NewConn(context.Background(), newStream(conn, rw.Reader, s.Meter), h, quiet)
+	c := jsonrpc2.NewConn(context.Background(), newStream(conn, rw.Reader, s.Meter), h, discardLog)
 	<-c.DisconnectNotify()
 }
 
-func (s *Server) answer(ctx context.Context, from string, req *jsonrpc2.Request) (any, error) {
+// dispatch passes a call to its handler and converts coded errors to JSON-RPC errors.
+func (s *Server) dispatch(ctx context.Context, from string, req *jsonrpc2.Request) (any, error) {
 	h, ok := s.handlers[req.Method]
 	if ok {
 		s.Meter.ControlCall(req.Method, DirectionIn)
@@ -110,16 +111,16 @@
 	if req.Params != nil {
 		params = *req.Params
 	}
-	answer, err := s.contained(ctx, h, from, params)
+	result, err := s.callHandler(ctx, h, from, params)
 	var coded *code.Error
 	if errors.As(err, &coded) {
 		return nil, &jsonrpc2.Error{Code: int64(coded.Code), Message: coded.Error()}
 	}
-	return answer, err
+	return result, err
 }
 
-// contained runs a handler; a panic in it is an error of this one message.
-func (s *Server) contained(ctx context.Context, h Handler, from string, params json.RawMessage) (answer any, err error) {
+// callHandler calls a handler. A panic in the handler becomes an error of this call only.
+func (s *Server) callHandler(ctx context.Context, h Handler, from string, params json.RawMessage) (result any, err error) {
 	defer func() {
 		cause := recover()
 		if cause == nil {
@@ -133,7 +134,7 @@
 	return h(ctx, from, params)
 }
 
-// Decode reads parameters into a typed message.
+// Decode decodes parameters into a typed message. The error has the code code.BadMessage.
 func Decode(params json.RawMessage, into any) error {
 	if err := json.Unmarshal(params, into); err != nil {
 		return code.Errorf(code.BadMessage, "params", "%v", err)
@@ -141,16 +142,16 @@
 	return nil
 }
 
-// bufferedConn is a connection of which the first bytes were read ahead with the upgrade.
+// bufferedConn is a connection whose first bytes may have been buffered while the upgrade was read.
 type bufferedConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-// Read reads what was read ahead first.
+// Read returns the buffered bytes first, and counts all bytes.
 func (c *bufferedConn) Read(p []byte) (int, error) {
 	n, err := c.r.Read(p)
-	carried.in.Add(int64(n))
+	transferred.in.Add(int64(n))
 	return n, err
 }
 
@@ -158,7 +159,7 @@
 	return jsonrpc2.NewBufferedStream(&bufferedConn{Conn: conn, r: r}, boundedCodec{meter: m})
 }
 
-// Pool holds the connections of this process to its peers.
+// Pool holds the connections of this process to its peers. It is safe for concurrent use.
 type Pool struct {
 	self   string
 	secret string
@@ -167,11 +168,11 @@
 	Meter Meter
 	mu    sync.Mutex
 	conns map[string]*jsonrpc2.Conn
-	// closed keeps connections from being made after Close.
+	// closed is set by Close and prevents new connections.
 	closed bool
 }
 
-// Close closes all connections for good.
+// Close closes all connections and prevents new ones.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,15 +182,16 @@
 	}
 }
 
-// DialFunc makes a connection to a peer; it may secure it.
+// DialFunc opens a connection to a peer. It may add TLS.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // NewPool returns a pool for the process at address self.
 func NewPool(self, secret string, dial DialFunc) *Pool {
-	return &Pool{self: self, secret: secret, dialer: dial, Meter: noMeter{}, conns: map[string]*jsonrpc2.Conn{}}
+	return &Pool{self: self, secret: secret, dialer: dial, Meter: noopMeter{}, conns: map[string]*jsonrpc2.Conn{}}
 }
 
-// Call calls a method of the peer at address and decodes its answer.
+// Call calls a method of the peer at address and decodes the result into answer. It closes the connection if the call
+// fails otherwise than by an error response.
 func (p *Pool) Call(ctx context.Context, address, method string, params, answer any) error {
 	p.Meter.ControlCall(method, DirectionOut)
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
@@ -206,11 +208,12 @@
 	if errors.As(err, &remote) {
 		return errors.Wrapf(err, "%s at %s", method, address)
 	}
-	// Silent or broken: the next call makes a new connection.
+	// The peer did not respond or the connection failed. The next call opens a new connection.
 	p.drop(address, c)
 	return errors.Wrapf(err, "%s at %s", method, address)
 }
 
+// conn returns the connection to a peer, and opens it if there is none.
 func (p *Pool) conn(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	p.mu.Lock()
 	c := p.conns[address]
@@ -220,7 +223,7 @@
 	}
 	fresh, err := p.dial(ctx, address)
 	if err != nil {
-		return nil, errors.Wrapf(err, "connect to %s", address)
+		return nil, errors.Wrapf(err, "connecting to %s", address)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -230,18 +233,20 @@
 	}
 	if p.closed {
 		_ = fresh.Close()
-		return nil, errors.Errorf("connect to %s: the process stops", address)
+		return nil, errors.Errorf("connecting to %s: connection pool is closed", address)
 	}
 	p.conns[address] = fresh
-	go p.forget(address, fresh)
+	go p.dropWhenClosed(address, fresh)
 	return fresh, nil
 }
 
-func (p *Pool) forget(address string, c *jsonrpc2.Conn) {
+// dropWhenClosed removes a connection from the pool once it is closed.
+func (p *Pool) dropWhenClosed(address string, c *jsonrpc2.Conn) {
 	<-c.DisconnectNotify()
 	p.drop(address, c)
 }
 
+// drop removes a connection from the pool and closes it.
 func (p *Pool) drop(address string, c *jsonrpc2.Conn) {
 	p.mu.Lock()
 	if p.conns[address] == c {
@@ -251,6 +256,7 @@
 	_ = c.Close()
 }
 
+// dial opens a connection to a peer and upgrades it.
 func (p *Pool) dial(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
@@ -265,9 +271,10 @@
 		return nil, err
 	}
 	_ = conn.SetDeadline(time.Time{})
-	return jsonrpc2.NewConn(context.Background(), newStream(conn, r, p.Meter), refuseAll{}, quiet), nil
+	return jsonrpc2.NewConn(context.Background(), newStream(conn, r, p.Meter), rejectCalls{}, discardLog), nil
 }
 
+// upgrade sends the upgrade request and reads the response. The returned reader may have buffered the first bytes after it.
 func (p *Pool) upgrade(conn net.Conn, address string) (*bufio.Reader, error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+address+Path, nil)
 	if err != nil {
@@ -291,11 +298,11 @@
 	return r, nil
 }
 
-// refuseAll answers calls on connections that this process made itself: the called side never calls back.
-type refuseAll struct{}
+// rejectCalls rejects calls on the connections that this process opened itself: the peer must not call back.
+type rejectCalls struct{}
 
-// Handle refuses the call.
-func (refuseAll) Handle(ctx context.Context, c *jsonrpc2.Conn, req *jsonrpc2.Request) {
+// Handle rejects the call.
+func (rejectCalls) Handle(ctx context.Context, c *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	if req.Notif {
 		return
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -19,6 +19,7 @@
 	"samphireweir.example/samphireweir/internal/control"
 )
 
+// echo is the message that the test server returns as it received it.
 type echo struct {
 	Text string `json:"text"`
 }
@@ -44,7 +45,7 @@
 	return control.NewPool("test", "secret", d.DialContext)
 }
 
-// TestCall carries a call there and back over an upgraded connection.
+// TestCall guards against parameters or results that change on their way over an upgraded connection.
 func TestCall(t *testing.T) {
 	address := echoServer(t)
 	var got echo
@@ -52,7 +53,8 @@
 	require.Equal(t, "x", got.Text)
 }
 
-// TestPanicIsContained answers a call whose handler panics with a code; the process and the connection go on.
+// TestPanicIsContained guards against a panic in a handler that ends the process or the connection. The call must fail with
+// a code, and the next call must succeed.
 func TestPanicIsContained(t *testing.T) {
 	address := echoServer(t)
 	pool := newPool()
@@ -62,8 +64,8 @@
 	require.Equal(t, "after", got.Text)
 }
 
-// TestBadCallHurtsNothingElse answers a malformed call with its code; the connection goes on.
-func TestBadCallHurtsNothingElse(t *testing.T) {
+// TestMalformedCallFailsAlone guards against a malformed call, or one to an unknown method, that also fails later calls.
+func TestMalformedCallFailsAlone(t *testing.T) {
 	address := echoServer(t)
 	pool := newPool()
 	var got echo
@@ -74,6 +76,7 @@
 	require.Equal(t, "y", got.Text)
 }
 
+// upgrade opens a control connection without a Pool, so that a test can send arbitrary bytes.
 func upgrade(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
@@ -88,8 +91,9 @@
 	return conn, r
 }
 
-// TestOversizedOrBrokenMessageEndsItsConnectionOnly closes the connection that sent it; others go on.
-func TestOversizedOrBrokenMessageEndsItsConnectionOnly(t *testing.T) {
+// TestOversizedOrMalformedMessageClosesOnlyItsConnection guards against a message that is too long or not JSON and affects
+// other connections than the one that sent it.
+func TestOversizedOrMalformedMessageClosesOnlyItsConnection(t *testing.T) {
 	address := echoServer(t)
 	for name, message := range map[string][]byte{
 		"too long": binary.BigEndian.AppendUint32(nil, control.MaxMessage+1),
@@ -105,8 +109,8 @@
 	require.NoError(t, newPool().Call(context.Background(), address, "echo", echo{Text: "z"}, &got))
 }
 
-// TestDialRefused returns an error for a peer that is not there.
-func TestDialRefused(t *testing.T) {
+// TestCallToUnreachablePeerFails guards against a call that hangs or succeeds when nothing listens at the peer's address.
+func TestCallToUnreachablePeerFails(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
--- a/internal/control/quiet_test.go
+++ b/internal/control/rpclog_test.go
@@ -14,15 +14,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stderrOf runs f and returns what was written to standard error meanwhile.
-func stderrOf(t *testing.T, f func()) string {
+// captureStderr runs f and returns what was written to standard error meanwhile.
+func captureStderr(t *testing.T, f func()) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "stderr")
 	file, err := os.Create(path)
 	require.NoError(t, err)
-	real := os.Stderr
+	original := os.Stderr
 	os.Stderr = file
-	defer func() { os.Stderr = real }()
+	defer func() { os.Stderr = original }()
 	f()
 	require.NoError(t, file.Close())
 	text, err := os.ReadFile(path)
@@ -30,14 +30,14 @@
 	return string(text)
 }
 
-// TestBrokenConnectionsWriteNoLineOfTheirOwn breaks a connection while its server works on a call, and one by bytes that
-// are no message.
-func TestBrokenConnectionsWriteNoLineOfTheirOwn(t *testing.T) {
+// TestFailedConnectionsWriteNothingToStderr guards against lines that the JSON-RPC library writes to standard error by
+// itself, without an event number. One connection is closed while the server handles a call, and one by malformed bytes.
+func TestFailedConnectionsWriteNothingToStderr(t *testing.T) {
 	const (
-		patience = 20 * time.Second
-		settle   = 50 * time.Millisecond // for lines that would come after the end of a connection
+		testTimeout = 20 * time.Second
+		settleTime  = 50 * time.Millisecond // Lines may be written after a connection is closed.
 	)
-	text := stderrOf(t, func() {
+	text := captureStderr(t, func() {
 		called, release := make(chan struct{}), make(chan struct{})
 		s := httptest.NewServer(NewServer(Handlers{"wait": func(context.Context, string, json.RawMessage) (any, error) {
 			close(called)
@@ -57,14 +57,14 @@
 
 		conn, err := net.Dial("tcp", address)
 		require.NoError(t, err)
-		require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+		require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 		r, err := p.upgrade(conn, address)
 		require.NoError(t, err)
 		_, err = io.WriteString(conn, "Content-Length: nonsense\r\n\r\n")
 		require.NoError(t, err)
 		_, err = r.ReadByte()
 		require.Error(t, err)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	})
 	require.Empty(t, text)
 }
--- a/internal/control/traffic.go
+++ b/internal/control/traffic.go
@@ -2,15 +2,15 @@
 
 import "sync/atomic"
 
-// carried counts the bytes of all control connections of this process; a process has one set of them.
-var carried struct{ in, out atomic.Int64 }
+// transferred counts the bytes of all control connections of this process.
+var transferred struct{ in, out atomic.Int64 }
 
-// Carried returns the bytes read from and written to control connections since the process started.
-func Carried() (in, out int64) { return carried.in.Load(), carried.out.Load() }
+// Carried returns the number of bytes read from and written to all control connections since the process started.
+func Carried() (in, out int64) { return transferred.in.Load(), transferred.out.Load() }
 
-// Write writes and counts.
+// Write writes bytes to the connection and counts them.
 func (c *bufferedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	carried.out.Add(int64(n))
+	transferred.out.Add(int64(n))
 	return n, err
 }
