--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,67 +1,73 @@
-// Package fleet holds the messages in which a process tells operators what it knows of the whole fleet.
+// Package fleet defines the messages in which a process reports its view of the complete fleet to operators.
 package fleet
 
-// The paths on a process's operators' address.
+// HTTP paths of a process's operator interface.
 const (
 	StatusPath  = "/status"
 	InForcePath = "/inforce"
 	PreviewPath = "/preview"
 )
 
-// MaxNames bounds the names in one answer; the counts go on.
+// MaxNames is the maximum number of names in each list of an InForce. The counts include processes that are not named.
 const MaxNames = 20
 
 // InForce counts the processes that have a revision of a setting in force.
 type InForce struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
-	// Processes is how many are listed; Current of them have the revision.
+	// Processes is the number of processes in the host list, and Current the number of those that have the revision in
+	// force.
 	Processes int `json:"processes"`
 	Current   int `json:"current"`
-	// Lagging are the addresses that answered and do not have it, Silent those that did not answer; at most
-	// MaxNames of each.
+	// Lagging holds the addresses of processes that responded and do not have the revision in force, and Silent those of
+	// processes that did not respond. Each holds at most MaxNames addresses.
 	Lagging []string `json:"lagging,omitempty"`
 	Silent  []string `json:"silent,omitempty"`
-	// LaggingCount and SilentCount count them all.
+	// LaggingCount and SilentCount are the numbers of all such processes, named or not.
 	LaggingCount int `json:"lagging_count"`
 	SilentCount  int `json:"silent_count"`
 }
 
-// Everywhere tells whether every listed process has the revision.
+// Everywhere reports whether every listed process has the revision in force. It is false if there are no processes.
 func (f InForce) Everywhere() bool { return f.Processes > 0 && f.Current == f.Processes }
 
-// Add adds the counts of a part of the fleet.
+// Add adds the counts of another part of the fleet.
 func (f *InForce) Add(part InForce) {
 	f.Processes += part.Processes
 	f.Current += part.Current
 	f.LaggingCount += part.LaggingCount
 	f.SilentCount += part.SilentCount
-	f.Lagging = bounded(append(f.Lagging, part.Lagging...))
-	f.Silent = bounded(append(f.Silent, part.Silent...))
+	f.Lagging = truncated(append(f.Lagging, part.Lagging...))
+	f.Silent = truncated(append(f.Silent, part.Silent...))
 }
 
-func bounded(names []string) []string { return names[:min(len(names), MaxNames)] }
+// truncated returns the first MaxNames names.
+func truncated(names []string) []string { return names[:min(len(names), MaxNames)] }
 
-// Preview says what a setting would change if it were in force.
+// Preview describes what would change if a setting were in force.
 type Preview struct {
-	// Load lists the upstreams that would load weights, Drop those that would no longer serve, as HOST/UPSTREAM.
+	// Load holds the upstreams that would load weights, and Drop those that would no longer serve. Both name them as
+	// HOST/UPSTREAM.
 	Load []string `json:"load,omitempty"`
 	Drop []string `json:"drop,omitempty"`
-	// Keep counts the upstreams that stay as they are.
+	// Keep is the number of upstreams that would not change.
 	Keep int `json:"keep"`
-	// Hosts counts the hosts that need a new copy of the weights.
+	// Hosts is the number of hosts that would need a new copy of the weights.
 	Hosts int `json:"hosts"`
-	// Short lists places that have fewer upstreams of the service than the setting asks for.
+	// Short holds the data centres with fewer upstreams of the service than the setting requests.
 	Short []Shortage `json:"short,omitempty"`
-	// Services lists the other services with an upstream on the hosts that change; they share those hosts' links.
+	// Services holds the other services with an upstream on the hosts that would change. They share the links of those
+	// hosts.
 	Services []string `json:"services,omitempty"`
 }
 
-// Shortage is a place with too few upstreams.
+// Shortage is a data centre with fewer upstreams than requested.
 type Shortage struct {
+	// Place is the data centre.
 	Place string `json:"place"`
-	Want  int    `json:"want"`
-	Have  int    `json:"have"`
+	// Want is the requested number of upstreams, and Have the actual one.
+	Want int `json:"want"`
+	Have int `json:"have"`
 }
 
 // Status is one process's view of the fleet.
@@ -69,61 +75,66 @@
 	Process  Process   `json:"process"`
 	Hosts    Hosts     `json:"hosts"`
 	Services []Service `json:"services"`
-	// Problems says what is wrong and what to do next, the gravest first.
+	// Problems holds the problems that the process sees, the most severe first.
 	Problems []Problem `json:"problems,omitempty"`
 }
 
-// Process is the process that was asked.
+// Process describes the process that sent the status.
 type Process struct {
 	Name   string `json:"name"`
 	Role   string `json:"role"`
 	Place  string `json:"place"`
 	Region string `json:"region"`
 	Ready  bool   `json:"ready"`
-	// CompleteTo is the object API's revision up to which the process knows every setting.
+	// CompleteTo is the revision of the object API up to which the process knows all settings.
 	CompleteTo uint64 `json:"complete_to"`
-	// PlatformSilentMS is how long no news of the platform has come, by itself or through others.
+	// PlatformSilentMS is the time since the process last received data of the platform, directly or through other
+	// processes, in milliseconds.
 	PlatformSilentMS int64 `json:"platform_silent_ms"`
-	// ControlIn and ControlOut are the bytes of its control connections since it started.
+	// ControlIn and ControlOut are the numbers of bytes that the process received and sent over control connections since it
+	// started.
 	ControlIn  int64 `json:"control_in"`
 	ControlOut int64 `json:"control_out"`
-	// Unreachable are the processes that did not answer it.
+	// Unreachable holds the processes that did not respond to it.
 	Unreachable []string `json:"unreachable,omitempty"`
 }
 
-// Hosts counts the listed processes.
+// Hosts holds the numbers of the processes in the host list by state.
 type Hosts struct {
 	Live    int `json:"live"`
 	Leaving int `json:"leaving"`
-	// Unheard are listed and have not advertised what they offer.
+	// Unheard is the number of live processes that have not advertised what they offer. Live includes them.
 	Unheard int `json:"unheard"`
-	// Places counts the live ones by place.
+	// Places is the number of live processes by data centre.
 	Places map[string]int `json:"places,omitempty"`
 }
 
-// Service is what one service should run and what it runs.
+// Service is the requested and the actual state of a service.
 type Service struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
 	Kind     string `json:"kind"`
-	// Weights names the model, adapter and version that the setting asks for.
+	// Weights names the model, adapter and version that the setting requests.
 	Weights string `json:"weights,omitempty"`
-	// Want and Serving count the upstreams by place: asked for, and serving the version asked for.
+	// Places holds the requested and the serving upstreams by data centre.
 	Places []PlaceCount `json:"places,omitempty"`
 }
 
-// PlaceCount counts a service's upstreams in one place.
+// PlaceCount holds the numbers of a service's upstreams in one data centre.
 type PlaceCount struct {
-	Place   string `json:"place"`
-	Want    int    `json:"want"`
-	Serving int    `json:"serving"`
-	// Loading are on their way, Other serve another version.
+	// Place is the data centre.
+	Place string `json:"place"`
+	// Want is the requested number of upstreams, and Serving the number of those that serve the requested version.
+	Want    int `json:"want"`
+	Serving int `json:"serving"`
+	// Loading is the number of upstreams that are loading the requested version, and Other of those that serve another one.
 	Loading int `json:"loading,omitempty"`
 	Other   int `json:"other,omitempty"`
 }
 
-// Problem is something wrong and what to do about it.
+// Problem describes a problem and how to resolve it.
 type Problem struct {
+	// What says what is wrong, and Next what to do next.
 	What string `json:"what"`
 	Next string `json:"next"`
 }
