--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -190,9 +190,9 @@
 	return &Pool{self: self, secret: secret, dialer: dial, Meter: noopMeter{}, conns: map[string]*jsonrpc2.Conn{}}
 }
 
-// Call calls a method of the peer at address and decodes the result into answer. It closes the connection if the call
+// Call calls a method of the peer at address and decodes the response into result. It closes the connection if the call
 // fails otherwise than by an error response.
-func (p *Pool) Call(ctx context.Context, address, method string, params, answer any) error {
+func (p *Pool) Call(ctx context.Context, address, method string, params, result any) error {
 	p.Meter.ControlCall(method, DirectionOut)
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
@@ -200,7 +200,7 @@
 	if err != nil {
 		return err
 	}
-	err = c.Call(ctx, method, params, answer)
+	err = c.Call(ctx, method, params, result)
 	if err == nil {
 		return nil
 	}
--- a/internal/storefeed/cache.go
+++ b/internal/storefeed/cache.go
@@ -191,7 +191,7 @@
 	for {
 		resp, changed := c.read(req.Kind, req.Since)
 		// A request for a first list waits while the cache is stale, since this process is about to read its own list. A
-		// peer that already has a list is told at once, so that it can read the store instead.
+		// peer that already has a list gets the response at once, so that it can read the store instead.
 		if resp.State == StateUpdated || resp.State == StateHistoryGone || resp.State == StateStale && req.Since > 0 {
 			return resp
 		}
--- a/internal/storefeed/peers.go
+++ b/internal/storefeed/peers.go
@@ -34,8 +34,8 @@
 	// read their lists.
 	entryStartWait = time.Second
 	agentStartWait = 3 * time.Second
-	// settleTime is how long after its start a process assumes that its peers do not know all entries yet. A process that
-	// relied on such a list could take itself for the first entry of its data centre, and read the store, when it is not.
+	// settleTime is how long after its start a process assumes that its peers do not know all entries yet. If it relied on
+	// their lists, it could wrongly conclude that it is the first entry of its data centre, and read the store.
 	settleTime = 250 * time.Millisecond
 	// discoveryTime is how long after its start a process keeps discovering its peers. Entry lists are not reused
 	// meanwhile.
--- a/internal/storefeed/peers_test.go
+++ b/internal/storefeed/peers_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func newNeighbours(agent bool) *storefeed.Neighbours {
+func newPeers(agent bool) *storefeed.Neighbours {
 	return storefeed.NewNeighbours(hostconfig.Host{DataCentre: "perth-a", Seeds: []string{"10.0.0.200:7700", "no address"}},
 		"10.0.0.200:7700", agent, zerolog.Nop())
 }
@@ -30,20 +30,20 @@
 func TestEntryListIsSentOnlyToLargeDataCentres(t *testing.T) {
 	t.Parallel()
 	var m loadreport.Message
-	n := newNeighbours(false)
+	n := newPeers(false)
 	receiveHeartbeats(n, 1, source.LeastEntries-2, loadreport.Message{DataCentre: "perth-a"})
 	receiveHeartbeats(n, 100, 20, loadreport.Message{DataCentre: "perth-a", Agent: true})
 	receiveHeartbeats(n, 150, 20, loadreport.Message{DataCentre: "bunbury-a"})
 	n.Tell("perth-a", &m)
 	require.Zero(t, m, "agents and entries elsewhere do not count")
 
-	n = newNeighbours(false)
+	n = newPeers(false)
 	receiveHeartbeats(n, 1, source.LeastEntries-1, loadreport.Message{DataCentre: "perth-a"})
 	n.Tell("perth-a", &m)
 	require.Equal(t, source.LeastEntries, m.EntryCount, "this process is counted")
 	require.Len(t, m.Entries, source.Candidates)
 
-	n = newNeighbours(true)
+	n = newPeers(true)
 	receiveHeartbeats(n, 1, source.LeastEntries-1, loadreport.Message{DataCentre: "perth-a"})
 	m = loadreport.Message{}
 	n.Tell("perth-a", &m)
--- a/internal/storefeed/reader.go
+++ b/internal/storefeed/reader.go
@@ -97,7 +97,7 @@
 
 // Caller makes control calls to peers; see control.Pool.
 type Caller interface {
-	Call(ctx context.Context, address, method string, params, answer any) error
+	Call(ctx context.Context, address, method string, params, result any) error
 }
 
 // Reader reads the store, either directly or through a peer, and caches what it read. It implements Store.
--- a/internal/storefeed/scaling_test.go
+++ b/internal/storefeed/scaling_test.go
@@ -25,8 +25,8 @@
 
 // TestSimultaneousStartCausesFewStoreLists guards against a start in which each process requests the same lists from the
 // store. Their bytes grow with the square of the fleet and fill the links between regions, so that calls time out and are
-// retried. Without this, a start of 988 hosts made 7,565 calls, which cost a seventh of what a day is worth and are eight
-// times as many as at 300 hosts.
+// retried. At 988 hosts, a start with this fault made 7,565 calls, eight times as many as at 300 hosts. They cost a seventh
+// of a day's value.
 func TestSimultaneousStartCausesFewStoreLists(t *testing.T) {
 	const small, large = 170, 1000
 	before, after := measureStart(t, small), measureStart(t, large)
@@ -43,7 +43,7 @@
 func (f *virtualFleet) rankedEntries(dataCentre string) []*virtualProcess {
 	var entries []string
 	for address, p := range f.processes {
-		if !p.agent && p.neighbours.dataCentre == dataCentre {
+		if !p.agent && p.peers.dataCentre == dataCentre {
 			entries = append(entries, address)
 		}
 	}
@@ -82,7 +82,7 @@
 			return third
 		},
 	} {
-		for _, how := range []failure{killed, silent, cutOff} {
+		for _, how := range []failure{killed, unresponsive, cutOff} {
 			t.Run(fmt.Sprintf("%s, %d", name, how), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
@@ -218,8 +218,8 @@
 }
 
 // TestPartialStoreOutageDoesNotCauseCallsFromAllProcesses guards against processes that all call the store repeatedly because
-// it refuses the entry that reads for their data centre. At 988 hosts, a day with 9 such seconds had 10,943 calls, which
-// cost a fifth of what the day is worth.
+// it refuses the entry that reads for their data centre. At 988 hosts, a day with 9 such seconds had 10,943 calls,
+// which cost a fifth of the day's value.
 func TestPartialStoreOutageDoesNotCauseCallsFromAllProcesses(t *testing.T) {
 	const small, large, allowed = 120, 480, 5 * time.Second
 	before, after := measurePartialOutage(t, small, allowed), measurePartialOutage(t, large, allowed)
@@ -283,9 +283,9 @@
 		var running sync.WaitGroup
 		stops := map[*virtualProcess]context.CancelFunc{}
 		for _, p := range f.processes {
-			instance, stop := context.WithCancel(ctx)
+			instanceCtx, stop := context.WithCancel(ctx)
 			stops[p] = stop
-			running.Go(func() { p.run(instance) })
+			running.Go(func() { p.run(instanceCtx) })
 		}
 		time.Sleep(8 * time.Second)
 		before := f.listCount()
--- a/internal/storefeed/virtualfleet_test.go
+++ b/internal/storefeed/virtualfleet_test.go
@@ -49,13 +49,13 @@
 }
 
 type virtualProcess struct {
-	fleet      *virtualFleet
-	address    netip.AddrPort
-	host       hostconfig.Host
-	agent      bool
-	neighbours *Neighbours
-	reader     *Reader
-	cache      *Cache
+	fleet   *virtualFleet
+	address netip.AddrPort
+	host    hostconfig.Host
+	agent   bool
+	peers   *Neighbours
+	reader  *Reader
+	cache   *Cache
 	// bytesSent counts the bytes of the responses and datagrams that it sent, and datagramsReceived the datagrams sent to
 	// it. revision is the highest revision that it knows. The fleet's lock guards them.
 	bytesSent, datagramsReceived int
@@ -74,8 +74,8 @@
 	healthy failure = iota
 	// killed processes refuse connections.
 	killed
-	// silent processes do not respond and do not reach the store.
-	silent
+	// unresponsive processes do not respond and do not reach the store.
+	unresponsive
 	// cutOff processes respond but do not reach the store.
 	cutOff
 )
@@ -140,7 +140,7 @@
 		return err
 	}
 	f := p.fleet
-	if p.has(killed) || p.has(silent) {
+	if p.has(killed) || p.has(unresponsive) {
 		return nil
 	}
 	f.mu.Lock()
@@ -154,12 +154,12 @@
 		return nil
 	}
 	time.AfterFunc(datagramLatency, func() {
-		if target.has(killed) || target.has(silent) {
+		if target.has(killed) || target.has(unresponsive) {
 			return
 		}
-		target.neighbours.Heard(p.address, m)
+		target.peers.Heard(p.address, m)
 		if !target.agent {
-			target.neighbours.Answer(target, p.address, m)
+			target.peers.Answer(target, p.address, m)
 		} else if m.DataCentre != "" {
 			target.sendReport(p.address, m.DataCentre)
 		}
@@ -170,7 +170,7 @@
 // sendReport sends the entry list of its data centre to an entry that sent a heartbeat, as an agent's load report does.
 func (p *virtualProcess) sendReport(to netip.AddrPort, dataCentre string) {
 	var m loadreport.Message
-	p.neighbours.Tell(dataCentre, &m)
+	p.peers.Tell(dataCentre, &m)
 	if m.EntryCount > 0 {
 		_ = p.Send(to, m) // Datagrams may be lost.
 	}
@@ -181,27 +181,27 @@
 func (p *virtualProcess) sendHeartbeatsToAgents(ctx context.Context) {
 	var agents []string
 	for address, other := range p.fleet.processes {
-		if other.agent && other.neighbours.dataCentre == p.neighbours.dataCentre {
+		if other.agent && other.peers.dataCentre == p.peers.dataCentre {
 			agents = append(agents, address)
 		}
 	}
 	agents = step.Rank(p.address.String(), agents)[:min(maxHeartbeatAgents, len(agents))]
 	for ; ctx.Err() == nil; time.Sleep(time.Second) {
 		for _, a := range agents {
-			_ = p.Send(netip.MustParseAddrPort(a), loadreport.Message{DataCentre: p.neighbours.dataCentre}) // Datagrams may be lost.
+			_ = p.Send(netip.MustParseAddrPort(a), loadreport.Message{DataCentre: p.peers.dataCentre}) // Datagrams may be lost.
 		}
 	}
 }
 
 // Call sends a read request to another process.
-func (p *virtualProcess) Call(ctx context.Context, address, _ string, params, answer any) error {
+func (p *virtualProcess) Call(ctx context.Context, address, _ string, params, result any) error {
 	p.fleet.mu.Lock()
 	target := p.fleet.processes[address]
 	p.fleet.mu.Unlock()
 	switch {
 	case target == nil || target.agent || target.has(killed):
 		return errors.New("connection refused")
-	case target.has(silent) || p.has(silent):
+	case target.has(unresponsive) || p.has(unresponsive):
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -211,7 +211,7 @@
 	}
 	select {
 	case <-time.After(target.transmit(len(raw)) + datagramLatency):
-		return json.Unmarshal(raw, answer)
+		return json.Unmarshal(raw, result)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -236,10 +236,10 @@
 
 // run runs the process until ctx is cancelled: it lists the objects and then watches for changes.
 func (p *virtualProcess) run(ctx context.Context) {
-	go p.neighbours.GreetSeeds(ctx, p, func() bool { return p.knownRevision() > 0 })
+	go p.peers.GreetSeeds(ctx, p, func() bool { return p.knownRevision() > 0 })
 	go func() {
 		for ; ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
-			p.neighbours.Tick()
+			p.peers.Tick()
 		}
 	}()
 	for ctx.Err() == nil && p.knownRevision() == 0 {
@@ -347,11 +347,11 @@
 	if !p.agent {
 		cache = NewCache(p.host.ChangeTime())
 	}
-	neighbours := NewNeighbours(p.host, p.address.String(), p.agent, zerolog.Nop())
+	peers := NewNeighbours(p.host, p.address.String(), p.agent, zerolog.Nop())
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	p.revision, p.cache, p.neighbours = 0, cache, neighbours
-	p.reader = neighbours.Reader(directStore{virtualFleet: p.fleet, process: p}, p, cache)
+	p.revision, p.cache, p.peers = 0, cache, peers
+	p.reader = peers.Reader(directStore{virtualFleet: p.fleet, process: p}, p, cache)
 }
 
 // fleetCounts are the figures of a run of a virtual fleet.
--- a/internal/storewatch/storewatch_test.go
+++ b/internal/storewatch/storewatch_test.go
@@ -33,7 +33,7 @@
 	s.lists++
 	s.revision++
 	if s.failing {
-		return nil, 0, errors.New("the store does not answer")
+		return nil, 0, errors.New("the store does not respond")
 	}
 	return []platform.Object{{Name: "a", Revision: s.revision}}, s.revision, nil
 }
@@ -45,7 +45,7 @@
 	s.watches++
 	switch {
 	case s.failing:
-		return nil, 0, errors.New("the store does not answer")
+		return nil, 0, errors.New("the store does not respond")
 	case s.historyGone:
 		s.historyGone = false
 		return nil, 0, platform.ErrHistoryGone
