--- a/internal/core/weights/announce.go
+++ b/internal/core/weights/announce.go
@@ -8,22 +8,25 @@
 )
 
 const (
-	// announcements is about how many a host sends to a neighbour in the time that a version takes.
-	announcements = 80
-	// shortestAnnounce and longestAnnounce bound the time between two announcements.
-	shortestAnnounce = 50 * time.Millisecond
-	longestAnnounce  = 500 * time.Millisecond
+	// announcementsPerVersion is the approximate number of announcements to each linked peer during
+	// the transfer of a version.
+	announcementsPerVersion = 80
+	// minAnnounceInterval and maxAnnounceInterval bound the time between two announcements.
+	minAnnounceInterval = 50 * time.Millisecond
+	maxAnnounceInterval = 500 * time.Millisecond
 )
 
-// announceSoon announces at once when the last announcement is long enough ago; else a tick does.
-func (b *Burst) announceSoon(in step.Input) []step.Effect {
+// announceIfDue announces immediately if the announcement interval has passed. Otherwise a later
+// tick announces.
+func (b *Burst) announceIfDue(in step.Input) []step.Effect {
 	if in.Now.Before(b.nextAnnounce) && !b.complete() {
 		return nil
 	}
 	return b.announce(in)
 }
 
-// announce tells the neighbours of the chunks that came since the last time, and delegates of those meant for them.
+// announce sends linked peers the chunks that arrived since the last announcement, and sends other
+// peers the chunks queued for them.
 func (b *Burst) announce(in step.Input) []step.Effect {
 	if in.Now.Before(b.nextAnnounce) && !b.complete() {
 		return nil
@@ -31,60 +34,62 @@
 	b.nextAnnounce = in.Now.Add(b.announceInterval())
 	var effects []step.Effect
 	for i, p := range b.peers {
-		if !p.link && len(b.tell[i]) == 0 {
+		if !p.linked && len(b.pendingAnnouncements[i]) == 0 {
 			continue
 		}
-		news := b.newsFor(i)
-		if len(news) == 0 || !p.listed || in.Now.Before(p.silentUntil) {
+		chunks := b.newChunksFor(i)
+		if len(chunks) == 0 || !p.listed || in.Now.Before(p.silentUntil) {
 			continue
 		}
-		p.sent = len(b.order)
-		effects = append(effects, Announce{Digest: b.Digest, To: p.Address, New: news})
+		p.announced = len(b.arrivalOrder)
+		effects = append(effects, Announce{Digest: b.Digest, To: p.Address, New: chunks})
 	}
-	b.tell = map[int][]int{}
+	b.pendingAnnouncements = map[int][]int{}
 	return effects
 }
 
-// newsFor lists the chunks that a peer must be told of and does not have.
-func (b *Burst) newsFor(i int) []int {
+// newChunksFor lists the chunks to announce to a peer, without those that it is known to have.
+func (b *Burst) newChunksFor(i int) []int {
 	p := b.peers[i]
-	news := append([]int(nil), b.tell[i]...)
-	if p.link {
-		for _, c := range b.order[p.sent:] {
+	chunks := append([]int(nil), b.pendingAnnouncements[i]...)
+	if p.linked {
+		for _, c := range b.arrivalOrder[p.announced:] {
 			if c >= len(p.have) || !p.have[c] {
-				news = append(news, c)
+				chunks = append(chunks, c)
 			}
 		}
 	}
-	sort.Ints(news)
-	return news
+	sort.Ints(chunks)
+	return chunks
 }
 
-// tellDelegates has the delegates told of a chunk that came from outside this place.
-func (b *Burst) tellDelegates(c int, from Tier) {
+// queueForDelegates queues announcements of a chunk that came from another data centre or from the
+// origin to the delegates elsewhere.
+func (b *Burst) queueForDelegates(c int, from Tier) {
 	for _, i := range b.delegates(c, from) {
-		b.tellPeer(i, c)
+		b.queueForPeer(i, c)
 	}
 }
 
-// tellWatchers has the hosts told that would draw a chunk if this one were silent.
-func (b *Burst) tellWatchers(c int) {
+// queueForCandidates queues announcements of a chunk to the hosts that would fetch its origin slot
+// if this host were silent.
+func (b *Burst) queueForCandidates(c int) {
 	if b.mode != Tiers {
 		return
 	}
-	for _, i := range b.slots[c%len(b.slots)].watchers {
-		b.tellPeer(i, c)
+	for _, i := range b.slots[c%len(b.slots)].candidates {
+		b.queueForPeer(i, c)
 	}
 }
 
-func (b *Burst) tellPeer(i, c int) {
-	if i == self || b.peers[i].link {
+func (b *Burst) queueForPeer(i, c int) {
+	if i == selfIndex || b.peers[i].linked {
 		return
 	}
-	for _, told := range b.tell[i] {
-		if told == c {
+	for _, queued := range b.pendingAnnouncements[i] {
+		if queued == c {
 			return
 		}
 	}
-	b.tell[i] = append(b.tell[i], c)
+	b.pendingAnnouncements[i] = append(b.pendingAnnouncements[i], c)
 }
--- a/internal/core/weights/bench_test.go
+++ b/internal/core/weights/bench_test.go
@@ -9,8 +9,8 @@
 	"samphireweir.example/samphireweir/internal/core/weights"
 )
 
-// BenchmarkBurst reduces the events of a whole burst on one host: every chunk announced by each of ten neighbours and
-// stored, with ticks between. It reports the time a chunk.
+// BenchmarkBurst reduces the events of a whole burst on one host: each of ten peers announces every
+// chunk, every chunk is stored, and ticks come in between. It reports the time per chunk.
 func BenchmarkBurst(b *testing.B) {
 	for _, size := range []struct{ hosts, chunks int }{{64, 128}, {200, 128}, {920, 128}, {920, 1024}, {920, 4096}} {
 		b.Run(fmt.Sprintf("%d hosts, %d chunks", size.hosts, size.chunks), func(b *testing.B) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// storeAll answers every fetch with its chunk and returns the fetches that followed.
+// storeAll answers each fetch with its chunk and returns the fetches that follow.
 func storeAll(pending []step.Effect, reduce func(step.Event) []step.Effect) []step.Effect {
 	var next []step.Effect
 	for _, e := range pending {
--- a/internal/core/weights/burst.go
+++ b/internal/core/weights/burst.go
@@ -10,10 +10,11 @@
 )
 
 const (
-	// manifestPatience is the wait between two asks for the manifest.
-	manifestPatience = 500 * time.Millisecond
-	// memoryPatience is the wait before a version that the chunk memory can't hold is tried again.
-	memoryPatience = 5 * time.Second
+	// manifestRetryInterval is the time between two requests for the manifest.
+	manifestRetryInterval = 500 * time.Millisecond
+	// memoryRetryInterval is the wait before a retry when the chunk memory can't hold a version or
+	// chunk.
+	memoryRetryInterval = 5 * time.Second
 )
 
 // Burst is the transfer of one version to this host.
@@ -23,16 +24,16 @@
 	Policy   setting.Policy
 	Manifest *manifest.Manifest
 
-	mode     Mode
-	self     Peer
-	selfHash uint64
-	fetches  *uint64
+	mode       Mode
+	self       Peer
+	selfHash   uint64
+	fetchCount *uint64
 
-	// peers are all hosts known to take part, listed or not; their indexes stay.
+	// peers are all hosts known to take part, listed or not. Their indexes never change.
 	peers []*peer
 	index map[string]int
-	// early are peers that spoke before the version was wanted here.
-	early        []string
+	// earlyPeers are peers that sent a hello before the version was wanted here.
+	earlyPeers   []string
 	cachedGroups []group
 
 	keys  []uint64
@@ -40,101 +41,108 @@
 	slots []slot
 
 	chunks []chunk
-	// ready are the chunks that a peer of the place has and that are neither here nor being fetched.
-	ready set
-	// outer are those that only hosts elsewhere have.
-	outer set
-	// missing are the chunks that are not here.
+	// nearChunks are the missing chunks that a peer of the data centre has and that are not in
+	// flight.
+	nearChunks set
+	// farChunks are the missing chunks that a host outside the data centre has and that are not in
+	// flight.
+	farChunks set
+	// missing are the chunks that this host does not have.
 	missing set
-	// stalled are missing chunks whose only holder was found to stall.
+	// stalled are missing chunks whose only known holder stalled.
 	stalled set
-	// order lists the chunks here in the order in which they came, for the announcements.
-	order []int
+	// arrivalOrder lists the held chunks in order of arrival, for the announcements.
+	arrivalOrder []int
 
-	flights map[uint64]*flight
-	// drawing counts the fetches from the origin, atPeers those from peers.
-	drawing, atPeers int
+	inFlight map[uint64]*chunkFetch
+	// originFetches and peerFetches count the fetches in flight from the origin and from peers.
+	originFetches, peerFetches int
 
-	pace pace
-	// slotTimes are when each origin slot that this host watches was last heard of.
-	slotTimes []time.Time
-	// firstDrawn is when the first chunk was heard to have come from the origin.
-	firstDrawn time.Time
-	// standsIn are the slots that this host draws in place of a silent host.
-	standsIn map[int]bool
-	// tell are chunks to be announced to hosts that are no neighbours, by peer.
-	tell map[int][]int
+	timing timing
+	// slotActiveAt has, for each origin slot that this host is a candidate for, when a chunk of the
+	// slot last became known.
+	slotActiveAt []time.Time
+	// firstOriginChunkAt is when this host first learned that a chunk had come from the origin.
+	firstOriginChunkAt time.Time
+	// tookOverSlot are the slots that this host fetches in place of a silent host.
+	tookOverSlot map[int]bool
+	// pendingAnnouncements are chunks to announce to peers that are not linked, by peer index.
+	pendingAnnouncements map[int][]int
 
-	nextManifest time.Time
-	// manifestBusy is when a peer may be asked for the manifest again.
-	manifestBusy time.Time
-	nextAnnounce time.Time
-	nextQuestion time.Time
-	// originAfter is when the origin may be asked again, originFailures the failures in a row.
-	originAfter    time.Time
+	nextManifestAttempt time.Time
+	// nextPeerManifest is when a peer may be asked for the manifest again.
+	nextPeerManifest time.Time
+	nextAnnounce     time.Time
+	nextPoll         time.Time
+	// originRetryAt is when the origin may be asked again; originFailures counts the failures in a
+	// row.
+	originRetryAt  time.Time
 	originFailures int
 	outage         outage
-	began          time.Time
-	ended          time.Time
-	// reach is the idle turn at which this host began to draw for itself; 0 when it does not.
-	reach int
-	// trouble is what keeps the burst from ending; 0 when nothing.
+	startedAt      time.Time
+	completedAt    time.Time
+	// fallbackTurns is the number of idle turns after which this host began to fetch from the
+	// origin by itself; 0 while it does not.
+	fallbackTurns int
+	// trouble is the result code of the problem that blocks the burst; 0 if there is none.
 	trouble code.Code
 
 	Counts Counts
-	// told is the trouble that others were last told of.
-	told code.Code
+	// reportedTrouble is the trouble last reported to other processes.
+	reportedTrouble code.Code
 }
 
-// Counts are the bytes that came to this host for a version, by the tier they came from, and the failures.
+// Counts are the bytes received by this host for a version, by the tier they came from, and the
+// failures.
 type Counts struct {
-	// Bytes are those of verified chunks.
+	// Bytes counts the bytes of verified chunks.
 	Bytes [tiers]int64 `json:"bytes"`
-	// Wasted are bytes that were thrown away: corrupt, or here already.
+	// Wasted counts the discarded bytes: corrupted, or already held.
 	Wasted  int64 `json:"wasted"`
 	Corrupt int64 `json:"corrupt"`
 	Hedged  int64 `json:"hedged"`
-	// Busy counts refusals for want of an upload slot, Failed all other failures.
+	// Busy counts rejections for lack of an upload slot; Failed counts all other failures.
 	Busy   int64 `json:"busy"`
 	Failed int64 `json:"failed"`
 }
 
-// chunk is what is known of one chunk.
+// chunk is the known state of one chunk.
 type chunk struct {
 	have bool
-	// flights counts the fetches under way.
-	flights int
-	// near and far are the peers that have it, in this host's place and elsewhere.
-	near, far []int
-	// farSince is when it was first known to be elsewhere.
+	// inFlight counts the fetches in flight.
+	inFlight int
+	// nearHolders and farHolders are the peers that have the chunk, inside and outside this data
+	// centre.
+	nearHolders, farHolders []int
+	// farSince is when the chunk was first known to be held outside this data centre.
 	farSince time.Time
-	notAgain time.Time
-	// stalledAt is when its only holder was first found to stall.
+	retryAt  time.Time
+	// stalledAt is when the only holder first stalled.
 	stalledAt time.Time
-	// failures counts those at the origin.
-	failures int
+	// originFailures counts the failed fetches from the origin.
+	originFailures int
 }
 
-// flight is one fetch under way.
-type flight struct {
-	id      uint64
-	chunk   int
-	peer    int
-	origin  bool
-	started time.Time
+// chunkFetch is one fetch in flight.
+type chunkFetch struct {
+	id         uint64
+	chunkIndex int
+	peerIndex  int
+	fromOrigin bool
+	startedAt  time.Time
 }
 
 func newBurst(s *State, in step.Input, w Want) *Burst {
 	return &Burst{
-		Ref: w.Ref, Digest: w.Digest, mode: s.Mode, self: s.Self, selfHash: hostHash(s.Self.Address), fetches: &s.fetches,
-		index: map[string]int{}, flights: map[uint64]*flight{}, tell: map[int][]int{}, standsIn: map[int]bool{},
-		began: in.Now, pace: newPace(in.Now), outage: outage{heard: in.Now},
+		Ref: w.Ref, Digest: w.Digest, mode: s.Mode, self: s.Self, selfHash: hostHash(s.Self.Address), fetchCount: &s.fetchCount,
+		index: map[string]int{}, inFlight: map[uint64]*chunkFetch{}, pendingAnnouncements: map[int][]int{}, tookOverSlot: map[int]bool{},
+		startedAt: in.Now, timing: newTiming(in.Now), outage: outage{lastOriginChunkAt: in.Now},
 	}
 }
 
 func (b *Burst) complete() bool { return b.Manifest != nil && b.missing.len() == 0 }
 
-// start takes in the manifest.
+// start begins the transfer with the manifest.
 func (b *Burst) start(in step.Input, ev ManifestRead) []step.Effect {
 	if b.Manifest != nil {
 		return nil
@@ -144,14 +152,14 @@
 	n := len(ev.Manifest.Chunks)
 	b.chunks = make([]chunk, n)
 	b.keys = make([]uint64, n)
-	b.ready, b.outer, b.missing, b.stalled = newSet(n), newSet(n), newSet(n), newSet(n)
+	b.nearChunks, b.farChunks, b.missing, b.stalled = newSet(n), newSet(n), newSet(n), newSet(n)
 	for i, c := range ev.Manifest.Chunks {
 		b.keys[i] = chunkKey(c.SHA256, i)
 		b.missing.add(i)
 	}
 	b.rankChunks()
 	for _, i := range ev.Held {
-		b.obtained(i)
+		b.markHeld(i)
 	}
 	for i, p := range b.peers {
 		for c, has := range p.have {
@@ -161,35 +169,36 @@
 		}
 	}
 	if b.complete() {
-		b.ended = in.Now
+		b.completedAt = in.Now
 	}
-	b.spreadManifest(ev.From)
-	return append(b.greet(in), b.fetch(in)...)
+	b.announceManifest(ev.From)
+	return append(b.sendHellos(in), b.scheduleFetches(in)...)
 }
 
-// spreadManifest greets the neighbours that are not known to have the manifest, and as one that brought it into
-// this place those that take it to others.
-func (b *Burst) spreadManifest(from Source) {
+// announceManifest sends hellos to the linked peers that are not known to have the manifest. If
+// this host is the first of its data centre to have it, it also sends hellos to the delegates
+// elsewhere.
+func (b *Burst) announceManifest(from Source) {
 	for _, p := range b.peers {
-		if p.link && p.have == nil {
-			p.greet = true
-			p.greetAt = time.Time{}
+		if p.linked && p.have == nil {
+			p.helloDue = true
+			p.nextHello = time.Time{}
 		}
 	}
 	tier := b.tierOf(nil, from)
 	if b.mode != Tiers || tier == Place {
 		return
 	}
-	for _, i := range b.delegates(manifestChunk, tier) {
-		b.peers[i].greet = true
+	for _, i := range b.delegates(manifestIndex, tier) {
+		b.peers[i].helloDue = true
 	}
 }
 
 func (b *Burst) manifestFailed(in step.Input, ev ManifestFailed) []step.Effect {
-	b.trouble = ev.Why
-	switch ev.Why {
+	b.trouble = ev.Code
+	switch ev.Code {
 	case code.MemoryTooSmall:
-		b.nextManifest = in.Now.Add(memoryPatience)
+		b.nextManifestAttempt = in.Now.Add(memoryRetryInterval)
 	case 0:
 		if ev.From == Origin {
 			b.originFailures++
@@ -198,70 +207,70 @@
 	return nil
 }
 
-// obtained marks a chunk as here.
-func (b *Burst) obtained(i int) {
+// markHeld records that this host has the chunk.
+func (b *Burst) markHeld(i int) {
 	if b.chunks[i].have {
 		return
 	}
 	b.chunks[i].have = true
 	b.missing.remove(i)
 	b.stalled.remove(i)
-	b.ready.remove(i)
-	b.outer.remove(i)
-	b.order = append(b.order, i)
+	b.nearChunks.remove(i)
+	b.farChunks.remove(i)
+	b.arrivalOrder = append(b.arrivalOrder, i)
 }
 
 func (b *Burst) stored(in step.Input, ev ChunkStored) []step.Effect {
-	f := b.land(ev.Fetch)
+	f := b.endFetch(ev.Fetch)
 	if b.Manifest == nil || ev.Index >= len(b.chunks) {
 		return nil
 	}
 	size := b.Manifest.Chunks[ev.Index].Size
 	if b.chunks[ev.Index].have {
 		b.Counts.Wasted += size
-		return b.fetch(in)
+		return b.scheduleFetches(in)
 	}
-	if f != nil && !f.origin {
-		b.peers[f.peer].delivered()
+	if f != nil && !f.fromOrigin {
+		b.peers[f.peerIndex].recordDelivery()
 	}
 	tier := b.tierOf(f, ev.From)
 	b.Counts.Bytes[tier] += size
 	if tier == Region || tier == Fleet {
-		b.reach = 0
+		b.fallbackTurns = 0
 	}
-	if b.idleTurns(in) < regionTurns {
-		b.pace.stepped(in.Now)
+	if b.idleTurns(in) < regionFallbackTurns {
+		b.timing.addGap(in.Now)
 	}
-	b.pace.arrived(in.Now, ev.Took, tier)
-	b.obtained(ev.Index)
-	effects := b.cancelOthers(ev.Index)
+	b.timing.addChunk(in.Now, ev.Took, tier)
+	b.markHeld(ev.Index)
+	effects := b.cancelDuplicates(ev.Index)
 	if tier == FromOrigin {
 		b.originFailures = 0
 		b.trouble = 0
-		b.originHeard(in.Now, true)
-		b.slotNews(in, ev.Index)
-		b.tellWatchers(ev.Index)
+		b.recordOriginChunk(in.Now, true)
+		b.recordSlotChunk(in, ev.Index)
+		b.queueForCandidates(ev.Index)
 	}
 	if tier != Place {
-		b.tellDelegates(ev.Index, tier)
+		b.queueForDelegates(ev.Index, tier)
 	}
 	if b.complete() {
-		b.ended = in.Now
+		b.completedAt = in.Now
 		b.trouble = 0
 	}
-	effects = append(effects, b.announceSoon(in)...)
-	return append(effects, b.fetch(in)...)
+	effects = append(effects, b.announceIfDue(in)...)
+	return append(effects, b.scheduleFetches(in)...)
 }
 
-func (b *Burst) tierOf(f *flight, from Source) Tier {
+func (b *Burst) tierOf(f *chunkFetch, from Source) Tier {
 	if from == Origin {
 		return FromOrigin
 	}
 	if string(from) == b.self.Address {
-		return Place // It lay on this host.
+		return Place // The chunk was already on this host.
 	}
 	if f != nil {
-		return b.peers[f.peer].tier
+		return b.peers[f.peerIndex].tier
 	}
 	if i, known := b.index[string(from)]; known {
 		return b.peers[i].tier
@@ -269,127 +278,128 @@
 	return Fleet
 }
 
-// land ends a flight.
-func (b *Burst) land(id uint64) *flight {
-	f := b.flights[id]
+// endFetch removes a fetch from those in flight. It returns nil if the fetch was cancelled.
+func (b *Burst) endFetch(id uint64) *chunkFetch {
+	f := b.inFlight[id]
 	if f == nil {
 		return nil
 	}
-	delete(b.flights, id)
-	b.chunks[f.chunk].flights--
-	if f.origin {
-		b.drawing--
+	delete(b.inFlight, id)
+	b.chunks[f.chunkIndex].inFlight--
+	if f.fromOrigin {
+		b.originFetches--
 	} else {
-		b.atPeers--
-		b.peers[f.peer].outstanding--
+		b.peerFetches--
+		b.peers[f.peerIndex].inFlight--
 	}
-	b.sort(f.chunk)
+	b.reindex(f.chunkIndex)
 	return f
 }
 
-// sort puts a chunk into the set where it belongs.
-func (b *Burst) sort(i int) {
+// reindex updates the sets that contain the chunk.
+func (b *Burst) reindex(i int) {
 	c := &b.chunks[i]
-	b.ready.remove(i)
-	b.outer.remove(i)
+	b.nearChunks.remove(i)
+	b.farChunks.remove(i)
 	switch {
-	case c.have || c.flights > 0:
-	case len(c.near) > 0:
-		b.ready.add(i)
-		if len(c.far) > 0 {
-			b.outer.add(i)
+	case c.have || c.inFlight > 0:
+	case len(c.nearHolders) > 0:
+		b.nearChunks.add(i)
+		if len(c.farHolders) > 0 {
+			b.farChunks.add(i)
 		}
-	case len(c.far) > 0:
-		b.outer.add(i)
+	case len(c.farHolders) > 0:
+		b.farChunks.add(i)
 	}
 }
 
-func (b *Burst) cancelOthers(i int) []step.Effect {
-	if b.chunks[i].flights == 0 {
+func (b *Burst) cancelDuplicates(i int) []step.Effect {
+	if b.chunks[i].inFlight == 0 {
 		return nil
 	}
 	var effects []step.Effect
-	for _, id := range b.flightIDs() {
-		if b.flights[id].chunk == i {
-			b.land(id)
+	for _, id := range b.inFlightIDs() {
+		if b.inFlight[id].chunkIndex == i {
+			b.endFetch(id)
 			effects = append(effects, CancelFetch{ID: id})
 		}
 	}
 	return effects
 }
 
-// cancelAll stops everything under way.
+// cancelAll cancels all fetches in flight.
 func (b *Burst) cancelAll() []step.Effect {
 	var effects []step.Effect
-	for _, id := range b.flightIDs() {
-		b.land(id)
+	for _, id := range b.inFlightIDs() {
+		b.endFetch(id)
 		effects = append(effects, CancelFetch{ID: id})
 	}
 	return effects
 }
 
 func (b *Burst) failed(in step.Input, ev ChunkFailed) []step.Effect {
-	f := b.land(ev.Fetch)
+	f := b.endFetch(ev.Fetch)
 	if f == nil {
-		return nil // It was cancelled.
+		return nil // The fetch was cancelled.
 	}
 	if ev.Reason == Busy {
 		b.Counts.Busy++
 	} else {
 		b.Counts.Failed++
 	}
-	if f.origin {
+	if f.fromOrigin {
 		b.originFailed(in, ev)
 	} else {
-		b.peerFailed(in, ev, f.peer)
+		b.peerFailed(in, ev, f.peerIndex)
 	}
-	return b.fetch(in)
+	return b.scheduleFetches(in)
 }
 
 func (b *Burst) tick(in step.Input) []step.Effect {
 	if b.Manifest == nil {
-		return append(b.greet(in), b.askManifest(in)...)
+		return append(b.sendHellos(in), b.requestManifest(in)...)
 	}
-	effects := append(b.greet(in), b.announce(in)...)
-	effects = append(effects, b.tellOutage(in.Now)...)
+	effects := append(b.sendHellos(in), b.announce(in)...)
+	effects = append(effects, b.reportOutage(in.Now)...)
 	if b.complete() {
 		return effects
 	}
-	if b.trouble == 0 && b.outage.lasts(in.Now) {
+	if b.trouble == 0 && b.outage.prolonged(in.Now) {
 		b.trouble = code.SourceUnavailable
 	}
-	effects = append(effects, b.question(in)...)
+	effects = append(effects, b.pollPeers(in)...)
 	effects = append(effects, b.hedge(in)...)
-	return append(effects, b.fetch(in)...)
+	return append(effects, b.scheduleFetches(in)...)
 }
 
-// askManifest lets the first hosts of the origin slots ask the origin; the others are told by their neighbours,
-// and ask one peer after the other when nobody tells.
-func (b *Burst) askManifest(in step.Input) []step.Effect {
-	if in.Now.Before(b.nextManifest) {
+// requestManifest asks the origin if this host is the first candidate of an origin slot. The other
+// hosts get hellos from their linked peers; without any, they ask one random peer per attempt.
+func (b *Burst) requestManifest(in step.Input) []step.Effect {
+	if in.Now.Before(b.nextManifestAttempt) {
 		return nil
 	}
-	first := b.nextManifest.IsZero()
-	b.nextManifest = in.Now.Add(manifestPatience)
+	first := b.nextManifestAttempt.IsZero()
+	b.nextManifestAttempt = in.Now.Add(manifestRetryInterval)
 	r := random(in.Rand)
-	if b.mode == Direct || b.drawsManifest(in, &r) {
+	if b.mode == Direct || b.fetchesManifestFromOrigin(in, &r) {
 		return []step.Effect{FetchManifest{Ref: b.Ref, Digest: b.Digest, From: Origin}}
 	}
 	if first || len(b.peers) == 0 {
 		return nil
 	}
-	from := b.peers[r.below(len(b.peers))]
+	from := b.peers[r.intN(len(b.peers))]
 	return []step.Effect{FetchManifest{Ref: b.Ref, Digest: b.Digest, From: Source(from.Address)}}
 }
 
-// drawsManifest tells whether this host is an origin fetcher, or has waited so long that it is its turn.
-func (b *Burst) drawsManifest(in step.Input, r *random) bool {
+// fetchesManifestFromOrigin reports whether this host is an origin fetcher, or has waited so long
+// that it may ask the origin as well.
+func (b *Burst) fetchesManifestFromOrigin(in step.Input, r *random) bool {
 	for _, s := range b.assignSlots() {
 		if s.rank == 0 {
 			return true
 		}
 	}
-	tries := int(in.Now.Sub(b.began) / manifestPatience)
-	// A fleet without its origin fetchers sends about one host more at each try.
-	return tries >= slotRanks && r.below(len(b.peers)+1) < tries
+	attempts := int(in.Now.Sub(b.startedAt) / manifestRetryInterval)
+	// Without its origin fetchers, a fleet sends about one more host to the origin at each attempt.
+	return attempts >= candidatesPerSlot && r.intN(len(b.peers)+1) < attempts
 }
--- a/internal/core/weights/faults_test.go
+++ b/internal/core/weights/faults_test.go
@@ -12,7 +12,7 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// fault is something that goes wrong in a burst, at a time after its start.
+// fault injects a failure into a burst, at a time after its start.
 type fault struct {
 	name   string
 	inject func(f *fleet, at time.Duration)
@@ -22,23 +22,23 @@
 	{"chunk corrupt once", corruptOnce},
 	{"chunks always corrupt from one peer", corruptPeer},
 	{"chunk always corrupt from the source for a while", corruptOrigin},
-	{"version at the source changes and comes back", sourceChanges},
+	{"version at the source changes and comes back", changeSource},
 	{"delegate dies", killOne},
 	{"delegate freezes for a while", freezeOne},
 	{"delegate freezes for good", freezeForGood},
 	{"link of a host stalls", stallLink},
 	{"a quarter of the hosts die", killQuarter},
-	{"a place is cut and returns", cutPlace},
-	{"store refuses for rate", refuseForRate},
-	{"origin down for a while", originDown},
-	{"new version during the burst", newVersionComes},
+	{"a place is cut and returns", partitionPlace},
+	{"store refuses for rate", rateLimitOrigin},
+	{"origin down for a while", stopOrigin},
+	{"new version during the burst", activateNewVersion},
 	{"agent restarts", restartOne},
-	{"origin fetchers die", killFetchers},
+	{"origin fetchers die", killOriginFetchers},
 }
 
 func corruptOnce(f *fleet, at time.Duration) {
 	left := 3
-	chain(&f.corrupt, func(weights.Source, int) bool {
+	addCorruption(&f.corrupt, func(weights.Source, int) bool {
 		if left == 0 || f.now.Before(time.Unix(0, 0).Add(at)) {
 			return false
 		}
@@ -48,39 +48,39 @@
 }
 
 func corruptPeer(f *fleet, at time.Duration) {
-	bad := f.pick()
-	chain(&f.corrupt, func(from weights.Source, _ int) bool {
+	bad := f.randomHost()
+	addCorruption(&f.corrupt, func(from weights.Source, _ int) bool {
 		return string(from) == bad.name && !f.now.Before(time.Unix(0, 0).Add(at))
 	})
 }
 
 func corruptOrigin(f *fleet, at time.Duration) {
-	chain(&f.corrupt, func(from weights.Source, c int) bool {
+	addCorruption(&f.corrupt, func(from weights.Source, c int) bool {
 		return from == weights.Origin && c%10 == 3 && f.now.Before(time.Unix(0, 0).Add(at+8*time.Second))
 	})
 }
 
-func sourceChanges(f *fleet, at time.Duration) {
-	chainOrigin(f, func(int) (bool, weights.Reason, time.Duration) {
+func changeSource(f *fleet, at time.Duration) {
+	addOriginFault(f, func(int) (bool, weights.Reason, time.Duration) {
 		since := f.now.Sub(time.Unix(0, 0))
 		return since > at && since < at+8*time.Second, weights.Changed, 0
 	})
 }
 
-func originDown(f *fleet, at time.Duration) {
-	chainOrigin(f, func(int) (bool, weights.Reason, time.Duration) {
+func stopOrigin(f *fleet, at time.Duration) {
+	addOriginFault(f, func(int) (bool, weights.Reason, time.Duration) {
 		since := f.now.Sub(time.Unix(0, 0))
-		return since > at && since < at+6*time.Second, weights.Broken, 0
+		return since > at && since < at+6*time.Second, weights.ExchangeFailed, 0
 	})
 }
 
-func refuseForRate(f *fleet, _ time.Duration) {
-	chainOrigin(f, func(int) (bool, weights.Reason, time.Duration) {
+func rateLimitOrigin(f *fleet, _ time.Duration) {
+	addOriginFault(f, func(int) (bool, weights.Reason, time.Duration) {
 		return f.random.IntN(10) < 7, weights.Busy, time.Second
 	})
 }
 
-func killOne(f *fleet, at time.Duration) { f.after(at, func() { f.kill(f.pick()) }) }
+func killOne(f *fleet, at time.Duration) { f.after(at, func() { f.kill(f.randomHost()) }) }
 
 func killQuarter(f *fleet, at time.Duration) {
 	f.after(at, func() {
@@ -92,8 +92,8 @@
 	})
 }
 
-// killFetchers kills the hosts that draw from the origin just then.
-func killFetchers(f *fleet, at time.Duration) {
+// killOriginFetchers kills the hosts that have fetched from the origin by then.
+func killOriginFetchers(f *fleet, at time.Duration) {
 	f.after(at, func() {
 		for _, h := range f.hosts {
 			if b := h.state.Bursts[f.target.digest]; b != nil && b.Counts.Bytes[weights.FromOrigin] > 0 {
@@ -105,16 +105,17 @@
 
 func freezeOne(f *fleet, at time.Duration) {
 	f.after(at, func() {
-		h := f.pick()
+		h := f.randomHost()
 		h.frozen = true
 		f.after(5*time.Second, func() { f.thaw(h) })
 	})
 }
 
-// freezeForGood freezes a host, which the platform replaces after a while.
+// freezeForGood freezes a host and kills it after 20 s, as the platform does when it replaces a
+// host.
 func freezeForGood(f *fleet, at time.Duration) {
 	f.after(at, func() {
-		h := f.pick()
+		h := f.randomHost()
 		h.frozen = true
 		f.after(20*time.Second, func() { f.kill(h) })
 	})
@@ -122,14 +123,14 @@
 
 func stallLink(f *fleet, at time.Duration) {
 	var bad *fakeHost
-	f.after(at, func() { bad = f.pick() })
+	f.after(at, func() { bad = f.randomHost() })
 	before := f.stalled
 	f.stalled = func(h *fakeHost) bool { return h == bad || (before != nil && before(h)) }
 }
 
-func cutPlace(f *fleet, at time.Duration) {
-	before := f.cut
-	f.cut = func(a, b *fakeHost) bool {
+func partitionPlace(f *fleet, at time.Duration) {
+	before := f.partitioned
+	f.partitioned = func(a, b *fakeHost) bool {
 		since := f.now.Sub(time.Unix(0, 0))
 		inside := func(h *fakeHost) bool { return h != nil && h.place == "place-1" }
 		cut := since > at && since < at+8*time.Second && inside(a) != inside(b)
@@ -137,20 +138,20 @@
 	}
 }
 
-func newVersionComes(f *fleet, at time.Duration) {
+func activateNewVersion(f *fleet, at time.Duration) {
 	f.after(at, func() { f.want(newVersion("v2", testChunks, testChunks/2)) })
 }
 
 func restartOne(f *fleet, at time.Duration) {
 	f.after(at, func() {
-		h := f.pick()
+		h := f.randomHost()
 		f.kill(h)
 		f.after(300*time.Millisecond, func() { f.restart(h) })
 	})
 }
 
-// pick chooses a live host.
-func (f *fleet) pick() *fakeHost {
+// randomHost returns a random host that is neither dead nor frozen.
+func (f *fleet) randomHost() *fakeHost {
 	for {
 		if h := f.hosts[f.random.IntN(len(f.hosts))]; !h.dead && !h.frozen {
 			return h
@@ -158,12 +159,12 @@
 	}
 }
 
-func chain(to *func(weights.Source, int) bool, more func(weights.Source, int) bool) {
+func addCorruption(to *func(weights.Source, int) bool, more func(weights.Source, int) bool) {
 	before := *to
 	*to = func(from weights.Source, c int) bool { return (before != nil && before(from, c)) || more(from, c) }
 }
 
-func chainOrigin(f *fleet, more func(int) (bool, weights.Reason, time.Duration)) {
+func addOriginFault(f *fleet, more func(int) (bool, weights.Reason, time.Duration)) {
 	before := f.originFault
 	f.originFault = func(c int) (bool, weights.Reason, time.Duration) {
 		if fails, why, retry := more(c); fails {
@@ -176,7 +177,8 @@
 	}
 }
 
-// burstWith runs a burst with faults and checks that every live host ends with the whole target version.
+// burstWith runs a burst with faults and checks that every live host ends with the complete target
+// version.
 func burstWith(t *testing.T, seed uint64, policy setting.Policy, at time.Duration, injected ...fault) *fleet {
 	f := newFleet(seed, testHosts, policy)
 	f.want(newVersion("v1", testChunks, testChunks/2))
@@ -184,12 +186,12 @@
 		one.inject(f, at)
 	}
 	f.run(at+time.Second, func() bool { return false })
-	require.True(t, f.run(testLimit, f.done), "%s", f.describe())
+	require.True(t, f.run(burstTimeout, f.done), "%s", f.describeIncomplete())
 	return f
 }
 
-// describe tells what the hosts that are not done lack.
-func (f *fleet) describe() string {
+// describeIncomplete returns the progress of the live hosts that lack chunks.
+func (f *fleet) describeIncomplete() string {
 	text := ""
 	for _, h := range f.hosts {
 		if h.dead || f.holdsAll(h) {
@@ -200,10 +202,11 @@
 	return text
 }
 
-// TestFaultAlone meets each fault at the start, early, in the middle and late in a burst.
+// TestFaultAlone injects each fault at the start, early and in the middle of a burst. Every live
+// host must still complete the version, with either policy.
 func TestFaultAlone(t *testing.T) {
 	for _, one := range faults {
-		for _, at := range []time.Duration{0, copyTime / 10, copyTime / 2} {
+		for _, at := range []time.Duration{0, minCopyTime / 10, minCopyTime / 2} {
 			t.Run(fmt.Sprintf("%s at %v", one.name, at), func(t *testing.T) {
 				t.Parallel()
 				for seed := uint64(1); seed <= 2; seed++ {
@@ -215,20 +218,22 @@
 	}
 }
 
-// TestFaultsInPairs meets each pair of faults in the middle of a burst.
+// TestFaultsInPairs injects each pair of faults in the first half of a burst, since the handling of
+// one fault may break the recovery from another.
 func TestFaultsInPairs(t *testing.T) {
 	for i, one := range faults {
 		for k, other := range faults[i+1:] {
 			t.Run(one.name+" and "+other.name, func(t *testing.T) {
 				t.Parallel()
-				burstWith(t, uint64(i*100+k), setting.OriginFirst, copyTime/4, one, other)
+				burstWith(t, uint64(i*100+k), setting.OriginFirst, minCopyTime/4, one, other)
 			})
 		}
 	}
 }
 
-// TestTroubleIsNamed has hosts that can't go on say why.
-func TestTroubleIsNamed(t *testing.T) {
+// TestBlockedBurstReportsCode checks that hosts that can't complete a burst report the result code
+// of the cause.
+func TestBlockedBurstReportsCode(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault func(f *fleet)
@@ -241,7 +246,7 @@
 			f.originFault = func(c int) (bool, weights.Reason, time.Duration) { return c >= 0, weights.Changed, 0 }
 		}, code.SourceChanged},
 		{"no source", func(f *fleet) {
-			f.originFault = func(c int) (bool, weights.Reason, time.Duration) { return c >= 0, weights.Broken, 0 }
+			f.originFault = func(c int) (bool, weights.Reason, time.Duration) { return c >= 0, weights.ExchangeFailed, 0 }
 		}, code.SourceUnavailable},
 	}
 	for _, c := range cases {
--- a/internal/core/weights/fleet_test.go
+++ b/internal/core/weights/fleet_test.go
@@ -14,37 +14,39 @@
 
 const (
 	chunkBytes = 1000
-	// chunkTime is how long a free link takes for a chunk; the origin's link is twice as fast.
-	chunkTime = 20 * time.Millisecond
-	delay     = time.Millisecond
-	callLimit = 3 * time.Second
-	listLag   = 2 * time.Second
+	// chunkTime is how long an idle link takes for a chunk. The origin's link is twice as fast.
+	chunkTime    = 20 * time.Millisecond
+	networkDelay = time.Millisecond
+	callTimeout  = 3 * time.Second
+	hostListLag  = 2 * time.Second
 )
 
-// fleet runs the reducers of some hosts over a network and an origin that are faked, on a clock of its own.
+// fleet runs the reducers of several hosts over a simulated network and origin, on a simulated
+// clock.
 type fleet struct {
-	now    time.Time
-	random *rand.Rand
-	queue  timers
-	order  int
-	hosts  []*fakeHost
-	byName map[string]*fakeHost
-	policy setting.Policy
-	target *version
-	calls  uint64
+	now        time.Time
+	random     *rand.Rand
+	queue      timers
+	timerCount int
+	hosts      []*fakeHost
+	byName     map[string]*fakeHost
+	policy     setting.Policy
+	target     *version
+	callCount  uint64
 
 	originFree time.Time
-	// shared is an origin that shares its link among the draws; nil for one that sends one after the other.
-	shared  *sharedOrigin
-	drawn   int
-	crossed map[weights.Tier]int
-	// The faults. A nil function does nothing.
+	// shared is an origin that shares its link among concurrent transfers; nil for one that sends
+	// one chunk at a time.
+	shared        *sharedOrigin
+	originFetches int
+	transfers     map[weights.Tier]int
+	// The fault hooks; nil means no fault.
 	corrupt     func(from weights.Source, chunk int) bool
 	originFault func(chunk int) (fails bool, why weights.Reason, retry time.Duration)
-	cut         func(a, b *fakeHost) bool
+	partitioned func(a, b *fakeHost) bool
 	stalled     func(h *fakeHost) bool
-	// misses tells whether a host's list lacks another.
-	misses func(h, other *fakeHost) bool
+	// listLacks reports whether the host list of h lacks another host.
+	listLacks func(h, other *fakeHost) bool
 }
 
 type version struct {
@@ -53,17 +55,17 @@
 }
 
 type fakeHost struct {
-	name, place, region string
-	state               *weights.State
-	life                int
-	dead, frozen, gone  bool
-	waiting             []func()
-	// holds are the digests of the verified chunks in memory.
-	holds   map[string]bool
-	fetches map[uint64]bool
-	uploads map[uint64]func(start bool)
-	active  int
-	// completed are the digests of the versions that completed, in order.
+	name, place, region    string
+	state                  *weights.State
+	instance               int
+	dead, frozen, unlisted bool
+	pendingEvents          []func()
+	// chunks are the digests of the verified chunks in memory.
+	chunks        map[string]bool
+	fetches       map[uint64]bool
+	decisions     map[uint64]func(start bool)
+	activeUploads int
+	// completed are the digests of the completed versions, in order.
 	completed []string
 	share     float64
 }
@@ -91,7 +93,7 @@
 	return last
 }
 
-// newVersion makes a version of n chunks, of which those up to shared are the same in all versions.
+// newVersion returns a version of n chunks. The first shared chunks are the same in all versions.
 func newVersion(name string, n, shared int) *version {
 	m := &manifest.Manifest{Size: int64(n * chunkBytes), ChunkSize: chunkBytes}
 	for i := range n {
@@ -104,48 +106,49 @@
 	return &version{digest: manifest.Digest([]byte(name)), manifest: m}
 }
 
-// newFleet makes hosts in two regions of two places each.
+// newFleet creates hosts in two regions with two data centres each.
 func newFleet(seed uint64, n int, policy setting.Policy) *fleet {
 	f := &fleet{
 		now: time.Unix(0, 0), random: rand.New(rand.NewPCG(seed, 0)), byName: map[string]*fakeHost{}, policy: policy,
-		crossed: map[weights.Tier]int{},
+		transfers: map[weights.Tier]int{},
 	}
 	for i := range n {
 		h := &fakeHost{name: fmt.Sprintf("host-%d", i), place: fmt.Sprintf("place-%d", i%4), region: fmt.Sprintf("region-%d", i%2)}
 		f.hosts = append(f.hosts, h)
 		f.byName[h.name] = h
-		f.boot(h)
+		f.startInstance(h)
 	}
 	return f
 }
 
-// boot starts a host's process with nothing in memory.
-func (f *fleet) boot(h *fakeHost) {
-	h.life++
+// startInstance starts a host's process with empty memory.
+func (f *fleet) startInstance(h *fakeHost) {
+	h.instance++
 	h.state = weights.NewState(weights.Peer{Address: h.name, Place: h.place, Region: h.region})
-	h.holds, h.fetches, h.uploads = map[string]bool{}, map[uint64]bool{}, map[uint64]func(bool){}
-	h.active, h.waiting, h.completed, h.share = 0, nil, nil, 1
-	f.tick(h, h.life)
+	h.chunks, h.fetches, h.decisions = map[string]bool{}, map[uint64]bool{}, map[uint64]func(bool){}
+	h.activeUploads, h.pendingEvents, h.completed, h.share = 0, nil, nil, 1
+	f.startTicks(h, h.instance)
 }
 
-func (f *fleet) tick(h *fakeHost, life int) {
-	f.after(time.Duration(f.random.Int64N(int64(step.TickInterval))), func() { f.ticks(h, life) })
+func (f *fleet) startTicks(h *fakeHost, instance int) {
+	f.after(time.Duration(f.random.Int64N(int64(step.TickInterval))), func() { f.tickEvery(h, instance) })
 }
 
-func (f *fleet) ticks(h *fakeHost, life int) {
-	if h.dead || h.life != life {
+func (f *fleet) tickEvery(h *fakeHost, instance int) {
+	if h.dead || h.instance != instance {
 		return
 	}
 	f.step(h, step.Tick{})
-	f.after(step.TickInterval, func() { f.ticks(h, life) })
+	f.after(step.TickInterval, func() { f.tickEvery(h, instance) })
 }
 
 func (f *fleet) after(d time.Duration, run func()) {
-	f.order++
-	heap.Push(&f.queue, timer{f.now.Add(d), f.order, run})
+	f.timerCount++
+	heap.Push(&f.queue, timer{f.now.Add(d), f.timerCount, run})
 }
 
-// run lets time pass until the condition holds, at most for a while. It reports whether it came to hold.
+// run advances the clock until the condition holds, at most by limit. It reports whether the
+// condition holds.
 func (f *fleet) run(limit time.Duration, until func() bool) bool {
 	end := f.now.Add(limit)
 	for len(f.queue) > 0 {
@@ -164,7 +167,7 @@
 	return until()
 }
 
-// want sets the version that all hosts shall have; the setting reaches them within a few ticks.
+// want sets the version that all hosts must have. It reaches the hosts within 200 ms.
 func (f *fleet) want(v *version) {
 	f.target = v
 	for _, h := range f.hosts {
@@ -178,43 +181,43 @@
 	}
 	w := weights.Want{Ref: weights.Ref{Model: "m", Version: f.target.digest}, Digest: f.target.digest, Policy: f.policy}
 	for _, p := range f.hosts {
-		if p != h && !p.gone && (f.misses == nil || !f.misses(h, p)) {
+		if p != h && !p.unlisted && (f.listLacks == nil || !f.listLacks(h, p)) {
 			w.Peers = append(w.Peers, weights.Peer{Address: p.name, Place: p.place, Region: p.region})
 		}
 	}
-	f.carry(h, h.state.SetWants(f.input(nil), []weights.Want{w}))
+	f.carryOut(h, h.state.SetWants(f.input(nil), []weights.Want{w}))
 }
 
 func (f *fleet) input(ev step.Event) step.Input {
 	return step.Input{Now: f.now, Rand: f.random.Uint64(), Event: ev}
 }
 
-// step feeds an event to a host; a frozen one gets it when it thaws.
+// step passes an event to a host. A frozen host receives it when it thaws.
 func (f *fleet) step(h *fakeHost, ev step.Event) {
 	if h.dead {
 		return
 	}
 	if h.frozen {
-		h.waiting = append(h.waiting, func() { f.step(h, ev) })
+		h.pendingEvents = append(h.pendingEvents, func() { f.step(h, ev) })
 		return
 	}
-	f.carry(h, h.state.Reduce(f.input(ev)))
+	f.carryOut(h, h.state.Reduce(f.input(ev)))
 }
 
 func (f *fleet) thaw(h *fakeHost) {
 	h.frozen = false
-	waiting := h.waiting
-	h.waiting = nil
+	waiting := h.pendingEvents
+	h.pendingEvents = nil
 	for _, run := range waiting {
 		run()
 	}
 }
 
-// kill ends a host; the host list shows it after its lag.
+// kill stops a host. The host list drops it after hostListLag.
 func (f *fleet) kill(h *fakeHost) {
 	h.dead = true
-	f.after(listLag, func() {
-		h.gone = true
+	f.after(hostListLag, func() {
+		h.unlisted = true
 		for _, other := range f.hosts {
 			f.setWants(other)
 		}
@@ -223,13 +226,13 @@
 
 func (f *fleet) restart(h *fakeHost) {
 	h.dead = false
-	f.boot(h)
+	f.startInstance(h)
 	f.after(50*time.Millisecond, func() { f.setWants(h) })
 }
 
-func (f *fleet) reaches(a, b *fakeHost) bool { return f.cut == nil || !f.cut(a, b) }
+func (f *fleet) connected(a, b *fakeHost) bool { return f.partitioned == nil || !f.partitioned(a, b) }
 
-// done tells whether every live host holds the whole target.
+// done reports whether every live host has the complete target version.
 func (f *fleet) done() bool {
 	for _, h := range f.hosts {
 		if !h.dead && !f.holdsAll(h) {
@@ -244,14 +247,14 @@
 		return false
 	}
 	for _, c := range f.target.manifest.Chunks {
-		if !h.holds[c.SHA256] {
+		if !h.chunks[c.SHA256] {
 			return false
 		}
 	}
 	return true
 }
 
-// copies gives how many copies of the target were drawn from the origin.
-func (f *fleet) copies() float64 {
-	return float64(f.drawn) / float64(len(f.target.manifest.Chunks))
+// originCopies returns the number of copies of the target that were fetched from the origin.
+func (f *fleet) originCopies() float64 {
+	return float64(f.originFetches) / float64(len(f.target.manifest.Chunks))
 }
--- a/internal/core/weights/mesh.go
+++ b/internal/core/weights/mesh.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// picks is how many neighbours a host chooses; others choose it as well.
-	picks = 5
-	// maxLinks bounds the neighbours, chosen and choosing.
+	// chosenLinks is how many peers a host links to by its own choice. Further peers link to it.
+	chosenLinks = 5
+	// maxLinks bounds the linked peers, whoever chose the link.
 	maxLinks = 16
-	// greetAgain is the wait before a peer that did not answer is greeted again.
-	greetAgain = time.Second
-	// silentFor is how long a peer that did not answer is not asked.
-	silentFor = 2 * time.Second
+	// helloRetryInterval is the wait before a hello is repeated to a peer that did not answer.
+	helloRetryInterval = time.Second
+	// silentBackoff is how long a peer that did not answer is not asked.
+	silentBackoff = 2 * time.Second
 )
 
-// setPeers takes in the hosts that want the version now.
+// setPeers updates the hosts that want the version.
 func (b *Burst) setPeers(in step.Input, list []Peer) []step.Effect {
 	changed := len(b.slots) == 0
 	listed := make(map[string]bool, len(list))
@@ -39,17 +39,17 @@
 		b.chooseLinks()
 		b.rankChunks()
 	}
-	for _, address := range b.early {
+	for _, address := range b.earlyPeers {
 		b.linkTo(address)
 	}
-	b.early = nil
+	b.earlyPeers = nil
 	if b.Manifest == nil {
-		return append(b.greet(in), b.askManifest(in)...)
+		return append(b.sendHellos(in), b.requestManifest(in)...)
 	}
-	return append(b.greet(in), b.fetch(in)...)
+	return append(b.sendHellos(in), b.scheduleFetches(in)...)
 }
 
-// addPeer reports whether the host was not listed before.
+// addPeer adds or updates a host. It reports whether anything changed.
 func (b *Burst) addPeer(p Peer) bool {
 	i, known := b.index[p.Address]
 	if !known {
@@ -57,13 +57,13 @@
 		b.index[p.Address] = i
 		b.peers = append(b.peers, &peer{hash: hostHash(p.Address)})
 	}
-	was := b.peers[i]
-	if was.listed && was.Peer == p {
+	entry := b.peers[i]
+	if entry.listed && entry.Peer == p {
 		return false
 	}
-	was.Peer = p
-	was.listed = true
-	was.tier = b.distance(p)
+	entry.Peer = p
+	entry.listed = true
+	entry.tier = b.distance(p)
 	return true
 }
 
@@ -80,12 +80,12 @@
 func (b *Burst) unlist(i int) {
 	p := b.peers[i]
 	p.listed = false
-	p.link = false
-	b.forget(i)
+	p.linked = false
+	b.forgetChunks(i)
 }
 
-// forget drops what a peer is known to have.
-func (b *Burst) forget(i int) {
+// forgetChunks discards what is known about the chunks of a peer.
+func (b *Burst) forgetChunks(i int) {
 	for c, has := range b.peers[i].have {
 		if has && c < len(b.chunks) {
 			b.removeHolder(c, i)
@@ -95,9 +95,9 @@
 }
 
 func (b *Burst) removeHolder(c, i int) {
-	b.chunks[c].near = without(b.chunks[c].near, i)
-	b.chunks[c].far = without(b.chunks[c].far, i)
-	b.sort(c)
+	b.chunks[c].nearHolders = without(b.chunks[c].nearHolders, i)
+	b.chunks[c].farHolders = without(b.chunks[c].farHolders, i)
+	b.reindex(c)
 }
 
 func without(list []int, item int) []int {
@@ -109,53 +109,53 @@
 	return list
 }
 
-// chooseLinks picks this host's neighbours among the hosts of its place, by rendezvous, so that they stay when
-// others come and go.
+// chooseLinks selects linked peers among the hosts of the data centre by rendezvous hashing. The
+// selection is stable when other hosts come and go.
 func (b *Burst) chooseLinks() {
 	if b.mode == Direct {
 		return
 	}
 	key := mix(b.selfHash ^ xxhash.Sum64String(b.Digest))
-	for _, i := range b.top(key, picks, func(i int) bool { return i != self && b.peers[i].tier == Place }) {
+	for _, i := range b.topRanked(key, chosenLinks, func(i int) bool { return i != selfIndex && b.peers[i].tier == Place }) {
 		p := b.peers[i]
-		if !p.link {
-			p.link = true
-			p.greet = true
+		if !p.linked {
+			p.linked = true
+			p.helloDue = true
 		}
 	}
 }
 
-// linkTo makes a peer that said hello a neighbour.
+// linkTo links a peer that sent a hello.
 func (b *Burst) linkTo(address string) {
 	i, known := b.index[address]
-	if !known || b.peers[i].link || b.linkCount() >= maxLinks {
+	if !known || b.peers[i].linked || b.linkCount() >= maxLinks {
 		return
 	}
-	b.peers[i].link = true
-	b.peers[i].sent = len(b.order)
+	b.peers[i].linked = true
+	b.peers[i].announced = len(b.arrivalOrder)
 }
 
 func (b *Burst) linkCount() int {
 	n := 0
 	for _, p := range b.peers {
-		if p.link {
+		if p.linked {
 			n++
 		}
 	}
 	return n
 }
 
-// greet says hello to the neighbours that were not greeted, and to others once when there is a reason.
-func (b *Burst) greet(in step.Input) []step.Effect {
+// sendHellos sends the hellos that are due.
+func (b *Burst) sendHellos(in step.Input) []step.Effect {
 	var effects []step.Effect
 	for _, p := range b.peers {
-		if !p.greet || !p.listed || in.Now.Before(p.greetAt) {
+		if !p.helloDue || !p.listed || in.Now.Before(p.nextHello) {
 			continue
 		}
-		p.greet = false
-		p.greetAt = in.Now.Add(greetAgain)
-		p.sent = len(b.order)
-		effects = append(effects, Announce{Digest: b.Digest, To: p.Address, Hello: true, OriginFailed: b.outage.tell(in.Now)})
+		p.helloDue = false
+		p.nextHello = in.Now.Add(helloRetryInterval)
+		p.announced = len(b.arrivalOrder)
+		effects = append(effects, Announce{Digest: b.Digest, To: p.Address, Hello: true, OriginFailed: b.outage.failureReport(in.Now)})
 	}
 	return effects
 }
@@ -163,54 +163,55 @@
 func (b *Burst) peerHas(in step.Input, ev PeerHas) []step.Effect {
 	i, known := b.index[ev.From]
 	if !known {
-		return nil // Not in the host list yet; it is greeted when it is.
+		return nil // The peer is not in the host list yet. It gets a hello when it is.
 	}
 	p := b.peers[i]
 	p.silentUntil = time.Time{}
-	b.outage.hear(in.Now, ev.From, ev.OriginFailed)
+	b.outage.recordPeerFailure(in.Now, ev.From, ev.OriginFailed)
 	if ev.Hello {
 		b.linkTo(ev.From)
 	}
-	if ev.All == nil && p.have == nil && p.tier == Place && len(ev.New) > 0 && !p.greet {
-		p.greet = true // It tells news to a neighbour that has forgotten the rest, as after a restart.
+	if ev.All == nil && p.have == nil && p.tier == Place && len(ev.New) > 0 && !p.helloDue {
+		p.helloDue = true // Announcements without a full list mean that this host restarted and lost the list.
 	}
-	news := b.learnAll(in, i, ev.All)
+	useful := b.recordHeldChunks(in, i, ev.All)
 	for _, c := range ev.New {
-		news = b.learn(in, i, c) || news
+		useful = b.recordHeldChunk(in, i, c) || useful
 	}
 	if b.Manifest == nil {
-		return b.askHolder(in, p, ev)
+		return b.requestManifestFrom(in, p, ev)
 	}
-	if !news {
+	if !useful {
 		return nil
 	}
-	return b.fetch(in)
+	return b.scheduleFetches(in)
 }
 
-// askHolder gets the manifest from a peer that has it.
-func (b *Burst) askHolder(in step.Input, p *peer, ev PeerHas) []step.Effect {
-	if ev.All == nil && ev.New == nil || b.trouble == code.MemoryTooSmall || in.Now.Before(b.manifestBusy) {
+// requestManifestFrom fetches the manifest from a peer that has it.
+func (b *Burst) requestManifestFrom(in step.Input, p *peer, ev PeerHas) []step.Effect {
+	if ev.All == nil && ev.New == nil || b.trouble == code.MemoryTooSmall || in.Now.Before(b.nextPeerManifest) {
 		return nil
 	}
-	b.manifestBusy = in.Now.Add(manifestPatience / 2)
+	b.nextPeerManifest = in.Now.Add(manifestRetryInterval / 2)
 	return []step.Effect{FetchManifest{Ref: b.Ref, Digest: b.Digest, From: Source(p.Address)}}
 }
 
-func (b *Burst) learnAll(in step.Input, i int, all []bool) bool {
-	news := false
+func (b *Burst) recordHeldChunks(in step.Input, i int, all []bool) bool {
+	useful := false
 	for c, has := range all {
 		if has {
-			news = b.learn(in, i, c) || news
+			useful = b.recordHeldChunk(in, i, c) || useful
 		}
 	}
 	if all != nil && b.peers[i].have == nil {
 		b.peers[i].have = make([]bool, len(all))
 	}
-	return news
+	return useful
 }
 
-// learn notes that a peer has a chunk. It reports whether that is news of a chunk that this host lacks.
-func (b *Burst) learn(in step.Input, i, c int) bool {
+// recordHeldChunk records that a peer has a chunk. It reports whether the peer is a new holder of a
+// chunk that this host lacks.
+func (b *Burst) recordHeldChunk(in step.Input, i, c int) bool {
 	p := b.peers[i]
 	if c < 0 || (b.Manifest != nil && c >= len(b.chunks)) || c >= maxChunks {
 		return false
@@ -229,40 +230,41 @@
 }
 
 func (b *Burst) addHolder(in step.Input, i, c int) bool {
-	known := &b.chunks[c]
-	if len(known.near)+len(known.far) == 0 && !known.have {
-		b.originHeard(in.Now, false)
-		b.slotNews(in, c)
-		delete(b.standsIn, c%originSlots)
+	chunk := &b.chunks[c]
+	if len(chunk.nearHolders)+len(chunk.farHolders) == 0 && !chunk.have {
+		b.recordOriginChunk(in.Now, false)
+		b.recordSlotChunk(in, c)
+		delete(b.tookOverSlot, c%originSlots)
 	}
 	if b.peers[i].tier == Place {
-		known.near = append(known.near, i)
+		chunk.nearHolders = append(chunk.nearHolders, i)
 	} else {
-		known.far = append(known.far, i)
-		b.reach = 0
-		if known.farSince.IsZero() {
-			known.farSince = in.Now
+		chunk.farHolders = append(chunk.farHolders, i)
+		b.fallbackTurns = 0
+		if chunk.farSince.IsZero() {
+			chunk.farSince = in.Now
 		}
 	}
-	if known.have {
+	if chunk.have {
 		return false
 	}
-	b.sort(c)
-	b.pace.news(in.Now)
+	b.reindex(c)
+	b.timing.progressed(in.Now)
 	return true
 }
 
-// peerSilent stops asking a peer for a while. A neighbour is greeted again, since it may have restarted.
+// peerSilent stops asking a peer for a while. A linked peer gets another hello, because it may have
+// restarted.
 func (b *Burst) peerSilent(in step.Input, address string) []step.Effect {
 	i, known := b.index[address]
 	if !known {
 		return nil
 	}
 	p := b.peers[i]
-	p.silentUntil = in.Now.Add(silentFor)
-	if p.link {
-		p.greet = true
-		p.greetAt = in.Now.Add(greetAgain)
+	p.silentUntil = in.Now.Add(silentBackoff)
+	if p.linked {
+		p.helloDue = true
+		p.nextHello = in.Now.Add(helloRetryInterval)
 	}
 	return nil
 }
--- a/internal/core/weights/network_test.go
+++ b/internal/core/weights/network_test.go
@@ -7,15 +7,15 @@
 	"samphireweir.example/samphireweir/internal/core/weights"
 )
 
-// carry carries out a host's effects over the faked network.
-func (f *fleet) carry(h *fakeHost, effects []step.Effect) {
+// carryOut carries out the effects of a host over the simulated network.
+func (f *fleet) carryOut(h *fakeHost, effects []step.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case weights.FetchManifest:
 			f.fetchManifest(h, e)
 		case weights.FetchChunk:
 			if h.state.Bursts[e.Digest] == nil {
-				panic(h.name + " fetches a version that it does not want")
+				panic(h.name + " fetches a version that is not wanted")
 			}
 			h.fetches[e.ID] = true
 			f.fetchChunk(h, e)
@@ -38,41 +38,41 @@
 }
 
 func (f *fleet) decide(h *fakeHost, call uint64, start bool) {
-	if decide := h.uploads[call]; decide != nil {
-		delete(h.uploads, call)
+	if decide := h.decisions[call]; decide != nil {
+		delete(h.decisions, call)
 		decide(start)
 	}
 }
 
 func (f *fleet) fetchManifest(h *fakeHost, e weights.FetchManifest) {
-	life := h.life
-	answer := func(ev step.Event) {
-		if h.life == life {
+	instance := h.instance
+	reply := func(ev step.Event) {
+		if h.instance == instance {
 			f.step(h, ev)
 		}
 	}
 	failed := weights.ManifestFailed{Digest: e.Digest, From: e.From}
-	known := e.From == weights.Origin
+	available := e.From == weights.Origin
 	if p := f.byName[string(e.From)]; p != nil {
-		known = !p.dead && !p.frozen && f.reaches(h, p) && knows(p, e.Digest)
+		available = !p.dead && !p.frozen && f.connected(h, p) && hasManifest(p, e.Digest)
 	}
-	if known && e.From == weights.Origin && f.originFault != nil {
+	if available && e.From == weights.Origin && f.originFault != nil {
 		fails, why, _ := f.originFault(-1)
-		known = !fails || why == weights.Corrupt
+		available = !fails || why == weights.Corrupt
 	}
-	if !known || e.Digest != f.target.digest {
-		f.after(delay, func() { answer(failed) })
+	if !available || e.Digest != f.target.digest {
+		f.after(networkDelay, func() { reply(failed) })
 		return
 	}
 	v := f.target
-	f.after(2*delay, func() {
+	f.after(2*networkDelay, func() {
 		var held []int
 		for i, c := range v.manifest.Chunks {
-			if h.holds[c.SHA256] {
+			if h.chunks[c.SHA256] {
 				held = append(held, i)
 			}
 		}
-		answer(weights.ManifestRead{Digest: v.digest, Manifest: v.manifest, From: e.From, Held: held})
+		reply(weights.ManifestRead{Digest: v.digest, Manifest: v.manifest, From: e.From, Held: held})
 	})
 }
 
@@ -82,172 +82,172 @@
 	}
 	var held []int
 	for i, c := range f.target.manifest.Chunks {
-		if h.holds[c.SHA256] {
+		if h.chunks[c.SHA256] {
 			held = append(held, i)
 		}
 	}
 	f.after(0, func() { f.step(h, weights.ManifestRead{Digest: digest, Manifest: f.target.manifest, Held: held}) })
 }
 
-func knows(h *fakeHost, digest string) bool {
+func hasManifest(h *fakeHost, digest string) bool {
 	b := h.state.Bursts[digest]
 	return b != nil && b.Manifest != nil
 }
 
-// have is the answer to a hello; nil when the version is not known.
-func (f *fleet) have(h *fakeHost, digest string) []bool {
-	if !knows(h, digest) {
+// heldChunks returns the answer to a hello; nil if the version is unknown.
+func (f *fleet) heldChunks(h *fakeHost, digest string) []bool {
+	if !hasManifest(h, digest) {
 		return nil
 	}
 	var have []bool
 	for _, c := range h.state.Bursts[digest].Manifest.Chunks {
-		have = append(have, h.holds[c.SHA256])
+		have = append(have, h.chunks[c.SHA256])
 	}
 	return have
 }
 
 func (f *fleet) announce(h *fakeHost, e weights.Announce) {
 	p := f.byName[e.To]
-	life := h.life
+	instance := h.instance
 	silent := weights.PeerSilent{Digest: e.Digest, From: e.To}
 	if p.dead {
-		f.after(delay, func() { f.step(h, silent) })
+		f.after(networkDelay, func() { f.step(h, silent) })
 		return
 	}
-	if p.frozen || !f.reaches(h, p) {
-		f.after(callLimit, func() { f.step(h, silent) })
+	if p.frozen || !f.connected(h, p) {
+		f.after(callTimeout, func() { f.step(h, silent) })
 		return
 	}
 	ev := weights.PeerHas{Digest: e.Digest, From: h.name, New: e.New, Hello: e.Hello, OriginFailed: e.OriginFailed}
 	if e.Hello {
-		ev.All = f.have(h, e.Digest)
+		ev.All = f.heldChunks(h, e.Digest)
 	}
-	f.after(delay, func() {
+	f.after(networkDelay, func() {
 		f.step(p, ev)
 		if !e.Hello || p.dead || p.frozen {
 			return
 		}
-		all := f.have(p, e.Digest)
-		f.after(delay, func() {
-			if h.life == life && all != nil {
+		all := f.heldChunks(p, e.Digest)
+		f.after(networkDelay, func() {
+			if h.instance == instance && all != nil {
 				f.step(h, weights.PeerHas{Digest: e.Digest, From: p.name, All: all})
 			}
 		})
 	})
 }
 
-// fetchChunk plays a fetch with its time limit.
+// fetchChunk simulates a fetch with its timeout.
 func (f *fleet) fetchChunk(h *fakeHost, e weights.FetchChunk) {
-	life := h.life
+	instance := h.instance
 	ended := false
 	end := func(ev step.Event) {
-		if ended || h.life != life || !h.fetches[e.ID] {
+		if ended || h.instance != instance || !h.fetches[e.ID] {
 			return
 		}
 		ended = true
 		delete(h.fetches, e.ID)
 		f.step(h, ev)
 	}
-	failed := func(why weights.Reason, retry time.Duration) weights.ChunkFailed {
+	failure := func(why weights.Reason, retry time.Duration) weights.ChunkFailed {
 		return weights.ChunkFailed{Digest: e.Digest, Index: e.Index, Fetch: e.ID, From: e.From, Reason: why, RetryAfter: retry}
 	}
-	f.after(e.Limit, func() { end(failed(weights.Broken, 0)) })
-	began := f.now
+	f.after(e.Limit, func() { end(failure(weights.ExchangeFailed, 0)) })
+	startedAt := f.now
 	arrive := func() {
 		if f.corrupt != nil && f.corrupt(e.From, e.Index) {
-			end(failed(weights.Corrupt, 0))
+			end(failure(weights.Corrupt, 0))
 			return
 		}
-		if !h.dead && h.life == life {
-			h.holds[e.Chunk.SHA256] = true
-			end(weights.ChunkStored{Digest: e.Digest, Index: e.Index, Fetch: e.ID, From: e.From, Took: f.now.Sub(began)})
+		if !h.dead && h.instance == instance {
+			h.chunks[e.Chunk.SHA256] = true
+			end(weights.ChunkStored{Digest: e.Digest, Index: e.Index, Fetch: e.ID, From: e.From, Took: f.now.Sub(startedAt)})
 		}
 	}
 	if e.From == weights.Origin {
-		f.fromOrigin(h, e, arrive, func(why weights.Reason, retry time.Duration) { end(failed(why, retry)) })
+		f.fetchFromOrigin(h, e, arrive, func(why weights.Reason, retry time.Duration) { end(failure(why, retry)) })
 		return
 	}
-	f.fromPeer(h, f.byName[string(e.From)], e, arrive, func(why weights.Reason) { end(failed(why, 0)) })
+	f.fetchFromPeer(h, f.byName[string(e.From)], e, arrive, func(why weights.Reason) { end(failure(why, 0)) })
 }
 
-func (f *fleet) fromOrigin(h *fakeHost, e weights.FetchChunk, arrive func(), fail func(weights.Reason, time.Duration)) {
-	if f.cut != nil && f.cut(h, nil) {
-		return // Nothing comes back until the limit.
+func (f *fleet) fetchFromOrigin(h *fakeHost, e weights.FetchChunk, arrive func(), fail func(weights.Reason, time.Duration)) {
+	if f.partitioned != nil && f.partitioned(h, nil) {
+		return // The fetch runs into its timeout.
 	}
 	if f.originFault != nil {
 		if fails, why, retry := f.originFault(e.Index); fails {
-			f.after(2*delay, func() { fail(why, retry) })
+			f.after(2*networkDelay, func() { fail(why, retry) })
 			return
 		}
 	}
 	if f.shared != nil {
-		f.shared.draw(h, func() bool { return h.fetches[e.ID] && !h.dead }, arrive, fail)
+		f.shared.start(h, func() bool { return h.fetches[e.ID] && !h.dead }, arrive, fail)
 		return
 	}
 	if f.originFree.Before(f.now) {
 		f.originFree = f.now
 	}
 	f.originFree = f.originFree.Add(chunkTime / 2)
-	f.drawn++
-	f.crossed[weights.FromOrigin]++
-	f.after(f.originFree.Sub(f.now)+delay, arrive)
+	f.originFetches++
+	f.transfers[weights.FromOrigin]++
+	f.after(f.originFree.Sub(f.now)+networkDelay, arrive)
 }
 
-func (f *fleet) fromPeer(h, p *fakeHost, e weights.FetchChunk, arrive func(), fail func(weights.Reason)) {
+func (f *fleet) fetchFromPeer(h, p *fakeHost, e weights.FetchChunk, arrive func(), fail func(weights.Reason)) {
 	if p.dead {
-		f.after(delay, func() { fail(weights.Broken) })
+		f.after(networkDelay, func() { fail(weights.ExchangeFailed) })
 		return
 	}
-	if p.frozen || !f.reaches(h, p) {
+	if p.frozen || !f.connected(h, p) {
 		return
 	}
-	f.calls++
-	call := f.calls
-	life := p.life
-	f.after(delay, func() {
-		if p.dead || p.life != life {
-			fail(weights.Broken)
+	f.callCount++
+	call := f.callCount
+	instance := p.instance
+	f.after(networkDelay, func() {
+		if p.dead || p.instance != instance {
+			fail(weights.ExchangeFailed)
 			return
 		}
-		if !p.holds[e.Chunk.SHA256] {
+		if !p.chunks[e.Chunk.SHA256] {
 			fail(weights.Missing)
 			return
 		}
-		p.uploads[call] = func(start bool) {
+		p.decisions[call] = func(start bool) {
 			if !start {
-				f.after(delay, func() { fail(weights.Busy) })
+				f.after(networkDelay, func() { fail(weights.Busy) })
 				return
 			}
 			f.upload(h, p, call, arrive, fail)
 		}
-		f.step(p, weights.UploadAsked{Call: call, From: h.name, Size: chunkBytes})
+		f.step(p, weights.UploadRequested{Call: call, From: h.name, Size: chunkBytes})
 	})
 }
 
 func (f *fleet) upload(h, p *fakeHost, call uint64, arrive func(), fail func(weights.Reason)) {
-	p.active++
-	took := time.Duration(float64(chunkTime) * float64(p.active) / p.share)
-	life := p.life
-	f.after(took, func() {
+	p.activeUploads++
+	duration := time.Duration(float64(chunkTime) * float64(p.activeUploads) / p.share)
+	instance := p.instance
+	f.after(duration, func() {
 		switch {
-		case p.dead || p.life != life:
-			fail(weights.Broken)
+		case p.dead || p.instance != instance:
+			fail(weights.ExchangeFailed)
 			return
-		case p.frozen || (f.stalled != nil && f.stalled(p)) || !f.reaches(h, p):
-			f.after(callLimit, func() { f.uploadEnded(p, life, call, 0) })
+		case p.frozen || (f.stalled != nil && f.stalled(p)) || !f.connected(h, p):
+			f.after(callTimeout, func() { f.uploadEnded(p, instance, call, 0) })
 			return
 		}
-		f.crossed[distance(h, p)]++
-		f.uploadEnded(p, life, call, chunkBytes)
-		f.after(delay, arrive)
+		f.transfers[distance(h, p)]++
+		f.uploadEnded(p, instance, call, chunkBytes)
+		f.after(networkDelay, arrive)
 	})
 }
 
-func (f *fleet) uploadEnded(p *fakeHost, life int, call uint64, sent int64) {
-	if p.life != life {
+func (f *fleet) uploadEnded(p *fakeHost, instance int, call uint64, sent int64) {
+	if p.instance != instance {
 		return
 	}
-	p.active--
+	p.activeUploads--
 	f.step(p, weights.UploadEnded{Call: call, Sent: sent})
 }
 
--- /dev/null
+++ b/internal/core/weights/origin.go
@@ -0,0 +1,254 @@
+package weights
+
+import (
+	"time"
+
+	"samphireweir.example/samphireweir/internal/code"
+	"samphireweir.example/samphireweir/internal/core/step"
+	"samphireweir.example/samphireweir/internal/setting"
+)
+
+const (
+	// originFetchesPerHost is how many chunks an origin fetcher fetches at the same time. All
+	// fetchers share the origin's link, and a chunk can be passed on only when it is complete. Few
+	// concurrent fetches are therefore best.
+	originFetchesPerHost = 1
+	// swarmOriginFetches and directOriginFetches are the same for the baselines.
+	swarmOriginFetches  = 2
+	directOriginFetches = 4
+	// initialOriginBackoff is the wait after the first failure at the origin. It doubles with each
+	// failure, up to shortOriginBackoff. An unavailable origin is usually restarting, and a whole
+	// fleet may be waiting for a version that must be in use.
+	initialOriginBackoff = 200 * time.Millisecond
+	shortOriginBackoff   = time.Second
+	// shortBackoffFailures is the number of failures after which the backoff grows further, up to
+	// maxOriginBackoff: the outage is a long one.
+	shortBackoffFailures = 12
+	maxOriginBackoff     = 5 * time.Second
+	// reportedFailures is the number of failures in a row that is reported to operators.
+	reportedFailures = 3
+	// regionFallbackTurns and placeFallbackTurns are the idle turns after which the delegates of a
+	// region and of a data centre fetch from the origin themselves, for example because no origin
+	// fetcher is reachable.
+	regionFallbackTurns = 3
+	placeFallbackTurns  = 6
+	// firstOriginChunkTimeout is how long the origin may take for the first chunk of a fleet before
+	// its slots count as silent. It allows for all fetchers sharing the origin's link.
+	firstOriginChunkTimeout = 2 * time.Second
+	// helloAnswerTimeout is how long a host waits for the answers of its linked peers before it
+	// fetches from the origin. After a restart of this host, they have most chunks.
+	helloAnswerTimeout = 150 * time.Millisecond
+)
+
+// fetchFromOrigin starts the fetches from the weight store or the origin that this host may make.
+func (b *Burst) fetchFromOrigin(in step.Input, r *random) []step.Effect {
+	if in.Now.Before(b.originRetryAt) {
+		return nil
+	}
+	switch b.mode {
+	case Direct:
+		return b.fetchAnyFromOrigin(in, r, directOriginFetches)
+	case Swarm:
+		return b.fetchAnyFromOrigin(in, r, swarmOriginFetches)
+	}
+	if in.Now.Sub(b.startedAt) < helloAnswerTimeout && !b.allLinkedAnswered() {
+		return nil
+	}
+	var effects []step.Effect
+	// Own slots first: no other host takes over the slot of a host that is active on another slot.
+	for rank := range uint8(candidatesPerSlot) {
+		for j := range b.slots {
+			if b.slots[j].rank == rank {
+				effects = append(effects, b.fetchSlot(in, j)...)
+			}
+		}
+	}
+	return append(effects, b.fetchFallback(in)...)
+}
+
+// allLinkedAnswered reports whether every linked peer has reported its chunks.
+func (b *Burst) allLinkedAnswered() bool {
+	for _, p := range b.peers {
+		if p.linked && p.have == nil {
+			return false
+		}
+	}
+	return true
+}
+
+// fetchSlot fetches the next chunks of an origin slot, as its fetcher or in place of a silent one.
+// After a takeover it continues without a new wait for each chunk, until another host has a chunk
+// of the slot.
+func (b *Burst) fetchSlot(in step.Input, j int) []step.Effect {
+	s := &b.slots[j]
+	if b.originFetches >= originFetchesPerHost || b.outage.suspends(in.Now, int(s.rank)) {
+		return nil
+	}
+	if !b.tookOverSlot[j] && s.rank > 0 && in.Now.Sub(b.slotLastActive(j)) < time.Duration(s.rank)*b.slotTimeout() {
+		return nil
+	}
+	var effects []step.Effect
+	for c := j; c < len(b.chunks) && b.originFetches < originFetchesPerHost; c += len(b.slots) {
+		if b.mayFetchFromOrigin(in, c) {
+			b.tookOverSlot[j] = s.rank > 0
+			effects = append(effects, b.fetchChunkFromOrigin(in, c))
+		}
+	}
+	return effects
+}
+
+func (b *Burst) mayFetchFromOrigin(in step.Input, c int) bool {
+	chunk := &b.chunks[c]
+	inFlight := chunk.inFlight
+	if inFlight == 1 && b.stalled.has(c) {
+		inFlight = 0 // The fetch goes on, because it may only be slow.
+	}
+	if chunk.have || inFlight > 0 || in.Now.Before(chunk.retryAt) {
+		return false
+	}
+	return !b.available(in, chunk.nearHolders) && !b.available(in, chunk.farHolders)
+}
+
+// slotTimeout is how long an origin fetcher may be silent before the next candidate takes over.
+func (b *Burst) slotTimeout() time.Duration {
+	if b.Policy == setting.OriginFirst {
+		return min(max(6*b.timing.slotGap, time.Second), 5*time.Second)
+	}
+	return min(max(3*b.timing.slotGap, 300*time.Millisecond), 5*time.Second)
+}
+
+// recordSlotChunk records that a chunk of a slot has come from the origin to some host.
+func (b *Burst) recordSlotChunk(in step.Input, c int) {
+	if len(b.slots) == 0 {
+		return
+	}
+	j := c % len(b.slots)
+	if b.firstOriginChunkAt.IsZero() {
+		b.firstOriginChunkAt = in.Now
+	}
+	if b.slots[j].rank == maxRank {
+		return
+	}
+	for len(b.slotActiveAt) <= j {
+		b.slotActiveAt = append(b.slotActiveAt, b.startedAt)
+	}
+	b.timing.addSlotGap(in.Now.Sub(b.slotActiveAt[j]))
+	b.slotActiveAt[j] = in.Now
+}
+
+// slotLastActive is the time from which the silence of the slot's fetcher is counted. While no slot
+// is active, the silence is due to the origin and not to one fetcher: all fetch their first chunks
+// at the same time, over one link. An outage also silences all slots, so the time starts again when
+// it ends.
+func (b *Burst) slotLastActive(j int) time.Time {
+	active := b.firstOriginChunkAt
+	if active.IsZero() {
+		active = b.startedAt.Add(firstOriginChunkTimeout)
+	}
+	if j < len(b.slotActiveAt) && b.slotActiveAt[j].After(active) {
+		active = b.slotActiveAt[j]
+	}
+	if b.outage.endedAt.After(active) {
+		return b.outage.endedAt
+	}
+	return active
+}
+
+// fetchFallback fetches chunks that no reachable host has, after a long time without progress.
+// After the first such fetch it continues without a new wait for each chunk, until a chunk arrives
+// from outside the data centre. Chunks whose only holder stalled are fetched sooner.
+func (b *Burst) fetchFallback(in step.Input) []step.Effect {
+	if b.originFetches >= originFetchesPerHost || b.outage.suspends(in.Now, candidatesPerSlot) {
+		return nil
+	}
+	for _, c := range b.stalled.items {
+		waited := in.Now.Sub(b.chunks[c].stalledAt)
+		if b.mayFallBack(c, int(waited/b.timing.delegateTimeout())+regionFallbackTurns-1) && b.mayFetchFromOrigin(in, c) {
+			return []step.Effect{b.fetchChunkFromOrigin(in, c)}
+		}
+	}
+	turns := max(b.idleTurns(in), b.fallbackTurns)
+	if turns < regionFallbackTurns {
+		return nil
+	}
+	for _, c := range b.missing.items {
+		if b.mayFallBack(c, turns) && b.mayFetchFromOrigin(in, c) {
+			b.fallbackTurns = turns
+			return []step.Effect{b.fetchChunkFromOrigin(in, c)}
+		}
+	}
+	return nil
+}
+
+// mayFallBack reports whether this host may fetch a chunk from the origin after the given number of
+// idle turns.
+func (b *Burst) mayFallBack(c, turns int) bool {
+	return int(b.ranks[c].region)+regionFallbackTurns <= turns || int(b.ranks[c].place)+placeFallbackTurns <= turns
+}
+
+// fetchAnyFromOrigin fetches random missing chunks; the baseline modes use it.
+func (b *Burst) fetchAnyFromOrigin(in step.Input, r *random, limit int) []step.Effect {
+	var effects []step.Effect
+	n := b.missing.len()
+	start := r.intN(n)
+	items := append([]int(nil), b.missing.items...)
+	for k := 0; k < n && b.originFetches < limit; k++ {
+		if c := items[(start+k)%n]; b.mayFetchFromOrigin(in, c) {
+			effects = append(effects, b.fetchChunkFromOrigin(in, c))
+		}
+	}
+	return effects
+}
+
+func (b *Burst) fetchChunkFromOrigin(in step.Input, c int) step.Effect {
+	b.originFetches++
+	return b.startFetch(in, c, chunkFetch{fromOrigin: true}, Origin)
+}
+
+// originFailed handles a failed fetch from the origin.
+func (b *Burst) originFailed(in step.Input, ev ChunkFailed) {
+	c := &b.chunks[ev.Index]
+	switch ev.Reason {
+	case Busy:
+		b.originRetryAt = in.Now.Add(max(ev.RetryAfter, initialOriginBackoff))
+		return
+	case NoMemory:
+		b.recordMemoryFull(in, ev.Index)
+		return
+	case Corrupt, Changed:
+		b.Counts.Corrupt++
+		b.Counts.Wasted += b.Manifest.Chunks[ev.Index].Size
+		c.originFailures++
+		c.retryAt = in.Now.Add(originBackoff(c.originFailures))
+		b.recordCorruptOrigin(ev.Reason, c)
+		return
+	}
+	c.originFailures++
+	b.originFailures++
+	wait := originBackoff(b.originFailures)
+	r := random(in.Rand)
+	b.originRetryAt = in.Now.Add(wait/2 + time.Duration(r.intN(int(wait/2))))
+	b.outage.recordOwnFailure(in.Now)
+	b.fallbackTurns = 0
+	clear(b.tookOverSlot)
+	if b.originFailures >= reportedFailures {
+		b.trouble = code.SourceUnavailable
+	}
+}
+
+func (b *Burst) recordCorruptOrigin(why Reason, c *chunk) {
+	if why == Changed {
+		b.trouble = code.SourceChanged
+		return
+	}
+	if c.originFailures >= reportedFailures {
+		b.trouble = code.ChunkCorrupt
+	}
+}
+
+func originBackoff(failures int) time.Duration {
+	if failures <= shortBackoffFailures {
+		return min(initialOriginBackoff<<min(failures-1, 8), shortOriginBackoff)
+	}
+	return min(shortOriginBackoff<<min(failures-shortBackoffFailures, 8), maxOriginBackoff)
+}
--- a/internal/core/weights/origin_test.go
+++ b/internal/core/weights/origin_test.go
@@ -10,10 +10,12 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// TestTheOriginMayGoAwayOnceItSentACopy has an origin that goes away for good when it could have sent each chunk three times. One host is
-// dead and another has just joined, and every second host has not heard of that: their lists differ by two of 20 hosts, as while engines are
-// taken away and added. No chunk may be left to a host that another believes to draw it.
-func TestTheOriginMayGoAwayOnceItSentACopy(t *testing.T) {
+// TestOriginIsNotNeededAfterItSentACopy makes the origin unavailable for good once it had time to
+// send each chunk three times. One host is dead, another has just joined, and every second host
+// does not know this yet, so the host lists differ by two of 20 hosts. This happens while engines
+// are added and removed. It guards against a chunk that no host fetches because each expects
+// another host to fetch it.
+func TestOriginIsNotNeededAfterItSentACopy(t *testing.T) {
 	const chunks, hosts = 48, 20
 	originTime := chunks * chunkTime / 2
 	for seed := range uint64(30) {
@@ -24,14 +26,14 @@
 		for i, h := range f.hosts {
 			late[h] = i%2 == 0
 		}
-		f.misses = func(h, other *fakeHost) bool {
+		f.listLacks = func(h, other *fakeHost) bool {
 			return other == dead && !late[h] || other == joined && late[h]
 		}
-		chainOrigin(f, func(int) (bool, weights.Reason, time.Duration) {
-			return f.now.Sub(time.Unix(0, 0)) > 3*originTime, weights.Broken, 0
+		addOriginFault(f, func(int) (bool, weights.Reason, time.Duration) {
+			return f.now.Sub(time.Unix(0, 0)) > 3*originTime, weights.ExchangeFailed, 0
 		})
 		f.want(newVersion("v2", chunks, 0))
-		require.True(t, f.run(time.Minute, f.done), "seed %d: %.2f copies drawn", seed, f.copies())
-		require.Less(t, f.copies(), 1.5, "seed %d", seed)
+		require.True(t, f.run(time.Minute, f.done), "seed %d: %.2f copies fetched", seed, f.originCopies())
+		require.Less(t, f.originCopies(), 1.5, "seed %d", seed)
 	}
 }
--- a/internal/core/weights/outage.go
+++ b/internal/core/weights/outage.go
@@ -8,91 +8,104 @@
 )
 
 const (
-	// standInWait is how long the first stand-in of an origin slot leaves an origin alone that is away; each further rank waits as much longer, and a
-	// host that draws for itself the longest. While the origin is away nobody can tell whether a slot's fetcher lives, and if all who might
-	// draw asked again and again, its link would carry most chunks several times once it is back.
-	standInWait = 10 * time.Second
-	// originQuiet is how long nothing has come from the origin, to any host that this one hears of, before others' failures count as an outage:
-	// until then their way to it may be at fault, and stand-ins are needed.
-	originQuiet = 2 * time.Second
-	// outageWitnesses is how many hosts must have failed in that time, each by its own word, or one that has heard of so many must tell.
-	outageWitnesses = 2
+	// standbyBackoff is how long the first standby of an origin slot does not ask an unavailable
+	// origin. Each further rank waits that much longer, and a host that falls back by itself waits
+	// longest. During an outage nobody can tell whether a slot's fetcher is alive. If all
+	// candidates kept retrying, the origin's link would carry most chunks several times after the
+	// recovery.
+	standbyBackoff = 10 * time.Second
+	// minOriginSilence is how long no host known here must have received anything from the origin
+	// before the failures of peers count as an outage. Until then only the path of those peers to
+	// the origin may be broken, and standbys are needed.
+	minOriginSilence = 2 * time.Second
+	// minFailedHosts is how many hosts must have failed in that time. Each must report its own
+	// failure, or one must report that it knows of so many.
+	minFailedHosts = 2
 )
 
-// outage is what one host knows of a time in which the origin fails: from its own draws, and from what others tell of theirs with their
-// hellos. A chunk that comes from the origin, to whichever host, ends it.
+// outage is what one host knows about an outage of the origin, from its own fetches and from the
+// failures that other hosts report in their hellos. A chunk that arrives from the origin at any
+// host ends the outage.
 type outage struct {
-	// heard is when something last came from the origin, or the burst began.
-	heard time.Time
-	// over is when the last outage was found to be over.
-	over time.Time
-	// reached is set while this host's own last draw went well: whatever others tell, the origin is there.
-	reached bool
-	// first and own are the first and the last failure of an own draw since then; zero for none.
-	first, own time.Time
-	// told are the last failures since then that other hosts told, by address, and toldSince is since when these are an outage; zero for never.
-	told      map[string]time.Time
-	toldSince time.Time
-	// logged is set while the shell has been told that the origin is away.
-	logged bool
+	// lastOriginChunkAt is when a chunk last came from the origin, or when the burst began.
+	lastOriginChunkAt time.Time
+	// endedAt is when the last outage was found to have ended.
+	endedAt time.Time
+	// ownFetchSucceeded is set while this host's own last fetch succeeded. The origin is then
+	// available, whatever other hosts report.
+	ownFetchSucceeded bool
+	// firstOwnFailure and lastOwnFailure are the first and the last failure of an own fetch since
+	// lastOriginChunkAt; zero if there is none.
+	firstOwnFailure, lastOwnFailure time.Time
+	// peerFailures are the last failures since lastOriginChunkAt that other hosts reported, by
+	// address. peerOutageSince is since when these count as an outage; zero if they don't.
+	peerFailures    map[string]time.Time
+	peerOutageSince time.Time
+	// reportedDown is set while the last report to the shell says that the origin is unavailable.
+	// The shell carries out the effects of the reducer.
+	reportedDown bool
 }
 
-// OriginFailure is what hosts tell one another of failed draws since something last came from the origin.
+// OriginFailure is what hosts tell each other about failed fetches since a chunk last came from the
+// origin.
 type OriginFailure struct {
-	// Ago is how long ago the last one was; 0 for none.
+	// Ago is the time since the last failure; 0 if there is none.
 	Ago time.Duration
-	// Widespread is set when several hosts failed, as far as the teller knows.
+	// Widespread is set when several hosts failed, as far as the reporting host knows.
 	Widespread bool
 }
 
-// OutageSeen tells the shell that the origin is believed to be away, or to be back.
-type OutageSeen struct {
+// OriginOutageChanged tells the shell that the origin is considered unavailable, or available
+// again.
+type OriginOutageChanged struct {
 	effect
 	Digest string
-	Away   bool
-	// Own is set when a draw of this host failed; otherwise other hosts told.
-	Own bool
-	// Lasted is how long nothing has come from the origin.
+	Down   bool
+	// OwnFetch is set when a fetch of this host failed; otherwise other hosts reported the
+	// failures.
+	OwnFetch bool
+	// Lasted is the time since a chunk last came from the origin.
 	Lasted time.Duration
 }
 
-// failed notes an own draw that the origin failed.
-func (o *outage) failed(now time.Time) {
-	if o.own.IsZero() {
-		o.first = now
+// recordOwnFailure records a failed own fetch from the origin.
+func (o *outage) recordOwnFailure(now time.Time) {
+	if o.lastOwnFailure.IsZero() {
+		o.firstOwnFailure = now
 	}
-	o.own, o.reached = now, false
+	o.lastOwnFailure, o.ownFetchSucceeded = now, false
 }
 
-// hear takes in what another host tells.
-func (o *outage) hear(now time.Time, from string, f OriginFailure) {
+// recordPeerFailure records the failures that another host reports.
+func (o *outage) recordPeerFailure(now time.Time, from string, f OriginFailure) {
 	at := now.Add(-f.Ago)
-	if f.Ago <= 0 || !at.After(o.heard) {
+	if f.Ago <= 0 || !at.After(o.lastOriginChunkAt) {
 		return
 	}
-	if o.told == nil {
-		o.told = map[string]time.Time{}
+	if o.peerFailures == nil {
+		o.peerFailures = map[string]time.Time{}
 	}
-	o.told[from] = at
-	if o.toldSince.IsZero() && (f.Widespread || o.widespread()) {
-		o.toldSince = now
+	o.peerFailures[from] = at
+	if o.peerOutageSince.IsZero() && (f.Widespread || o.widespread()) {
+		o.peerOutageSince = now
 	}
 }
 
-// widespread tells whether enough hosts failed, this one included.
+// widespread reports whether enough hosts failed, including this one.
 func (o *outage) widespread() bool {
-	witnesses := len(o.told)
-	if !o.own.IsZero() {
-		witnesses++
+	failedHosts := len(o.peerFailures)
+	if !o.lastOwnFailure.IsZero() {
+		failedHosts++
 	}
-	return witnesses >= outageWitnesses || !o.toldSince.IsZero()
+	return failedHosts >= minFailedHosts || !o.peerOutageSince.IsZero()
 }
 
-// tell is what this host tells others: its own last failure, or the last that it heard of when many failed.
-func (o *outage) tell(now time.Time) OriginFailure {
-	last := o.own
+// failureReport returns what this host reports to others: its own last failure or, if failures are
+// widespread, the last known one of any host.
+func (o *outage) failureReport(now time.Time) OriginFailure {
+	last := o.lastOwnFailure
 	if o.widespread() {
-		for _, at := range o.told {
+		for _, at := range o.peerFailures {
 			if at.After(last) {
 				last = at
 			}
@@ -104,59 +117,62 @@
 	return OriginFailure{Ago: max(1, now.Sub(last)), Widespread: o.widespread()}
 }
 
-// away tells whether the origin is believed to be away.
-func (o *outage) away(now time.Time) bool {
-	told := !o.reached && !o.toldSince.IsZero() && now.Sub(o.heard) >= originQuiet
-	return !o.own.IsZero() || told
+// ongoing reports whether the origin is considered unavailable.
+func (o *outage) ongoing(now time.Time) bool {
+	reportedByPeers := !o.ownFetchSucceeded && !o.peerOutageSince.IsZero() && now.Sub(o.lastOriginChunkAt) >= minOriginSilence
+	return !o.lastOwnFailure.IsZero() || reportedByPeers
 }
 
-// lasts tells whether the origin has been away for so long that operators are told.
-func (o *outage) lasts(now time.Time) bool {
-	return o.away(now) && now.Sub(o.since()) > manyFailures*originRetrySoon
+// prolonged reports whether the outage has lasted so long that operators are told.
+func (o *outage) prolonged(now time.Time) bool {
+	return o.ongoing(now) && now.Sub(o.startedAt()) > reportedFailures*shortOriginBackoff
 }
 
-// since is when the first failure of the outage became known here.
-func (o *outage) since() time.Time {
-	if o.first.IsZero() || !o.toldSince.IsZero() && o.toldSince.Before(o.first) {
-		return o.toldSince
+// startedAt is when the first failure of the outage became known here.
+func (o *outage) startedAt() time.Time {
+	if o.firstOwnFailure.IsZero() || !o.peerOutageSince.IsZero() && o.peerOutageSince.Before(o.firstOwnFailure) {
+		return o.peerOutageSince
 	}
-	return o.first
+	return o.firstOwnFailure
 }
 
-// holdsBack tells whether a host of a rank among those that may draw leaves the origin alone. A slot's own fetcher, of rank 0, never does. What others
-// tell holds a host back from when it was first told and no longer, since their way to the origin alone may be at fault.
-func (o *outage) holdsBack(now time.Time, rank int) bool {
-	if !o.away(now) {
+// suspends reports whether a candidate of the given rank must not ask the origin. The fetcher of a
+// slot has rank 0 and is never suspended. Failures reported by peers suspend a host only for a
+// fixed time after the first report, because only the path of those peers to the origin may be
+// broken.
+func (o *outage) suspends(now time.Time, rank int) bool {
+	if !o.ongoing(now) {
 		return false
 	}
-	from := o.own
+	from := o.lastOwnFailure
 	if from.IsZero() {
-		from = o.toldSince
+		from = o.peerOutageSince
 	}
-	return now.Sub(from) < time.Duration(rank)*standInWait
+	return now.Sub(from) < time.Duration(rank)*standbyBackoff
 }
 
-// originHeard notes that a chunk came from the origin, to this host if own is set. It ends an outage, and those that may draw do so at once.
-func (b *Burst) originHeard(now time.Time, own bool) {
-	away := b.outage.away(now)
-	b.outage = outage{heard: now, over: b.outage.over, reached: own || b.outage.reached, logged: b.outage.logged}
-	if !away {
+// recordOriginChunk records that a chunk came from the origin; own is set if it came to this host.
+// It ends an outage, after which the candidates may fetch immediately.
+func (b *Burst) recordOriginChunk(now time.Time, own bool) {
+	wasDown := b.outage.ongoing(now)
+	b.outage = outage{lastOriginChunkAt: now, endedAt: b.outage.endedAt, ownFetchSucceeded: own || b.outage.ownFetchSucceeded, reportedDown: b.outage.reportedDown}
+	if !wasDown {
 		return
 	}
-	b.outage.over = now
-	b.originAfter, b.originFailures = time.Time{}, 0
+	b.outage.endedAt = now
+	b.originRetryAt, b.originFailures = time.Time{}, 0
 	if b.trouble == code.SourceUnavailable {
 		b.trouble = 0
 	}
 }
 
-// tellOutage tells the shell when what is believed of the origin has changed.
-func (b *Burst) tellOutage(now time.Time) []step.Effect {
+// reportOutage tells the shell when the known state of the origin has changed.
+func (b *Burst) reportOutage(now time.Time) []step.Effect {
 	o := &b.outage
-	away := o.away(now)
-	if away == o.logged {
+	down := o.ongoing(now)
+	if down == o.reportedDown {
 		return nil
 	}
-	o.logged = away
-	return []step.Effect{OutageSeen{Digest: b.Digest, Away: away, Own: !o.own.IsZero(), Lasted: now.Sub(o.heard)}}
+	o.reportedDown = down
+	return []step.Effect{OriginOutageChanged{Digest: b.Digest, Down: down, OwnFetch: !o.lastOwnFailure.IsZero(), Lasted: now.Sub(o.lastOriginChunkAt)}}
 }
--- a/internal/core/weights/peer.go
+++ b/internal/core/weights/peer.go
@@ -3,76 +3,80 @@
 import "time"
 
 const (
-	// distrustFor is how long nothing is taken from a peer after its first corrupt chunk; it grows with each.
-	distrustFor = 10 * time.Second
-	// maxStrikes bounds that growth, in doublings.
-	maxStrikes = 8
-	// slowFor is how long a peer is left alone after a stall; it doubles with each in a row, maxStalls times.
-	slowFor   = 2 * time.Second
-	maxStalls = 5
+	// initialDistrust is how long no chunk is fetched from a peer after its first corrupted chunk.
+	// It doubles with each further one.
+	initialDistrust = 10 * time.Second
+	// maxDistrustDoublings bounds the number of doublings.
+	maxDistrustDoublings = 8
+	// initialStallBackoff is how long a peer is not used after a stall. It doubles with each stall
+	// in a row, at most maxBackoffDoublings times.
+	initialStallBackoff = 2 * time.Second
+	maxBackoffDoublings = 5
 )
 
-// peer is another host, as this one sees it.
+// peer is the state that this host keeps about another host.
 type peer struct {
 	Peer
 	hash uint64
-	// listed is set as long as the host is live and wants the version.
+	// listed is set while the host is live and wants the version.
 	listed bool
 	tier   Tier
-	// have tells which chunks it has; nil when nothing was heard of it.
+	// have tells which chunks the peer has; nil until the peer reports.
 	have []bool
-	// link marks a neighbour, with which announcements are exchanged.
-	link bool
-	// greet is set when a hello is due.
-	greet   bool
-	greetAt time.Time
-	// sent is how far into the order of chunks the peer was told.
-	sent int
-	// outstanding counts the fetches from it.
-	outstanding                           int
-	busyUntil, silentUntil, distrustUntil time.Time
-	// strikes counts its corrupt chunks, stalls its fetches in a row that stalled.
-	strikes, stalls int
-	// slowUntil is how long it is left alone after a stall. Its answers to calls don't end that, since a link can
-	// stall for chunks alone.
-	slowUntil time.Time
-	// refusals counts its refusals in a row, the first of which came at refusedSince.
+	// linked is set if the peer is linked: both hosts send each other announcements.
+	linked bool
+	// helloDue is set when a hello must be sent.
+	helloDue  bool
+	nextHello time.Time
+	// announced is how many chunks of arrivalOrder were announced to the peer.
+	announced int
+	// inFlight counts the fetches from the peer.
+	inFlight                                int
+	busyUntil, silentUntil, distrustedUntil time.Time
+	// corruptChunks counts the corrupted chunks from the peer; stalls counts its stalled fetches in
+	// a row.
+	corruptChunks, stalls int
+	// stalledUntil is until when the peer is not used after a stall. Answers to control calls don't
+	// end the wait, because a link can stall for chunks alone.
+	stalledUntil time.Time
+	// refusals counts the rejections in a row; refusedSince is the time of the first.
 	refusals     int
 	refusedSince time.Time
 }
 
-// refused puts a peer off that has no upload slot. One that refuses for long is stalled itself.
-func (p *peer) refused(now time.Time, wait, patience time.Duration) {
+// recordRefusal backs off from a peer that has no free upload slot. A peer that refuses for longer
+// than timeout counts as stalled.
+func (p *peer) recordRefusal(now time.Time, backoff, timeout time.Duration) {
 	if p.refusals == 0 {
 		p.refusedSince = now
 	}
-	p.busyUntil = now.Add(min(wait<<min(p.refusals, maxStalls), busyAtMost))
+	p.busyUntil = now.Add(min(backoff<<min(p.refusals, maxBackoffDoublings), maxBusyBackoff))
 	p.refusals++
-	if now.Sub(p.refusedSince) > patience {
+	if now.Sub(p.refusedSince) > timeout {
 		p.refusals = 0
-		p.slow(now)
+		p.recordStall(now)
 	}
 }
 
-// slow leaves a peer alone for a while.
-func (p *peer) slow(now time.Time) {
-	p.slowUntil = now.Add(slowFor << min(p.stalls, maxStalls))
+// recordStall backs off from a peer after a stall.
+func (p *peer) recordStall(now time.Time) {
+	p.stalledUntil = now.Add(initialStallBackoff << min(p.stalls, maxBackoffDoublings))
 	p.stalls++
 }
 
-// delivered notes that a peer sent a chunk.
-func (p *peer) delivered() {
+// recordDelivery records that the peer sent a chunk.
+func (p *peer) recordDelivery() {
 	p.stalls, p.refusals = 0, 0
-	p.slowUntil = time.Time{}
+	p.stalledUntil = time.Time{}
 }
 
-// distrust takes nothing from a peer for a while that grows with each corrupt chunk.
-func (p *peer) distrust(now time.Time) {
-	p.distrustUntil = now.Add(distrustFor << min(p.strikes, maxStrikes))
-	p.strikes++
+// recordCorruption stops fetching from a peer for a time that grows with each corrupted chunk.
+func (p *peer) recordCorruption(now time.Time) {
+	p.distrustedUntil = now.Add(initialDistrust << min(p.corruptChunks, maxDistrustDoublings))
+	p.corruptChunks++
 }
 
-// answers tells whether a peer can be counted on to send what it has, now or soon.
-func (p *peer) answers(now time.Time) bool {
-	return p.listed && !now.Before(p.silentUntil) && !now.Before(p.distrustUntil) && !now.Before(p.slowUntil)
+// available reports whether the peer can be expected to send the chunks that it has, now or soon.
+func (p *peer) available(now time.Time) bool {
+	return p.listed && !now.Before(p.silentUntil) && !now.Before(p.distrustedUntil) && !now.Before(p.stalledUntil)
 }
--- a/internal/core/weights/set.go
+++ b/internal/core/weights/set.go
@@ -1,34 +1,34 @@
 package weights
 
-// set is a set of chunk indexes with constant-time changes and random choice.
+// set is a set of chunk indexes with insertion, removal and random choice in constant time.
 type set struct {
 	items []int
-	// at gives each index's place in items plus 1; 0 when it is not in the set.
-	at []int
+	// positions maps each index to its position in items plus 1; 0 if the index is not in the set.
+	positions []int
 }
 
-func newSet(n int) set { return set{at: make([]int, n)} }
+func newSet(n int) set { return set{positions: make([]int, n)} }
 
 func (s *set) len() int { return len(s.items) }
 
-func (s *set) has(i int) bool { return s.at[i] > 0 }
+func (s *set) has(i int) bool { return s.positions[i] > 0 }
 
 func (s *set) add(i int) {
-	if s.at[i] > 0 {
+	if s.positions[i] > 0 {
 		return
 	}
 	s.items = append(s.items, i)
-	s.at[i] = len(s.items)
+	s.positions[i] = len(s.items)
 }
 
 func (s *set) remove(i int) {
-	at := s.at[i]
+	at := s.positions[i]
 	if at == 0 {
 		return
 	}
 	last := s.items[len(s.items)-1]
 	s.items[at-1] = last
-	s.at[last] = at
+	s.positions[last] = at
 	s.items = s.items[:len(s.items)-1]
-	s.at[i] = 0
+	s.positions[i] = 0
 }
--- a/internal/core/weights/state.go
+++ b/internal/core/weights/state.go
@@ -7,52 +7,53 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// State holds the bursts of this host by digest.
+// State holds the bursts of this host. A burst is the transfer of one version.
 type State struct {
 	// Self is this host.
 	Self Peer
 	Mode Mode
-	// Bursts that are wanted, by digest.
+	// Bursts are the transfers of the wanted versions, by digest.
 	Bursts map[string]*Burst
-	// Uploads are the calls of peers for chunks.
+	// Uploads schedules the chunk requests of peers.
 	Uploads Uploads
-	// Yield works out the share of the link that transfers may use.
+	// Yield computes the share of the link that transfers may use.
 	Yield Yield
 
-	// retired are bursts no longer wanted whose chunks are still here.
+	// retired are bursts that are no longer wanted but whose chunks are still held.
 	retired map[string]*Burst
-	// early are peers that spoke of a version before it was wanted here.
-	early map[string][]string
-	// fetches numbers the fetches.
-	fetches uint64
-	// nextSummary is when others may hear of the bursts again.
-	nextSummary time.Time
+	// earlyPeers are peers that sent a hello for a version before it was wanted here, by digest.
+	earlyPeers map[string][]string
+	// fetchCount numbers the fetches.
+	fetchCount uint64
+	// nextTroubleReport is the earliest time of the next report of blocked bursts.
+	nextTroubleReport time.Time
 }
 
 const (
-	// maxEarly bounds the peers remembered for a version that is not wanted yet.
-	maxEarly = 32
-	// maxEarlyVersions bounds the versions for which they are remembered.
+	// maxEarlyPeers bounds the peers remembered per version that is not wanted yet.
+	maxEarlyPeers = 32
+	// maxEarlyVersions bounds the number of such versions.
 	maxEarlyVersions = 16
 )
 
-// NewState returns a state without bursts.
+// NewState returns a State without bursts.
 func NewState(self Peer) *State {
 	return &State{
 		Self: self, Mode: Tiers, Bursts: map[string]*Burst{},
 		Uploads: Uploads{calls: map[uint64]*upload{}}, Yield: newYield(),
-		retired: map[string]*Burst{}, early: map[string][]string{},
+		retired: map[string]*Burst{}, earlyPeers: map[string][]string{},
 	}
 }
 
-// SetWants starts the bursts that are new, stops those no longer wanted and updates the peers of the rest.
+// SetWants starts bursts for new versions, stops those that are no longer wanted and updates the
+// peers of the rest.
 func (s *State) SetWants(in step.Input, wants []Want) []step.Effect {
 	var effects []step.Effect
 	wanted := make(map[string]bool, len(wants))
 	for _, w := range wants {
 		wanted[w.Digest] = true
 	}
-	for _, digest := range digests(s.Bursts) {
+	for _, digest := range sortedDigests(s.Bursts) {
 		if !wanted[digest] {
 			effects = append(effects, s.retire(digest)...)
 		}
@@ -71,20 +72,20 @@
 	}
 	var effects []step.Effect
 	if s.retired[w.Digest] != nil {
-		// Its chunks may have given way to others, so that the chunk memory must be asked what is left.
+		// Some of its chunks may have been evicted, so the chunk memory must report which are left.
 		delete(s.retired, w.Digest)
 		effects = append(effects, Returned{Digest: w.Digest})
 	}
 	b = newBurst(s, in, w)
 	s.Bursts[w.Digest] = b
 	b.Policy = w.Policy
-	b.early = s.early[w.Digest]
-	delete(s.early, w.Digest)
+	b.earlyPeers = s.earlyPeers[w.Digest]
+	delete(s.earlyPeers, w.Digest)
 	return append(effects, b.setPeers(in, w.Peers)...)
 }
 
-// retire stops a burst at once. Its chunks stay until the versions still wanted are complete, because these may
-// share some.
+// retire stops a burst immediately. Its chunks are kept until the wanted versions are complete,
+// because these may share some of them.
 func (s *State) retire(digest string) []step.Effect {
 	b := s.Bursts[digest]
 	delete(s.Bursts, digest)
@@ -99,21 +100,21 @@
 		}
 	}
 	var effects []step.Effect
-	for _, digest := range digests(s.retired) {
+	for _, digest := range sortedDigests(s.retired) {
 		delete(s.retired, digest)
 		effects = append(effects, Dropped{Digest: digest})
 	}
 	return effects
 }
 
-// Reduce handles one input.
+// Reduce handles one input and returns its effects.
 func (s *State) Reduce(in step.Input) []step.Effect {
 	switch ev := in.Event.(type) {
 	case Configured:
 		if ev.Mode != "" {
 			s.Mode = ev.Mode
 		}
-		s.Yield.off = ev.NoYield
+		s.Yield.disabled = ev.NoYield
 	case ManifestRead:
 		return s.withBurst(ev.Digest, func(b *Burst) []step.Effect { return b.start(in, ev) })
 	case ManifestFailed:
@@ -126,12 +127,12 @@
 		return s.peerHas(in, ev)
 	case PeerSilent:
 		return s.withBurst(ev.Digest, func(b *Burst) []step.Effect { return b.peerSilent(in, ev.From) })
-	case UploadAsked:
-		return s.Uploads.asked(ev, s.tierOf(ev.From))
+	case UploadRequested:
+		return s.Uploads.request(ev, s.tierOf(ev.From))
 	case UploadEnded:
 		return s.Uploads.ended(ev)
 	case FirstByte:
-		return s.Yield.sample(in, ev)
+		return s.Yield.addSample(in, ev)
 	case step.Tick:
 		return s.tick(in)
 	}
@@ -140,14 +141,14 @@
 
 func (s *State) tick(in step.Input) []step.Effect {
 	effects := s.Yield.tick(in)
-	for _, digest := range digests(s.Bursts) {
+	for _, digest := range sortedDigests(s.Bursts) {
 		effects = append(effects, s.Bursts[digest].tick(in)...)
 	}
 	return effects
 }
 
-// withBurst lets f handle an event of a burst. When that completes the burst, versions that were kept for the
-// chunks they share may go.
+// withBurst passes an event to the burst with the given digest. If the event completes the burst,
+// retired versions that were kept for their shared chunks may be dropped.
 func (s *State) withBurst(digest string, f func(*Burst) []step.Effect) []step.Effect {
 	b := s.Bursts[digest]
 	if b == nil {
@@ -156,7 +157,7 @@
 	before := b.complete()
 	effects := f(b)
 	if !before && b.complete() {
-		effects = append(effects, Completed{Digest: digest, Took: b.ended.Sub(b.began), Counts: b.Counts})
+		effects = append(effects, Completed{Digest: digest, Took: b.completedAt.Sub(b.startedAt), Counts: b.Counts})
 		effects = append(effects, s.dropRetired()...)
 	}
 	return effects
@@ -164,21 +165,21 @@
 
 func (s *State) peerHas(in step.Input, ev PeerHas) []step.Effect {
 	if s.Bursts[ev.Digest] == nil {
-		s.remember(ev)
+		s.rememberEarlyPeer(ev)
 		return nil
 	}
 	return s.withBurst(ev.Digest, func(b *Burst) []step.Effect { return b.peerHas(in, ev) })
 }
 
-func (s *State) remember(ev PeerHas) {
-	known := s.early[ev.Digest]
-	if len(known) >= maxEarly || (known == nil && len(s.early) >= maxEarlyVersions) {
+func (s *State) rememberEarlyPeer(ev PeerHas) {
+	peers := s.earlyPeers[ev.Digest]
+	if len(peers) >= maxEarlyPeers || (peers == nil && len(s.earlyPeers) >= maxEarlyVersions) {
 		return
 	}
-	s.early[ev.Digest] = append(known, ev.From)
+	s.earlyPeers[ev.Digest] = append(peers, ev.From)
 }
 
-// tierOf tells how far away a peer is.
+// tierOf returns the tier of the peer with the given address; Fleet if the peer is unknown.
 func (s *State) tierOf(address string) Tier {
 	for _, b := range s.Bursts {
 		if i, known := b.index[address]; known {
@@ -188,13 +189,13 @@
 	return Fleet
 }
 
-// Complete tells whether every chunk of the version is here.
+// Complete reports whether this host has every chunk of the version.
 func (s *State) Complete(digest string) bool {
 	b := s.Bursts[digest]
 	return b != nil && b.complete()
 }
 
-func digests(bursts map[string]*Burst) []string {
+func sortedDigests(bursts map[string]*Burst) []string {
 	list := make([]string, 0, len(bursts))
 	for d := range bursts {
 		list = append(list, d)
@@ -203,10 +204,11 @@
 	return list
 }
 
-// random draws numbers from the one that came with an input.
+// random generates pseudo-random numbers, seeded from an input so that the reducer stays
+// deterministic.
 type random uint64
 
-func (r *random) below(n int) int {
+func (r *random) intN(n int) int {
 	*r += 0x9e3779b97f4a7c15
 	return int(mix(uint64(*r)) % uint64(n))
 }
--- a/internal/core/weights/summary.go
+++ b/internal/core/weights/summary.go
@@ -8,25 +8,29 @@
 )
 
 const (
-	// summaryInterval is the least time between two news of trouble: each travels to all entries, so there must be few.
-	summaryInterval = 5 * time.Second
-	wholePercent    = 100
+	// minTroubleInterval is the minimum time between two reports of blocked bursts. Each report is
+	// sent to all entries, so reports must be rare.
+	minTroubleInterval = 5 * time.Second
+	percentScale       = 100
 )
 
-// Summary is what a host tells of one burst: all of it to whoever asks, its trouble to all entries.
+// Summary is a host's report about one burst. The full summary is sent on request; only the digest
+// and the trouble are sent to all entries.
 type Summary struct {
 	Digest  string `json:"digest"`
 	Percent int    `json:"percent,omitempty"`
-	// Rate is in bytes a second; LeftMS is the time to the end at that rate when this was written.
+	// Rate is in bytes per second. LeftMS is the estimated remaining time in milliseconds at that
+	// rate, when the summary was made.
 	Rate   int64 `json:"rate,omitempty"`
 	LeftMS int64 `json:"left_ms,omitempty"`
-	// From counts the bytes that came from this place, elsewhere in the region, other regions and the origin.
+	// From has the bytes received from this data centre, from the rest of the region, from other
+	// regions and from the origin.
 	From [tiers]int64 `json:"from,omitzero"`
-	// Trouble is what keeps the burst from ending.
+	// Trouble is the result code of the problem that blocks the burst.
 	Trouble code.Code `json:"trouble,omitempty"`
 }
 
-// Summaries describes the wanted bursts.
+// Summaries returns the summaries of the wanted bursts.
 func (s *State) Summaries(now time.Time) []Summary {
 	var list []Summary
 	for _, p := range s.View(now) {
@@ -42,39 +46,40 @@
 	}
 }
 
-// Percent gives how much of the version is here; 100 only when all is.
+// Percent returns the percentage of chunks held; 100 only if all are held.
 func (p Progress) Percent() int {
 	if p.Chunks == 0 {
 		return 0
 	}
-	return p.Held * wholePercent / p.Chunks
+	return p.Held * percentScale / p.Chunks
 }
 
-// Troubles names the wanted bursts that can't go on, and why.
+// Troubles lists the wanted bursts that are blocked, with their result codes.
 func (s *State) Troubles(now time.Time) []Summary {
 	var list []Summary
-	for _, whole := range s.Summaries(now) {
-		if whole.Trouble != 0 {
-			list = append(list, Summary{Digest: whole.Digest, Trouble: whole.Trouble})
+	for _, summary := range s.Summaries(now) {
+		if summary.Trouble != 0 {
+			list = append(list, Summary{Digest: summary.Digest, Trouble: summary.Trouble})
 		}
 	}
 	return list
 }
 
-// TroubleDue tells whether a burst got into or out of trouble, so that others should hear of it.
+// TroubleDue reports whether a burst became blocked or unblocked since the last report and a new
+// report is due.
 func (s *State) TroubleDue(in step.Input) bool {
-	if in.Now.Before(s.nextSummary) {
+	if in.Now.Before(s.nextTroubleReport) {
 		return false
 	}
 	due := false
 	for _, b := range s.Bursts {
-		if b.trouble != b.told {
-			b.told = b.trouble
+		if b.trouble != b.reportedTrouble {
+			b.reportedTrouble = b.trouble
 			due = true
 		}
 	}
 	if due {
-		s.nextSummary = in.Now.Add(summaryInterval)
+		s.nextTroubleReport = in.Now.Add(minTroubleInterval)
 	}
 	return due
 }
--- a/internal/core/weights/tier.go
+++ b/internal/core/weights/tier.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Tier is how far away another host is.
+// Tier is the distance to another host.
 type Tier uint8
 
-// The tiers, the nearest first. FromOrigin is the weight store or the origin.
+// The tiers, nearest first. FromOrigin is the weight store or the origin.
 const (
 	Place Tier = iota
 	Region
@@ -19,28 +19,31 @@
 	tiers
 )
 
-// String names the tier.
+// String returns the name of the tier.
 func (t Tier) String() string {
 	return [...]string{"place", "region", "fleet", "origin", ""}[min(t, tiers)]
 }
 
 const (
-	// manifestChunk stands for the manifest where chunks are ranked.
-	manifestChunk = -1
-	// lastRank is the rank of a host that never acts for a chunk.
-	lastRank = 255
-	// toldRanks is how many hosts of a tier are told of a chunk that came into the tier above: the delegate and
-	// the one that replaces it.
-	toldRanks = 2
-	// slotRanks is how many hosts may draw for an origin slot, one after the other.
-	slotRanks = 4
-	// originSlots is how many parts the chunks are drawn from the origin in, and with it a bound of the hosts that draw at once and of the
-	// connections that the origin must take. It must not follow the number of hosts: two hosts whose lists differ by one would agree on
-	// nothing, and chunks would be drawn twice and others not at all until a stand-in's patience is over.
+	// manifestIndex is the chunk index that denotes the manifest in rankings.
+	manifestIndex = -1
+	// maxRank is the rank of a host that never acts for a chunk.
+	maxRank = 255
+	// delegatesPerGroup is how many hosts of each data centre or region a new chunk is announced
+	// to: the delegate and its replacement.
+	delegatesPerGroup = 2
+	// candidatesPerSlot is how many hosts may fetch an origin slot, one replacing the other.
+	candidatesPerSlot = 4
+	// originSlots is the number of parts into which the chunks are split for fetching from the
+	// origin. It bounds the hosts that fetch at the same time and the connections to the origin. It
+	// must not depend on the number of hosts: two hosts whose host lists differ by one would then
+	// agree on no slot. Some chunks would be fetched twice, and others not until a standby's wait
+	// has passed.
 	originSlots = 24
 )
 
-// rank is this host's position in a chunk's rendezvous order over its place and over its region.
+// rank is this host's position in the rendezvous order of a chunk, over its data centre and over
+// its region.
 type rank struct{ place, region uint8 }
 
 // mix is the finalizer of SplitMix64.
@@ -50,13 +53,14 @@
 	return z ^ (z >> 31)
 }
 
-// score is the rendezvous weight of a host for a key, from their hashes. It is cheap, since a burst ranks each
-// chunk over all hosts of a region.
+// score is the rendezvous weight of a host for a key, computed from both hashes. It must be cheap,
+// because a burst ranks each chunk over all hosts of a region.
 func score(key, host uint64) uint64 { return mix(key ^ host) }
 
 func hostHash(address string) uint64 { return mix(xxhash.Sum64String(address)) }
 
-// chunkKey derives a chunk's key from its digest; equal chunks of one version get different keys.
+// chunkKey derives the key of a chunk from its digest. Equal chunks of one version get different
+// keys.
 func chunkKey(sha string, i int) uint64 {
 	raw, err := hex.DecodeString(sha[:min(16, len(sha))])
 	if err != nil || len(raw) < 8 {
@@ -65,7 +69,8 @@
 	return mix(binary.BigEndian.Uint64(raw) + uint64(i))
 }
 
-// rankChunks works out this host's ranks for all chunks, and its origin slots. It runs when the hosts change.
+// rankChunks computes this host's rank for each chunk and the origin slots. It runs whenever the
+// list of hosts changes.
 func (b *Burst) rankChunks() {
 	b.ranks = make([]rank, len(b.keys))
 	for i, key := range b.keys {
@@ -86,25 +91,27 @@
 			place++
 		}
 	}
-	return rank{place: uint8(min(place, lastRank)), region: uint8(min(region, lastRank))}
+	return rank{place: uint8(min(place, maxRank)), region: uint8(min(region, maxRank))}
 }
 
-// slot is a part of the chunks that one host of the fleet after the other may draw from the origin.
+// slot is a part of the chunks that one host of the fleet at a time may fetch from the origin.
 type slot struct {
-	// rank is this host's position among those that may draw; lastRank when it may not.
+	// rank is this host's position among the candidates; maxRank if it is not one of them.
 	rank uint8
-	// watchers are the other hosts that may draw for the slot.
-	watchers []int
+	// candidates are the indexes of the other hosts that may fetch the slot.
+	candidates []int
 }
 
-// assignSlots shares the origin's slots out over the hosts. An origin fetcher is the first holder of what it draws, and sends it to more
-// hosts than any other; with as many fetchers as there may be, all links send about as much. No host is first for more than its share, so that a host that one list lacks moves few slots.
+// assignSlots distributes the origin slots over the hosts. An origin fetcher is the first holder of
+// the chunks that it fetches and sends them to more hosts than any other. With as many fetchers as
+// the slots allow, all links send about the same amount. No host is first for more than its share,
+// so that a host missing from one list moves only a few slots.
 func (b *Burst) assignSlots() []slot {
 	slots := make([]slot, originSlots)
-	share := (originSlots + b.hosts() - 1) / b.hosts()
+	share := (originSlots + b.hostCount() - 1) / b.hostCount()
 	firstFor := map[int]int{}
 	for j := range slots {
-		order := b.top(slotKey(b.Digest, j), slotRanks, func(i int) bool { return firstFor[i] < share })
+		order := b.topRanked(slotKey(b.Digest, j), candidatesPerSlot, func(i int) bool { return firstFor[i] < share })
 		if len(order) > 0 {
 			firstFor[order[0]]++
 		}
@@ -113,8 +120,8 @@
 	return slots
 }
 
-// hosts counts the listed hosts and this one.
-func (b *Burst) hosts() int {
+// hostCount returns the number of listed hosts, including this one.
+func (b *Burst) hostCount() int {
 	hosts := 1
 	for _, p := range b.peers {
 		if p.listed {
@@ -125,24 +132,25 @@
 }
 
 func (b *Burst) newSlot(order []int) slot {
-	s := slot{rank: lastRank}
+	s := slot{rank: maxRank}
 	for k, i := range order {
-		if i == self {
+		if i == selfIndex {
 			s.rank = uint8(k)
 			continue
 		}
-		s.watchers = append(s.watchers, i)
+		s.candidates = append(s.candidates, i)
 	}
 	return s
 }
 
 func slotKey(digest string, j int) uint64 { return mix(xxhash.Sum64String(digest) + uint64(j)) }
 
-// self is the index of this host where indexes of peers stand.
-const self = -1
+// selfIndex denotes this host among indexes of peers.
+const selfIndex = -1
 
-// top returns the first n listed hosts in a key's rendezvous order, this one included, among those that fit.
-func (b *Burst) top(key uint64, n int, fits func(i int) bool) []int {
+// topRanked returns the first n listed hosts, including this one, in the rendezvous order of a key,
+// among those that satisfy fits.
+func (b *Burst) topRanked(key uint64, n int, fits func(i int) bool) []int {
 	var order []int
 	add := func(i int, s uint64) {
 		at := len(order)
@@ -157,8 +165,8 @@
 		order[at] = i
 		order = order[:min(n, len(order))]
 	}
-	if fits(self) {
-		add(self, score(key, b.selfHash))
+	if fits(selfIndex) {
+		add(selfIndex, score(key, b.selfHash))
 	}
 	for i, p := range b.peers {
 		if p.listed && fits(i) {
@@ -169,44 +177,45 @@
 }
 
 func (b *Burst) scoreOf(key uint64, i int) uint64 {
-	if i == self {
+	if i == selfIndex {
 		return score(key, b.selfHash)
 	}
 	return score(key, b.peers[i].hash)
 }
 
-// delegates returns whom to tell of a chunk that came to this host from a tier: the delegates, and those that
-// replace them, of the other places of the region, and of the other regions when it came from the origin.
+// delegates returns the hosts to which a chunk that came from the given tier is announced:
+// delegates and their replacements. If the chunk came from outside the region, these are in the
+// other data centres of the region. If it came from the origin, they are also in the other regions.
 func (b *Burst) delegates(c int, from Tier) []int {
 	key := b.keyOf(c)
-	var tell []int
-	for _, group := range b.groups() {
+	var delegates []int
+	for _, group := range b.remoteGroups() {
 		if group.region == b.self.Region && from < Fleet {
 			continue
 		}
 		if group.region != b.self.Region && from < FromOrigin {
 			continue
 		}
-		tell = append(tell, b.top(key, toldRanks, group.has)...)
+		delegates = append(delegates, b.topRanked(key, delegatesPerGroup, group.contains)...)
 	}
-	return tell
+	return delegates
 }
 
 func (b *Burst) keyOf(c int) uint64 {
-	if c == manifestChunk {
+	if c == manifestIndex {
 		return mix(xxhash.Sum64String(b.Digest))
 	}
 	return b.keys[c]
 }
 
-// group is another place of this host's region, or another region.
+// group is another data centre of this host's region, or another region.
 type group struct {
-	region string
-	has    func(i int) bool
+	region   string
+	contains func(i int) bool
 }
 
-// groups lists the other places of this region and the other regions.
-func (b *Burst) groups() []group {
+// remoteGroups returns the other data centres of this region and the other regions.
+func (b *Burst) remoteGroups() []group {
 	if b.cachedGroups != nil {
 		return b.cachedGroups
 	}
@@ -218,12 +227,12 @@
 		case p.tier == Region && !seen["place "+p.Place]:
 			seen["place "+p.Place] = true
 			groups = append(groups, group{p.Region, func(i int) bool {
-				return i != self && b.peers[i].tier == Region && b.peers[i].Place == p.Place
+				return i != selfIndex && b.peers[i].tier == Region && b.peers[i].Place == p.Place
 			}})
 		case p.tier == Fleet && !seen["region "+p.Region]:
 			seen["region "+p.Region] = true
 			groups = append(groups, group{p.Region, func(i int) bool {
-				return i != self && b.peers[i].tier == Fleet && b.peers[i].Region == p.Region
+				return i != selfIndex && b.peers[i].tier == Fleet && b.peers[i].Region == p.Region
 			}})
 		}
 	}
--- a/internal/core/weights/upload.go
+++ b/internal/core/weights/upload.go
@@ -3,22 +3,25 @@
 import "samphireweir.example/samphireweir/internal/core/step"
 
 const (
-	// uploadSlots is how many uploads share the link at once. A chunk can be passed on only when it is whole, so
-	// few at the full rate spread faster than many slow ones.
+	// uploadSlots is the number of uploads that share the link at the same time. A chunk can be
+	// passed on only when it is complete, so a few uploads at the full rate distribute chunks
+	// faster than many slow ones.
 	uploadSlots = 2
-	// uploadQueue bounds the calls that wait for a slot; more are refused, and the peer asks elsewhere.
-	uploadQueue = 3
+	// maxQueuedUploads bounds the requests that wait for a slot. Further requests are rejected, and
+	// the peer asks another host. Requests from outside the data centre may fill twice as many
+	// places.
+	maxQueuedUploads = 3
 )
 
-// Uploads decides which peers' calls for chunks are served now.
+// Uploads decides which chunk requests of peers are served.
 type Uploads struct {
 	calls map[uint64]*upload
-	// waiting are the calls without a slot, in their order.
+	// waiting are the requests without a slot, in the order in which they will get one.
 	waiting []uint64
 	active  int
-	// Sent are the bytes sent, by how far away the peer is.
+	// Sent counts the bytes sent, by the tier of the receiving peer.
 	Sent [tiers]int64
-	// Refused counts the calls refused.
+	// Refused counts the rejected requests.
 	Refused int64
 }
 
@@ -27,19 +30,19 @@
 	active bool
 }
 
-// asked admits a call, has it wait or refuses it. Delegates from elsewhere go first, since a whole place waits for
-// them.
-func (u *Uploads) asked(ev UploadAsked, tier Tier) []step.Effect {
+// request admits, queues or rejects a request. Requests of delegates from other data centres go
+// first, because a whole data centre waits for them.
+func (u *Uploads) request(ev UploadRequested, tier Tier) []step.Effect {
 	if u.active < uploadSlots {
 		u.calls[ev.Call] = &upload{tier: tier, active: true}
 		u.active++
 		return []step.Effect{StartUpload{Call: ev.Call}}
 	}
-	if len(u.waiting) >= uploadQueue && tier == Place {
+	if len(u.waiting) >= maxQueuedUploads && tier == Place {
 		u.Refused++
 		return []step.Effect{RefuseUpload{Call: ev.Call}}
 	}
-	if len(u.waiting) >= 2*uploadQueue {
+	if len(u.waiting) >= 2*maxQueuedUploads {
 		u.Refused++
 		return []step.Effect{RefuseUpload{Call: ev.Call}}
 	}
@@ -66,7 +69,7 @@
 	delete(u.calls, ev.Call)
 	u.Sent[c.tier] += ev.Sent
 	if !c.active {
-		u.leave(ev.Call)
+		u.dequeue(ev.Call)
 		return nil
 	}
 	u.active--
@@ -80,7 +83,7 @@
 	return []step.Effect{StartUpload{Call: next}}
 }
 
-func (u *Uploads) leave(call uint64) {
+func (u *Uploads) dequeue(call uint64) {
 	for i, c := range u.waiting {
 		if c == call {
 			u.waiting = append(u.waiting[:i], u.waiting[i+1:]...)
--- a/internal/core/weights/view.go
+++ b/internal/core/weights/view.go
@@ -8,37 +8,40 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// Progress is what a burst looks like on this host, for operators.
+// Progress is the state of a burst on this host, for operators.
 type Progress struct {
 	Ref    Ref            `json:"ref"`
 	Digest string         `json:"digest"`
 	Policy setting.Policy `json:"policy"`
-	// Held and Chunks count the chunks here and all; Chunks is 0 before the manifest is here.
+	// Held is the number of chunks on this host and Chunks the total; Chunks is 0 until the
+	// manifest is read.
 	Held   int `json:"held"`
 	Chunks int `json:"chunks"`
-	// Bytes came from each tier; Size is the whole version's.
+	// Counts has the transferred bytes by tier; Size is the size of the whole version in bytes.
 	Counts Counts `json:"counts"`
 	Size   int64  `json:"size"`
-	// Hosts want the version, this one included; Links are this host's neighbours.
+	// Hosts is the number of hosts that want the version, including this one; Links is the number
+	// of linked peers.
 	Hosts int `json:"hosts"`
 	Links int `json:"links"`
-	// Senders are the peers that chunks come from now.
+	// Senders are the addresses of the peers that chunks are being fetched from.
 	Senders []string `json:"senders"`
-	// Drawing counts the chunks being drawn from the origin.
+	// Drawing is the number of fetches from the origin in flight.
 	Drawing int `json:"drawing"`
-	// Rate is in bytes a second since the burst began; Left is the time to the end at that rate, 0 when unknown.
+	// Rate is the mean rate in bytes per second since the burst began. Left is the estimated
+	// remaining time at that rate; 0 if unknown.
 	Rate int64         `json:"rate"`
 	Left time.Duration `json:"left_ns"`
 	Took time.Duration `json:"took_ns"`
-	// Quiet is how long nothing new has come, in a burst that is not complete.
+	// Quiet is the time since the last progress of an incomplete burst.
 	Quiet time.Duration `json:"quiet_ns"`
-	// Trouble is what keeps the burst from ending; 0 when nothing is known to.
+	// Trouble is the result code of the problem that blocks the burst; 0 if none is known.
 	Trouble code.Code `json:"trouble"`
-	// Unheld counts the missing chunks that no reachable peer is known to have.
+	// Unheld is the number of missing chunks that no reachable peer is known to have.
 	Unheld int `json:"unheld"`
 }
 
-// Fetched gives the bytes that came to this host for the version.
+// Fetched returns the number of bytes that this host received for the version.
 func (p Progress) Fetched() int64 {
 	var n int64
 	for _, bytes := range p.Counts.Bytes {
@@ -47,10 +50,10 @@
 	return n
 }
 
-// View lists the wanted bursts.
+// View returns the progress of the wanted bursts.
 func (s *State) View(now time.Time) []Progress {
 	list := make([]Progress, 0, len(s.Bursts))
-	for _, digest := range digests(s.Bursts) {
+	for _, digest := range sortedDigests(s.Bursts) {
 		list = append(list, s.Bursts[digest].view(now))
 	}
 	return list
@@ -59,7 +62,7 @@
 func (b *Burst) view(now time.Time) Progress {
 	p := Progress{
 		Ref: b.Ref, Digest: b.Digest, Policy: b.Policy, Chunks: len(b.chunks), Held: len(b.chunks) - b.missing.len(),
-		Counts: b.Counts, Hosts: 1, Links: b.linkCount(), Senders: b.senders(), Drawing: b.drawing, Trouble: b.trouble,
+		Counts: b.Counts, Hosts: 1, Links: b.linkCount(), Senders: b.senders(), Drawing: b.originFetches, Trouble: b.trouble,
 	}
 	for _, other := range b.peers {
 		if other.listed {
@@ -67,36 +70,36 @@
 		}
 	}
 	end := now
-	if !b.ended.IsZero() {
-		end = b.ended
+	if !b.completedAt.IsZero() {
+		end = b.completedAt
 	}
-	p.Took = end.Sub(b.began)
+	p.Took = end.Sub(b.startedAt)
 	if b.Manifest == nil {
 		return p
 	}
 	p.Size = b.Manifest.Size
-	b.viewRate(&p)
+	b.addRate(&p)
 	if b.complete() {
 		return p
 	}
-	p.Quiet = now.Sub(b.pace.last)
+	p.Quiet = now.Sub(b.timing.lastProgress)
 	for _, c := range b.missing.items {
-		if !b.heldAt(now, b.chunks[c].near) && !b.heldAt(now, b.chunks[c].far) {
+		if !b.availableAt(now, b.chunks[c].nearHolders) && !b.availableAt(now, b.chunks[c].farHolders) {
 			p.Unheld++
 		}
 	}
 	return p
 }
 
-func (b *Burst) viewRate(p *Progress) {
-	had, left := p.Fetched(), int64(0)
+func (b *Burst) addRate(p *Progress) {
+	fetched, left := p.Fetched(), int64(0)
 	for _, c := range b.missing.items {
 		left += b.Manifest.Chunks[c].Size
 	}
-	if p.Took <= 0 || had == 0 {
+	if p.Took <= 0 || fetched == 0 {
 		return
 	}
-	rate := float64(had) / p.Took.Seconds()
+	rate := float64(fetched) / p.Took.Seconds()
 	p.Rate = int64(rate)
 	p.Left = time.Duration(float64(left) / rate * float64(time.Second))
 }
@@ -104,7 +107,7 @@
 func (b *Burst) senders() []string {
 	var list []string
 	for _, p := range b.peers {
-		if p.outstanding > 0 {
+		if p.inFlight > 0 {
 			list = append(list, p.Address)
 		}
 	}
--- a/internal/core/weights/weights.go
+++ b/internal/core/weights/weights.go
@@ -1,11 +1,13 @@
-// Package weights is the reducer that decides, on each host by itself, which chunk of a wanted version to take
-// from where. There is no tracker and no coordinator.
+// Package weights implements the reducer that distributes versions of weights between hosts. Each
+// host decides for itself from which source it fetches each missing chunk; there is no tracker and
+// no coordinator.
 //
-// Hosts are grouped in tiers: place, region, fleet. For each chunk one host of a place, its delegate, may take it
-// from elsewhere in the region, one host of a region may take it from another region, and one host of the fleet,
-// its origin fetcher, may draw it from the weight store or the origin. All are found by rendezvous hashing over
-// the hosts that want the version; one that is silent is replaced by the next in the order. Within a place hosts
-// exchange chunks in a mesh.
+// Hosts are grouped in tiers: data centre ("place"), region, fleet. For each chunk, one host of a
+// data centre, its delegate, may fetch the chunk from another data centre of the region. One host
+// of a region may fetch it from another region. One host of the fleet, its origin fetcher, may
+// fetch it from the weight store or the origin. Rendezvous hashing over the hosts that want the
+// version selects all three. When the selected host is silent, the next one in the hash order
+// replaces it. Within a data centre, hosts exchange chunks in a mesh.
 package weights
 
 import (
@@ -17,29 +19,31 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// Source names where a chunk is taken from: the address of a peer, or Origin.
+// Source identifies where a chunk is fetched from: the address of a peer, or Origin.
 type Source string
 
-// Origin stands for the weight store, with the origin of weights behind it.
+// Origin denotes the weight store and, behind it, the origin of weights.
 const Origin Source = "origin"
 
-// Mode is how chunks spread. The product runs Tiers; the others are baselines for experiments.
+// Mode selects how chunks are distributed. Production uses Tiers; the other modes are baselines for
+// experiments.
 type Mode string
 
-// The modes.
+// The distribution modes.
 const (
-	// Tiers is place, region, fleet, as the package's comment says.
+	// Tiers fetches by data centre, region and fleet, as described in the package comment.
 	Tiers Mode = "tiers"
-	// Swarm is one mesh over all hosts, whatever their place, in which each may draw from the origin.
+	// Swarm is one mesh over all hosts, whatever their data centre, in which every host may fetch
+	// from the origin.
 	Swarm Mode = "swarm"
-	// Direct lets each host draw everything from the origin.
+	// Direct lets each host fetch every chunk from the origin.
 	Direct Mode = "direct"
 )
 
-// Valid tells whether m is one of the modes.
+// Valid reports whether m is one of the modes.
 func (m Mode) Valid() bool { return m == Tiers || m == Swarm || m == Direct }
 
-// Ref names a version as operators do.
+// Ref identifies a version by the names that operators use.
 type Ref struct {
 	Model   string `json:"model"`
 	Adapter string `json:"adapter"`
@@ -53,7 +57,8 @@
 	Region  string
 }
 
-// Want is one version that this host's upstreams need, with the other hosts that want it.
+// Want is a version that the upstreams of this host need, together with the other hosts that want
+// it.
 type Want struct {
 	Ref    Ref
 	Digest string
@@ -61,7 +66,7 @@
 	Peers  []Peer
 }
 
-// Event is an event of this reducer.
+// Event is an input event of this reducer.
 type Event interface {
 	step.Event
 	weights()
@@ -74,34 +79,35 @@
 
 func (event) weights() {}
 
-// Configured sets what only experiments set.
+// Configured sets options that only experiments change.
 type Configured struct {
 	event
 	Mode Mode
-	// NoYield keeps transfers at the whole link whatever live requests suffer.
+	// NoYield lets transfers use the whole link even when live requests get slower.
 	NoYield bool
 }
 
-// ManifestRead says that the manifest with this digest is here and checked.
+// ManifestRead reports that the manifest with this digest was read and checked.
 type ManifestRead struct {
 	event
 	Digest   string
 	Manifest *manifest.Manifest
 	From     Source
-	// Held lists the chunks that this host's chunk memory holds already.
+	// Held lists the indexes of the chunks that are already in the chunk memory of this host.
 	Held []int
 }
 
-// ManifestFailed says that the manifest could not be had, or that the version can't be held here.
+// ManifestFailed reports that the manifest could not be fetched, or that this host can't hold the
+// version.
 type ManifestFailed struct {
 	event
 	Digest string
 	From   Source
-	// Why is 0 when a peer or the source just had no answer.
-	Why code.Code
+	// Code is 0 when the peer or the source merely gave no answer.
+	Code code.Code
 }
 
-// ChunkStored says that a chunk was verified and is in the chunk memory.
+// ChunkStored reports that a chunk was verified and stored in the chunk memory.
 type ChunkStored struct {
 	event
 	Digest string
@@ -111,26 +117,27 @@
 	Took   time.Duration
 }
 
-// Reason says why a chunk could not be had.
+// Reason is the cause of a failed fetch of a chunk.
 type Reason int
 
-// The reasons.
+// The causes of a failed fetch.
 const (
-	// Broken is a failed or timed out exchange.
-	Broken Reason = iota
-	// Busy is a sender that has no upload slot, or a source that refuses for rate.
+	// ExchangeFailed means that the exchange failed or timed out.
+	ExchangeFailed Reason = iota
+	// Busy means that the sender has no free upload slot, or that the source limits the rate.
 	Busy
-	// Corrupt is a chunk that failed its digest.
+	// Corrupt means that the chunk did not match its digest.
 	Corrupt
-	// Changed is a source whose version now has another manifest.
+	// Changed means that the source now has another manifest for the version.
 	Changed
-	// NoMemory is a full chunk memory on this host.
+	// NoMemory means that the chunk memory of this host is full.
 	NoMemory
-	// Missing is a sender that does not have the chunk.
+	// Missing means that the sender does not have the chunk.
 	Missing
 )
 
-// ChunkFailed says that a chunk could not be had from its source, or failed its digest.
+// ChunkFailed reports that a chunk could not be fetched from its source, or did not match its
+// digest.
 type ChunkFailed struct {
 	event
 	Digest string
@@ -138,49 +145,51 @@
 	Fetch  uint64
 	From   Source
 	Reason Reason
-	// RetryAfter is what a busy sender asked for; 0 when it said nothing.
+	// RetryAfter is the delay that a busy sender asked for; 0 if it gave none.
 	RetryAfter time.Duration
 }
 
-// PeerHas says which chunks a peer has.
+// PeerHas reports which chunks a peer has.
 type PeerHas struct {
 	event
 	Digest string
 	From   string
-	// All replaces what was known of the peer; nil when only New is told.
+	// All replaces everything known about the peer's chunks; nil when the message contains only
+	// New.
 	All []bool
-	// New lists chunks that the peer has since its last message.
+	// New lists the chunks that the peer got since its last message.
 	New []int
-	// Hello asks to be told of this host's chunks from now on.
+	// Hello asks this host to announce its chunks to the peer from now on.
 	Hello bool
-	// OriginFailed is what the peer knows of failed draws.
+	// OriginFailed describes the failed origin fetches that the peer knows of.
 	OriginFailed OriginFailure
 }
 
-// PeerSilent says that a peer did not answer.
+// PeerSilent reports that a peer did not answer.
 type PeerSilent struct {
 	event
 	Digest string
 	From   string
 }
 
-// UploadAsked says that a peer asks for a chunk that is here.
-type UploadAsked struct {
+// UploadRequested reports that a peer requests a chunk that this host has.
+type UploadRequested struct {
 	event
 	Call uint64
 	From string
 	Size int64
 }
 
-// UploadEnded says that an upload, or the wait for one, is over.
+// UploadEnded reports that an upload ended, or that its caller gave up waiting for a slot.
 type UploadEnded struct {
 	event
 	Call uint64
-	// Sent counts the bytes that were sent.
+	// Sent is the number of bytes sent.
 	Sent int64
 }
 
-// FirstByte is how long an upstream of this host took to the first byte of an answer to a live request.
+// FirstByte reports how long an upstream of this host took until the first byte of its answer to a
+// live request.
 type FirstByte struct {
 	event
 	Upstream string
@@ -192,7 +201,7 @@
 // Effect marks the type as an effect.
 func (effect) Effect() {}
 
-// FetchManifest gets the manifest from a peer that may have it, or else from the origin.
+// FetchManifest fetches the manifest from a peer that may have it, or from the origin.
 type FetchManifest struct {
 	effect
 	Ref    Ref
@@ -200,7 +209,7 @@
 	From   Source
 }
 
-// FetchChunk gets one chunk, verifies it and stores it.
+// FetchChunk fetches, verifies and stores one chunk.
 type FetchChunk struct {
 	effect
 	ID     uint64
@@ -210,31 +219,33 @@
 	Chunk  manifest.Chunk
 	Offset int64
 	From   Source
-	// Try counts the failures of this chunk at the sources, so that each is asked in turn.
+	// Try counts the failures of this chunk at the sources. It rotates the source that is asked
+	// first.
 	Try int
-	// Limit bounds the fetch.
+	// Limit is the timeout of the fetch.
 	Limit time.Duration
 }
 
-// CancelFetch ends a fetch whose chunk is no longer needed.
+// CancelFetch cancels a fetch whose chunk is no longer needed.
 type CancelFetch struct {
 	effect
 	ID uint64
 }
 
-// Announce tells a peer which chunks are here.
+// Announce tells a peer which chunks this host has.
 type Announce struct {
 	effect
 	Digest string
 	To     string
 	New    []int
-	// Hello sends all that is here and asks the peer for the same, now and from now on.
+	// Hello sends the complete list of held chunks and asks the peer for its own list and for later
+	// announcements.
 	Hello bool
-	// OriginFailed is what this host knows of failed draws.
+	// OriginFailed describes the failed origin fetches that this host knows of.
 	OriginFailed OriginFailure
 }
 
-// Completed says that every chunk of the version is here.
+// Completed reports that this host has every chunk of the version.
 type Completed struct {
 	effect
 	Digest string
@@ -242,38 +253,39 @@
 	Counts Counts
 }
 
-// Retired says that a version is no longer wanted; its chunks stay for what the wanted versions share, as long as
-// there is room.
+// Retired reports that a version is no longer wanted. Its chunks are kept while there is free
+// memory, because wanted versions may share them.
 type Retired struct {
 	effect
 	Digest string
 }
 
-// Returned says that a retired version is wanted again. What is still here of it comes back as a ManifestRead.
+// Returned reports that a retired version is wanted again. The chunks still held are then reported
+// in a ManifestRead.
 type Returned struct {
 	effect
 	Digest string
 }
 
-// Dropped says that a version's chunks may be thrown away.
+// Dropped reports that the chunks of a version may be discarded.
 type Dropped struct {
 	effect
 	Digest string
 }
 
-// StartUpload lets a peer's call have its chunk.
+// StartUpload starts the upload that a peer requested.
 type StartUpload struct {
 	effect
 	Call uint64
 }
 
-// RefuseUpload refuses a peer's call, because too many wait.
+// RefuseUpload rejects the upload that a peer requested, because too many are queued.
 type RefuseUpload struct {
 	effect
 	Call uint64
 }
 
-// SetShare sets the share of the host's link that transfers may use, above 0 up to 1.
+// SetShare sets the share of the host's link that transfers may use: above 0, at most 1.
 type SetShare struct {
 	effect
 	Share float64
--- a/internal/transfer/chunk.go
+++ b/internal/transfer/chunk.go
@@ -66,13 +66,13 @@
 	case errors.Is(err, errMissing):
 		return weights.Missing
 	case !errors.As(err, &coded):
-		return weights.Broken
+		return weights.ExchangeFailed
 	case coded.Code == code.ChunkCorrupt:
 		return weights.Corrupt
 	case coded.Code == code.MemoryTooSmall:
 		return weights.NoMemory
 	}
-	return weights.Broken
+	return weights.ExchangeFailed
 }
 
 // sourceChanged tells whether a source's manifest of the version is now another.
@@ -179,7 +179,7 @@
 	decision := make(chan bool, 1)
 	f.uploads.Store(call, decision)
 	defer f.uploads.Delete(call)
-	f.Steps.Step(weights.UploadAsked{Call: call, From: r.Header.Get(control.FromHeader), Size: int64(len(data))})
+	f.Steps.Step(weights.UploadRequested{Call: call, From: r.Header.Get(control.FromHeader), Size: int64(len(data))})
 	var sent int64
 	defer func() { f.Steps.Step(weights.UploadEnded{Call: call, Sent: sent}) }()
 	select {
--- a/internal/transfer/fetcher.go
+++ b/internal/transfer/fetcher.go
@@ -84,9 +84,9 @@
 		go f.reopen(e.Digest)
 	case weights.Dropped:
 		f.Memory.DropVersion(e.Digest)
-	case weights.OutageSeen:
-		logevent.Info(f.Log, logevent.BeliefChanged).Str("what", "origin").Str("of", e.Digest).Str("value", map[bool]string{true: "away", false: "back"}[e.Away]).
-			Bool("own_draw", e.Own).Dur("lasted_ms", e.Lasted).Msg("belief changed")
+	case weights.OriginOutageChanged:
+		logevent.Info(f.Log, logevent.BeliefChanged).Str("what", "origin").Str("of", e.Digest).Str("value", map[bool]string{true: "away", false: "back"}[e.Down]).
+			Bool("own_draw", e.OwnFetch).Dur("lasted_ms", e.Lasted).Msg("belief changed")
 	case weights.Completed:
 		logevent.Info(f.Log, logevent.BurstComplete).Str("digest", e.Digest).Dur("took_ms", e.Took).
 			Ints64("bytes_by_tier", e.Counts.Bytes[:]).Int64("wasted", e.Counts.Wasted).Int64("hedged", e.Counts.Hedged).
--- a/internal/transfer/fetcher_test.go
+++ b/internal/transfer/fetcher_test.go
@@ -162,7 +162,7 @@
 	f.Carry(fetch(m, weights.Source(strings.TrimPrefix(silent.URL, "http://")), 0))
 	<-asked
 	f.Carry(weights.CancelFetch{ID: 1})
-	require.Equal(t, weights.Broken, steps.next(t).(weights.ChunkFailed).Reason)
+	require.Equal(t, weights.ExchangeFailed, steps.next(t).(weights.ChunkFailed).Reason)
 }
 
 // TestManifestThatDoesNotFit reports the code instead of dying.
@@ -171,9 +171,9 @@
 	f, _, steps := newFetcher(t, 8, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(raw) })
 	f.Memory = transfer.NewMemory(7)
 	f.Carry(weights.FetchManifest{Digest: manifest.Digest(raw), From: weights.Origin})
-	require.Equal(t, code.MemoryTooSmall, steps.next(t).(weights.ManifestFailed).Why)
+	require.Equal(t, code.MemoryTooSmall, steps.next(t).(weights.ManifestFailed).Code)
 	f.Carry(weights.FetchManifest{Digest: digestOf("another"), From: weights.Origin})
-	require.Equal(t, code.SourceChanged, steps.next(t).(weights.ManifestFailed).Why)
+	require.Equal(t, code.SourceChanged, steps.next(t).(weights.ManifestFailed).Code)
 }
 
 // TestUploadWaitsForItsSlot serves a chunk only when the reducer says so.
@@ -195,7 +195,7 @@
 			_ = resp.Body.Close()
 			got <- resp.StatusCode
 		}()
-		asked := steps.next(t).(weights.UploadAsked)
+		asked := steps.next(t).(weights.UploadRequested)
 		if start {
 			f.Carry(weights.StartUpload{Call: asked.Call})
 			require.Equal(t, http.StatusOK, <-got)
@@ -227,7 +227,7 @@
 	defer func() { _ = conn.Close() }()
 	_, err = fmt.Fprintf(conn, "GET /chunks/%s HTTP/1.1\r\nHost: x\r\n\r\n", m.Chunks[0].SHA256)
 	require.NoError(t, err)
-	asked := steps.next(t).(weights.UploadAsked)
+	asked := steps.next(t).(weights.UploadRequested)
 	f.Carry(weights.StartUpload{Call: asked.Call})
 	require.Equal(t, weights.UploadEnded{Call: asked.Call}, steps.next(t))
 }
--- a/internal/transfer/manifest.go
+++ b/internal/transfer/manifest.go
@@ -54,7 +54,7 @@
 	failed := weights.ManifestFailed{Digest: e.Digest, From: e.From}
 	var coded *code.Error
 	if errors.As(err, &coded) {
-		failed.Why = coded.Code
+		failed.Code = coded.Code
 		logevent.Warn(f.Log, logevent.BurstStuck).Str("digest", e.Digest).Int("code", int(coded.Code)).Str("why", coded.Error()).Msg("burst stuck")
 	}
 	f.Steps.Step(failed)
