--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -1,5 +1,5 @@
-// Package manifest reads the list of chunks that makes up a version of weights. The SHA-256 of a manifest's
-// exact bytes, in hex, is the version's identity: its digest.
+// Package manifest reads manifests: the list of chunks that make up a version of weights. A version
+// is identified by its digest, the SHA-256 of the exact bytes of its manifest in hex.
 package manifest
 
 import (
@@ -11,21 +11,23 @@
 )
 
 const (
-	// MaxBytes bounds the size of an encoded manifest.
+	// MaxBytes is the maximum size of an encoded manifest, in bytes.
 	MaxBytes = 1 << 20
-	// MaxChunks bounds the chunks of a version, so that a have-map stays under a kilobyte.
+	// MaxChunks is the maximum number of chunks of a version. It keeps a bitmap of the held chunks
+	// below 1 kB.
 	MaxChunks = 4096
 )
 
-// Chunk is one piece of the content.
+// Chunk is one part of the content of a version.
 type Chunk struct {
-	// SHA256 is the chunk's digest in hex.
+	// SHA256 is the digest of the chunk in hex.
 	SHA256 string `json:"sha256"`
-	// Size is in bytes.
+	// Size is the size of the chunk in bytes.
 	Size int64 `json:"size"`
 }
 
-// Manifest lists the chunks of one version of a model with an adapter.
+// Manifest lists the chunks of one version of a model with an adapter. Size and ChunkSize are in
+// bytes.
 type Manifest struct {
 	Model     string  `json:"model"`
 	Adapter   string  `json:"adapter"`
@@ -33,20 +35,20 @@
 	Size      int64   `json:"size"`
 	ChunkSize int64   `json:"chunk_size"`
 	Chunks    []Chunk `json:"chunks"`
-	// SHA256 is the digest of the whole content, in hex.
+	// SHA256 is the digest of the whole content in hex.
 	SHA256 string `json:"sha256"`
 }
 
-// Digest returns the identity of the manifest with these exact bytes.
+// Digest returns the digest of a manifest from its exact bytes.
 func Digest(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
 }
 
-// Offset returns where chunk i starts in the content, in bytes.
+// Offset returns the position of chunk i in the content, in bytes.
 func (m *Manifest) Offset(i int) int64 { return int64(i) * m.ChunkSize }
 
-// Parse reads and checks a manifest.
+// Parse decodes and validates a manifest. Its errors name the invalid field.
 func Parse(raw []byte) (*Manifest, error) {
 	if len(raw) > MaxBytes {
 		return nil, code.Errorf(code.BadManifest, "manifest", "%d bytes, at most %d", len(raw), MaxBytes)
--- a/internal/manifest/manifest_test.go
+++ b/internal/manifest/manifest_test.go
@@ -11,7 +11,7 @@
 	"samphireweir.example/samphireweir/internal/manifest"
 )
 
-func good() *manifest.Manifest {
+func validManifest() *manifest.Manifest {
 	sha := strings.Repeat("ab", 32)
 	return &manifest.Manifest{
 		Model: "m", Adapter: "none", Version: "v1", Size: 5, ChunkSize: 4, SHA256: sha,
@@ -19,9 +19,10 @@
 	}
 }
 
-// TestParseNamesTheBadField refuses each malformed field by its name.
-func TestParseNamesTheBadField(t *testing.T) {
-	for field, spoil := range map[string]func(*manifest.Manifest){
+// TestParseRejectsInvalidFields checks that each invalid field is rejected with an error that names
+// it, so that operators can find the mistake in a manifest.
+func TestParseRejectsInvalidFields(t *testing.T) {
+	for field, corrupt := range map[string]func(*manifest.Manifest){
 		"chunks":        func(m *manifest.Manifest) { m.Chunks = nil },
 		"chunk_size":    func(m *manifest.Manifest) { m.ChunkSize = 0 },
 		"sha256":        func(m *manifest.Manifest) { m.SHA256 = "x" },
@@ -29,8 +30,8 @@
 		"chunks.size":   func(m *manifest.Manifest) { m.Chunks[0].Size = 3 },
 		"size":          func(m *manifest.Manifest) { m.Size = 6 },
 	} {
-		m := good()
-		spoil(m)
+		m := validManifest()
+		corrupt(m)
 		raw, err := json.Marshal(m)
 		require.NoError(t, err)
 		_, err = manifest.Parse(raw)
@@ -39,15 +40,16 @@
 		require.Equal(t, field, coded.Field)
 		require.Equal(t, code.BadManifest, coded.Code)
 	}
-	raw, err := json.Marshal(good())
+	raw, err := json.Marshal(validManifest())
 	require.NoError(t, err)
 	_, err = manifest.Parse(raw)
 	require.NoError(t, err)
 }
 
-// FuzzParse refuses or accepts arbitrary bytes; what it accepts adds up.
+// FuzzParse guards against panics on arbitrary bytes and against accepted manifests whose chunk
+// sizes don't add up to the size.
 func FuzzParse(f *testing.F) {
-	raw, _ := json.Marshal(good())
+	raw, _ := json.Marshal(validManifest())
 	f.Add(raw)
 	f.Add([]byte(`{"chunks":[{}]}`))
 	f.Add([]byte(`{"size":-1,"chunk_size":1}`))
