--- a/internal/transfer/chunk.go
+++ b/internal/transfer/chunk.go
@@ -19,13 +19,13 @@
 	"samphireweir.example/samphireweir/internal/source"
 )
 
-// errMissing says that a peer does not have what it was asked for.
-var errMissing = errors.New("the peer does not have it")
+// errNotHeld means that a peer does not have the requested chunk or manifest.
+var errNotHeld = errors.New("peer does not have the object")
 
-// fetchChunk gets, verifies and stores one chunk.
+// fetchChunk fetches, verifies and stores one chunk.
 func (f *Fetcher) fetchChunk(ctx context.Context, e weights.FetchChunk) {
 	defer f.endFetch(e.ID)
-	began := time.Now()
+	start := time.Now()
 	data, err := f.readChunk(ctx, e)
 	if err == nil {
 		err = verify(data, e.Chunk.SHA256)
@@ -34,36 +34,36 @@
 		err = f.Memory.Put(e.Chunk.SHA256, data)
 	}
 	if err == nil {
-		f.Steps.Step(weights.ChunkStored{Digest: e.Digest, Index: e.Index, Fetch: e.ID, From: e.From, Took: time.Since(began)})
+		f.Steps.Step(weights.ChunkStored{Digest: e.Digest, Index: e.Index, Fetch: e.ID, From: e.From, Took: time.Since(start)})
 		return
 	}
 	f.chunkFailed(ctx, e, err)
 }
 
 func (f *Fetcher) chunkFailed(ctx context.Context, e weights.FetchChunk, err error) {
-	failed := weights.ChunkFailed{Digest: e.Digest, Index: e.Index, Fetch: e.ID, From: e.From, Reason: reason(err)}
+	event := weights.ChunkFailed{Digest: e.Digest, Index: e.Index, Fetch: e.ID, From: e.From, Reason: failureReason(err)}
 	var busy *source.BusyError
 	if errors.As(err, &busy) {
-		failed.RetryAfter = busy.RetryAfter
+		event.RetryAfter = busy.RetryAfter
 	}
-	if failed.Reason == weights.Corrupt && e.From == weights.Origin && f.sourceChanged(e) {
-		failed.Reason = weights.Changed
+	if event.Reason == weights.Corrupt && e.From == weights.Origin && f.sourceChanged(e) {
+		event.Reason = weights.Changed
 	}
 	cancelled := errors.Is(ctx.Err(), context.Canceled)
-	if failed.Reason != weights.Busy && !cancelled {
+	if event.Reason != weights.Busy && !cancelled {
 		logevent.Warn(f.Log, logevent.ChunkRefused).Str("digest", e.Digest).Int("chunk", e.Index).Str("from", string(e.From)).Err(err).Msg("chunk refused")
 	}
-	f.Steps.Step(failed)
+	f.Steps.Step(event)
 }
 
-// reason sorts an error into what the reducer tells apart.
-func reason(err error) weights.Reason {
+// failureReason maps an error to the reason that the reducer distinguishes.
+func failureReason(err error) weights.Reason {
 	var coded *code.Error
 	var busy *source.BusyError
 	switch {
 	case errors.As(err, &busy):
 		return weights.Busy
-	case errors.Is(err, errMissing):
+	case errors.Is(err, errNotHeld):
 		return weights.Missing
 	case !errors.As(err, &coded):
 		return weights.ExchangeFailed
@@ -75,7 +75,7 @@
 	return weights.ExchangeFailed
 }
 
-// sourceChanged tells whether a source's manifest of the version is now another.
+// sourceChanged reports whether a source now has another manifest for the version.
 func (f *Fetcher) sourceChanged(e weights.FetchChunk) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), manifestTimeout)
 	defer cancel()
@@ -91,8 +91,9 @@
 	defer func() { _ = body.Close() }()
 	data := make([]byte, e.Chunk.Size)
 	if e.From == weights.Origin {
-		// As long as the fleet has no whole copy, all wait for the origin, and it may go away: what it sends goes first.
-		return data, f.Down.ReadFirst(body, data)
+		// Until the fleet has a complete copy, all hosts wait for the origin, which may become
+		// unavailable. Its data therefore has priority on the link.
+		return data, f.Down.ReadPriority(body, data)
 	}
 	return data, f.Down.ReadFull(ctx, body, data)
 }
@@ -101,34 +102,36 @@
 	if e.From != weights.Origin {
 		return f.get(ctx, string(e.From), "/chunks/"+e.Chunk.SHA256)
 	}
-	var last error = errors.New("no source")
+	var last error = errors.New("no source configured")
 	for k := range f.Sources {
-		// After a failure begin with another source, which may have what the first corrupts.
+		// After a failure, begin with another source, because the first may be corrupted.
 		at := (k + e.Try) % len(f.Sources)
-		body, err := f.openAt(ctx, at, e)
+		body, err := f.openSource(ctx, at, e)
 		if err == nil {
 			return body, nil
 		}
-		last = worse(last, err)
+		last = preferBusy(last, err)
 	}
 	return nil, last
 }
 
-// openAt asks one source, unless it refused for rate just now.
-func (f *Fetcher) openAt(ctx context.Context, at int, e weights.FetchChunk) (io.ReadCloser, error) {
-	if until, known := f.storeAgain.Load(at); known && time.Now().Before(until.(time.Time)) {
+// openSource opens a chunk at one source, unless the source has limited the rate and its delay has
+// not passed.
+func (f *Fetcher) openSource(ctx context.Context, at int, e weights.FetchChunk) (io.ReadCloser, error) {
+	if until, known := f.sourceRetryAt.Load(at); known && time.Now().Before(until.(time.Time)) {
 		return nil, &source.BusyError{RetryAfter: time.Until(until.(time.Time))}
 	}
 	body, err := f.Sources[at].Data(ctx, e.Ref, e.Offset, e.Chunk.Size)
 	var busy *source.BusyError
 	if errors.As(err, &busy) {
-		f.storeAgain.Store(at, time.Now().Add(busy.RetryAfter))
+		f.sourceRetryAt.Store(at, time.Now().Add(busy.RetryAfter))
 	}
 	return body, err
 }
 
-// worse keeps the error that says most: that a source is busy, so that it is worth coming back.
-func worse(last, err error) error {
+// preferBusy returns a BusyError if there is one, because it says when a retry is worthwhile, and
+// otherwise the latest error.
+func preferBusy(last, err error) error {
 	var busy *source.BusyError
 	if errors.As(last, &busy) {
 		return last
@@ -139,7 +142,7 @@
 func verify(data []byte, want string) error {
 	sum := sha256.Sum256(data)
 	if hex.EncodeToString(sum[:]) != want {
-		return code.Errorf(code.ChunkCorrupt, "sha256", "the bytes differ from their digest")
+		return code.Errorf(code.ChunkCorrupt, "sha256", "chunk does not match its digest")
 	}
 	return nil
 }
@@ -163,12 +166,12 @@
 	case http.StatusServiceUnavailable:
 		return nil, &source.BusyError{RetryAfter: 0}
 	case http.StatusNotFound:
-		return nil, errors.Wrapf(errMissing, "get %s from %s", path, address)
+		return nil, errors.Wrapf(errNotHeld, "get %s from %s", path, address)
 	}
 	return nil, errors.Errorf("get %s from %s: status %d", path, address, resp.StatusCode)
 }
 
-// serveChunk sends a chunk to a peer, when the reducer lets it.
+// serveChunk sends a chunk to a peer once the reducer starts the upload.
 func (f *Fetcher) serveChunk(w http.ResponseWriter, r *http.Request) {
 	data := f.Memory.Chunk(r.PathValue("sha"))
 	if data == nil {
@@ -193,7 +196,7 @@
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	if f.Up.Write(r.Context(), newStallWriter(w, f.WriteStall), data) == nil {
+	if f.Up.Write(r.Context(), newDeadlineWriter(w, f.WriteTimeout), data) == nil {
 		sent = int64(len(data))
 	}
 }
--- a/internal/transfer/content.go
+++ b/internal/transfer/content.go
@@ -6,11 +6,11 @@
 	"github.com/pkg/errors"
 )
 
-// ErrIncomplete says that a chunk of a version is not here.
-var ErrIncomplete = errors.New("the version is not complete in memory")
+// ErrIncomplete means that the memory lacks a chunk of the version.
+var ErrIncomplete = errors.New("version is incomplete in the chunk memory")
 
-// Content returns a reader of a version's whole content and its size. It fails when a chunk is missing, so that
-// an engine is never given part of a version.
+// Content returns a reader of a version's whole content and its size in bytes. It fails with
+// ErrIncomplete if a chunk is missing, so that an engine never loads part of a version.
 func (m *Memory) Content(digest string) (io.Reader, int64, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -18,29 +18,29 @@
 	if !known {
 		return nil, 0, ErrIncomplete
 	}
-	pieces := make([][]byte, 0, len(v.manifest.Chunks))
+	chunks := make([][]byte, 0, len(v.manifest.Chunks))
 	for _, c := range v.manifest.Chunks {
 		data, ok := m.chunks[c.SHA256]
 		if !ok {
 			return nil, 0, ErrIncomplete
 		}
-		pieces = append(pieces, data)
+		chunks = append(chunks, data)
 	}
-	return &pieceReader{pieces: pieces}, v.manifest.Size, nil
+	return &chunkReader{chunks: chunks}, v.manifest.Size, nil
 }
 
-// pieceReader reads pieces one after the other without copying them together.
-type pieceReader struct{ pieces [][]byte }
+// chunkReader reads chunks one after the other without copying them into one buffer.
+type chunkReader struct{ chunks [][]byte }
 
-// Read reads from the present piece.
-func (r *pieceReader) Read(p []byte) (int, error) {
-	for len(r.pieces) > 0 && len(r.pieces[0]) == 0 {
-		r.pieces = r.pieces[1:]
+// Read reads from the current chunk.
+func (r *chunkReader) Read(p []byte) (int, error) {
+	for len(r.chunks) > 0 && len(r.chunks[0]) == 0 {
+		r.chunks = r.chunks[1:]
 	}
-	if len(r.pieces) == 0 {
+	if len(r.chunks) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, r.pieces[0])
-	r.pieces[0] = r.pieces[0][n:]
+	n := copy(p, r.chunks[0])
+	r.chunks[0] = r.chunks[0][n:]
 	return n, nil
 }
--- a/internal/transfer/deadline.go
+++ b/internal/transfer/deadline.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// defaultWriteStall is how long one piece may take to be written before the upload is given up, so that a peer that has
-// stopped reading does not hold an upload slot.
-const defaultWriteStall = 5 * time.Second
+// defaultWriteTimeout bounds the write of one block of an upload. It ends the upload to a peer that
+// stopped reading, which would otherwise occupy an upload slot.
+const defaultWriteTimeout = 5 * time.Second
 
-// stallWriter gives each write a deadline of its own.
-type stallWriter struct {
+// deadlineWriter sets a new deadline for each write.
+type deadlineWriter struct {
 	http.ResponseWriter
 	controller *http.ResponseController
-	limit      time.Duration
+	timeout    time.Duration
 }
 
-func newStallWriter(w http.ResponseWriter, limit time.Duration) *stallWriter {
-	if limit == 0 {
-		limit = defaultWriteStall
+func newDeadlineWriter(w http.ResponseWriter, timeout time.Duration) *deadlineWriter {
+	if timeout == 0 {
+		timeout = defaultWriteTimeout
 	}
-	return &stallWriter{ResponseWriter: w, controller: http.NewResponseController(w), limit: limit}
+	return &deadlineWriter{ResponseWriter: w, controller: http.NewResponseController(w), timeout: timeout}
 }
 
-// Write writes p within the limit. Where deadlines can't be set the write goes on without one.
-func (w *stallWriter) Write(p []byte) (int, error) {
-	_ = w.controller.SetWriteDeadline(time.Now().Add(w.limit))
+// Write writes p within the timeout. If the connection does not support deadlines, it writes
+// without one.
+func (w *deadlineWriter) Write(p []byte) (int, error) {
+	_ = w.controller.SetWriteDeadline(time.Now().Add(w.timeout))
 	return w.ResponseWriter.Write(p)
 }
--- a/internal/transfer/fetcher.go
+++ b/internal/transfer/fetcher.go
@@ -19,14 +19,15 @@
 // manifestTimeout bounds the fetch of a manifest.
 const manifestTimeout = 3 * time.Second
 
-// Stepper takes events back into the core.
+// Stepper passes events to the core.
 type Stepper interface{ Step(step.Event) }
 
-// Source gives versions of weights from outside the fleet: the weight store or the origin.
+// Source provides versions of weights from outside the fleet: the weight store or the origin.
 type Source interface {
-	// Manifest reads the exact bytes of a version's manifest.
+	// Manifest returns the exact bytes of a version's manifest.
 	Manifest(ctx context.Context, ref weights.Ref) ([]byte, error)
-	// Data opens length bytes of a version's content from offset. A source that refuses for rate gives a source.BusyError.
+	// Data opens length bytes of a version's content, starting at offset. A source that limits the
+	// rate returns a source.BusyError.
 	Data(ctx context.Context, ref weights.Ref, offset, length int64) (io.ReadCloser, error)
 }
 
@@ -38,27 +39,28 @@
 	Pool    *control.Pool
 	Client  *http.Client
 	Secret  string
-	// Self is the address at which peers know this host.
+	// Self is the address at which peers reach this host.
 	Self  string
 	Up    *Link
 	Down  *Link
 	Steps Stepper
 	Log   zerolog.Logger
-	// WriteStall is how long one piece of an upload may take to be written; 0 for the default.
-	WriteStall time.Duration
+	// WriteTimeout bounds the write of one block of an upload; 0 selects the default of 5 s.
+	WriteTimeout time.Duration
 
-	// fetches maps a fetch's number to what cancels it.
+	// fetches maps the ID of a fetch to its cancel function.
 	fetches sync.Map
-	// uploads maps a peer's call to the channel of its decision.
+	// uploads maps the ID of an upload request to the channel on which its decision arrives.
 	uploads sync.Map
 	calls   atomic.Uint64
-	// controlMessages and controlBytes count the announcements sent.
+	// controlMessages and controlBytes count the announcements sent and their bytes.
 	controlMessages, controlBytes atomic.Int64
-	// storeAgain is when a source that refused for rate may be asked again, by its place in Sources.
-	storeAgain sync.Map
+	// sourceRetryAt is when a source that limited the rate may be asked again, by its index in
+	// Sources.
+	sourceRetryAt sync.Map
 }
 
-// Carry carries out an effect of the weights reducer. It reports whether e was one of them.
+// Carry carries out an effect of the weights reducer. It reports whether e was one.
 func (f *Fetcher) Carry(e step.Effect) bool {
 	switch e := e.(type) {
 	case weights.FetchManifest:
@@ -81,7 +83,7 @@
 	case weights.Retired:
 		f.Memory.Retire(e.Digest)
 	case weights.Returned:
-		go f.reopen(e.Digest)
+		go f.reportHeldChunks(e.Digest)
 	case weights.Dropped:
 		f.Memory.DropVersion(e.Digest)
 	case weights.OriginOutageChanged:
@@ -98,14 +100,14 @@
 	return true
 }
 
-// endFetch frees what a fetch holds, and ends it when it is under way.
+// endFetch cancels a fetch if it is in flight and releases its resources.
 func (f *Fetcher) endFetch(id uint64) {
 	if cancel, known := f.fetches.LoadAndDelete(id); known {
 		cancel.(context.CancelFunc)()
 	}
 }
 
-// Routes adds what peers ask of this host.
+// Routes registers the handlers for requests from peers.
 func (f *Fetcher) Routes(mux *http.ServeMux, handlers control.Handlers) {
 	mux.HandleFunc("GET /chunks/{sha}", f.serveChunk)
 	mux.HandleFunc("GET /manifests/{digest}", f.serveManifest)
--- a/internal/transfer/fetcher_test.go
+++ b/internal/transfer/fetcher_test.go
@@ -26,22 +26,22 @@
 )
 
 const (
-	testChunk = 4
-	testWait  = 10 * time.Second
+	testChunkBytes = 4
+	eventTimeout   = 10 * time.Second
 )
 
-// events collects what a fetcher steps.
-type events chan step.Event
+// eventQueue collects the events that a fetcher passes to the core.
+type eventQueue chan step.Event
 
-func (e events) Step(ev step.Event) { e <- ev }
+func (e eventQueue) Step(ev step.Event) { e <- ev }
 
-func (e events) next(t *testing.T) step.Event {
+func (e eventQueue) next(t *testing.T) step.Event {
 	t.Helper()
 	select {
 	case ev := <-e:
 		return ev
-	case <-time.After(testWait):
-		require.Fail(t, "no event came")
+	case <-time.After(eventTimeout):
+		require.Fail(t, "no event arrived")
 		return nil
 	}
 }
@@ -51,27 +51,29 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// contentOf makes the manifest of content in chunks of testChunk bytes, with its exact bytes.
+// contentOf returns a manifest of the content, split into chunks of testChunkBytes, and its exact
+// bytes.
 func contentOf(t *testing.T, content string) (*manifest.Manifest, []byte) {
 	t.Helper()
-	m := &manifest.Manifest{Model: "m", Adapter: "none", Version: "v1", Size: int64(len(content)), ChunkSize: testChunk, SHA256: digestOf(content)}
-	for i := 0; i < len(content); i += testChunk {
-		piece := content[i:min(i+testChunk, len(content))]
-		m.Chunks = append(m.Chunks, manifest.Chunk{SHA256: digestOf(piece), Size: int64(len(piece))})
+	m := &manifest.Manifest{Model: "m", Adapter: "none", Version: "v1", Size: int64(len(content)), ChunkSize: testChunkBytes, SHA256: digestOf(content)}
+	for i := 0; i < len(content); i += testChunkBytes {
+		chunk := content[i:min(i+testChunkBytes, len(content))]
+		m.Chunks = append(m.Chunks, manifest.Chunk{SHA256: digestOf(chunk), Size: int64(len(chunk))})
 	}
 	raw, err := json.Marshal(m)
 	require.NoError(t, err)
 	return m, raw
 }
 
-// newFetcher makes a fetcher with a version of the content "aaaabbbb" known, which asks the sources given.
-func newFetcher(t *testing.T, budget int64, sources ...http.HandlerFunc) (*transfer.Fetcher, *manifest.Manifest, events) {
+// newFetcher returns a fetcher that asks the given sources and knows a version with the content
+// "aaaabbbb".
+func newFetcher(t *testing.T, budget int64, sources ...http.HandlerFunc) (*transfer.Fetcher, *manifest.Manifest, eventQueue) {
 	t.Helper()
 	m, raw := contentOf(t, "aaaabbbb")
-	steps := make(events, 16)
+	events := make(eventQueue, 16)
 	f := &transfer.Fetcher{
 		Memory: transfer.NewMemory(budget), Pool: control.NewPool("self", "s", (&net.Dialer{}).DialContext), Client: http.DefaultClient, Secret: "s",
-		Up: transfer.NewLink(0), Down: transfer.NewLink(0), Steps: steps, Log: zerolog.Nop(),
+		Up: transfer.NewLink(0), Down: transfer.NewLink(0), Steps: events, Log: zerolog.Nop(),
 	}
 	for _, h := range sources {
 		s := httptest.NewServer(h)
@@ -80,14 +82,14 @@
 	}
 	_, err := f.Memory.AddVersion("d", raw, m)
 	require.NoError(t, err)
-	return f, m, steps
+	return f, m, events
 }
 
 func fetch(m *manifest.Manifest, from weights.Source, try int) weights.FetchChunk {
-	return weights.FetchChunk{ID: 1, Digest: "d", Index: 0, Chunk: m.Chunks[0], From: from, Try: try, Limit: testWait}
+	return weights.FetchChunk{ID: 1, Digest: "d", Index: 0, Chunk: m.Chunks[0], From: from, Try: try, Limit: eventTimeout}
 }
 
-func answer(text string) http.HandlerFunc {
+func dataHandler(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/manifest") {
 			w.WriteHeader(http.StatusNotFound)
@@ -97,10 +99,11 @@
 	}
 }
 
-// TestCorruptChunkIsNotStored throws away a chunk that fails its digest, from a peer and from the source.
+// TestCorruptChunkIsNotStored guards against storing a chunk that does not match its digest,
+// whether a peer or the source sent it.
 func TestCorruptChunkIsNotStored(t *testing.T) {
-	f, m, steps := newFetcher(t, 100, answer("aXaa"))
-	peer := httptest.NewServer(answer("aaaX"))
+	f, m, steps := newFetcher(t, 100, dataHandler("aXaa"))
+	peer := httptest.NewServer(dataHandler("aaaX"))
 	defer peer.Close()
 	for _, from := range []weights.Source{weights.Origin, weights.Source(strings.TrimPrefix(peer.URL, "http://"))} {
 		f.Carry(fetch(m, from, 0))
@@ -111,9 +114,10 @@
 	require.ErrorIs(t, err, transfer.ErrIncomplete)
 }
 
-// TestOtherSourceAfterAFailure asks the origin first when what the weight store gave was corrupt.
-func TestOtherSourceAfterAFailure(t *testing.T) {
-	f, m, steps := newFetcher(t, 100, answer("aXaa"), answer("aaaa"))
+// TestNextSourceIsAskedAfterACorruptChunk checks that the origin is asked first after the weight
+// store sent a corrupted chunk.
+func TestNextSourceIsAskedAfterACorruptChunk(t *testing.T) {
+	f, m, steps := newFetcher(t, 100, dataHandler("aXaa"), dataHandler("aaaa"))
 	f.Carry(fetch(m, weights.Origin, 0))
 	require.IsType(t, weights.ChunkFailed{}, steps.next(t))
 	f.Carry(fetch(m, weights.Origin, 1))
@@ -121,16 +125,17 @@
 	require.Equal(t, []byte("aaaa"), f.Memory.Chunk(m.Chunks[0].SHA256))
 }
 
-// TestStoreRefusesForRate goes on to the origin, leaves the store alone as long as it asked, and without an origin
-// tells how long to wait.
-func TestStoreRefusesForRate(t *testing.T) {
+// TestRateLimitedStoreFallsBackToTheOrigin checks that a fetcher goes on to the origin when the
+// weight store limits the rate, and does not ask the store again before its Retry-After delay.
+// Without an origin, it reports the delay.
+func TestRateLimitedStoreFallsBackToTheOrigin(t *testing.T) {
 	var calls atomic.Int64
 	busy := func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
 		w.Header().Set("Retry-After", "60")
 		w.WriteHeader(http.StatusTooManyRequests)
 	}
-	f, m, steps := newFetcher(t, 100, busy, answer("aaaa"))
+	f, m, steps := newFetcher(t, 100, busy, dataHandler("aaaa"))
 	for range 3 {
 		f.Carry(fetch(m, weights.Origin, 0))
 		require.IsType(t, weights.ChunkStored{}, steps.next(t))
@@ -141,8 +146,9 @@
 	require.Equal(t, weights.ChunkFailed{Digest: "d", Fetch: 1, From: weights.Origin, Reason: weights.Busy, RetryAfter: time.Minute}, steps.next(t))
 }
 
-// TestSourceChanged tells a changed version at the source from a corrupt chunk.
-func TestSourceChanged(t *testing.T) {
+// TestChangedSourceIsNotReportedAsCorruption has a source whose manifest changed. Its chunks don't
+// match the digests, but the cause is the new version and not corruption.
+func TestChangedSourceIsNotReportedAsCorruption(t *testing.T) {
 	f, m, steps := newFetcher(t, 100, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = w.Write([]byte("zzzz"))
 	})
@@ -150,8 +156,9 @@
 	require.Equal(t, weights.Changed, steps.next(t).(weights.ChunkFailed).Reason)
 }
 
-// TestCancelEndsAFetch frees a fetch from a peer that accepted and sends nothing.
-func TestCancelEndsAFetch(t *testing.T) {
+// TestCancelEndsAStuckFetch checks that cancelling ends a fetch from a peer that accepted the
+// request and sends nothing.
+func TestCancelEndsAStuckFetch(t *testing.T) {
 	asked := make(chan struct{})
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(asked)
@@ -165,8 +172,9 @@
 	require.Equal(t, weights.ExchangeFailed, steps.next(t).(weights.ChunkFailed).Reason)
 }
 
-// TestManifestThatDoesNotFit reports the code instead of dying.
-func TestManifestThatDoesNotFit(t *testing.T) {
+// TestManifestThatDoesNotFitReportsItsCode checks that a version larger than the chunk memory, or a
+// manifest with another digest, fails with a result code instead of a crash.
+func TestManifestThatDoesNotFitReportsItsCode(t *testing.T) {
 	_, raw := contentOf(t, "ccccdddd")
 	f, _, steps := newFetcher(t, 8, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(raw) })
 	f.Memory = transfer.NewMemory(7)
@@ -176,7 +184,7 @@
 	require.Equal(t, code.SourceChanged, steps.next(t).(weights.ManifestFailed).Code)
 }
 
-// TestUploadWaitsForItsSlot serves a chunk only when the reducer says so.
+// TestUploadWaitsForItsSlot checks that a chunk is sent only after the reducer starts the upload.
 func TestUploadWaitsForItsSlot(t *testing.T) {
 	f, m, steps := newFetcher(t, 100)
 	require.NoError(t, f.Memory.Put(m.Chunks[0].SHA256, []byte("aaaa")))
@@ -199,7 +207,7 @@
 		if start {
 			f.Carry(weights.StartUpload{Call: asked.Call})
 			require.Equal(t, http.StatusOK, <-got)
-			require.Equal(t, weights.UploadEnded{Call: asked.Call, Sent: testChunk}, steps.next(t))
+			require.Equal(t, weights.UploadEnded{Call: asked.Call, Sent: testChunkBytes}, steps.next(t))
 			continue
 		}
 		f.Carry(weights.RefuseUpload{Call: asked.Call})
@@ -208,13 +216,14 @@
 	}
 }
 
-// TestUploadToAPeerThatStopsReading ends, so that it holds no upload slot for ever.
-func TestUploadToAPeerThatStopsReading(t *testing.T) {
-	const more = 64 << 20 // than the buffers of a connection take
-	content := strings.Repeat("x", more)
-	m := &manifest.Manifest{Size: more, ChunkSize: more, Chunks: []manifest.Chunk{{SHA256: digestOf(content), Size: more}}}
-	f, _, steps := newFetcher(t, 2*more)
-	f.WriteStall = 50 * time.Millisecond
+// TestUploadEndsWhenThePeerStopsReading guards against a peer that stops reading and so occupies an
+// upload slot forever.
+func TestUploadEndsWhenThePeerStopsReading(t *testing.T) {
+	const size = 64 << 20 // exceeds the buffers of a connection
+	content := strings.Repeat("x", size)
+	m := &manifest.Manifest{Size: size, ChunkSize: size, Chunks: []manifest.Chunk{{SHA256: digestOf(content), Size: size}}}
+	f, _, steps := newFetcher(t, 2*size)
+	f.WriteTimeout = 50 * time.Millisecond
 	_, err := f.Memory.AddVersion("big", nil, m)
 	require.NoError(t, err)
 	require.NoError(t, f.Memory.Put(m.Chunks[0].SHA256, []byte(content)))
--- a/internal/transfer/have.go
+++ b/internal/transfer/have.go
@@ -9,47 +9,49 @@
 	"samphireweir.example/samphireweir/internal/core/weights"
 )
 
-// haveMethod tells a peer which chunks are here.
+// haveMethod is the method that reports the chunks held by the sender.
 const haveMethod = "weights.have"
 
-// frameBytes is about what the head and the envelope of a message and its answer come to, beside the parameters.
-const frameBytes = 150
+// messageOverheadBytes is the approximate size of the headers and envelopes of a message and its
+// answer, without the parameters.
+const messageOverheadBytes = 150
 
-// haveMessage tells which chunks of a version its sender has.
+// haveMessage reports which chunks of a version the sender has.
 type haveMessage struct {
 	Digest string `json:"digest"`
 	New    []int  `json:"new,omitempty"`
-	// All is a bitmap of all chunks, in a hello.
+	// All is a bitmap of all chunks; only in a hello.
 	All   []byte `json:"all,omitempty"`
 	Hello bool   `json:"hello,omitempty"`
-	// OriginFailedMS is how long ago a draw from the origin failed last, in milliseconds; 0 for none. OriginFailedMany is set when several hosts' did.
+	// OriginFailedMS is the time since the last failed fetch from the origin, in milliseconds; 0 if
+	// there is none. OriginFailedMany is set if fetches of several hosts failed.
 	OriginFailedMS   int64 `json:"origin_failed_ms,omitempty"`
 	OriginFailedMany bool  `json:"origin_failed_many,omitempty"`
 }
 
-// haveAnswer answers a hello with a bitmap, absent when the version is not known.
+// haveAnswer answers a hello with a bitmap. The bitmap is absent if the version is unknown.
 type haveAnswer struct {
 	All []byte `json:"all,omitempty"`
 }
 
 func (f *Fetcher) announce(e weights.Announce) {
-	m := haveMessage{Digest: e.Digest, New: e.New, Hello: e.Hello, OriginFailedMS: wholeMilliseconds(e.OriginFailed.Ago), OriginFailedMany: e.OriginFailed.Widespread}
+	m := haveMessage{Digest: e.Digest, New: e.New, Hello: e.Hello, OriginFailedMS: ceilMilliseconds(e.OriginFailed.Ago), OriginFailedMany: e.OriginFailed.Widespread}
 	if e.Hello {
-		m.All = f.Memory.Have(e.Digest)
+		m.All = f.Memory.HeldBitmap(e.Digest)
 	}
 	raw, err := json.Marshal(m)
 	if err != nil {
-		return // A message of plain fields always encodes.
+		return // Marshalling a struct of plain fields can't fail.
 	}
 	f.controlMessages.Add(1)
-	f.controlBytes.Add(int64(len(raw) + frameBytes))
+	f.controlBytes.Add(int64(len(raw) + messageOverheadBytes))
 	var a haveAnswer
 	if err := f.Pool.Call(context.Background(), e.To, haveMethod, json.RawMessage(raw), &a); err != nil {
 		f.Steps.Step(weights.PeerSilent{Digest: e.Digest, From: e.To})
 		return
 	}
 	if a.All != nil {
-		f.Steps.Step(weights.PeerHas{Digest: e.Digest, From: e.To, All: Bits(a.All)})
+		f.Steps.Step(weights.PeerHas{Digest: e.Digest, From: e.To, All: UnpackBitmap(a.All)})
 	}
 }
 
@@ -61,16 +63,16 @@
 	failed := weights.OriginFailure{Ago: time.Duration(m.OriginFailedMS) * time.Millisecond, Widespread: m.OriginFailedMany}
 	ev := weights.PeerHas{Digest: m.Digest, From: from, New: m.New, Hello: m.Hello, OriginFailed: failed}
 	if m.All != nil {
-		ev.All = Bits(m.All)
+		ev.All = UnpackBitmap(m.All)
 	}
 	f.Steps.Step(ev)
 	if !m.Hello {
 		return haveAnswer{}, nil
 	}
-	return haveAnswer{All: f.Memory.Have(m.Digest)}, nil
+	return haveAnswer{All: f.Memory.HeldBitmap(m.Digest)}, nil
 }
 
-// wholeMilliseconds rounds up, so that what is more than 0 stays so.
-func wholeMilliseconds(d time.Duration) int64 {
+// ceilMilliseconds rounds up to milliseconds, so that a positive duration stays positive.
+func ceilMilliseconds(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/transfer/link.go
+++ b/internal/transfer/link.go
@@ -9,43 +9,49 @@
 	"golang.org/x/time/rate"
 )
 
-// pieceSize is how many bytes pass the pacing at a time: what a live request may find before it on a link, some 10 ms at 7.6 Mbit/s.
-const pieceSize = 8 << 10
+// blockSize is how many bytes pass the rate limiter at a time. A live request may have to wait for
+// one block on the link: about 10 ms at 7.6 Mbit/s.
+const blockSize = 8 << 10
 
 const (
-	// slowPiece is how long the writing of a piece may take before the way to the peer counts as narrower than the link: a piece
-	// takes some 10 ms at the slowest links, and waits for those of a few other uploads.
-	slowPiece = 150 * time.Millisecond
-	// narrowing and widening change the pace after a slow piece and after one in time; leastPace bounds it, as a part of the rate.
-	narrowing = 0.5
-	widening  = 1.02
-	leastPace = 1.0 / 32
-	// narrowEvery is the least time between two narrowings, in which the pieces that already wait get through.
-	narrowEvery = 300 * time.Millisecond
+	// slowWrite is the duration of a block's write above which the path to the peer counts as
+	// narrower than the link. A block takes about 10 ms on the slowest links and waits for the
+	// blocks of a few other uploads.
+	slowWrite = 150 * time.Millisecond
+	// decreaseFactor and increaseFactor change the rate factor after a slow write and after a fast
+	// one. minRateFactor is its minimum, as a fraction of the link's rate.
+	decreaseFactor = 0.5
+	increaseFactor = 1.02
+	minRateFactor  = 1.0 / 32
+	// decreaseInterval is the minimum time between two decreases. Blocks that are already waiting
+	// are sent in this time.
+	decreaseInterval = 300 * time.Millisecond
 )
 
-// Link paces one direction of a host's link. What is sent goes slower while pieces get stuck, as when the link has become
-// narrower than its rate: a full link would hold up the live requests that share it.
+// Link limits the rate of transfers in one direction of a host's link. It decreases the rate while
+// writes are slow, which happens when the link has become narrower than its configured rate. A full
+// link would delay the live requests that share it.
 type Link struct {
 	limiter *rate.Limiter
 	rate    float64
 
 	mu sync.Mutex
-	// share is the part of the rate that transfers may use, pace the part that gets through.
-	share, pace float64
-	narrowed    time.Time
+	// share is the fraction of the rate that transfers may use; rateFactor is the fraction that
+	// gets through.
+	share, rateFactor float64
+	lastDecrease      time.Time
 }
 
-// NewLink returns a link of bytesPerSecond; 0 for no pacing.
+// NewLink returns a link with the given rate in bytes per second; 0 means no limit.
 func NewLink(bytesPerSecond int64) *Link {
 	if bytesPerSecond <= 0 {
 		return &Link{}
 	}
-	limiter := rate.NewLimiter(rate.Limit(bytesPerSecond), 2*pieceSize)
-	return &Link{limiter: limiter, rate: float64(bytesPerSecond), share: 1, pace: 1}
+	limiter := rate.NewLimiter(rate.Limit(bytesPerSecond), 2*blockSize)
+	return &Link{limiter: limiter, rate: float64(bytesPerSecond), share: 1, rateFactor: 1}
 }
 
-// SetShare lets transfers use a share of the link only.
+// SetShare limits transfers to a share of the link: above 0, at most 1.
 func (l *Link) SetShare(share float64) {
 	if l.limiter == nil {
 		return
@@ -53,13 +59,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.share = share
-	l.apply()
+	l.applyLimit()
 }
 
-func (l *Link) apply() { l.limiter.SetLimit(rate.Limit(l.rate * l.share * l.pace)) }
+func (l *Link) applyLimit() { l.limiter.SetLimit(rate.Limit(l.rate * l.share * l.rateFactor)) }
 
-// wrote learns from how long the writing of a piece took.
-func (l *Link) wrote(took time.Duration) {
+// recordWrite adjusts the rate factor to the duration of a block's write.
+func (l *Link) recordWrite(took time.Duration) {
 	if l.limiter == nil {
 		return
 	}
@@ -67,16 +73,16 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	switch {
-	case took < slowPiece:
-		l.pace = min(1, l.pace*widening)
-	case now.Sub(l.narrowed) > narrowEvery:
-		l.pace = max(leastPace, l.pace*narrowing)
-		l.narrowed = now
+	case took < slowWrite:
+		l.rateFactor = min(1, l.rateFactor*increaseFactor)
+	case now.Sub(l.lastDecrease) > decreaseInterval:
+		l.rateFactor = max(minRateFactor, l.rateFactor*decreaseFactor)
+		l.lastDecrease = now
 	}
-	l.apply()
+	l.applyLimit()
 }
 
-// Wait waits until n bytes may pass; n is at most pieceSize.
+// Wait waits until n bytes may pass; n is at most blockSize.
 func (l *Link) Wait(ctx context.Context, n int) error {
 	if l.limiter == nil {
 		return nil
@@ -84,31 +90,32 @@
 	return l.limiter.WaitN(ctx, n)
 }
 
-// Write writes p to w at the link's pace.
+// Write writes p to w at the rate of the link.
 func (l *Link) Write(ctx context.Context, w io.Writer, p []byte) error {
 	for len(p) > 0 {
-		n := min(pieceSize, len(p))
+		n := min(blockSize, len(p))
 		if err := l.Wait(ctx, n); err != nil {
 			return err
 		}
-		began := time.Now()
+		start := time.Now()
 		if _, err := w.Write(p[:n]); err != nil {
 			return err
 		}
-		l.wrote(time.Since(began))
+		l.recordWrite(time.Since(start))
 		p = p[n:]
 	}
 	return nil
 }
 
-// ReadFull fills p from r at the link's pace.
+// ReadFull fills p from r at the rate of the link.
 func (l *Link) ReadFull(ctx context.Context, r io.Reader, p []byte) error {
-	return readPieces(r, p, func(n int) error { return l.Wait(ctx, n) })
+	return readBlocks(r, p, func(n int) error { return l.Wait(ctx, n) })
 }
 
-// ReadFirst fills p from r ahead of what waits for the link, which then waits so much longer.
-func (l *Link) ReadFirst(r io.Reader, p []byte) error {
-	return readPieces(r, p, func(n int) error {
+// ReadPriority fills p from r without waiting for the rate limit. Other transfers on the link wait
+// correspondingly longer.
+func (l *Link) ReadPriority(r io.Reader, p []byte) error {
+	return readBlocks(r, p, func(n int) error {
 		if l.limiter != nil {
 			l.limiter.ReserveN(time.Now(), n)
 		}
@@ -116,11 +123,11 @@
 	})
 }
 
-// readPieces fills p from r, in pieces each of which passes the pacing.
-func readPieces(r io.Reader, p []byte, pass func(n int) error) error {
+// readBlocks fills p from r in blocks, calling wait before each.
+func readBlocks(r io.Reader, p []byte, wait func(n int) error) error {
 	for len(p) > 0 {
-		n := min(pieceSize, len(p))
-		if err := pass(n); err != nil {
+		n := min(blockSize, len(p))
+		if err := wait(n); err != nil {
 			return err
 		}
 		if _, err := io.ReadFull(r, p[:n]); err != nil {
--- a/internal/transfer/link_test.go
+++ b/internal/transfer/link_test.go
@@ -9,32 +9,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestALinkGoesSlowerWhilePiecesGetStuck tells a link of slow pieces, then of quick ones.
-func TestALinkGoesSlowerWhilePiecesGetStuck(t *testing.T) {
+// TestLinkSlowsDownWhileWritesAreSlow checks that slow writes decrease the rate down to its
+// minimum, once per interval, and that fast writes restore it. Without this, uploads over a
+// narrowed link would delay live requests.
+func TestLinkSlowsDownWhileWritesAreSlow(t *testing.T) {
 	l := NewLink(1 << 20)
-	l.wrote(2 * slowPiece)
-	require.InDelta(t, narrowing*float64(1<<20), float64(l.limiter.Limit()), 1)
-	l.wrote(2 * slowPiece)
-	require.InDelta(t, narrowing*float64(1<<20), float64(l.limiter.Limit()), 1, "pieces that wait already are no news")
+	l.recordWrite(2 * slowWrite)
+	require.InDelta(t, decreaseFactor*float64(1<<20), float64(l.limiter.Limit()), 1)
+	l.recordWrite(2 * slowWrite)
+	require.InDelta(t, decreaseFactor*float64(1<<20), float64(l.limiter.Limit()), 1, "slow writes within the interval do not decrease the rate again")
 	for range 100 {
-		l.wrote(time.Millisecond)
+		l.recordWrite(time.Millisecond)
 	}
 	require.InDelta(t, float64(1<<20), float64(l.limiter.Limit()), 1)
 	for range 20 {
-		l.narrowed = time.Time{}
-		l.wrote(2 * slowPiece)
+		l.lastDecrease = time.Time{}
+		l.recordWrite(2 * slowWrite)
 	}
-	require.InDelta(t, leastPace*float64(1<<20), float64(l.limiter.Limit()), 1)
+	require.InDelta(t, minRateFactor*float64(1<<20), float64(l.limiter.Limit()), 1)
 	l.SetShare(0.5)
-	require.InDelta(t, 0.5*leastPace*float64(1<<20), float64(l.limiter.Limit()), 1)
+	require.InDelta(t, 0.5*minRateFactor*float64(1<<20), float64(l.limiter.Limit()), 1)
 }
 
-// TestWhatGoesFirstDoesNotWait reads over a link on which pacing alone would take a day. What comes after pays for it.
-func TestWhatGoesFirstDoesNotWait(t *testing.T) {
+// TestPriorityReadDoesNotWaitForTheLimit reads 100,000 bytes over a link of 1 byte per second,
+// which would take a day with the rate limit. Later transfers must wait for the bytes read.
+func TestPriorityReadDoesNotWaitForTheLimit(t *testing.T) {
 	l := NewLink(1)
 	data := make([]byte, 100_000)
-	require.NoError(t, l.ReadFirst(bytes.NewReader(make([]byte, len(data))), data))
+	require.NoError(t, l.ReadPriority(bytes.NewReader(make([]byte, len(data))), data))
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	require.Error(t, l.Wait(ctx, 1), "the wait is longer than the limit, which the limiter tells at once")
+	require.Error(t, l.Wait(ctx, 1), "the limiter rejects a wait beyond the deadline of the context immediately")
 }
--- a/internal/transfer/manifest.go
+++ b/internal/transfer/manifest.go
@@ -13,13 +13,13 @@
 	"samphireweir.example/samphireweir/internal/manifest"
 )
 
-// fetchManifest gets and checks a manifest, and makes room for the version.
+// fetchManifest fetches and validates a manifest and adds the version to the chunk memory.
 func (f *Fetcher) fetchManifest(e weights.FetchManifest) {
 	ctx, cancel := context.WithTimeout(context.Background(), manifestTimeout)
 	defer cancel()
 	raw, err := f.readManifest(ctx, e)
 	if err == nil && manifest.Digest(raw) != e.Digest {
-		err = code.Errorf(code.SourceChanged, "digest", "the manifest from %s differs from the setting's digest", e.From)
+		err = code.Errorf(code.SourceChanged, "digest", "manifest from %s does not match the digest in the setting", e.From)
 	}
 	var m *manifest.Manifest
 	if err == nil {
@@ -37,27 +37,27 @@
 	f.Steps.Step(weights.ManifestRead{Digest: e.Digest, Manifest: m, From: e.From, Held: held})
 }
 
-// reopen tells what is still here of a version that is wanted again.
-func (f *Fetcher) reopen(digest string) {
+// reportHeldChunks reports which chunks are still held of a version that is wanted again.
+func (f *Fetcher) reportHeldChunks(digest string) {
 	raw, m := f.Memory.Manifest(digest)
 	if raw == nil {
-		return // It gave way to others and is fetched anew.
+		return // The version was evicted and is fetched again.
 	}
 	held, err := f.Memory.AddVersion(digest, raw, m)
 	if err != nil {
-		return // The same version was here before, so it fits.
+		return // Can't fail: the version fitted before.
 	}
 	f.Steps.Step(weights.ManifestRead{Digest: digest, Manifest: m, Held: held})
 }
 
 func (f *Fetcher) manifestFailed(e weights.FetchManifest, err error) {
-	failed := weights.ManifestFailed{Digest: e.Digest, From: e.From}
+	event := weights.ManifestFailed{Digest: e.Digest, From: e.From}
 	var coded *code.Error
 	if errors.As(err, &coded) {
-		failed.Code = coded.Code
+		event.Code = coded.Code
 		logevent.Warn(f.Log, logevent.BurstStuck).Str("digest", e.Digest).Int("code", int(coded.Code)).Str("why", coded.Error()).Msg("burst stuck")
 	}
-	f.Steps.Step(failed)
+	f.Steps.Step(event)
 }
 
 func (f *Fetcher) readManifest(ctx context.Context, e weights.FetchManifest) ([]byte, error) {
@@ -76,7 +76,7 @@
 }
 
 func (f *Fetcher) readSources(ctx context.Context, ref weights.Ref) ([]byte, error) {
-	var last error = errors.New("no source")
+	var last error = errors.New("no source configured")
 	for _, s := range f.Sources {
 		raw, err := s.Manifest(ctx, ref)
 		if err == nil {
--- a/internal/transfer/memory.go
+++ b/internal/transfer/memory.go
@@ -1,4 +1,4 @@
-// Package transfer holds a host's chunks in memory and moves them between hosts.
+// Package transfer stores a host's chunks in memory and transfers them between hosts.
 package transfer
 
 import (
@@ -8,7 +8,8 @@
 	"samphireweir.example/samphireweir/internal/manifest"
 )
 
-// Memory keeps verified chunks by digest, within a budget of its own. Versions that share a chunk share its bytes.
+// Memory stores verified chunks by digest, within its own budget in bytes. A chunk that several
+// versions share is stored once.
 type Memory struct {
 	mu       sync.RWMutex
 	budget   int64
@@ -21,31 +22,32 @@
 type version struct {
 	raw      []byte
 	manifest *manifest.Manifest
-	// retired is set when the version is kept only as long as there is room.
+	// retired is set if the version may be evicted when memory is needed.
 	retired bool
 }
 
-// NewMemory returns an empty memory of budget bytes.
+// NewMemory returns an empty memory with a budget in bytes.
 func NewMemory(budget int64) *Memory {
 	return &Memory{budget: budget, chunks: map[string][]byte{}, refs: map[string]int{}, versions: map[string]version{}}
 }
 
-// AddVersion takes in a manifest and returns the indexes of the chunks that are here already.
-func (m *Memory) AddVersion(digest string, raw []byte, man *manifest.Manifest) ([]int, error) {
+// AddVersion adds a version by its manifest and returns the indexes of the chunks that are already
+// held. It fails if the version is larger than the budget.
+func (m *Memory) AddVersion(digest string, raw []byte, parsed *manifest.Manifest) ([]int, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if man.Size > m.budget {
-		return nil, code.Errorf(code.MemoryTooSmall, "-chunk-memory", "%d bytes, the version has %d", m.budget, man.Size)
+	if parsed.Size > m.budget {
+		return nil, code.Errorf(code.MemoryTooSmall, "-chunk-memory", "%d bytes, the version has %d", m.budget, parsed.Size)
 	}
 	_, known := m.versions[digest]
-	m.versions[digest] = version{raw: raw, manifest: man}
+	m.versions[digest] = version{raw: raw, manifest: parsed}
 	if !known {
-		for _, c := range man.Chunks {
+		for _, c := range parsed.Chunks {
 			m.refs[c.SHA256]++
 		}
 	}
 	var held []int
-	for i, c := range man.Chunks {
+	for i, c := range parsed.Chunks {
 		if _, ok := m.chunks[c.SHA256]; ok {
 			held = append(held, i)
 		}
@@ -53,14 +55,15 @@
 	return held, nil
 }
 
-// DropVersion forgets a version and the chunks that no other version shares.
+// DropVersion removes a version and the chunks that no other version shares.
 func (m *Memory) DropVersion(digest string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.drop(digest)
 }
 
-// Retire keeps a version that is no longer wanted, for the chunks that others share, as long as there is room.
+// Retire marks a version that is no longer wanted. It is kept while there is free memory, because
+// other versions may share its chunks.
 func (m *Memory) Retire(digest string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -72,8 +75,8 @@
 	m.versions[digest] = v
 }
 
-// makeRoom drops retired versions until n more bytes fit.
-func (m *Memory) makeRoom(n int64) {
+// evictRetired drops retired versions until n more bytes fit.
+func (m *Memory) evictRetired(n int64) {
 	for digest, v := range m.versions {
 		if m.used+n <= m.budget {
 			return
@@ -101,14 +104,14 @@
 	}
 }
 
-// Put stores a verified chunk. A chunk of no known version is not kept.
+// Put stores a verified chunk. A chunk that belongs to no known version is ignored.
 func (m *Memory) Put(sha string, data []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, have := m.chunks[sha]; have || m.refs[sha] == 0 {
 		return nil
 	}
-	m.makeRoom(int64(len(data)))
+	m.evictRetired(int64(len(data)))
 	if m.used+int64(len(data)) > m.budget {
 		return code.Errorf(code.MemoryTooSmall, "-chunk-memory", "%d of %d bytes in use, no room for %d", m.used, m.budget, len(data))
 	}
@@ -117,7 +120,7 @@
 	return nil
 }
 
-// Chunk returns a chunk's bytes, which must not be changed, or nil.
+// Chunk returns the bytes of a chunk, or nil. Callers must not modify them.
 func (m *Memory) Chunk(sha string) []byte {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -132,9 +135,9 @@
 	return v.raw, v.manifest
 }
 
-// Have returns a bitmap, most significant bit first, of the chunks of a version that are here; nil when the
-// version is not known.
-func (m *Memory) Have(digest string) []byte {
+// HeldBitmap returns a bitmap of the held chunks of a version, most significant bit first; nil if
+// the version is unknown.
+func (m *Memory) HeldBitmap(digest string) []byte {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	v, known := m.versions[digest]
@@ -150,8 +153,8 @@
 	return bits
 }
 
-// Bits unpacks a bitmap of Have.
-func Bits(packed []byte) []bool {
+// UnpackBitmap unpacks a bitmap made by HeldBitmap.
+func UnpackBitmap(packed []byte) []bool {
 	bits := make([]bool, 0, 8*len(packed))
 	for _, b := range packed {
 		for mask := byte(0x80); mask > 0; mask >>= 1 {
