--- a/internal/core/weights/burst.go
+++ b/internal/core/weights/burst.go
@@ -220,7 +220,7 @@
 	b.arrivalOrder = append(b.arrivalOrder, i)
 }
 
-func (b *Burst) stored(in step.Input, ev ChunkStored) []step.Effect {
+func (b *Burst) chunkStored(in step.Input, ev ChunkStored) []step.Effect {
 	f := b.endFetch(ev.Fetch)
 	if b.Manifest == nil || ev.Index >= len(b.chunks) {
 		return nil
@@ -337,7 +337,7 @@
 	return effects
 }
 
-func (b *Burst) failed(in step.Input, ev ChunkFailed) []step.Effect {
+func (b *Burst) chunkFailed(in step.Input, ev ChunkFailed) []step.Effect {
 	f := b.endFetch(ev.Fetch)
 	if f == nil {
 		return nil // The fetch was cancelled.
@@ -348,9 +348,9 @@
 		b.Counts.Failed++
 	}
 	if f.fromOrigin {
-		b.originFailed(in, ev)
+		b.originFetchFailed(in, ev)
 	} else {
-		b.peerFailed(in, ev, f.peerIndex)
+		b.peerFetchFailed(in, ev, f.peerIndex)
 	}
 	return b.scheduleFetches(in)
 }
@@ -381,7 +381,7 @@
 	first := b.nextManifestAttempt.IsZero()
 	b.nextManifestAttempt = in.Now.Add(manifestRetryInterval)
 	r := random(in.Rand)
-	if b.mode == Direct || b.fetchesManifestFromOrigin(in, &r) {
+	if b.mode == Direct || b.mayFetchManifestFromOrigin(in, &r) {
 		return []step.Effect{FetchManifest{Ref: b.Ref, Digest: b.Digest, From: Origin}}
 	}
 	if first || len(b.peers) == 0 {
@@ -391,9 +391,9 @@
 	return []step.Effect{FetchManifest{Ref: b.Ref, Digest: b.Digest, From: Source(from.Address)}}
 }
 
-// fetchesManifestFromOrigin reports whether this host is an origin fetcher, or has waited so long
+// mayFetchManifestFromOrigin reports whether this host is an origin fetcher, or has waited so long
 // that it may ask the origin as well.
-func (b *Burst) fetchesManifestFromOrigin(in step.Input, r *random) bool {
+func (b *Burst) mayFetchManifestFromOrigin(in step.Input, r *random) bool {
 	for _, s := range b.assignSlots() {
 		if s.rank == 0 {
 			return true
--- a/internal/core/weights/fetch.go
+++ b/internal/core/weights/fetch.go
@@ -16,7 +16,7 @@
 	maxPeerFetches = 6
 	// initialPeerFetches is the number of concurrent fetches at the beginning.
 	initialPeerFetches = 2
-	// expectedFetchTime is how long a fetch takes on such a link with maxPeerFetches in flight. If
+	// expectedFetchTime is how long a fetch takes on a slow link with maxPeerFetches in flight. If
 	// fetches take longer, the link to this host is narrower or busy, and the number of concurrent
 	// fetches is reduced.
 	expectedFetchTime = 350 * time.Millisecond
@@ -185,8 +185,8 @@
 	}
 }
 
-// peerFailed handles a failed fetch from a peer.
-func (b *Burst) peerFailed(in step.Input, ev ChunkFailed, i int) {
+// peerFetchFailed handles a failed fetch from a peer.
+func (b *Burst) peerFetchFailed(in step.Input, ev ChunkFailed, i int) {
 	p := b.peers[i]
 	switch ev.Reason {
 	case Busy:
--- a/internal/core/weights/mesh.go
+++ b/internal/core/weights/mesh.go
@@ -229,6 +229,8 @@
 	return b.addHolder(in, i, c)
 }
 
+// addHolder records that a peer has a chunk. A chunk that no host was known to have must have come
+// from the origin.
 func (b *Burst) addHolder(in step.Input, i, c int) bool {
 	chunk := &b.chunks[c]
 	if len(chunk.nearHolders)+len(chunk.farHolders) == 0 && !chunk.have {
--- a/internal/core/weights/origin.go
+++ b/internal/core/weights/origin.go
@@ -205,8 +205,8 @@
 	return b.startFetch(in, c, chunkFetch{fromOrigin: true}, Origin)
 }
 
-// originFailed handles a failed fetch from the origin.
-func (b *Burst) originFailed(in step.Input, ev ChunkFailed) {
+// originFetchFailed handles a failed fetch from the origin.
+func (b *Burst) originFetchFailed(in step.Input, ev ChunkFailed) {
 	c := &b.chunks[ev.Index]
 	switch ev.Reason {
 	case Busy:
--- a/internal/core/weights/outage.go
+++ b/internal/core/weights/outage.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// standbyBackoff is how long the first standby of an origin slot does not ask an unavailable
-	// origin. Each further rank waits that much longer, and a host that falls back by itself waits
-	// longest. During an outage nobody can tell whether a slot's fetcher is alive. If all
-	// candidates kept retrying, the origin's link would carry most chunks several times after the
-	// recovery.
+	// standbyBackoff is how long the first standby of an origin slot, the candidate after its
+	// fetcher, waits before it asks an unavailable origin. Each further rank waits that much
+	// longer, and a host that falls back by itself waits longest. During an outage nobody can tell
+	// whether a slot's fetcher is alive. If all candidates kept retrying, the origin's link would
+	// carry most chunks several times after the recovery.
 	standbyBackoff = 10 * time.Second
-	// minOriginSilence is how long no host known here must have received anything from the origin
-	// before the failures of peers count as an outage. Until then only the path of those peers to
-	// the origin may be broken, and standbys are needed.
+	// minOriginSilence is how long nothing must have come from the origin, to any host that reports
+	// to this one, before failures of peers count as an outage. Until then, perhaps only the paths
+	// of those peers to the origin are broken, and standbys must take over.
 	minOriginSilence = 2 * time.Second
-	// minFailedHosts is how many hosts must have failed in that time. Each must report its own
-	// failure, or one must report that it knows of so many.
+	// minFailedHosts is how many hosts must have failed since the last chunk from the origin before
+	// their failures count as an outage. Each must report its own failure, or one must report that
+	// it knows of so many.
 	minFailedHosts = 2
 )
 
--- a/internal/core/weights/state.go
+++ b/internal/core/weights/state.go
@@ -120,9 +120,9 @@
 	case ManifestFailed:
 		return s.withBurst(ev.Digest, func(b *Burst) []step.Effect { return b.manifestFailed(in, ev) })
 	case ChunkStored:
-		return s.withBurst(ev.Digest, func(b *Burst) []step.Effect { return b.stored(in, ev) })
+		return s.withBurst(ev.Digest, func(b *Burst) []step.Effect { return b.chunkStored(in, ev) })
 	case ChunkFailed:
-		return s.withBurst(ev.Digest, func(b *Burst) []step.Effect { return b.failed(in, ev) })
+		return s.withBurst(ev.Digest, func(b *Burst) []step.Effect { return b.chunkFailed(in, ev) })
 	case PeerHas:
 		return s.peerHas(in, ev)
 	case PeerSilent:
--- a/internal/core/weights/tier.go
+++ b/internal/core/weights/tier.go
@@ -27,7 +27,7 @@
 const (
 	// manifestIndex is the chunk index that denotes the manifest in rankings.
 	manifestIndex = -1
-	// maxRank is the rank of a host that never acts for a chunk.
+	// maxRank is the highest rank that is stored. A host with this rank never acts for a chunk.
 	maxRank = 255
 	// delegatesPerGroup is how many hosts of each data centre or region a new chunk is announced
 	// to: the delegate and its replacement.
--- a/internal/core/weights/timing.go
+++ b/internal/core/weights/timing.go
@@ -52,42 +52,42 @@
 
 // addGap updates the mean with the time since the last chunk, capped at twice the mean. Callers
 // skip it after a long wait: timeouts that grow with the waits they cause would grow without bound.
-func (p *timing) addGap(now time.Time) { smooth(&p.chunkGap, min(now.Sub(p.lastChunk), 2*p.chunkGap)) }
+func (t *timing) addGap(now time.Time) { smooth(&t.chunkGap, min(now.Sub(t.lastChunk), 2*t.chunkGap)) }
 
 // addChunk records a chunk that arrived.
-func (p *timing) addChunk(now time.Time, took time.Duration, from Tier) {
-	p.lastChunk = now
+func (t *timing) addChunk(now time.Time, took time.Duration, from Tier) {
+	t.lastChunk = now
 	if from == FromOrigin {
-		smooth(&p.originFetchTime, took)
+		smooth(&t.originFetchTime, took)
 	} else {
-		smooth(&p.peerFetchTime, took)
+		smooth(&t.peerFetchTime, took)
 	}
-	p.lastProgress = now
+	t.lastProgress = now
 }
 
 // progressed records that a missing chunk became available at a peer.
-func (p *timing) progressed(now time.Time) { p.lastProgress = now }
+func (t *timing) progressed(now time.Time) { t.lastProgress = now }
 
-func (p *timing) addSlotGap(took time.Duration) { smooth(&p.slotGap, min(took, 2*p.slotGap)) }
+func (t *timing) addSlotGap(took time.Duration) { smooth(&t.slotGap, min(took, 2*t.slotGap)) }
 
 // delegateTimeout is how long a delegate may take to fetch a chunk that was announced to it.
-func (p *timing) delegateTimeout() time.Duration {
-	return min(max(4*p.peerFetchTime, minDelegateTimeout), maxDelegateTimeout)
+func (t *timing) delegateTimeout() time.Duration {
+	return min(max(4*t.peerFetchTime, minDelegateTimeout), maxDelegateTimeout)
 }
 
 // stallTimeout is the time after which a fetch counts as stalled.
-func (p *timing) stallTimeout(origin bool) time.Duration {
+func (t *timing) stallTimeout(origin bool) time.Duration {
 	if origin {
-		return max(4*p.originFetchTime, minOriginStallTimeout)
+		return max(4*t.originFetchTime, minOriginStallTimeout)
 	}
-	return max(4*p.peerFetchTime, minPeerStallTimeout)
+	return max(4*t.peerFetchTime, minPeerStallTimeout)
 }
 
 // fetchTimeout is the time after which a fetch is abandoned.
-func (p *timing) fetchTimeout(origin bool) time.Duration {
-	mean := p.peerFetchTime
+func (t *timing) fetchTimeout(origin bool) time.Duration {
+	mean := t.peerFetchTime
 	if origin {
-		mean = p.originFetchTime
+		mean = t.originFetchTime
 	}
 	return min(max(20*mean, minFetchTimeout), maxFetchTimeout)
 }
@@ -99,7 +99,8 @@
 	return min(max(whole/announcementsPerVersion, minAnnounceInterval), maxAnnounceInterval)
 }
 
-// idleTurns is the number of idle turns that have passed without progress.
+// idleTurns is the number of idle turns that have passed without progress. A turn is a small
+// multiple of the typical fetch time or of the time between chunks.
 func (b *Burst) idleTurns(in step.Input) int {
 	idle := in.Now.Sub(b.timing.lastProgress)
 	turn := min(max(4*b.timing.peerFetchTime, 6*b.timing.chunkGap, minDelegateTimeout), maxIdleTurn)
--- a/internal/core/weights/yield.go
+++ b/internal/core/weights/yield.go
@@ -116,12 +116,12 @@
 // maxPressure returns the highest ratio of recent to baseline first-byte times that counts as
 // pressure; 0 if there is none.
 func (y *Yield) maxPressure() float64 {
-	worst := 0.0
+	highest := 0.0
 	for _, f := range y.upstreams {
 		if f.fresh && f.recent > f.baseline*minPressureRatio && f.recent > f.baseline+float64(minRise) {
-			worst = max(worst, f.recent/f.baseline)
+			highest = max(highest, f.recent/f.baseline)
 		}
 		f.fresh = false
 	}
-	return worst
+	return highest
 }
