--- a/internal/claims/bench_test.go
+++ b/internal/claims/bench_test.go
@@ -86,7 +86,7 @@
 }
 
 func testBounds() claim.Config {
-	return claim.Config{Interval: 4 * time.Millisecond, SettleDelay: 8 * time.Millisecond, SealBytes: 8 << 10}
+	return claim.Config{CommitInterval: 4 * time.Millisecond, SettleDelay: 8 * time.Millisecond, SealBytes: 8 << 10}
 }
 
 func (b *bench) start() *node {
--- a/internal/claims/faults_test.go
+++ b/internal/claims/faults_test.go
@@ -119,7 +119,7 @@
 // newFaultCase takes a key, its owner and the next in line for it.
 func newFaultCase(b *bench) *faultCase {
 	key := uuid.Must(uuid.NewV7()).String()
-	ranked := claim.Owners(claim.HashKey("team", "service", key).Partition(), b.nodes[0].Entries())
+	ranked := claim.RankOwners(claim.HashKey("team", "service", key).Partition(), b.nodes[0].Entries())
 	return &faultCase{b: b, key: key, owner: b.at(ranked[0]), other: b.at(ranked[1]), third: b.at(ranked[2])}
 }
 
@@ -218,8 +218,8 @@
 	key := uuid.Must(uuid.NewV7()).String()
 	for _, n := range b.nodes {
 		a := n.Make(context.Background(), newClaim(key, uuid.NewString()))
-		require.Equal(t, claim.NotMade, a.Verdict)
-		require.GreaterOrEqual(t, a.RetryAfterMS, claim.ComeBack.Milliseconds())
+		require.Equal(t, claim.NotRecorded, a.Verdict)
+		require.GreaterOrEqual(t, a.RetryAfterMS, claim.MinRetryAfter.Milliseconds())
 	}
 	b.faults(`{"outage":false}`)
 	require.Eventually(t, func() bool {
@@ -239,6 +239,6 @@
 	for i := 0; second.Verdict == claim.Granted && i < 10; i++ {
 		second = limited.Make(context.Background(), newClaim(fmt.Sprintf("b%d", i), "r"))
 	}
-	require.Equal(t, claim.NotMade, second.Verdict)
+	require.Equal(t, claim.NotRecorded, second.Verdict)
 	require.Positive(t, second.RetryAfterMS)
 }
--- a/internal/claims/history_test.go
+++ b/internal/claims/history_test.go
@@ -189,7 +189,7 @@
 			b.granted(h, rng, caller, n, key, c)
 			return
 		}
-		if a.Verdict != claim.NotMade && a.Verdict != claim.Unsure {
+		if a.Verdict != claim.NotRecorded && a.Verdict != claim.Unsure {
 			return
 		}
 	}
--- a/internal/claims/load.go
+++ b/internal/claims/load.go
@@ -26,7 +26,7 @@
 func (p *partition) load(e claim.Load) {
 	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
-	loaded, err := p.readPartition(ctx, e.Have)
+	loaded, err := p.readPartition(ctx, e.KnownSegments)
 	if err != nil {
 		p.failed(err, "read")
 		p.step(claim.LoadFailed{})
--- a/internal/claims/partition.go
+++ b/internal/claims/partition.go
@@ -31,7 +31,7 @@
 	state *claim.State
 	ops   uint64
 	// answers maps an op to the channel on which its answer is awaited.
-	answers map[uint64]chan claim.Answered
+	answers map[uint64]chan claim.Reply
 	timer   *time.Timer
 }
 
@@ -39,13 +39,13 @@
 	return &partition{
 		number: number, objects: c.Objects, log: c.Log, timeout: c.Timing.Platform,
 		state:   claim.NewState(number, writer, c.Claims),
-		answers: map[uint64]chan claim.Answered{},
+		answers: map[uint64]chan claim.Reply{},
 	}
 }
 
 // do hands the reducer an event with a fresh op number and waits for its answer; ok is false when ctx ended first.
-func (p *partition) do(ctx context.Context, event func(op uint64) step) (a claim.Answered, ok bool) {
-	answer := make(chan claim.Answered, 1)
+func (p *partition) do(ctx context.Context, event func(op uint64) step) (a claim.Reply, ok bool) {
+	answer := make(chan claim.Reply, 1)
 	p.mu.Lock()
 	p.ops++
 	op := p.ops
@@ -59,7 +59,7 @@
 		p.mu.Lock()
 		delete(p.answers, op)
 		p.mu.Unlock()
-		return claim.Answered{}, false
+		return claim.Reply{}, false
 	}
 }
 
@@ -73,7 +73,7 @@
 func (p *partition) reduce(ev step) {
 	for _, e := range p.state.Reduce(corestep.Input{Now: time.Now(), Event: ev}) {
 		switch e := e.(type) {
-		case claim.Answered:
+		case claim.Reply:
 			p.deliver(e)
 		case claim.Load:
 			go p.load(e)
@@ -87,7 +87,7 @@
 	}
 }
 
-func (p *partition) deliver(e claim.Answered) {
+func (p *partition) deliver(e claim.Reply) {
 	if answer, waits := p.answers[e.Op]; waits {
 		answer <- e
 		delete(p.answers, e.Op)
--- a/internal/claims/service.go
+++ b/internal/claims/service.go
@@ -46,13 +46,13 @@
 	background sync.WaitGroup
 
 	mu      sync.Mutex
-	silence *claim.Silence
+	silence *claim.OwnerBackoff
 }
 
 // New returns a service. It makes no call before it is asked for a claim.
 func New(c Config) *Service {
 	c.Timing = c.Timing.withDefaults()
-	s := &Service{config: c, silence: claim.NewSilence()}
+	s := &Service{config: c, silence: claim.NewOwnerBackoff()}
 	writer := uuid.NewString()
 	for i := range s.partitions {
 		s.partitions[i] = newPartition(i, writer, c)
@@ -97,12 +97,12 @@
 			unsure = unsure || !neverAsked(err)
 			continue
 		}
-		if unsure && a.Verdict == claim.NotMade {
+		if unsure && a.Verdict == claim.NotRecorded {
 			a.Verdict = claim.Unsure
 		}
 		return a
 	}
-	return Answer{Verdict: claim.Unsure, RetryAfterMS: claim.ComeBack.Milliseconds()}
+	return Answer{Verdict: claim.Unsure, RetryAfterMS: claim.MinRetryAfter.Milliseconds()}
 }
 
 // neverAsked tells whether the call did not even reach a process.
@@ -115,7 +115,7 @@
 func (s *Service) mayAsk(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return address == s.config.Self || s.silence.MayAsk(time.Now(), address, s.config.Timing.Forward)
+	return address == s.config.Self || s.silence.MayCall(time.Now(), address, s.config.Timing.Forward)
 }
 
 // call calls another owner, and remembers whether it answered.
@@ -124,9 +124,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.silence.Failed(time.Now(), address)
+		s.silence.RecordFailure(time.Now(), address)
 	} else {
-		s.silence.Worked(address)
+		s.silence.RecordSuccess(address)
 	}
 	return err
 }
@@ -134,7 +134,7 @@
 // owners returns whom to ask, in order; this process itself is the last resort.
 func (s *Service) owners(k claim.Key) []string {
 	const takeOvers = 2
-	ranked := claim.Owners(k.Partition(), s.config.Peers.Entries())
+	ranked := claim.RankOwners(k.Partition(), s.config.Peers.Entries())
 	var owners []string
 	for _, address := range ranked {
 		if address == s.config.Self {
@@ -167,13 +167,13 @@
 		deadline = time.Now().Add(s.config.Timing.Claim)
 	}
 	p := s.partitions[c.Key.Partition()]
-	e, ok := p.do(ctx, func(op uint64) step { return claim.Made{Op: op, Claim: c, Deadline: deadline} })
+	e, ok := p.do(ctx, func(op uint64) step { return claim.ClaimRequested{Op: op, Claim: c, Deadline: deadline} })
 	if !ok {
 		return Answer{Verdict: claim.Unsure}
 	}
 	a := Answer{Verdict: e.Verdict, RetryAfterMS: e.RetryAfter.Milliseconds(), Kept: e.Answer}
 	if e.Verdict == claim.Replayed && a.Kept == nil {
-		a = s.readKept(ctx, c.Key, e.AnswerIn)
+		a = s.readKept(ctx, c.Key, e.AnswersName)
 	}
 	return a
 }
@@ -237,9 +237,9 @@
 	defer cancel()
 	deadline, _ := ctx.Deadline()
 	p := s.partitions[t.Key.Partition()]
-	e, ok := p.do(ctx, func(op uint64) step { return claim.SettleAsked{Op: op, Settlement: t, Deadline: deadline} })
+	e, ok := p.do(ctx, func(op uint64) step { return claim.SettlementRequested{Op: op, Settlement: t, Deadline: deadline} })
 	if !ok {
-		return claim.NotMade
+		return claim.NotRecorded
 	}
 	return e.Verdict
 }
--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -1,13 +1,15 @@
-// Package claim is the reducer for calls that run at most once. A caller's idempotency key is claimed before the
-// call is sent: its record is written to the platform on condition of the object's version, and only a write that
-// is known to have taken effect permits the run.
+// Package claim is the reducer for calls that must run at most once. A caller's idempotency key is claimed before
+// the call is sent: its record is written to the platform's object API, on condition of the object's version. The
+// call may be sent only after that write is known to have taken effect.
 //
-// Keys are hashed to a few partitions. A partition is one object, its head, with the newest records, and a list of
-// segments, objects that never change, with the older ones. Every decision is one conditional write of the head, so
-// that two processes which both take themselves for a partition's owner can't both succeed: the one with the old
-// version reads again and judges its claims anew. Which process owns a partition is a matter of speed alone.
+// Keys are hashed to a fixed number of partitions. A partition consists of one mutable object, the head, which holds
+// the newest records, and of immutable objects, the segments, which hold the older ones. Every decision is one
+// conditional write of the head. If two processes both act as a partition's owner, only one of their writes
+// succeeds; the other process reads the head again and decides its claims again. Ownership therefore affects
+// latency, not correctness.
 //
-// The reducer is one partition's. Like every reducer of the core it is pure: see package step.
+// A State handles one partition. Like every reducer of the core it is pure: see package step. A shell, such as
+// package claims, carries out its effects.
 package claim
 
 import (
@@ -15,59 +17,60 @@
 	"time"
 )
 
-// Status is how the call of a key stands.
+// Status is the state of the call that was made with a key.
 type Status int
 
-// The statuses of a record, in the order in which they may follow one another.
+// The statuses of a record, in the order of their transitions. Their numbers are part of the stored format.
 const (
 	// Claimed: the call may be running.
 	Claimed Status = iota + 1
-	// Unknown: the call was sent and how it ended will not be known.
+	// Unknown: the call was sent and its outcome is not known.
 	Unknown
 	// Ran: the call ran.
 	Ran
-	// Released: the request that held the key was for certain not run; the key is free.
+	// Released: the request that held the key certainly did not run; another request may claim the key.
 	Released
 )
 
-// Record is what is kept of one key.
+// Record is the stored state of one key.
 type Record struct {
 	Key Key `json:"k"`
-	// Request is the id of the request that holds the key.
-	Request string `json:"r"`
-	Status  Status `json:"s"`
-	// Fingerprint tells the request apart from others with the same key.
+	// RequestID is the id of the request that holds the key. It is empty in memory once the call ran.
+	RequestID string `json:"r"`
+	Status    Status `json:"s"`
+	// Fingerprint identifies the request's content, see the function Fingerprint. It is 0 if the record was written
+	// by a settlement whose claim this process had not read.
 	Fingerprint uint64 `json:"f,omitempty"`
-	// KeyTime is the time that the key carries, in Unix milliseconds; 0 when it carries none.
+	// KeyTime is the timestamp in the key, in Unix milliseconds; 0 for an untimed key, which contains none.
 	KeyTime int64 `json:"t,omitempty"`
-	// Made is when the claim was made, in Unix milliseconds.
-	Made int64 `json:"m"`
-	// Until is the deadline of the call, in Unix milliseconds.
-	Until int64 `json:"u,omitempty"`
-	// Answer is the kept answer while the record stands in the head.
+	// ClaimedAt is when the claim was made, in Unix milliseconds, by the clock of the owner.
+	ClaimedAt int64 `json:"m"`
+	// Deadline is the deadline of the call, in Unix milliseconds.
+	Deadline int64 `json:"u,omitempty"`
+	// Answer is the stored response while the record is in the head.
 	Answer *Answer `json:"a,omitempty"`
-	// AnswerIn names the segment that holds the kept answer.
-	AnswerIn string `json:"i,omitempty"`
+	// AnswersName names the AnswerSegment object that holds the stored response of a sealed record.
+	AnswersName string `json:"i,omitempty"`
 }
 
-// Answer is a kept answer of an upstream.
+// Answer is an upstream's response, stored to be replayed when the caller repeats its request.
 type Answer struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
 }
 
-// Claim asks for the permission to run the call of a key.
+// Claim is a request for permission to send the call of a key.
 type Claim struct {
 	Key         Key    `json:"key"`
 	Request     string `json:"request"`
 	Fingerprint uint64 `json:"fingerprint"`
 	KeyTime     int64  `json:"key_time,omitempty"`
-	// RunFor is the time that the call may take, in milliseconds.
+	// RunFor is the longest time that the call may take, in milliseconds.
 	RunFor int64 `json:"run_for_ms"`
 }
 
-// Settlement says how the call of a claimed key ended.
+// Settlement reports how the call of a claimed key ended.
 type Settlement struct {
 	Key     Key    `json:"key"`
 	Request string `json:"request"`
@@ -77,91 +80,96 @@
 	Answer *Answer `json:"answer,omitempty"`
 }
 
-// Verdict is the answer to a Claim or a Settlement.
+// Verdict is the result of a Claim or a Settlement.
 type Verdict int
 
-// The verdicts.
+// The verdicts. Their numbers are part of the protocol between processes.
 const (
-	// Granted: the claim is recorded; the call may run, once.
+	// Granted: the claim is recorded; the call may be sent once.
 	Granted Verdict = iota + 1
-	// Settled: the settlement is recorded, or changes nothing.
+	// Settled: the settlement is recorded, or has no effect.
 	Settled
-	// Replayed: the call ran and its answer is kept.
+	// Replayed: the call ran and its response is stored.
 	Replayed
-	// AlreadyRan: the call ran and its answer is not kept.
+	// AlreadyRan: the call ran and its response is not stored.
 	AlreadyRan
 	// OutcomeUnknown: the call may have run.
 	OutcomeUnknown
 	// StillRunning: the call may be running now.
 	StillRunning
-	// TooOld: records of the key's time may have been swept.
-	TooOld
-	// AheadOfTime: the key's time is too far in the future.
-	AheadOfTime
-	// KeyReused: the key came before with another request.
+	// KeyTooOld: the key's time is before the horizon, so its record may have been swept.
+	KeyTooOld
+	// KeyAhead: the key's time is more than MaxAhead in the future.
+	KeyAhead
+	// KeyReused: the key was used before with another request.
 	KeyReused
-	// NotMade: nothing was recorded, for certain.
-	NotMade
-	// Unsure: the claim may have been recorded, and is not granted; it wants a release.
+	// NotRecorded: the claim or settlement is certainly not recorded.
+	NotRecorded
+	// Unsure: the claim is not granted but may have been recorded; the asking process must release it.
 	Unsure
 )
 
-// Config sets the bounds of a partition. Zero fields take the defaults.
+// Config sets the limits of a partition. Zero fields take the defaults.
 type Config struct {
-	// Retention is how long the record of a key that carries its time is kept after that time.
+	// Retention is how long the record of a timed key is kept after the key's timestamp.
 	Retention time.Duration
-	// UntimedRetention is how long the record of a key without a time is kept after its claim.
+	// UntimedRetention is how long the record of an untimed key is kept after its claim.
 	UntimedRetention time.Duration
-	// Interval is the least time between two commits of a partition.
-	Interval time.Duration
-	// SettleDelay is how long settlements wait for a claim to share their commit with.
+	// CommitInterval is the min time between two commits of a partition.
+	CommitInterval time.Duration
+	// SettleDelay is the min time between two commits when only settlements are pending, so that a claim that
+	// arrives meanwhile shares the commit.
 	SettleDelay time.Duration
-	// SealBytes is the size of a head above which its records move to segments.
+	// SealBytes is the size of a head, in bytes, above which its records move to segments.
 	SealBytes int
-	// MaxUntimed bounds the records of keys without a time; above it, new ones are refused.
+	// MaxUntimed is the max number of records of untimed keys; claims of further untimed keys are refused.
 	MaxUntimed int
-	// MaxWaiting bounds the claims and settlements that wait in one process.
-	MaxWaiting int
+	// MaxPending is the max number of claims and settlements of one partition that wait in one process.
+	MaxPending int
 }
 
-// The defaults of Config, and other bounds.
+// The defaults of Config, and other limits.
 const (
 	DefaultRetention        = time.Hour
 	DefaultUntimedRetention = 6 * time.Hour
-	DefaultInterval         = 100 * time.Millisecond
+	DefaultCommitInterval   = 100 * time.Millisecond
 	DefaultSettleDelay      = 300 * time.Millisecond
 	DefaultSealBytes        = 256 << 10
 	DefaultMaxUntimed       = 200_000
-	DefaultMaxWaiting       = 8192
-	// MinRetention is the least retention: longer than callers resend and clocks differ.
+	DefaultMaxPending       = 8192
+	// MinRetention is the min retention. It is longer than the time in which callers resend plus the clock skew
+	// between processes.
 	MinRetention = time.Minute
-	// MaxAhead is how far in the future a key's time may lie: more than clocks differ.
+	// MaxAhead is how far in the future a key's time may be. It is more than the clock skew.
 	MaxAhead = 10 * time.Minute
-	// MaxAnswer bounds the body of a kept answer, in bytes; with its headers and encoding it takes at most twice that.
+	// MaxAnswer is the max body size of a stored response, in bytes. With headers and encoding, a stored response
+	// takes at most twice that.
 	MaxAnswer = 16 << 10
-	// ComeBack is the Retry-After of a claim that was not made, and of a call that is still running.
-	ComeBack = time.Second
-	// SlowAfter is how long a call to the platform may take before further claims are refused at once.
-	SlowAfter = time.Second
-	// FreshFor is how long after the last reading of the head a record's status is taken for the present one.
-	FreshFor = time.Second
-	// sweepParts divides the retention: a sweep is due after each such part.
-	sweepParts = 8
-	// recordBytes is about the size of an encoded record without its answer.
-	recordBytes = 160
-	// batchBytes bounds what one commit adds to a head.
-	batchBytes = 384 << 10
+	// MinRetryAfter is the min Retry-After delay of a claim that is not recorded and of a call that is still running.
+	// It is also the min backoff after the platform refused a write or could not be read.
+	MinRetryAfter = time.Second
+	// SlowCallThreshold is how long a call to the platform may take before further claims are refused immediately.
+	SlowCallThreshold = time.Second
+	// MaxStaleness is how long after the last read or write of the head a record's status counts as current. After
+	// that, a verdict that another process's write could change for the better requires a new read of the head.
+	MaxStaleness = time.Second
+	// sweepsPerRetention is the number of sweeps in one retention period.
+	sweepsPerRetention = 8
+	// estimatedRecordBytes is the approximate size of an encoded record without its response, in bytes.
+	estimatedRecordBytes = 160
+	// maxBatchBytes limits the changes that are collected for one commit, in bytes.
+	maxBatchBytes = 384 << 10
 )
 
 // WithDefaults returns c with the defaults filled in.
 func (c Config) WithDefaults() Config {
 	setDefault(&c.Retention, DefaultRetention)
 	setDefault(&c.UntimedRetention, DefaultUntimedRetention)
-	setDefault(&c.Interval, DefaultInterval)
+	setDefault(&c.CommitInterval, DefaultCommitInterval)
 	setDefault(&c.SettleDelay, DefaultSettleDelay)
 	setDefault(&c.SealBytes, DefaultSealBytes)
 	setDefault(&c.MaxUntimed, DefaultMaxUntimed)
-	setDefault(&c.MaxWaiting, DefaultMaxWaiting)
+	setDefault(&c.MaxPending, DefaultMaxPending)
 	return c
 }
 
@@ -172,17 +180,17 @@
 	}
 }
 
-// size is about the number of bytes that r takes in a head.
+// size estimates the encoded size of r in a head, in bytes.
 func (r Record) size() int {
 	if r.Answer == nil {
-		return recordBytes
+		return estimatedRecordBytes
 	}
-	return recordBytes + r.Answer.size()
+	return estimatedRecordBytes + r.Answer.size()
 }
 
-// size is about the number of bytes that a takes when it is encoded.
+// size estimates the encoded size of a, in bytes. The body is encoded as base64, which takes 4 bytes for 3.
 func (a *Answer) size() int {
-	n := len(a.Body)*4/3 + recordBytes
+	n := len(a.Body)*4/3 + estimatedRecordBytes
 	for name, values := range a.Header {
 		n += len(name) + 8
 		for _, v := range values {
@@ -192,5 +200,5 @@
 	return n
 }
 
-// Keepable tells whether a is small enough to be kept.
+// Keepable reports whether a is small enough to be stored.
 func (a *Answer) Keepable() bool { return a.size() <= 2*MaxAnswer }
--- a/internal/core/claim/commit.go
+++ b/internal/core/claim/commit.go
@@ -7,13 +7,13 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// commitWhenDue writes the batch, unless it is too early for it.
+// commitWhenDue writes the batch, or requests a wake-up at the time when it may be written.
 func (r *reduction) commitWhenDue() {
 	s := r.s
 	if !slices.ContainsFunc(s.ops, func(o *op) bool { return o.stage == batched }) {
 		return
 	}
-	due := r.due()
+	due := r.commitDue()
 	if r.now.Before(due) {
 		r.wake(due)
 		return
@@ -21,122 +21,125 @@
 	r.commit()
 }
 
-// due is when the batch may go out.
-func (r *reduction) due() time.Time {
+// commitDue returns the earliest time at which the batch may be written.
+func (r *reduction) commitDue() time.Time {
 	s := r.s
 	wait := s.config.SettleDelay
 	for _, o := range s.ops {
 		if o.stage == batched && o.claim != nil {
-			wait = s.config.Interval
+			wait = s.config.CommitInterval
 			break
 		}
 	}
-	due := s.lastCommit.Add(wait)
-	if due.Before(s.downUntil) {
-		return s.downUntil
+	due := s.lastCommitAt.Add(wait)
+	if due.Before(s.platformDownUntil) {
+		return s.platformDownUntil
 	}
 	return due
 }
 
+// commit sends the batch as one conditional write of the head.
 func (r *reduction) commit() {
 	s := r.s
-	r.dropLateClaims()
+	r.releaseExpiredClaims()
 	for _, o := range s.ops {
 		if o.stage == batched {
 			o.stage = inFlight
 		}
 	}
-	s.sent = s.changes
-	s.changes = map[Key]Record{}
-	s.changeBytes = 0
+	s.sentChanges = s.nextChanges
+	s.nextChanges = map[Key]Record{}
+	s.nextChangeBytes = 0
 	s.phase = committing
-	s.since = r.now
-	s.lastCommit = r.now
+	s.callStartedAt = r.now
+	s.lastCommitAt = r.now
 	segments := r.buildHead()
-	r.emit(Commit{Segments: segments, Head: s.next, IfVersion: s.version})
+	r.emit(Commit{Segments: segments, Head: s.nextHead, IfVersion: s.version})
 }
 
-// dropLateClaims releases the claims of the batch that nobody waits for any more. The record stays in the batch, as
-// other members of the batch were judged on it.
-func (r *reduction) dropLateClaims() {
+// releaseExpiredClaims releases the claims of the batch whose deadline has passed. Their records stay in the batch,
+// because other operations of the batch were decided on them.
+func (r *reduction) releaseExpiredClaims() {
 	s := r.s
-	r.drop(func(o *op) (Verdict, bool) {
+	r.finishOps(func(o *op) (Verdict, bool) {
 		if o.stage != batched || o.claim == nil || r.now.Before(o.deadline) {
 			return 0, false
 		}
-		if c, ok := s.changes[o.claim.Key]; ok && c.Request == o.claim.Request && c.Status == Claimed {
+		if c, ok := s.nextChanges[o.claim.Key]; ok && c.RequestID == o.claim.Request && c.Status == Claimed {
 			c.Status = Released
-			s.changes[o.claim.Key] = c
+			s.nextChanges[o.claim.Key] = c
 		}
-		return o.givenUp(), true
+		return o.failureVerdict(), true
 	})
 }
 
-// committed makes the batch durable and answers for it.
+// committed takes the changes of the commit over into the durable records and replies to its operations.
 func (r *reduction) committed(ev Committed) {
 	s := r.s
 	if s.phase != committing {
 		return
 	}
-	for k, record := range s.sent {
-		s.put(k, record)
+	for k, record := range s.sentChanges {
+		s.putRecord(k, record)
 	}
-	for _, record := range s.moved {
-		s.put(record.Key, record)
+	for _, record := range s.sealedRecords {
+		s.putRecord(record.Key, record)
 	}
-	swept := s.next.Horizon != s.head.Horizon
-	s.head, s.version = s.next, ev.Version
-	s.sent, s.moved = nil, nil
-	s.synced = s.since
+	swept := s.nextHead.Horizon != s.head.Horizon
+	s.head, s.version = s.nextHead, ev.Version
+	s.sentChanges, s.sealedRecords = nil, nil
+	s.syncedAt = s.callStartedAt
 	s.phase = ready
-	// First the answers: a claim may be granted by the commit that raises the horizon past its key.
-	r.answerCommitted()
+	// Reply before dropping expired records: the commit that grants a claim may raise the horizon above its key.
+	r.finishCommitted()
 	if swept {
-		s.sweepBase(r.now)
+		s.dropExpired(r.now)
 	}
-	if len(s.swept) > 0 {
-		r.emit(Sweep{Names: s.swept})
-		s.swept = nil
+	if len(s.sweptObjects) > 0 {
+		r.emit(Sweep{Names: s.sweptObjects})
+		s.sweptObjects = nil
 	}
 }
 
-func (r *reduction) answerCommitted() {
-	r.drop(func(o *op) (Verdict, bool) {
+// finishCommitted replies to the operations of the commit that took effect.
+func (r *reduction) finishCommitted() {
+	r.finishOps(func(o *op) (Verdict, bool) {
 		switch {
 		case o.stage != inFlight:
 			return 0, false
 		case o.claim == nil:
 			return Settled, true
-		case !r.s.holds(o.claim):
-			// Its own release went out with it.
-			return NotMade, true
+		case !r.s.claimRecorded(o.claim):
+			// The claim's own release was in the same commit.
+			return NotRecorded, true
 		case !r.now.Before(o.deadline):
-			// Recorded, and nobody waits: it must not be used any more.
+			// The claim is recorded, but the asking process no longer waits for it: the grant must not be used.
 			return Unsure, true
 		}
 		return Granted, true
 	})
 }
 
-// holds tells whether the claim is durably recorded.
-func (s *State) holds(c *Claim) bool {
-	record, ok := s.base[c.Key]
-	return ok && record.Request == c.Request && record.Status == Claimed
+// claimRecorded reports whether the claim is durably recorded.
+func (s *State) claimRecorded(c *Claim) bool {
+	record, ok := s.durable[c.Key]
+	return ok && record.RequestID == c.Request && record.Status == Claimed
 }
 
-// put takes a durable record into base. Of a call that ran, its request's id is not needed any more.
-func (s *State) put(k Key, record Record) {
+// putRecord adds a record to the durable records in memory. It drops the request id of a call that ran, to save
+// memory: no decision needs it.
+func (s *State) putRecord(k Key, record Record) {
 	if record.Status == Ran {
-		record.Request = ""
+		record.RequestID = ""
 	}
-	if _, known := s.base[k]; !known && record.KeyTime == 0 {
-		s.untimed++
+	if _, known := s.durable[k]; !known && record.KeyTime == 0 {
+		s.untimedCount++
 	}
-	s.base[k] = record
+	s.durable[k] = record
 }
 
-// notCommitted handles a write that did not take effect, or of which that is not known.
-func (r *reduction) notCommitted(ev step.Event) {
+// commitFailed handles a write that did not take effect or whose outcome is unknown.
+func (r *reduction) commitFailed(ev step.Event) {
 	if r.s.phase != committing {
 		return
 	}
@@ -144,60 +147,65 @@
 	case Conflicted:
 		r.reload()
 	case Uncertain:
-		r.uncertain()
+		r.commitUncertain()
 	case Refused:
-		r.refused(ev)
+		r.commitRefused(ev)
 	}
 }
 
-// reload reads the head again; everything is judged anew on what it says.
+// reload reads the head again. All operations are decided again on the result.
 func (r *reduction) reload() {
-	r.forgetBatch()
+	r.resetBatch()
 	r.load()
 }
 
-// uncertain reads back what became of the write before anything else is done.
-func (r *reduction) uncertain() {
+// commitUncertain reads the head before anything else, to find out whether the write took effect. Its claims may be
+// recorded even if the head does not show them yet, since the write may still arrive.
+func (r *reduction) commitUncertain() {
 	for _, o := range r.s.ops {
 		if o.stage == inFlight {
-			o.exposed = true
+			o.maybeRecorded = true
 		}
 	}
 	r.reload()
 }
 
-func (r *reduction) forgetBatch() {
+// resetBatch discards the changes that are not durable and returns all operations to the undecided stage.
+func (r *reduction) resetBatch() {
 	s := r.s
-	s.sent, s.moved, s.swept = nil, nil, nil
-	s.changes = map[Key]Record{}
-	s.changeBytes = 0
+	s.sentChanges, s.sealedRecords, s.sweptObjects = nil, nil, nil
+	s.nextChanges = map[Key]Record{}
+	s.nextChangeBytes = 0
 	for _, o := range s.ops {
 		o.stage = waiting
 	}
 }
 
-// refused gives up all claims at once: the platform is away. Settlements wait for it.
-func (r *reduction) refused(ev Refused) {
-	r.forgetBatch()
+// commitRefused rejects all pending claims, because the platform is unavailable. Settlements wait until it may be
+// called again.
+func (r *reduction) commitRefused(ev Refused) {
+	r.resetBatch()
 	r.s.phase = ready
-	r.away(ev.RetryAfter)
+	r.backOff(ev.RetryAfter)
 }
 
-// loadFailed gives up all claims at once; nothing is known of the head until it is read.
+// loadFailed rejects all pending claims. The head must be read before anything else can be decided.
 func (r *reduction) loadFailed() {
 	if r.s.phase != loading {
 		return
 	}
-	r.s.phase = cold
-	r.away(0)
+	r.s.phase = notLoaded
+	r.backOff(0)
 }
 
-func (r *reduction) away(after time.Duration) {
-	r.s.downUntil = r.now.Add(max(after, ComeBack))
-	r.drop(func(o *op) (Verdict, bool) { return o.givenUp(), o.claim != nil })
+// backOff makes no calls to the platform for the given time, or MinRetryAfter if that is longer, and rejects all
+// pending claims.
+func (r *reduction) backOff(after time.Duration) {
+	r.s.platformDownUntil = r.now.Add(max(after, MinRetryAfter))
+	r.finishOps(func(o *op) (Verdict, bool) { return o.failureVerdict(), o.claim != nil })
 }
 
-// loaded takes in what the platform holds.
+// loaded takes over the head and the segments that the platform returned.
 func (r *reduction) loaded(ev Loaded) {
 	s := r.s
 	if s.phase != loading {
@@ -205,17 +213,17 @@
 	}
 	for _, g := range ev.Head.Segments {
 		for _, record := range ev.Segments[g.Name] {
-			s.put(record.Key, record)
+			s.putRecord(record.Key, record)
 		}
 	}
 	for _, record := range ev.Head.Records {
-		s.put(record.Key, record)
+		s.putRecord(record.Key, record)
 	}
 	swept := ev.Head.Horizon != s.head.Horizon
 	s.head, s.version = ev.Head, ev.Version
-	s.synced = s.since
+	s.syncedAt = s.callStartedAt
 	s.phase = ready
 	if swept {
-		s.sweepBase(r.now)
+		s.dropExpired(r.now)
 	}
 }
--- a/internal/core/claim/event.go
+++ b/internal/core/claim/event.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Made says that a claim came in. Op is the shell's number for it.
-type Made struct {
+// ClaimRequested is the event that a claim arrived. Op is the shell's number for it.
+type ClaimRequested struct {
 	Op    uint64
 	Claim Claim
-	// Deadline is when the asker stops waiting; the claim is not granted after it.
+	// Deadline is when the asking process stops waiting; the claim is not granted after it.
 	Deadline time.Time
 }
 
-// SettleAsked says that a settlement came in. Op is the shell's number for it.
-type SettleAsked struct {
+// SettlementRequested is the event that a settlement arrived. Op is the shell's number for it.
+type SettlementRequested struct {
 	Op         uint64
 	Settlement Settlement
-	// Deadline is when the asker stops waiting.
+	// Deadline is when the asking process stops waiting.
 	Deadline time.Time
 }
 
-// Loaded says that the head was read, and those of its segments that Load did not name.
+// Loaded is the event that the head was read, with those of its segments that Load did not list as known.
 type Loaded struct {
 	// Version is 0 when there is no head yet.
 	Version  uint64
@@ -26,29 +26,29 @@
 	Segments map[string][]Record
 }
 
-// LoadFailed says that the head or a segment could not be read.
+// LoadFailed is the event that the head or a segment could not be read.
 type LoadFailed struct{}
 
-// Committed says that the head was written and now has Version.
+// Committed is the event that the head was written and now has Version.
 type Committed struct{ Version uint64 }
 
-// Conflicted says that the head had another version; nothing was written.
+// Conflicted is the event that the head had another version, so that nothing was written.
 type Conflicted struct{}
 
-// Refused says that the platform refused the write; nothing was written.
+// Refused is the event that the platform refused the write, so that the head was not written.
 type Refused struct{ RetryAfter time.Duration }
 
-// Uncertain says that the write may have taken effect, or may still do so.
+// Uncertain is the event that the write may have taken effect, or may still take effect.
 type Uncertain struct{}
 
-// Woken says that the time of a Wake has come.
+// Woken is the event that the time of a Wake has come.
 type Woken struct{}
 
 // Event marks the type as an event.
-func (Made) Event() {}
+func (ClaimRequested) Event() {}
 
 // Event marks the type as an event.
-func (SettleAsked) Event() {}
+func (SettlementRequested) Event() {}
 
 // Event marks the type as an event.
 func (Loaded) Event() {}
@@ -71,31 +71,33 @@
 // Event marks the type as an event.
 func (Woken) Event() {}
 
-// Load reads the head, and those of its segments that are not in Have. It is answered by Loaded or LoadFailed.
-type Load struct{ Have map[string]bool }
+// Load is the effect that reads the head and those of its segments that are not in KnownSegments. Its result is a
+// Loaded or LoadFailed event.
+type Load struct{ KnownSegments map[string]bool }
 
-// Commit writes the segments and then the head, on condition that the head's version is IfVersion. It is answered
-// by Committed, Conflicted, Refused or Uncertain.
+// Commit is the effect that writes the segments and then the head, on condition that the head's version is
+// IfVersion. Its result is a Committed, Conflicted, Refused or Uncertain event.
 type Commit struct {
 	Segments  []NewSegment
 	Head      Head
 	IfVersion uint64
 }
 
-// Sweep deletes segments that no head names any more. It is not answered: what stays is only waste.
+// Sweep is the effect that deletes the objects of segments that the head no longer names. It has no result event:
+// an object that could not be deleted only takes up space.
 type Sweep struct{ Names []string }
 
-// Answered answers a claim or settlement.
-type Answered struct {
+// Reply is the effect that returns the verdict on a claim or settlement.
+type Reply struct {
 	Op         uint64
 	Verdict    Verdict
 	RetryAfter time.Duration
-	// Answer is the kept answer of a replay, unless AnswerIn names the segment to read it from.
-	Answer   *Answer
-	AnswerIn string
+	// Answer is the stored response of a replay, unless AnswersName names the AnswerSegment to read it from.
+	Answer      *Answer
+	AnswersName string
 }
 
-// Wake asks for a Woken at At.
+// Wake is the effect that requests a Woken event at the time At.
 type Wake struct{ At time.Time }
 
 // Effect marks the type as an effect.
@@ -108,7 +110,7 @@
 func (Sweep) Effect() {}
 
 // Effect marks the type as an effect.
-func (Answered) Effect() {}
+func (Reply) Effect() {}
 
 // Effect marks the type as an effect.
 func (Wake) Effect() {}
--- a/internal/core/claim/head.go
+++ b/internal/core/claim/head.go
@@ -1,25 +1,27 @@
 package claim
 
-// Head is the object of a partition on which every decision is a conditional write.
+// Head is the mutable object of a partition. Every decision is a conditional write of it.
 type Head struct {
-	// Writer names the process that wrote this version.
+	// Writer identifies the run of a process that wrote this version.
 	Writer string `json:"writer"`
-	// Horizon is a time in Unix milliseconds: records of keys that carry an earlier time may have been swept.
+	// Horizon is a time in Unix milliseconds. Records of keys with an earlier timestamp may have been swept, so claims
+	// of such keys are refused.
 	Horizon int64 `json:"horizon"`
-	// Segments hold the older records, the oldest first; a later record of a key replaces an earlier one.
+	// Segments hold the older records, the oldest segment first; a later record of a key replaces an earlier one.
 	Segments []Segment `json:"segments,omitempty"`
-	// Records are the newest, one for each key.
+	// Records are the newest records, one for each key.
 	Records []Record `json:"records,omitempty"`
 }
 
-// Segment names an object with records that moved out of the head. It never changes.
+// Segment names an immutable object with records that moved out of the head.
 type Segment struct {
 	Name string `json:"name"`
-	// Answers names the object with the kept answers of the segment's records; may be empty.
-	Answers string `json:"answers,omitempty"`
-	// Timed tells whether the keys of the segment's records carry their time.
+	// AnswersName names the object with the stored responses of the segment's records; empty if there are none.
+	AnswersName string `json:"answers,omitempty"`
+	// Timed is set if the segment holds records of timed keys, as opposed to untimed ones.
 	Timed bool `json:"timed,omitempty"`
-	// Newest is the greatest key time of its records, or the greatest time of claim when they are not timed.
+	// Newest is the max KeyTime of the segment's records, or their max ClaimedAt if they are untimed, in Unix
+	// milliseconds.
 	Newest int64 `json:"newest"`
 }
 
@@ -28,7 +30,7 @@
 	Records []Record `json:"records"`
 }
 
-// AnswerSegment is the value of an object named by Segment.Answers.
+// AnswerSegment is the value of an object named by Segment.AnswersName.
 type AnswerSegment struct {
 	Answers map[Key]*Answer `json:"answers"`
 }
@@ -40,18 +42,18 @@
 	Value any
 }
 
-// swept tells whether the segment's records are all past their retention.
-func (g Segment) swept(horizon, untimedHorizon int64) bool {
+// expired reports whether all records of the segment are past their retention.
+func (g Segment) expired(horizon, untimedHorizon int64) bool {
 	if g.Timed {
 		return g.Newest < horizon
 	}
 	return g.Newest < untimedHorizon
 }
 
-// swept tells whether the record is past its retention.
-func (r Record) swept(horizon, untimedHorizon int64) bool {
+// expired reports whether the record is past its retention.
+func (r Record) expired(horizon, untimedHorizon int64) bool {
 	if r.KeyTime != 0 {
 		return r.KeyTime < horizon
 	}
-	return r.Made < untimedHorizon
+	return r.ClaimedAt < untimedHorizon
 }
--- a/internal/core/claim/key.go
+++ b/internal/core/claim/key.go
@@ -12,19 +12,20 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// Partitions is the number of partitions. It is a constant of the stored format: all processes must agree on it.
+// Partitions is the number of partitions. It is part of the stored format: all processes must use the same value.
 const Partitions = 8
 
-// prefix is where claims live in the object API.
-const prefix = "claims/"
+// objectPrefix is the prefix of the claims' objects in the object API.
+const objectPrefix = "claims/"
 
-// keySize is the size of a hashed key, in bytes; two of 10^9 keys are alike with a chance of about 10^-21.
+// keySize is the size of a hashed key, in bytes. With 10^9 keys, the probability of a collision is about 10^-21.
 const keySize = 16
 
 // Key is the hash of a caller's idempotency key within its service.
 type Key [keySize]byte
 
-// HashKey returns the Key of a caller's idempotency key for a service.
+// HashKey returns the Key of a caller's idempotency key for a service. The team and the service are part of the hashed
+// text, so that equal keys of different services don't collide.
 func HashKey(team, service, key string) Key {
 	sum := sha256.Sum256([]byte(team + "/" + service + "/" + key))
 	return Key(sum[:keySize])
@@ -40,7 +41,7 @@
 	return []byte(base64.RawURLEncoding.EncodeToString(k[:])), nil
 }
 
-// UnmarshalText decodes what MarshalText wrote.
+// UnmarshalText decodes the text form that MarshalText returns.
 func (k *Key) UnmarshalText(text []byte) error {
 	raw, err := base64.RawURLEncoding.DecodeString(string(text))
 	if err != nil || len(raw) != keySize {
@@ -50,8 +51,8 @@
 	return nil
 }
 
-// Time returns the time that an idempotency key carries, in Unix milliseconds, or 0 when it carries none: only a
-// UUID of version 7 in its customary form of 36 characters does.
+// Time returns the timestamp in an idempotency key, in Unix milliseconds, or 0 if the key contains none. Only a UUID
+// of version 7 in its canonical form of 36 characters contains one.
 func Time(key string) int64 {
 	const customaryLength = 36
 	if len(key) != customaryLength {
@@ -64,25 +65,26 @@
 	return int64(binary.BigEndian.Uint64(id[:8]) >> 16)
 }
 
-// HeadKey is the object key of a partition's head.
-func HeadKey(partition int) string { return fmt.Sprintf("%s%03d/head", prefix, partition) }
+// HeadKey returns the object key of a partition's head.
+func HeadKey(partition int) string { return fmt.Sprintf("%s%03d/head", objectPrefix, partition) }
 
-// segmentKey is the object key of a segment; writer and n make it unique.
+// segmentKey returns the object key of a segment; writer and n make it unique.
 func segmentKey(partition int, writer string, n uint64, kind string) string {
-	return fmt.Sprintf("%s%03d/%s-%d-%s", prefix, partition, writer, n, kind)
+	return fmt.Sprintf("%s%03d/%s-%d-%s", objectPrefix, partition, writer, n, kind)
 }
 
-// Owners returns the processes that may be asked for a partition, the owner first, then those that take over when
-// it does not answer.
-func Owners(partition int, members []string) []string {
+// RankOwners returns the members in the order in which they are called for a partition: the owner first, then those
+// that take over if it does not answer.
+func RankOwners(partition int, members []string) []string {
 	return step.Rank(HeadKey(partition), members)
 }
 
-// Fingerprint tells requests with the same key apart by method, target, length (-1 when it is not known) and the
-// start of the body, which is the whole body unless that is larger than what an entry keeps.
+// Fingerprint returns a hash of a request, to detect that a key is reused with a different request. The hash covers the
+// method, the target, the body's length in bytes (-1 if it is not known) and the start of the body. start is the
+// complete body unless that is larger than what an entry buffers.
 func Fingerprint(method, target string, length int64, start []byte) uint64 {
 	h := sha256.New()
 	_, _ = fmt.Fprintf(h, "%s %s %d\n", method, target, length)
 	_, _ = h.Write(start)
-	return binary.BigEndian.Uint64(h.Sum(nil)) | 1 // Never noFingerprint.
+	return binary.BigEndian.Uint64(h.Sum(nil)) | 1 // The lowest bit is set so that the result is never noFingerprint.
 }
--- a/internal/core/claim/partition.go
+++ b/internal/core/claim/partition.go
@@ -6,30 +6,33 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// phase is what a partition waits for.
+// phase is the state of a partition's calls to the platform. There is at most one such call at a time.
 type phase int
 
 const (
-	// cold: the head was not read, or what was read must not be built upon.
-	cold phase = iota
+	// notLoaded: the head was not read, or must be read again before it is used.
+	notLoaded phase = iota
+	// loading: the head is being read.
 	loading
+	// ready: the head is known and no call is in flight.
 	ready
+	// committing: a write of the head is in flight.
 	committing
 )
 
-// stage is how far a claim or settlement has got.
+// stage is the progress of a claim or settlement.
 type stage int
 
 const (
-	// waiting: not judged yet.
+	// waiting: not decided yet.
 	waiting stage = iota
-	// batched: judged; it goes out with the next commit.
+	// batched: decided; its change is part of the next commit.
 	batched
-	// inFlight: it is in the commit that is on its way.
+	// inFlight: its change is part of the commit in flight.
 	inFlight
 )
 
-// op is one claim or settlement without an answer.
+// op is a claim or settlement that has no reply yet.
 type op struct {
 	id uint64
 	// claim is nil for a settlement.
@@ -37,8 +40,8 @@
 	settlement Settlement
 	deadline   time.Time
 	stage      stage
-	// exposed is set when a write with this claim may have taken effect, or may still do so.
-	exposed bool
+	// maybeRecorded is set if a write with this claim may have taken effect, or may still take effect.
+	maybeRecorded bool
 }
 
 // State is what one process knows of one partition.
@@ -48,46 +51,51 @@
 	config    Config
 
 	phase phase
-	// since is when the present call to the platform began.
-	since time.Time
-	// version is that of head; head and base are durable.
-	version uint64
-	head    Head
-	base    map[Key]Record
-	untimed int
-	// sent are the changes in the commit on its way, changes those of the next one.
-	sent        map[Key]Record
-	changes     map[Key]Record
-	changeBytes int
-	next        Head
-	moved       []Record
-	swept       []string
+	// callStartedAt is when the latest call to the platform started.
+	callStartedAt time.Time
+	// version is the version of head. head and durable are what the platform was known to hold at syncedAt.
+	version      uint64
+	head         Head
+	durable      map[Key]Record
+	untimedCount int
+	// sentChanges are the changes in the commit in flight, nextChanges those of the commit after it.
+	sentChanges     map[Key]Record
+	nextChanges     map[Key]Record
+	nextChangeBytes int
+	// nextHead is the head in the commit in flight, sealedRecords the records that it moves to segments, and
+	// sweptObjects the names of the objects to be deleted after it took effect.
+	nextHead      Head
+	sealedRecords []Record
+	sweptObjects  []string
 
 	ops []*op
-	// synced is when base was last known to be the platform's state.
-	synced     time.Time
-	lastCommit time.Time
-	// downUntil is when the platform may be tried again.
-	downUntil time.Time
-	wakeAt    time.Time
-	segments  uint64
+	// syncedAt is the start of the latest call to the platform that confirmed head and durable.
+	syncedAt     time.Time
+	lastCommitAt time.Time
+	// platformDownUntil is when the platform may be called again.
+	platformDownUntil time.Time
+	// wakeAt is the time of the latest Wake; zero if none is pending.
+	wakeAt time.Time
+	// segmentCount counts the segments that this process has sealed; it makes their names unique.
+	segmentCount uint64
 }
 
-// NewState returns the state of a process that has read nothing yet. writer is unique to this run of the process.
+// NewState returns the state of a process that has not read the partition yet. writer is unique to this run of the
+// process.
 func NewState(partition int, writer string, c Config) *State {
 	return &State{
 		partition: partition, writer: writer, config: c.WithDefaults(),
-		base: map[Key]Record{}, changes: map[Key]Record{},
+		durable: map[Key]Record{}, nextChanges: map[Key]Record{},
 	}
 }
 
-// Reduce handles one input.
+// Reduce handles one event and returns the effects to be carried out.
 func (s *State) Reduce(in step.Input) []step.Effect {
 	r := &reduction{s: s, now: in.Now}
 	switch ev := in.Event.(type) {
-	case Made:
+	case ClaimRequested:
 		r.accept(&op{id: ev.Op, claim: &ev.Claim, deadline: ev.Deadline})
-	case SettleAsked:
+	case SettlementRequested:
 		r.accept(&op{id: ev.Op, settlement: ev.Settlement, deadline: ev.Deadline})
 	case Loaded:
 		r.loaded(ev)
@@ -96,7 +104,7 @@
 	case Committed:
 		r.committed(ev)
 	case Conflicted, Uncertain, Refused:
-		r.notCommitted(ev)
+		r.commitFailed(ev)
 	case Woken:
 		s.wakeAt = time.Time{}
 	}
@@ -113,39 +121,42 @@
 
 func (r *reduction) emit(e step.Effect) { r.effects = append(r.effects, e) }
 
-// accept takes in a claim or settlement, or refuses it at once when it would wait in vain.
+// accept queues a claim or settlement. It rejects it immediately if the queue is full, and a claim also while the
+// platform is unavailable, since it would most likely pass its deadline in the queue.
 func (r *reduction) accept(o *op) {
 	s := r.s
-	if len(s.ops) >= s.config.MaxWaiting || (o.claim != nil && r.platformAway()) {
-		r.emit(Answered{Op: o.id, Verdict: NotMade, RetryAfter: r.comeBack()})
+	if len(s.ops) >= s.config.MaxPending || (o.claim != nil && r.platformUnavailable()) {
+		r.emit(Reply{Op: o.id, Verdict: NotRecorded, RetryAfter: r.retryAfter()})
 		return
 	}
 	s.ops = append(s.ops, o)
 }
 
-// platformAway tells whether the platform refused lately, or lets a call wait.
-func (r *reduction) platformAway() bool {
+// platformUnavailable reports whether a call to the platform failed recently, or the present one takes longer than
+// SlowCallThreshold.
+func (r *reduction) platformUnavailable() bool {
 	s := r.s
-	if r.now.Before(s.downUntil) {
+	if r.now.Before(s.platformDownUntil) {
 		return true
 	}
 	calling := s.phase == loading || s.phase == committing
-	return calling && r.now.Sub(s.since) > SlowAfter
+	return calling && r.now.Sub(s.callStartedAt) > SlowCallThreshold
 }
 
-func (r *reduction) comeBack() time.Duration {
-	return max(ComeBack, r.s.downUntil.Sub(r.now))
+// retryAfter returns the Retry-After delay for a caller that is rejected now.
+func (r *reduction) retryAfter() time.Duration {
+	return max(MinRetryAfter, r.s.platformDownUntil.Sub(r.now))
 }
 
-// advance does whatever can be done now.
+// advance takes all steps that are possible in the current state.
 func (r *reduction) advance() {
 	s := r.s
 	r.expire()
-	if s.phase == cold && len(s.ops) > 0 && !r.now.Before(s.downUntil) {
+	if s.phase == notLoaded && len(s.ops) > 0 && !r.now.Before(s.platformDownUntil) {
 		r.load()
 	}
 	if s.phase == ready || s.phase == committing {
-		r.judgeWaiting()
+		r.decideWaiting()
 	}
 	if s.phase == ready {
 		r.commitWhenDue()
@@ -153,26 +164,27 @@
 	r.wakeForDeadlines()
 }
 
-// expire answers what nobody waits for any more. What is in a commit on its way stays until that is settled.
+// expire replies to the undecided operations whose deadline has passed. Those in a batch or a commit stay until its
+// outcome is known.
 func (r *reduction) expire() {
-	r.drop(func(o *op) (Verdict, bool) {
+	r.finishOps(func(o *op) (Verdict, bool) {
 		if o.stage != waiting || r.now.Before(o.deadline) {
 			return 0, false
 		}
-		return o.givenUp(), true
+		return o.failureVerdict(), true
 	})
 }
 
-// givenUp is the verdict on a claim that is not granted and not recorded as far as this process knows.
-func (o *op) givenUp() Verdict {
-	if o.exposed {
+// failureVerdict returns the verdict on an operation that is given up and, as far as this process knows, not recorded.
+func (o *op) failureVerdict() Verdict {
+	if o.maybeRecorded {
 		return Unsure
 	}
-	return NotMade
+	return NotRecorded
 }
 
-// drop answers and removes the ops for which f returns a verdict.
-func (r *reduction) drop(f func(*op) (Verdict, bool)) {
+// finishOps removes the operations for which f returns true and replies to them with f's verdict.
+func (r *reduction) finishOps(f func(*op) (Verdict, bool)) {
 	kept := r.s.ops[:0]
 	for _, o := range r.s.ops {
 		verdict, over := f(o)
@@ -180,46 +192,48 @@
 			kept = append(kept, o)
 			continue
 		}
-		r.emit(r.answer(o, decision{verdict: verdict}))
+		r.emit(r.newReply(o, decision{verdict: verdict}))
 	}
 	clear(r.s.ops[len(kept):])
 	r.s.ops = kept
 }
 
-func (r *reduction) answer(o *op, d decision) Answered {
-	a := Answered{Op: o.id, Verdict: d.verdict}
+func (r *reduction) newReply(o *op, d decision) Reply {
+	a := Reply{Op: o.id, Verdict: d.verdict}
 	switch d.verdict {
-	case NotMade, Unsure, StillRunning:
-		a.RetryAfter = r.comeBack()
+	case NotRecorded, Unsure, StillRunning:
+		a.RetryAfter = r.retryAfter()
 	case Replayed:
-		a.Answer, a.AnswerIn = d.from.Answer, d.from.AnswerIn
+		a.Answer, a.AnswersName = d.current.Answer, d.current.AnswersName
 	}
 	return a
 }
 
+// load requests a read of the head and the segments that are not known yet.
 func (r *reduction) load() {
 	s := r.s
 	s.phase = loading
-	s.since = r.now
+	s.callStartedAt = r.now
 	have := make(map[string]bool, len(s.head.Segments))
 	for _, g := range s.head.Segments {
 		have[g.Name] = true
 	}
-	r.emit(Load{Have: have})
+	r.emit(Load{KnownSegments: have})
 }
 
-// judgeWaiting judges the ops that were not judged on the present state.
-func (r *reduction) judgeWaiting() {
+// decideWaiting decides the waiting operations on the current state, until the next commit is full. It reads the head
+// again if the current state is too old for one of them.
+func (r *reduction) decideWaiting() {
 	s := r.s
 	stale := false
 	kept := s.ops[:0]
 	for _, o := range s.ops {
-		if o.stage != waiting || s.changeBytes > batchBytes {
+		if o.stage != waiting || s.nextChangeBytes > maxBatchBytes {
 			kept = append(kept, o)
 			continue
 		}
-		d := r.judge(o)
-		if !d.final && d.record == nil && r.now.Sub(s.synced) > FreshFor {
+		d := r.decide(o)
+		if !d.final && d.record == nil && r.now.Sub(s.syncedAt) > MaxStaleness {
 			stale = true
 			kept = append(kept, o)
 			continue
@@ -228,7 +242,7 @@
 			kept = append(kept, o)
 			continue
 		}
-		r.emit(r.answer(o, d))
+		r.emit(r.newReply(o, d))
 	}
 	clear(s.ops[len(kept):])
 	s.ops = kept
@@ -237,41 +251,44 @@
 	}
 }
 
-func (r *reduction) judge(o *op) decision {
+// decide decides o on the durable records and the changes that are not durable yet.
+func (r *reduction) decide(o *op) decision {
 	s := r.s
-	f := facts{now: r.now.UnixMilli(), horizon: r.horizon(), full: s.untimed >= s.config.MaxUntimed}
+	f := decisionInput{now: r.now.UnixMilli(), horizon: r.horizon(), untimedFull: s.untimedCount >= s.config.MaxUntimed}
 	if o.claim == nil {
-		f.present = s.lookup(o.settlement.Key)
-		return judgeSettlement(o.settlement, f)
+		f.current = s.lookup(o.settlement.Key)
+		return decideSettlement(o.settlement, f)
 	}
-	f.present = s.lookup(o.claim.Key)
-	return judgeClaim(*o.claim, f)
+	f.current = s.lookup(o.claim.Key)
+	return decideClaim(*o.claim, f)
 }
 
-// horizon is the time before which keys are refused: the head's, or this process's own when nothing was swept for long.
+// horizon returns the time before which keys are refused, in Unix milliseconds: the head's horizon, or one by this
+// process's clock if nothing was swept for longer than a sweep period.
 func (r *reduction) horizon() int64 {
 	c := r.s.config
-	own := r.now.Add(-c.Retention - c.Retention/sweepParts).UnixMilli()
+	own := r.now.Add(-c.Retention - c.Retention/sweepsPerRetention).UnixMilli()
 	return max(r.s.head.Horizon, own)
 }
 
-// needsWrite puts the op in the next commit when its verdict rests on what is not durable yet.
+// needsWrite reports whether the verdict on o depends on a write that is not durable yet. It then assigns o to that
+// write: the next commit, or the one in flight.
 func (r *reduction) needsWrite(o *op, d decision) bool {
 	s := r.s
 	if d.record != nil {
-		s.changes[d.record.Key] = *d.record
-		s.changeBytes += d.record.size()
+		s.nextChanges[d.record.Key] = *d.record
+		s.nextChangeBytes += d.record.size()
 		o.stage = batched
 		return true
 	}
 	if d.verdict != Granted && d.verdict != Settled {
 		return false
 	}
-	if _, pending := s.changes[o.key()]; pending {
+	if _, pending := s.nextChanges[o.key()]; pending {
 		o.stage = batched
 		return true
 	}
-	if _, pending := s.sent[o.key()]; pending {
+	if _, pending := s.sentChanges[o.key()]; pending {
 		o.stage = inFlight
 		return true
 	}
@@ -285,9 +302,9 @@
 	return o.settlement.Key
 }
 
-// lookup returns the record of a key, with the changes that are on their way.
+// lookup returns the record of a key, including changes that are not durable yet, or nil if there is none.
 func (s *State) lookup(k Key) *Record {
-	for _, m := range []map[Key]Record{s.changes, s.sent, s.base} {
+	for _, m := range []map[Key]Record{s.nextChanges, s.sentChanges, s.durable} {
 		if r, ok := m[k]; ok {
 			return &r
 		}
@@ -295,7 +312,8 @@
 	return nil
 }
 
-// wakeForDeadlines asks to be woken for the earliest deadline of what waits.
+// wakeForDeadlines requests a wake-up at the earliest deadline of the waiting operations, and at the end of the
+// platform's backoff if the head must be read then.
 func (r *reduction) wakeForDeadlines() {
 	var first time.Time
 	for _, o := range r.s.ops {
@@ -306,11 +324,12 @@
 	if !first.IsZero() {
 		r.wake(first)
 	}
-	if r.s.phase == cold && len(r.s.ops) > 0 && r.now.Before(r.s.downUntil) {
-		r.wake(r.s.downUntil)
+	if r.s.phase == notLoaded && len(r.s.ops) > 0 && r.now.Before(r.s.platformDownUntil) {
+		r.wake(r.s.platformDownUntil)
 	}
 }
 
+// wake requests a wake-up at the given time, unless an earlier one is pending.
 func (r *reduction) wake(at time.Time) {
 	s := r.s
 	if !s.wakeAt.IsZero() && !at.Before(s.wakeAt) {
--- a/internal/core/claim/platform_test.go
+++ b/internal/core/claim/platform_test.go
@@ -7,13 +7,13 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// platform is a store with one conditional object and unchanging segments.
-type platform struct {
+// fakePlatform is an object store in memory, with one head that is written conditionally and immutable segments.
+type fakePlatform struct {
 	version  uint64
 	head     []byte
 	segments map[string][]byte
-	// late are writes whose sender no longer waits and that have not arrived yet.
-	late []claim.Commit
+	// lateCommits are writes that have not arrived yet and whose sender no longer waits for them.
+	lateCommits []claim.Commit
 }
 
 func encode(v any) []byte {
@@ -32,7 +32,9 @@
 	return v
 }
 
-func (p *platform) apply(c claim.Commit) bool {
+// apply writes the segments and, if the head has the expected version, the head. It reports whether the head was
+// written.
+func (p *fakePlatform) apply(c claim.Commit) bool {
 	for _, g := range c.Segments {
 		p.segments[g.Name] = encode(g.Value)
 	}
@@ -44,14 +46,15 @@
 	return true
 }
 
-func (p *platform) load(l claim.Load) step.Event {
+// load returns the result of reading the head and its segments.
+func (p *fakePlatform) load(l claim.Load) step.Event {
 	ev := claim.Loaded{Version: p.version, Segments: map[string][]claim.Record{}}
 	if p.version == 0 {
 		return ev
 	}
 	ev.Head = decode[claim.Head](p.head)
 	for _, g := range ev.Head.Segments {
-		if l.Have[g.Name] {
+		if l.KnownSegments[g.Name] {
 			continue
 		}
 		raw, ok := p.segments[g.Name]
@@ -63,8 +66,8 @@
 	return ev
 }
 
-// claimedBy tells whether the platform holds a claim of the request.
-func (p *platform) claimedBy(key claim.Key, request string) bool {
+// claimedBy reports whether the platform holds an open claim of the key by the request.
+func (p *fakePlatform) claimedBy(key claim.Key, request string) bool {
 	if p.version == 0 {
 		return false
 	}
@@ -78,5 +81,5 @@
 	for _, r := range head.Records {
 		found[r.Key] = r
 	}
-	return found[key].Request == request && found[key].Status == claim.Claimed
+	return found[key].RequestID == request && found[key].Status == claim.Claimed
 }
--- a/internal/core/claim/seal.go
+++ b/internal/core/claim/seal.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// buildHead sets the next head, with the changes of the commit, and returns the segments it needs.
+// buildHead sets the next head, with the changes of the commit, and returns the new segments that it names.
 func (r *reduction) buildHead() []NewSegment {
 	s := r.s
-	s.next = Head{Writer: s.writer, Horizon: s.head.Horizon, Segments: slices.Clone(s.head.Segments)}
+	s.nextHead = Head{Writer: s.writer, Horizon: s.head.Horizon, Segments: slices.Clone(s.head.Segments)}
 	r.sweep()
-	kept, size := s.unchanged()
+	kept, size := s.unchangedRecords()
 	var segments []NewSegment
 	if size > s.config.SealBytes {
 		segments = s.seal(kept)
 		kept = nil
 	}
-	s.next.Records = append(kept, sorted(s.sent)...)
+	s.nextHead.Records = append(kept, sortedRecords(s.sentChanges)...)
 	return segments
 }
 
-// unchanged returns the records of the present head that the commit does not replace, and the size of both.
-func (s *State) unchanged() ([]Record, int) {
-	kept := make([]Record, 0, len(s.head.Records)+len(s.sent))
+// unchangedRecords returns the records of the current head that the commit does not replace, and the estimated size,
+// in bytes, of these records and the commit's changes together.
+func (s *State) unchangedRecords() ([]Record, int) {
+	kept := make([]Record, 0, len(s.head.Records)+len(s.sentChanges))
 	size := 0
 	for _, record := range s.head.Records {
-		if _, replaced := s.sent[record.Key]; !replaced {
+		if _, replaced := s.sentChanges[record.Key]; !replaced {
 			kept = append(kept, record)
 			size += record.size()
 		}
 	}
-	for _, record := range s.sent {
+	for _, record := range s.sentChanges {
 		size += record.size()
 	}
 	return kept, size
 }
 
-// sorted returns the records in the order of their keys, so that the same input gives the same output.
-func sorted(m map[Key]Record) []Record {
+// sortedRecords returns the records ordered by key, so that the reducer is deterministic.
+func sortedRecords(m map[Key]Record) []Record {
 	records := make([]Record, 0, len(m))
 	for _, record := range m {
 		records = append(records, record)
@@ -46,7 +47,8 @@
 	return records
 }
 
-// seal moves records to segments: those of timed keys apart, since they are swept at other times.
+// seal moves records to new segments. Timed and untimed records go to separate segments, since their retentions
+// differ.
 func (s *State) seal(records []Record) []NewSegment {
 	var segments []NewSegment
 	for _, timed := range []bool{true, false} {
@@ -57,80 +59,83 @@
 			}
 		}
 		if len(part) > 0 {
-			segments = append(segments, s.sealPart(part, timed)...)
+			segments = append(segments, s.sealSegment(part, timed)...)
 		}
 	}
 	return segments
 }
 
-// sealPart keeps the answers in an object of their own, so that reading the records does not read them.
-func (s *State) sealPart(records []Record, timed bool) []NewSegment {
-	s.segments++
-	g := Segment{Name: segmentKey(s.partition, s.writer, s.segments, "records"), Timed: timed}
+// sealSegment moves records to one new segment. Their stored responses go to a separate object, so that reading the
+// records does not read the responses.
+func (s *State) sealSegment(records []Record, timed bool) []NewSegment {
+	s.segmentCount++
+	g := Segment{Name: segmentKey(s.partition, s.writer, s.segmentCount, "records"), Timed: timed}
 	answers := map[Key]*Answer{}
-	answersName := segmentKey(s.partition, s.writer, s.segments, "answers")
+	answersName := segmentKey(s.partition, s.writer, s.segmentCount, "answers")
 	for i, record := range records {
-		g.Newest = max(g.Newest, record.age())
+		g.Newest = max(g.Newest, record.retentionStart())
 		if record.Answer != nil {
 			answers[record.Key] = record.Answer
 			records[i].Answer = nil
-			records[i].AnswerIn = answersName
-			s.moved = append(s.moved, records[i])
+			records[i].AnswersName = answersName
+			s.sealedRecords = append(s.sealedRecords, records[i])
 		}
 	}
 	segments := []NewSegment{{Name: g.Name, Value: RecordSegment{Records: records}}}
 	if len(answers) > 0 {
-		g.Answers = answersName
+		g.AnswersName = answersName
 		segments = append(segments, NewSegment{Name: answersName, Value: AnswerSegment{Answers: answers}})
 	}
-	s.next.Segments = append(s.next.Segments, g)
+	s.nextHead.Segments = append(s.nextHead.Segments, g)
 	return segments
 }
 
-// age is the time from which the record's retention counts.
-func (r Record) age() int64 {
+// retentionStart returns the time from which the record's retention counts, in Unix milliseconds.
+func (r Record) retentionStart() int64 {
 	if r.KeyTime != 0 {
 		return r.KeyTime
 	}
-	return r.Made
+	return r.ClaimedAt
 }
 
-// sweep raises the next head's horizon when a part of the retention has passed, and leaves out what is below it.
-// The objects are deleted only after the head is written: from then on no key below the horizon is granted.
+// sweep raises the next head's horizon when a part of the retention has passed since it was last raised, and removes
+// the expired segments from the next head. Their objects are deleted only after that head is written: from then on
+// no claim of a key below the horizon is granted, so the deleted records are not needed.
 func (r *reduction) sweep() {
 	s := r.s
 	horizon := r.now.Add(-s.config.Retention).UnixMilli()
-	if horizon < s.head.Horizon+(s.config.Retention/sweepParts).Milliseconds() {
+	if horizon < s.head.Horizon+(s.config.Retention/sweepsPerRetention).Milliseconds() {
 		return
 	}
-	s.next.Horizon = horizon
+	s.nextHead.Horizon = horizon
 	untimed := s.untimedHorizon(r.now)
-	s.next.Segments = slices.DeleteFunc(s.next.Segments, func(g Segment) bool {
-		if !g.swept(horizon, untimed) {
+	s.nextHead.Segments = slices.DeleteFunc(s.nextHead.Segments, func(g Segment) bool {
+		if !g.expired(horizon, untimed) {
 			return false
 		}
-		s.swept = append(s.swept, g.Name)
-		if g.Answers != "" {
-			s.swept = append(s.swept, g.Answers)
+		s.sweptObjects = append(s.sweptObjects, g.Name)
+		if g.AnswersName != "" {
+			s.sweptObjects = append(s.sweptObjects, g.AnswersName)
 		}
 		return true
 	})
 }
 
+// untimedHorizon returns the time of claim before which records of untimed keys are expired, in Unix milliseconds.
 func (s *State) untimedHorizon(now time.Time) int64 {
 	return now.Add(-s.config.UntimedRetention).UnixMilli()
 }
 
-// sweepBase forgets the records that are past their retention.
-func (s *State) sweepBase(now time.Time) {
+// dropExpired removes the records from memory that are past their retention.
+func (s *State) dropExpired(now time.Time) {
 	untimed := s.untimedHorizon(now)
-	for k, record := range s.base {
-		if !record.swept(s.head.Horizon, untimed) {
+	for k, record := range s.durable {
+		if !record.expired(s.head.Horizon, untimed) {
 			continue
 		}
-		delete(s.base, k)
+		delete(s.durable, k)
 		if record.KeyTime == 0 {
-			s.untimed--
+			s.untimedCount--
 		}
 	}
 }
--- a/internal/core/claim/simulation_test.go
+++ b/internal/core/claim/simulation_test.go
@@ -15,7 +15,7 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// TestMain fixes the seed, so that each run tries the same histories.
+// TestMain fixes the seed, so that each run tests the same histories.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "300", "rapid.steps": "120", "rapid.nofailfile": "true", "rapid.shrinktime": "5s"} {
@@ -26,319 +26,322 @@
 	os.Exit(m.Run())
 }
 
-// owner is a process that takes itself for the partition's owner.
-type owner struct {
+// process is one of several processes that all act as the partition's owner.
+type process struct {
 	state *claim.State
-	// skew is how far its clock is off.
+	// skew is the difference of its clock from the simulation's clock.
 	skew time.Duration
-	// pending is its call to the platform, if it has one.
-	pending step.Effect
-	ops     map[uint64]*asker
-	boots   int
+	// pendingCall is its call to the platform; nil if there is none.
+	pendingCall step.Effect
+	ops         map[uint64]*callerRequest
+	restarts    int
 }
 
-// asker is one caller's request as the entry that serves it sees it.
-type asker struct {
-	id      string
-	key     int
-	fp      uint64
-	asked   int
-	granted bool
-	// over is set when the entry will not use a grant any more.
-	over bool
-	// end is what it settles with; 0 before it is known.
-	end claim.Status
-	// notMade is set when its only claim was answered so.
-	notMade bool
+// callerRequest is a caller's request, as seen by the entry that serves it.
+type callerRequest struct {
+	id          string
+	key         int
+	fingerprint uint64
+	attempts    int
+	granted     bool
+	// ended is set when the entry no longer uses a grant.
+	ended bool
+	// outcome is the status that the entry settles the claim with; 0 until it is known.
+	outcome claim.Status
+	// notRecorded is set if the verdict on its only claim was NotRecorded.
+	notRecorded bool
 }
 
-type callerKey struct {
-	key  claim.Key
-	time int64
-	runs int
-	// held is the request that may run by this key now.
-	held *asker
-	ran  bool
+// keyModel is the true state of one idempotency key.
+type keyModel struct {
+	key      claim.Key
+	time     int64
+	runCount int
+	// holder is the request that may run the call of the key now.
+	holder *callerRequest
+	ran    bool
 }
 
-type world struct {
+// simulation is a partition with several owners, and callers that claim its keys.
+type simulation struct {
 	now      time.Time
-	platform platform
-	owners   []*owner
-	keys     []*callerKey
-	askers   []*asker
-	ops      uint64
+	platform fakePlatform
+	owners   []*process
+	keys     []*keyModel
+	requests []*callerRequest
+	opCount  uint64
 	verdicts map[claim.Verdict]int
 }
 
 func simulationConfig() claim.Config {
-	return claim.Config{Retention: 20 * time.Second, SealBytes: 600, Interval: 50 * time.Millisecond}
+	return claim.Config{Retention: 20 * time.Second, SealBytes: 600, CommitInterval: 50 * time.Millisecond}
 }
 
-func newWorld() *world {
-	w := &world{
-		now: time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC), platform: platform{segments: map[string][]byte{}},
+func newSimulation() *simulation {
+	sim := &simulation{
+		now: time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC), platform: fakePlatform{segments: map[string][]byte{}},
 		verdicts: map[claim.Verdict]int{},
 	}
 	for i, skew := range []time.Duration{0, 4 * time.Second, -4 * time.Second} {
-		o := &owner{skew: skew}
-		w.owners = append(w.owners, o)
-		w.boot(i)
+		o := &process{skew: skew}
+		sim.owners = append(sim.owners, o)
+		sim.restart(i)
 	}
 	for i := range 4 {
-		w.addKey(i%2 == 0)
+		sim.addKey(i%2 == 0)
 	}
-	return w
+	return sim
 }
 
-func (w *world) addKey(timed bool) {
-	text := fmt.Sprintf("key-%d", len(w.keys))
+func (sim *simulation) addKey(timed bool) {
+	text := fmt.Sprintf("key-%d", len(sim.keys))
 	if timed {
 		var id uuid.UUID
-		ms := w.now.UnixMilli()
+		ms := sim.now.UnixMilli()
 		for b := range 6 {
 			id[b] = byte(ms >> (40 - 8*b))
 		}
-		id[6], id[8], id[15] = 0x70, 0x80, byte(len(w.keys))
+		id[6], id[8], id[15] = 0x70, 0x80, byte(len(sim.keys))
 		text = id.String()
 	}
-	w.keys = append(w.keys, &callerKey{key: claim.HashKey("t", "s", text), time: claim.Time(text)})
+	sim.keys = append(sim.keys, &keyModel{key: claim.HashKey("t", "s", text), time: claim.Time(text)})
 }
 
-func (w *world) boot(i int) {
-	o := w.owners[i]
-	o.boots++
-	o.state = claim.NewState(0, fmt.Sprintf("w%d.%d", i, o.boots), simulationConfig())
-	o.pending = nil
-	o.ops = map[uint64]*asker{}
+func (sim *simulation) restart(i int) {
+	o := sim.owners[i]
+	o.restarts++
+	o.state = claim.NewState(0, fmt.Sprintf("w%d.%d", i, o.restarts), simulationConfig())
+	o.pendingCall = nil
+	o.ops = map[uint64]*callerRequest{}
 }
 
-func (w *world) step(t require.TestingT, o *owner, ev step.Event) {
-	for _, e := range o.state.Reduce(step.Input{Now: w.now.Add(o.skew), Event: ev}) {
+func (sim *simulation) step(t require.TestingT, o *process, ev step.Event) {
+	for _, e := range o.state.Reduce(step.Input{Now: sim.now.Add(o.skew), Event: ev}) {
 		switch e := e.(type) {
 		case claim.Load, claim.Commit:
-			require.Nil(t, o.pending, "two calls to the platform at once")
-			o.pending = e
+			require.Nil(t, o.pendingCall, "two calls to the platform at once")
+			o.pendingCall = e
 		case claim.Sweep:
 			for _, name := range e.Names {
-				delete(w.platform.segments, name)
+				delete(sim.platform.segments, name)
 			}
-		case claim.Answered:
-			w.answered(t, o, e)
+		case claim.Reply:
+			sim.checkReply(t, o, e)
 		}
 	}
 }
 
-// answered checks each verdict against what has truly happened.
-func (w *world) answered(t require.TestingT, o *owner, e claim.Answered) {
-	w.verdicts[e.Verdict]++
-	a := o.ops[e.Op]
+// checkReply checks a verdict against the true state of its key.
+func (sim *simulation) checkReply(t require.TestingT, o *process, e claim.Reply) {
+	sim.verdicts[e.Verdict]++
+	req := o.ops[e.Op]
 	delete(o.ops, e.Op)
-	if a == nil {
+	if req == nil {
 		return
 	}
-	k := w.keys[a.key]
+	k := sim.keys[req.key]
 	switch e.Verdict {
 	case claim.Granted:
-		if a.granted || a.over {
+		if req.granted || req.ended {
 			return
 		}
-		require.Nil(t, k.held, "key %d granted to %s while another holds it", a.key, a.id)
-		require.False(t, k.ran, "key %d granted to %s after it ran", a.key, a.id)
-		a.granted = true
-		k.held = a
+		require.Nil(t, k.holder, "key %d granted to %s while another holds it", req.key, req.id)
+		require.False(t, k.ran, "key %d granted to %s after it ran", req.key, req.id)
+		req.granted = true
+		k.holder = req
 	case claim.Replayed, claim.AlreadyRan:
-		require.True(t, k.ran, "said to have run, and has not")
+		require.True(t, k.ran, "the verdict says that the call ran, but it did not")
 	case claim.KeyReused:
-		require.True(t, w.otherRequestHas(a), "said to be reused, and is not")
-	case claim.NotMade:
-		a.notMade = a.asked == 1 && !a.granted
-		require.False(t, a.notMade && w.platform.claimedBy(k.key, a.id), "not made, and recorded")
+		require.True(t, sim.keyUsedByOtherRequest(req), "KeyReused on a key that was used with one request only")
+	case claim.NotRecorded:
+		req.notRecorded = req.attempts == 1 && !req.granted
+		require.False(t, req.notRecorded && sim.platform.claimedBy(k.key, req.id), "the verdict is NotRecorded, but the claim is recorded")
 	}
 }
 
-// otherRequestHas tells whether the key came with another request than a's.
-func (w *world) otherRequestHas(a *asker) bool {
-	for _, other := range w.askers {
-		if other.key == a.key && other.fp != a.fp {
+// keyUsedByOtherRequest reports whether the key was used with a request of different content.
+func (sim *simulation) keyUsedByOtherRequest(req *callerRequest) bool {
+	for _, other := range sim.requests {
+		if other.key == req.key && other.fingerprint != req.fingerprint {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) ask(t require.TestingT, o *owner, a *asker, within time.Duration) {
-	w.ops++
-	a.asked++
-	o.ops[w.ops] = a
-	k := w.keys[a.key]
-	c := claim.Claim{Key: k.key, Request: a.id, Fingerprint: a.fp, KeyTime: k.time, RunFor: 2000}
-	w.step(t, o, claim.Made{Op: w.ops, Claim: c, Deadline: w.now.Add(o.skew + within)})
+func (sim *simulation) sendClaim(t require.TestingT, o *process, req *callerRequest, within time.Duration) {
+	sim.opCount++
+	req.attempts++
+	o.ops[sim.opCount] = req
+	k := sim.keys[req.key]
+	c := claim.Claim{Key: k.key, Request: req.id, Fingerprint: req.fingerprint, KeyTime: k.time, RunFor: 2000}
+	sim.step(t, o, claim.ClaimRequested{Op: sim.opCount, Claim: c, Deadline: sim.now.Add(o.skew + within)})
 }
 
-func (w *world) settle(t require.TestingT, o *owner, a *asker) {
-	w.ops++
-	k := w.keys[a.key]
-	s := claim.Settlement{Key: k.key, Request: a.id, KeyTime: k.time, Status: a.end}
-	if a.end == claim.Ran && a.key%3 != 0 {
-		s.Answer = &claim.Answer{Status: 200, Body: []byte(a.id)}
+func (sim *simulation) sendSettlement(t require.TestingT, o *process, req *callerRequest) {
+	sim.opCount++
+	k := sim.keys[req.key]
+	s := claim.Settlement{Key: k.key, Request: req.id, KeyTime: k.time, Status: req.outcome}
+	if req.outcome == claim.Ran && req.key%3 != 0 {
+		s.Answer = &claim.Answer{Status: 200, Body: []byte(req.id)}
 	}
-	w.step(t, o, claim.SettleAsked{Op: w.ops, Settlement: s, Deadline: w.now.Add(time.Hour)})
+	sim.step(t, o, claim.SettlementRequested{Op: sim.opCount, Settlement: s, Deadline: sim.now.Add(time.Hour)})
 }
 
-// end decides how the entry's part in a request ends.
-func (w *world) end(a *asker, how claim.Status) {
-	k := w.keys[a.key]
-	a.over = true
-	a.end = how
+// endRequest ends the entry's work on a request with an outcome.
+func (sim *simulation) endRequest(req *callerRequest, outcome claim.Status) {
+	k := sim.keys[req.key]
+	req.ended = true
+	req.outcome = outcome
 	switch {
-	case !a.granted:
-		a.end = claim.Released // Given up before it was sent.
-	case how == claim.Released:
-		k.held = nil // The agent has fenced it: it was for certain not run.
+	case !req.granted:
+		req.outcome = claim.Released // The entry gave up before it sent the call.
+	case outcome == claim.Released:
+		k.holder = nil // The agent fenced the call: it certainly did not run.
 	default:
-		k.ran = k.ran || how == claim.Ran
-		k.runs++
+		k.ran = k.ran || outcome == claim.Ran
+		k.runCount++
 	}
 }
 
-func (w *world) deliver(t require.TestingT, o *owner, fate int) {
-	switch p := o.pending.(type) {
+func (sim *simulation) completeCall(t require.TestingT, o *process, fate int) {
+	switch p := o.pendingCall.(type) {
 	case claim.Load:
-		o.pending = nil
+		o.pendingCall = nil
 		if fate == 0 {
-			w.step(t, o, claim.LoadFailed{})
+			sim.step(t, o, claim.LoadFailed{})
 			return
 		}
-		w.step(t, o, w.platform.load(p))
+		sim.step(t, o, sim.platform.load(p))
 	case claim.Commit:
-		o.pending = nil
-		w.step(t, o, w.write(p, fate))
+		o.pendingCall = nil
+		sim.step(t, o, sim.commit(p, fate))
 	}
 }
 
-// write plays the fate of a write: lost before or after its effect, late, refused, or well.
-func (w *world) write(c claim.Commit, fate int) step.Event {
+// commit carries out a write with the given fate: 0 loses the response, 1 loses the write, 2 delays the write until
+// after its sender has given up, 3 refuses it, and any other value completes it.
+func (sim *simulation) commit(c claim.Commit, fate int) step.Event {
 	switch fate {
 	case 0:
-		w.platform.apply(c)
+		sim.platform.apply(c)
 		return claim.Uncertain{}
 	case 1:
 		return claim.Uncertain{}
 	case 2:
-		w.platform.late = append(w.platform.late, c)
+		sim.platform.lateCommits = append(sim.platform.lateCommits, c)
 		return claim.Uncertain{}
 	case 3:
 		return claim.Refused{RetryAfter: time.Second}
 	}
-	if w.platform.apply(c) {
-		return claim.Committed{Version: w.platform.version}
+	if sim.platform.apply(c) {
+		return claim.Committed{Version: sim.platform.version}
 	}
 	return claim.Conflicted{}
 }
 
-func (w *world) crash(i int, writeArrives bool) {
-	if c, ok := w.owners[i].pending.(claim.Commit); ok && writeArrives {
-		w.platform.late = append(w.platform.late, c)
+func (sim *simulation) crash(i int, writeArrives bool) {
+	if c, ok := sim.owners[i].pendingCall.(claim.Commit); ok && writeArrives {
+		sim.platform.lateCommits = append(sim.platform.lateCommits, c)
 	}
-	w.boot(i)
+	sim.restart(i)
 }
 
-func (w *world) lateWrite() {
-	if len(w.platform.late) == 0 {
+func (sim *simulation) applyLateCommit() {
+	if len(sim.platform.lateCommits) == 0 {
 		return
 	}
-	w.platform.apply(w.platform.late[0])
-	w.platform.late = w.platform.late[1:]
+	sim.platform.apply(sim.platform.lateCommits[0])
+	sim.platform.lateCommits = sim.platform.lateCommits[1:]
 }
 
-func (w *world) check(t require.TestingT) {
-	for i, k := range w.keys {
-		require.LessOrEqual(t, k.runs, 1, "key %d ran more than once", i)
+func (sim *simulation) check(t require.TestingT) {
+	for i, k := range sim.keys {
+		require.LessOrEqual(t, k.runCount, 1, "key %d ran more than once", i)
 	}
-	for _, a := range w.askers {
-		if a.notMade && a.asked == 1 {
-			require.False(t, w.platform.claimedBy(w.keys[a.key].key, a.id), "%s: not made, and recorded later", a.id)
+	for _, req := range sim.requests {
+		if req.notRecorded && req.attempts == 1 {
+			require.False(t, sim.platform.claimedBy(sim.keys[req.key].key, req.id), "%s: the verdict was NotRecorded, but the claim is recorded", req.id)
 		}
 	}
 }
 
-// TestNoKeyRunsTwice plays random histories of several processes that all take themselves for the owner of a
-// partition, with clocks that differ, while writes get lost, come late or are refused, processes pause and die, and
-// callers ask again elsewhere.
-func TestNoKeyRunsTwice(t *testing.T) {
+// TestNoKeyRunsTwiceInRandomHistories guards against any order of events in which a key's call runs twice. It runs
+// random histories of several processes that all act as the owner of a partition, with clock skew. Writes are lost,
+// delayed or refused, processes pause and crash, and callers resend to other processes.
+func TestNoKeyRunsTwiceInRandomHistories(t *testing.T) {
 	total := map[claim.Verdict]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
-		t.Repeat(w.actions())
-		for v, n := range w.verdicts {
+		sim := newSimulation()
+		t.Repeat(sim.actions())
+		for v, n := range sim.verdicts {
 			total[v] += n
 		}
 	})
 	for v := claim.Granted; v <= claim.Unsure; v++ {
-		if v == claim.AheadOfTime {
-			continue // No key of this world is ahead.
+		if v == claim.KeyAhead {
+			continue // No key of the simulation is ahead of time.
 		}
-		require.Positive(t, total[v], "verdict %d never came up", v)
+		require.Positive(t, total[v], "verdict %d never occurred", v)
 	}
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
-	pick := func(t *rapid.T) *owner { return w.owners[rapid.IntRange(0, len(w.owners)-1).Draw(t, "owner")] }
+func (sim *simulation) actions() map[string]func(*rapid.T) {
+	pick := func(t *rapid.T) *process { return sim.owners[rapid.IntRange(0, len(sim.owners)-1).Draw(t, "owner")] }
 	return map[string]func(*rapid.T){
 		"ask": func(t *rapid.T) {
-			a := &asker{id: fmt.Sprintf("r%d", len(w.askers)), key: rapid.IntRange(0, len(w.keys)-1).Draw(t, "key"), fp: 1}
+			req := &callerRequest{id: fmt.Sprintf("r%d", len(sim.requests)), key: rapid.IntRange(0, len(sim.keys)-1).Draw(t, "key"), fingerprint: 1}
 			if rapid.IntRange(0, 9).Draw(t, "other request") == 0 {
-				a.fp = 2
+				req.fingerprint = 2
 			}
-			w.askers = append(w.askers, a)
-			w.ask(t, pick(t), a, time.Duration(rapid.IntRange(20, 2000).Draw(t, "within ms"))*time.Millisecond)
+			sim.requests = append(sim.requests, req)
+			sim.sendClaim(t, pick(t), req, time.Duration(rapid.IntRange(20, 2000).Draw(t, "within ms"))*time.Millisecond)
 		},
 		"ask elsewhere": func(t *rapid.T) {
-			for _, a := range w.askers {
-				if !a.granted && !a.over && a.asked < 3 && rapid.Bool().Draw(t, "this") {
-					w.ask(t, pick(t), a, time.Second)
+			for _, req := range sim.requests {
+				if !req.granted && !req.ended && req.attempts < 3 && rapid.Bool().Draw(t, "this") {
+					sim.sendClaim(t, pick(t), req, time.Second)
 					return
 				}
 			}
 		},
 		"end": func(t *rapid.T) {
-			how := rapid.SampledFrom([]claim.Status{claim.Ran, claim.Unknown, claim.Released}).Draw(t, "how")
-			for _, a := range w.askers {
-				if !a.over && rapid.Bool().Draw(t, "this") {
-					w.end(a, how)
+			outcome := rapid.SampledFrom([]claim.Status{claim.Ran, claim.Unknown, claim.Released}).Draw(t, "how")
+			for _, req := range sim.requests {
+				if !req.ended && rapid.Bool().Draw(t, "this") {
+					sim.endRequest(req, outcome)
 					return
 				}
 			}
 		},
 		"settle": func(t *rapid.T) {
-			for _, a := range w.askers {
-				if a.over && rapid.Bool().Draw(t, "this") {
-					w.settle(t, pick(t), a)
+			for _, req := range sim.requests {
+				if req.ended && rapid.Bool().Draw(t, "this") {
+					sim.sendSettlement(t, pick(t), req)
 					return
 				}
 			}
 		},
-		"deliver": func(t *rapid.T) { w.deliver(t, pick(t), rapid.IntRange(0, 8).Draw(t, "fate")) },
+		"deliver": func(t *rapid.T) { sim.completeCall(t, pick(t), rapid.IntRange(0, 8).Draw(t, "fate")) },
 		"deliver well": func(t *rapid.T) {
 			o := pick(t)
 			for range 4 {
-				w.deliver(t, o, 9)
-				w.now = w.now.Add(60 * time.Millisecond)
-				w.step(t, o, claim.Woken{})
+				sim.completeCall(t, o, 9)
+				sim.now = sim.now.Add(60 * time.Millisecond)
+				sim.step(t, o, claim.Woken{})
 			}
 		},
-		"late write": func(*rapid.T) { w.lateWrite() },
+		"late write": func(*rapid.T) { sim.applyLateCommit() },
 		"time": func(t *rapid.T) {
-			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
+			sim.now = sim.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 		},
-		"wake": func(t *rapid.T) { w.step(t, pick(t), claim.Woken{}) },
+		"wake": func(t *rapid.T) { sim.step(t, pick(t), claim.Woken{}) },
 		"crash": func(t *rapid.T) {
 			if rapid.IntRange(0, 3).Draw(t, "crash") == 0 {
-				w.crash(rapid.IntRange(0, len(w.owners)-1).Draw(t, "who"), rapid.Bool().Draw(t, "write arrives"))
+				sim.crash(rapid.IntRange(0, len(sim.owners)-1).Draw(t, "who"), rapid.Bool().Draw(t, "write arrives"))
 			}
 		},
-		"new key": func(t *rapid.T) { w.addKey(rapid.Bool().Draw(t, "timed")) },
-		"":        func(t *rapid.T) { w.check(t) },
+		"new key": func(t *rapid.T) { sim.addKey(rapid.Bool().Draw(t, "timed")) },
+		"":        func(t *rapid.T) { sim.check(t) },
 	}
 }
