--- a/internal/claims/bench_test.go
+++ b/internal/claims/cluster_test.go
@@ -24,8 +24,8 @@
 	"samphireweir.example/samphireweir/internal/standin/plain"
 )
 
-// bench is a platform, a plain service and several processes that make claims.
-type bench struct {
+// cluster is a platform, a plain service and several processes that claim keys.
+type cluster struct {
 	t        *testing.T
 	platform *httptest.Server
 	plain    *httptest.Server
@@ -34,86 +34,87 @@
 	nodes []*node
 }
 
-func newBench(t *testing.T, entries int) *bench {
-	b := &bench{
+func newCluster(t *testing.T, entries int) *cluster {
+	cl := &cluster{
 		t:        t,
 		platform: httptest.NewServer(objectapi.NewServer(objectapi.Config{History: 1000})),
 		plain:    httptest.NewServer(plain.NewServer([]string{"p1"}, time.Millisecond)),
 	}
-	t.Cleanup(b.platform.Close)
-	t.Cleanup(b.plain.Close)
+	t.Cleanup(cl.platform.Close)
+	t.Cleanup(cl.plain.Close)
 	for range entries {
-		b.start()
+		cl.startNode()
 	}
-	return b
+	return cl
 }
 
-// node is one process with a service of claims. It can be paused, as by SIGSTOP, and killed.
+// node is one process with a claims service. It can be paused, as by SIGSTOP, and killed.
 type node struct {
 	*claims.Service
-	b       *bench
+	cluster *cluster
 	address string
 	server  *httptest.Server
 	pool    *control.Pool
 
 	mu     sync.Mutex
 	paused chan struct{}
-	dead   bool
+	killed bool
 	// calls counts the calls to other processes.
 	calls map[string]int
-	// hook may act on a call to the platform, before it is sent and after its answer came.
-	hook func(stage stage, r *http.Request) error
+	// hook is called before each call to the platform is sent and after its response has arrived. Its error becomes the
+	// result of the call.
+	hook func(stage callStage, r *http.Request) error
 }
 
-// stage is a moment of a call to the platform.
-type stage int
+// callStage is the point in a call to the platform at which a hook is called.
+type callStage int
 
 const (
-	beforeCall stage = iota
+	beforeCall callStage = iota
 	afterCall
 )
 
-// keptConnections keeps connections for reuse, so that a test does not use up the machine's ports.
-var keptConnections = &http.Transport{MaxIdleConnsPerHost: 64}
+// sharedTransport reuses connections, so that the tests do not exhaust the machine's ports.
+var sharedTransport = &http.Transport{MaxIdleConnsPerHost: 64}
 
-var errDead = errors.New("process is dead")
+var errKilled = errors.New("process was killed")
 
 func testTiming() claims.Timing {
 	return claims.Timing{
-		Claim: 600 * time.Millisecond, Owner: 250 * time.Millisecond, Forward: 300 * time.Millisecond,
-		Settle: 20 * time.Second, SettleTry: 200 * time.Millisecond, SettleRetry: 20 * time.Millisecond, Platform: 200 * time.Millisecond,
+		ClaimTimeout: 600 * time.Millisecond, OwnerTimeout: 250 * time.Millisecond, ForwardTimeout: 300 * time.Millisecond,
+		SettleTimeout: 20 * time.Second, SettleAttemptTimeout: 200 * time.Millisecond, SettleRetryInterval: 20 * time.Millisecond, PlatformTimeout: 200 * time.Millisecond,
 	}
 }
 
-func testBounds() claim.Config {
+func testConfig() claim.Config {
 	return claim.Config{CommitInterval: 4 * time.Millisecond, SettleDelay: 8 * time.Millisecond, SealBytes: 8 << 10}
 }
 
-func (b *bench) start() *node {
-	n := &node{b: b, calls: map[string]int{}}
+func (cl *cluster) startNode() *node {
+	n := &node{cluster: cl, calls: map[string]int{}}
 	handlers := control.Handlers{}
 	inner := control.NewServer(handlers)
 	n.server = httptest.NewServer(inner)
-	b.t.Cleanup(n.server.CloseClientConnections)
+	cl.t.Cleanup(n.server.CloseClientConnections)
 	n.address = strings.TrimPrefix(n.server.URL, "http://")
 	n.pool = control.NewPool(n.address, "secret", (&net.Dialer{Timeout: time.Second}).DialContext)
 	n.Service = claims.New(claims.Config{
-		Self: n.address, Objects: objects.NewClient(b.platform.URL, &http.Client{Transport: n}), Peers: n,
-		Log: zerolog.Nop(), Claims: testBounds(), Timing: testTiming(),
+		Self: n.address, Objects: objects.NewClient(cl.platform.URL, &http.Client{Transport: n}), Peers: n,
+		Log: zerolog.Nop(), Claims: testConfig(), Timing: testTiming(),
 	})
 	n.AddHandlers(handlers)
 	for method, h := range handlers {
 		handlers[method] = func(ctx context.Context, from string, params json.RawMessage) (any, error) {
-			if err := n.alive(); err != nil {
+			if err := n.waitWhilePaused(); err != nil {
 				return nil, err
 			}
 			answer, err := h(ctx, from, params)
-			return answer, errors.WithMessage(firstError(n.alive(), err), "handle")
+			return answer, errors.WithMessage(firstError(n.waitWhilePaused(), err), "handle")
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.nodes = append(b.nodes, n)
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.nodes = append(cl.nodes, n)
 	return n
 }
 
@@ -126,29 +127,29 @@
 	return nil
 }
 
-// Entries returns all processes that live, or are paused: nobody knows that.
+// Entries returns all processes that were not killed. It includes paused ones, which the others can't detect.
 func (n *node) Entries() []string {
-	n.b.mu.Lock()
-	defer n.b.mu.Unlock()
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
 	var addresses []string
-	for _, other := range n.b.nodes {
-		if !other.isDead() {
+	for _, other := range n.cluster.nodes {
+		if !other.isKilled() {
 			addresses = append(addresses, other.address)
 		}
 	}
 	return addresses
 }
 
-// Call calls another process.
+// Call calls another process and counts the call.
 func (n *node) Call(ctx context.Context, address, method string, params, answer any) error {
-	if err := n.alive(); err != nil {
+	if err := n.waitWhilePaused(); err != nil {
 		return err
 	}
 	n.mu.Lock()
 	n.calls[address]++
 	n.mu.Unlock()
 	err := n.pool.Call(ctx, address, method, params, answer)
-	return firstError(n.alive(), err)
+	return firstError(n.waitWhilePaused(), err)
 }
 
 func (n *node) callsTo(address string) int {
@@ -157,16 +158,16 @@
 	return n.calls[address]
 }
 
-// RoundTrip carries a call to the platform.
+// RoundTrip sends a call to the platform and calls the hook before and after it.
 func (n *node) RoundTrip(r *http.Request) (*http.Response, error) {
-	if err := n.act(beforeCall, r); err != nil {
+	if err := n.runHook(beforeCall, r); err != nil {
 		return nil, err
 	}
-	resp, err := keptConnections.RoundTrip(r)
+	resp, err := sharedTransport.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	if err := n.act(afterCall, r); err != nil {
+	if err := n.runHook(afterCall, r); err != nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 		return nil, err
@@ -174,7 +175,8 @@
 	return resp, nil
 }
 
-func (n *node) act(s stage, r *http.Request) error {
+// runHook calls the hook, then waits while the process is paused.
+func (n *node) runHook(s callStage, r *http.Request) error {
 	n.mu.Lock()
 	hook := n.hook
 	n.mu.Unlock()
@@ -183,33 +185,33 @@
 			return err
 		}
 	}
-	return n.alive()
+	return n.waitWhilePaused()
 }
 
-func (n *node) setHook(h func(stage, *http.Request) error) {
+func (n *node) setHook(h func(callStage, *http.Request) error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hook = h
 }
 
-// alive waits while the process is paused, and fails when it is dead.
-func (n *node) alive() error {
+// waitWhilePaused waits while the process is paused, and fails if it was killed.
+func (n *node) waitWhilePaused() error {
 	n.mu.Lock()
 	paused := n.paused
 	n.mu.Unlock()
 	if paused != nil {
 		<-paused
 	}
-	if n.isDead() {
-		return errDead
+	if n.isKilled() {
+		return errKilled
 	}
 	return nil
 }
 
-func (n *node) isDead() bool {
+func (n *node) isKilled() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.dead
+	return n.killed
 }
 
 // pause stops the process until resume is called.
@@ -230,41 +232,41 @@
 	}
 }
 
-// kill ends the process for good; what it has sent may still take effect.
+// kill ends the process. Calls that it has already sent may still take effect.
 func (n *node) kill() {
 	n.mu.Lock()
-	n.dead = true
+	n.killed = true
 	n.mu.Unlock()
 	n.resume()
 	n.server.CloseClientConnections()
 }
 
-// faults sets faults of the platform.
-func (b *bench) faults(json string) {
-	resp, err := http.Post(b.platform.URL+"/admin/faults", "application/json", strings.NewReader(json))
-	require.NoError(b.t, err)
-	require.NoError(b.t, resp.Body.Close())
-	require.Equal(b.t, http.StatusOK, resp.StatusCode)
+// setFaults sets the faults that the platform injects.
+func (cl *cluster) setFaults(json string) {
+	resp, err := http.Post(cl.platform.URL+"/admin/faults", "application/json", strings.NewReader(json))
+	require.NoError(cl.t, err)
+	require.NoError(cl.t, resp.Body.Close())
+	require.Equal(cl.t, http.StatusOK, resp.StatusCode)
 }
 
-// call runs a call on the plain service, as an agent would.
-func (b *bench) call(key, request string) {
-	r, err := http.NewRequest(http.MethodPost, b.plain.URL+"/p1/book", strings.NewReader("{}"))
+// runCall sends a call to the plain service, as an agent does.
+func (cl *cluster) runCall(key, request string) {
+	r, err := http.NewRequest(http.MethodPost, cl.plain.URL+"/p1/book", strings.NewReader("{}"))
 	if err != nil {
 		return
 	}
 	r.Header.Set("Idempotency-Key", key)
 	r.Header.Set("Request-Id", request)
-	resp, err := (&http.Client{Transport: keptConnections}).Do(r)
+	resp, err := (&http.Client{Transport: sharedTransport}).Do(r)
 	if err == nil {
 		_ = resp.Body.Close()
 	}
 }
 
-// runs counts the runs of each key in the plain service's own log.
-func (b *bench) runs() map[string]int {
-	resp, err := http.Get(b.plain.URL + "/admin/log")
-	require.NoError(b.t, err)
+// runCounts returns how often the call of each key ran, by the plain service's own log.
+func (cl *cluster) runCounts() map[string]int {
+	resp, err := http.Get(cl.plain.URL + "/admin/log")
+	require.NoError(cl.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	counts := map[string]int{}
 	lines := json.NewDecoder(resp.Body)
@@ -274,7 +276,7 @@
 		if err == io.EOF {
 			return counts
 		}
-		require.NoError(b.t, err)
+		require.NoError(cl.t, err)
 		counts[line.IdempotencyKey]++
 	}
 }
@@ -286,7 +288,7 @@
 	}
 }
 
-// settlement settles a claim.
+// settlement returns a settlement of a claim. If the call ran, the stored response's body is the request id.
 func settlement(c claim.Claim, s claim.Status) claim.Settlement {
 	t := claim.Settlement{Key: c.Key, Request: c.Request, KeyTime: c.KeyTime, Status: s}
 	if s == claim.Ran {
--- a/internal/claims/faults_test.go
+++ b/internal/claims/faults_test.go
@@ -16,91 +16,91 @@
 	"samphireweir.example/samphireweir/internal/core/claim"
 )
 
-// moment is a step of a claim at which a fault strikes its owner.
-type moment struct {
+// faultPoint is a point in an owner's calls to the platform at which a fault is injected.
+type faultPoint struct {
 	name   string
 	method string
-	stage  stage
+	stage  callStage
 }
 
-var moments = []moment{
+var faultPoints = []faultPoint{
 	{"before the head is read", http.MethodGet, beforeCall},
 	{"after the head is read", http.MethodGet, afterCall},
 	{"before the head is written", http.MethodPut, beforeCall},
 	{"after the head is written", http.MethodPut, afterCall},
 }
 
-// strike is a fault that strikes at a moment; it returns the error of the call to the platform, if that gets one.
-type strike struct {
-	name string
-	hit  func(f *faultCase) error
-	// heal ends the fault.
-	heal func(f *faultCase)
+// fault is a fault that is injected at a faultPoint. inject returns the error of the call to the platform, if any.
+type fault struct {
+	name   string
+	inject func(f *faultCase) error
+	// end ends the fault.
+	end func(f *faultCase)
 }
 
-// faultCase is one fault at one step.
+// faultCase is a key, the processes by their rank as its owners, and the cluster that they belong to.
 type faultCase struct {
-	b     *bench
-	owner *node
-	other *node
-	third *node
-	key   string
+	cluster *cluster
+	owner   *node
+	next    *node
+	third   *node
+	key     string
 }
 
-var errCut = fmt.Errorf("connection cut")
+var errConnectionCut = fmt.Errorf("connection cut")
 
-var strikes = []strike{
+var faults = []fault{
 	{
-		name: "connection cut",
-		hit:  func(*faultCase) error { return errCut },
-		heal: func(*faultCase) {},
+		name:   "connection cut",
+		inject: func(*faultCase) error { return errConnectionCut },
+		end:    func(*faultCase) {},
 	}, {
-		name: "outage",
-		hit:  func(f *faultCase) error { f.b.faults(`{"outage":true}`); return nil },
-		heal: func(f *faultCase) { f.b.faults(`{"outage":false}`) },
+		name:   "outage",
+		inject: func(f *faultCase) error { f.cluster.setFaults(`{"outage":true}`); return nil },
+		end:    func(f *faultCase) { f.cluster.setFaults(`{"outage":false}`) },
 	}, {
-		name: "platform hangs",
-		hit:  func(f *faultCase) error { f.b.faults(`{"hang":true}`); return nil },
-		heal: func(f *faultCase) { f.b.faults(`{"hang":false}`) },
+		name:   "platform hangs",
+		inject: func(f *faultCase) error { f.cluster.setFaults(`{"hang":true}`); return nil },
+		end:    func(f *faultCase) { f.cluster.setFaults(`{"hang":false}`) },
 	}, {
-		name: "platform slow",
-		hit:  func(f *faultCase) error { f.b.faults(`{"delay_ms":400}`); return nil },
-		heal: func(f *faultCase) { f.b.faults(`{"delay_ms":0}`) },
+		name:   "platform slow",
+		inject: func(f *faultCase) error { f.cluster.setFaults(`{"delay_ms":400}`); return nil },
+		end:    func(f *faultCase) { f.cluster.setFaults(`{"delay_ms":0}`) },
 	}, {
-		name: "answer lost after the effect",
-		hit:  func(f *faultCase) error { f.b.faults(`{"lose_next_answers":1}`); return nil },
-		heal: func(f *faultCase) { f.b.faults(`{"lose_next_answers":0}`) },
+		name:   "answer lost after the effect",
+		inject: func(f *faultCase) error { f.cluster.setFaults(`{"lose_next_answers":1}`); return nil },
+		end:    func(f *faultCase) { f.cluster.setFaults(`{"lose_next_answers":0}`) },
 	}, {
 		name: "another owner writes",
-		hit: func(f *faultCase) error {
-			f.own(f.other, samePartition(f.key))
+		inject: func(f *faultCase) error {
+			f.claimAndReleaseAsOwner(f.next, samePartition(f.key))
 			return nil
 		},
-		heal: func(*faultCase) {},
+		end: func(*faultCase) {},
 	}, {
 		name: "another owner is asked the same",
-		hit: func(f *faultCase) error {
-			f.own(f.other, f.key)
+		inject: func(f *faultCase) error {
+			f.claimAndReleaseAsOwner(f.next, f.key)
 			return nil
 		},
-		heal: func(*faultCase) {},
+		end: func(*faultCase) {},
 	}, {
-		name: "owner paused",
-		hit:  func(f *faultCase) error { f.owner.pause(); return nil },
-		heal: func(f *faultCase) { f.owner.resume() },
+		name:   "owner paused",
+		inject: func(f *faultCase) error { f.owner.pause(); return nil },
+		end:    func(f *faultCase) { f.owner.resume() },
 	}, {
-		name: "owner killed",
-		hit:  func(f *faultCase) error { f.owner.kill(); return nil },
-		heal: func(f *faultCase) {},
+		name:   "owner killed",
+		inject: func(f *faultCase) error { f.owner.kill(); return nil },
+		end:    func(f *faultCase) {},
 	},
 }
 
-// own lets n claim a key for a request of its own and give it back, as a process does that takes itself for the owner.
-func (f *faultCase) own(n *node, key string) {
+// claimAndReleaseAsOwner makes n claim and release a key as if it were the partition's owner.
+func (f *faultCase) claimAndReleaseAsOwner(n *node, key string) {
 	c := newClaim(key, uuid.NewString())
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	if n.Own(ctx, c).Verdict == claim.Granted {
+	if n.ClaimAsOwner(ctx, c).Verdict == claim.Granted {
 		n.Settle(settlement(c, claim.Released))
 	}
 }
@@ -116,15 +116,15 @@
 	}
 }
 
-// newFaultCase takes a key, its owner and the next in line for it.
-func newFaultCase(b *bench) *faultCase {
+// newFaultCase returns a new key with its owner and the next two owners in rank.
+func newFaultCase(cl *cluster) *faultCase {
 	key := uuid.Must(uuid.NewV7()).String()
-	ranked := claim.RankOwners(claim.HashKey("team", "service", key).Partition(), b.nodes[0].Entries())
-	return &faultCase{b: b, key: key, owner: b.at(ranked[0]), other: b.at(ranked[1]), third: b.at(ranked[2])}
+	ranked := claim.RankOwners(claim.HashKey("team", "service", key).Partition(), cl.nodes[0].Entries())
+	return &faultCase{cluster: cl, key: key, owner: cl.nodeAt(ranked[0]), next: cl.nodeAt(ranked[1]), third: cl.nodeAt(ranked[2])}
 }
 
-func (b *bench) at(address string) *node {
-	for _, n := range b.nodes {
+func (cl *cluster) nodeAt(address string) *node {
+	for _, n := range cl.nodes {
 		if n.address == address {
 			return n
 		}
@@ -132,107 +132,110 @@
 	return nil
 }
 
-// TestFaultAtEachStep lets each fault strike the owner of a partition at each step of a claim, while the caller
-// resends through other entries. The call runs at most once, and a key that was refused as not run can be used.
-func TestFaultAtEachStep(t *testing.T) {
-	for _, s := range strikes {
-		for _, m := range moments {
-			t.Run(s.name+"/"+m.name, func(t *testing.T) {
+// TestCallRunsOnceWhenAFaultHitsItsClaim guards against a call that runs twice, or a key that stays unusable, because
+// a fault occurs in the owner during a claim. It injects each fault at each point of a claim while the caller resends
+// through other entries.
+func TestCallRunsOnceWhenAFaultHitsItsClaim(t *testing.T) {
+	for _, flt := range faults {
+		for _, point := range faultPoints {
+			t.Run(flt.name+"/"+point.name, func(t *testing.T) {
 				t.Parallel()
-				strikeAt(t, s, m)
+				testFaultDuringClaim(t, flt, point)
 			})
 		}
 	}
 }
 
-// strikeOnce lets the fault strike the owner once, at a moment of its calls. struck tells whether that is done: a fault
-// that is still on its way could strike after it was healed, or after the test.
-func (f *faultCase) strikeOnce(s strike, m moment) (struck func() bool) {
-	var begun, done atomic.Bool
-	f.owner.setHook(func(at stage, r *http.Request) error {
-		if at != m.stage || r.Method != m.method || !strings.HasSuffix(r.URL.Path, "/head") || !begun.CompareAndSwap(false, true) {
+// injectOnce injects the fault into the owner once, at a point of its calls on the head. injected reports whether that
+// is done. Without waiting for it, the fault could be injected after it was ended, or after the test.
+func (f *faultCase) injectOnce(flt fault, point faultPoint) (injected func() bool) {
+	var started, done atomic.Bool
+	f.owner.setHook(func(at callStage, r *http.Request) error {
+		if at != point.stage || r.Method != point.method || !strings.HasSuffix(r.URL.Path, "/head") || !started.CompareAndSwap(false, true) {
 			return nil
 		}
 		defer done.Store(true)
-		return s.hit(f)
+		return flt.inject(f)
 	})
 	return done.Load
 }
 
-func strikeAt(t *testing.T, s strike, m moment) {
-	b := newBench(t, 3)
-	f := newFaultCase(b)
-	struck := f.strikeOnce(s, m)
+func testFaultDuringClaim(t *testing.T, flt fault, point faultPoint) {
+	cl := newCluster(t, 3)
+	f := newFaultCase(cl)
+	injected := f.injectOnce(flt, point)
 	resender := f.third
 	first := f.attempt(resender)
-	require.Eventually(t, struck, 20*time.Second, 5*time.Millisecond, "the fault did not strike")
-	second := f.attempt(f.other)
-	s.heal(f)
+	require.Eventually(t, injected, 20*time.Second, 5*time.Millisecond, "the fault was not injected")
+	second := f.attempt(f.next)
+	flt.end(f)
 	f.owner.setHook(nil)
-	requireTrue(t, first, second)
-	// With the fault over, the key is as good as its state: it runs, or its answer is kept.
+	requireConsistent(t, first, second)
+	// After the fault, the key is usable: its call runs now, or it ran and its response is stored.
 	require.Eventually(t, func() bool {
 		a := f.attempt(resender)
 		return a.verdict == claim.Granted || a.verdict == claim.Replayed
 	}, 8*time.Second, 50*time.Millisecond)
-	require.Equal(t, 1, b.runs()[f.key])
+	require.Equal(t, 1, cl.runCounts()[f.key])
 }
 
-// attempted is what a resend of the call met.
-type attempted struct {
-	verdict claim.Verdict
-	took    time.Duration
+// attemptResult is the result of sending the call through one entry.
+type attemptResult struct {
+	verdict  claim.Verdict
+	duration time.Duration
 }
 
-// attempt sends the call through an entry, and runs it when the claim is granted.
-func (f *faultCase) attempt(n *node) attempted {
+// attempt sends the call through an entry, which runs it if the claim is granted.
+func (f *faultCase) attempt(n *node) attemptResult {
 	c := newClaim(f.key, uuid.NewString())
 	begin := time.Now()
 	a := n.Make(context.Background(), c)
 	if a.Verdict == claim.Granted {
-		f.b.call(f.key, c.Request)
+		f.cluster.runCall(f.key, c.Request)
 		n.Settle(settlement(c, claim.Ran))
 	}
-	return attempted{verdict: a.Verdict, took: time.Since(begin)}
+	return attemptResult{verdict: a.Verdict, duration: time.Since(begin)}
 }
 
-// requireTrue checks that what two attempts met can both be true.
-func requireTrue(t *testing.T, first, second attempted) {
+// requireConsistent checks that at most one of two attempts was granted, and that neither took too long.
+func requireConsistent(t *testing.T, first, second attemptResult) {
 	granted := 0
-	for _, a := range []attempted{first, second} {
+	for _, a := range []attemptResult{first, second} {
 		if a.verdict == claim.Granted {
 			granted++
 		}
-		require.Less(t, a.took, 10*testTiming().Claim, "an answer that was not bounded")
+		require.Less(t, a.duration, 10*testTiming().ClaimTimeout, "the claim took longer than its timeouts allow")
 	}
 	require.LessOrEqual(t, granted, 1)
 }
 
-// TestOutageRefusesAtOnce: in an outage a claim is refused as not made, with Retry-After, without waiting; afterwards the
-// same key can be used.
-func TestOutageRefusesAtOnce(t *testing.T) {
-	b := newBench(t, 3)
+// TestOutageRejectsClaimsImmediately guards against claims that wait in vain during an outage of the platform, and
+// against keys that stay claimed by them. A claim is rejected with a Retry-After delay, and its key can be used
+// afterwards.
+func TestOutageRejectsClaimsImmediately(t *testing.T) {
+	cl := newCluster(t, 3)
 	warm := newClaim("warm", "w")
-	require.Equal(t, claim.Granted, b.nodes[0].Make(context.Background(), warm).Verdict)
-	b.faults(`{"outage":true}`)
+	require.Equal(t, claim.Granted, cl.nodes[0].Make(context.Background(), warm).Verdict)
+	cl.setFaults(`{"outage":true}`)
 	key := uuid.Must(uuid.NewV7()).String()
-	for _, n := range b.nodes {
+	for _, n := range cl.nodes {
 		a := n.Make(context.Background(), newClaim(key, uuid.NewString()))
 		require.Equal(t, claim.NotRecorded, a.Verdict)
 		require.GreaterOrEqual(t, a.RetryAfterMS, claim.MinRetryAfter.Milliseconds())
 	}
-	b.faults(`{"outage":false}`)
+	cl.setFaults(`{"outage":false}`)
 	require.Eventually(t, func() bool {
-		return b.nodes[1].Make(context.Background(), newClaim(key, uuid.NewString())).Verdict == claim.Granted
+		return cl.nodes[1].Make(context.Background(), newClaim(key, uuid.NewString())).Verdict == claim.Granted
 	}, 5*time.Second, 50*time.Millisecond)
 }
 
-// TestRateLimitRefusesAtOnce: 429 is like an outage: nothing was made.
-func TestRateLimitRefusesAtOnce(t *testing.T) {
-	b := newBench(t, 1)
-	n := b.nodes[0]
+// TestRateLimitRejectsClaimsImmediately guards against a status 429 of the platform that counts as an unknown outcome:
+// the write certainly did not take effect, so the claim is rejected as not recorded.
+func TestRateLimitRejectsClaimsImmediately(t *testing.T) {
+	cl := newCluster(t, 1)
+	n := cl.nodes[0]
 	n.setHook(nil)
-	limited := claims.New(claims.Config{Self: n.address, Objects: limitedPlatform(t), Peers: n, Claims: testBounds(), Timing: testTiming()})
+	limited := claims.New(claims.Config{Self: n.address, Objects: newRateLimitedPlatform(t), Peers: n, Claims: testConfig(), Timing: testTiming()})
 	first := limited.Make(context.Background(), newClaim("a", "r1"))
 	require.Equal(t, claim.Granted, first.Verdict)
 	second := limited.Make(context.Background(), newClaim("a2", "r2"))
--- a/internal/claims/handlers.go
+++ b/internal/claims/handlers.go
@@ -9,33 +9,34 @@
 	"samphireweir.example/samphireweir/internal/core/claim"
 )
 
+// The methods on the control channel.
 const (
-	makeMethod   = "claim.make"
+	claimMethod  = "claim.make"
 	settleMethod = "claim.settle"
 )
 
-// makeMessage carries a claim to its partition's owner.
-type makeMessage struct {
+// claimMessage is the message that forwards a claim to its partition's owner.
+type claimMessage struct {
 	Claim claim.Claim `json:"claim"`
-	// WithinMS is how long the asker waits, in milliseconds.
-	WithinMS int64 `json:"within_ms"`
+	// TimeoutMS is how long the calling process waits for the verdict, in milliseconds.
+	TimeoutMS int64 `json:"within_ms"`
 }
 
-// AddHandlers adds what answers the other processes' claims.
+// AddHandlers adds the handlers for claims and settlements of other processes to h.
 func (s *Service) AddHandlers(h control.Handlers) {
-	h[makeMethod] = s.handleMake
+	h[claimMethod] = s.handleClaim
 	h[settleMethod] = s.handleSettle
 }
 
-func (s *Service) handleMake(ctx context.Context, _ string, params json.RawMessage) (any, error) {
-	var m makeMessage
+func (s *Service) handleClaim(ctx context.Context, _ string, params json.RawMessage) (any, error) {
+	var m claimMessage
 	if err := control.Decode(params, &m); err != nil {
 		return nil, err
 	}
-	within := min(time.Duration(m.WithinMS)*time.Millisecond, s.config.Timing.Owner)
-	ctx, cancel := context.WithTimeout(ctx, within)
+	timeout := min(time.Duration(m.TimeoutMS)*time.Millisecond, s.config.Timing.OwnerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return s.Own(ctx, m.Claim), nil
+	return s.ClaimAsOwner(ctx, m.Claim), nil
 }
 
 func (s *Service) handleSettle(ctx context.Context, _ string, params json.RawMessage) (any, error) {
@@ -43,5 +44,5 @@
 	if err := control.Decode(params, &t); err != nil {
 		return nil, err
 	}
-	return Answer{Verdict: s.ownSettle(ctx, t)}, nil
+	return Answer{Verdict: s.settleAsOwner(ctx, t)}, nil
 }
--- a/internal/claims/history_test.go
+++ b/internal/claims/history_test.go
@@ -18,43 +18,44 @@
 	"samphireweir.example/samphireweir/internal/standin/objectapi"
 )
 
-// limitedPlatform is a platform that takes one write a second.
-func limitedPlatform(t *testing.T) *objects.Client {
+// newRateLimitedPlatform returns a client of a platform that accepts one write per second.
+func newRateLimitedPlatform(t *testing.T) *objects.Client {
 	s := httptest.NewServer(objectapi.NewServer(objectapi.Config{WritesPerSecond: 1, History: 10}))
 	t.Cleanup(s.Close)
 	return objects.NewClient(s.URL, s.Client())
 }
 
-// act is an operation of a history on one key.
-type act int
+// opKind is the kind of an operation in a history.
+type opKind int
 
 const (
-	actClaim act = iota
-	actRelease
-	actRun
+	opClaim opKind = iota
+	opRelease
+	opRun
 )
 
-// input is an operation; output is the verdict and, of a replay, the request that made the kept answer.
+// input is an operation on one key.
 type input struct {
 	key     string
-	act     act
+	kind    opKind
 	request string
 }
 
+// output is the verdict and, for a replay, the request whose response was stored.
 type output struct {
-	verdict claim.Verdict
-	by      string
+	verdict  claim.Verdict
+	storedBy string
 }
 
-// keyState is the model's state of one key: free, held by a request, or run by it.
+// keyState is the model's state of one key: free, held by a request, or run by its holder.
 type keyState struct {
 	holder string
 	ran    bool
 }
 
-// model says what any history of one key must look like: it is granted only while it is free, run only by its holder and
-// once, and what is said to have run has run.
-func model() porcupine.Model {
+// historyModel returns the specification of a key: it is granted only while it is free, its call runs once and only for
+// its holder, and a verdict that says that the call ran is true.
+func historyModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 			parts := map[string][]porcupine.Operation{}
@@ -76,31 +77,31 @@
 }
 
 func stepKey(s keyState, in input, out output) (bool, any) {
-	switch in.act {
-	case actRun:
+	switch in.kind {
+	case opRun:
 		return s.holder == in.request && !s.ran, keyState{holder: in.request, ran: true}
-	case actRelease:
+	case opRelease:
 		return s.holder == in.request && !s.ran, keyState{}
 	}
 	switch out.verdict {
 	case claim.Granted:
 		return s.holder == "", keyState{holder: in.request}
 	case claim.Replayed:
-		return s.ran && out.by == s.holder, s
+		return s.ran && out.storedBy == s.holder, s
 	case claim.AlreadyRan:
 		return s.ran, s
 	}
-	return true, s // The other verdicts may come at any time; their truth is checked by invariants.
+	return true, s // The other verdicts are possible in any state. The simulation in package claim checks them.
 }
 
-// history collects operations.
+// history records the operations of all callers with their times.
 type history struct {
-	mu    sync.Mutex
-	begin time.Time
-	ops   []porcupine.Operation
+	mu        sync.Mutex
+	startedAt time.Time
+	ops       []porcupine.Operation
 }
 
-func (h *history) now() int64 { return time.Since(h.begin).Nanoseconds() }
+func (h *history) now() int64 { return time.Since(h.startedAt).Nanoseconds() }
 
 func (h *history) add(client int, in input, out output, call, done int64) {
 	h.mu.Lock()
@@ -108,13 +109,14 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: call, Return: done})
 }
 
-// never is later than any operation: an effect that may come at any time.
-const never = int64(1) << 62
+// endOfHistory is later than any operation, in nanoseconds. It is the return time of an operation whose effect may
+// occur at any time after its call.
+const endOfHistory = int64(1) << 62
 
-// TestHistoriesUnderFaults runs callers that share keys and resend through all entries, while entries are paused, killed and
-// replaced and the platform has outages, delays and lost answers. The history must fit the model, and no key may have
-// run twice by the plain service's own log.
-func TestHistoriesUnderFaults(t *testing.T) {
+// TestRandomHistoriesUnderFaultsAreConsistent guards against any sequence of faults in which a key's call runs twice or
+// a verdict is false. Callers share keys and resend through all entries, while entries are paused, killed and replaced
+// and the platform has outages, delays and lost responses.
+func TestRandomHistoriesUnderFaultsAreConsistent(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
@@ -125,8 +127,8 @@
 
 func runHistory(t *testing.T, seed uint64) {
 	const callers, calls, keys = 8, 150, 500
-	b := newBench(t, 3)
-	h := &history{begin: time.Now()}
+	cl := newCluster(t, 3)
+	h := &history{startedAt: time.Now()}
 	names := make([]string, keys)
 	for i := range names {
 		names[i] = uuid.Must(uuid.NewV7()).String()
@@ -136,22 +138,22 @@
 	}
 	stop := make(chan struct{})
 	var work, trouble sync.WaitGroup
-	trouble.Go(func() { b.trouble(rand.New(rand.NewPCG(seed, 1)), stop) })
+	trouble.Go(func() { cl.injectFaults(rand.New(rand.NewPCG(seed, 1)), stop) })
 	for c := range callers {
 		work.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(c)+10))
 			for range calls {
-				b.useKey(h, rng, c, names[rng.IntN(keys)])
+				cl.useKey(h, rng, c, names[rng.IntN(keys)])
 			}
 		})
 	}
 	work.Wait()
 	close(stop)
 	trouble.Wait()
-	for key, n := range b.runs() {
+	for key, n := range cl.runCounts() {
 		require.LessOrEqual(t, n, 1, "key %s ran %d times", key, n)
 	}
-	result := porcupine.CheckOperationsTimeout(model(), h.ops, 10*time.Second)
+	result := porcupine.CheckOperationsTimeout(historyModel(), h.ops, 10*time.Second)
 	require.Equal(t, porcupine.Ok, result)
 	granted := 0
 	for _, op := range h.ops {
@@ -159,22 +161,23 @@
 			granted++
 		}
 	}
-	t.Logf("%d operations, %d granted, %d keys ran", len(h.ops), granted, len(b.runs()))
+	t.Logf("%d operations, %d granted, %d keys ran", len(h.ops), granted, len(cl.runCounts()))
 	require.Positive(t, granted)
 }
 
-// node returns one of the processes.
-func (b *bench) node(i int) *node {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.nodes[i%len(b.nodes)]
+// nodeByIndex returns the process at index i modulo the number of processes.
+func (cl *cluster) nodeByIndex(i int) *node {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.nodes[i%len(cl.nodes)]
 }
 
-// useKey sends one call with the key, and sends it again elsewhere, as another request, when it was refused as not run.
-func (b *bench) useKey(h *history, rng *rand.Rand, caller int, key string) {
+// useKey sends one call with the key. If it is refused as not run, useKey resends it as another request through another
+// entry.
+func (cl *cluster) useKey(h *history, rng *rand.Rand, caller int, key string) {
 	for range 3 {
-		n := b.node(rng.IntN(64))
-		if n.isDead() {
+		n := cl.nodeByIndex(rng.IntN(64))
+		if n.isKilled() {
 			continue
 		}
 		c := newClaim(key, uuid.NewString())
@@ -182,11 +185,11 @@
 		a := n.Make(context.Background(), c)
 		out := output{verdict: a.Verdict}
 		if a.Kept != nil {
-			out.by = string(a.Kept.Body)
+			out.storedBy = string(a.Kept.Body)
 		}
-		h.add(caller, input{key: key, act: actClaim, request: c.Request}, out, begin, h.now())
+		h.add(caller, input{key: key, kind: opClaim, request: c.Request}, out, begin, h.now())
 		if a.Verdict == claim.Granted {
-			b.granted(h, rng, caller, n, key, c)
+			cl.useGrant(h, rng, caller, n, key, c)
 			return
 		}
 		if a.Verdict != claim.NotRecorded && a.Verdict != claim.Unsure {
@@ -195,82 +198,84 @@
 	}
 }
 
-// granted plays what an entry does with a granted claim: it runs the call, or learns that it was not run, or dies.
-func (b *bench) granted(h *history, rng *rand.Rand, caller int, n *node, key string, c claim.Claim) {
+// useGrant simulates an entry whose claim was granted: it runs the call, or learns that the call did not run, or
+// crashes.
+func (cl *cluster) useGrant(h *history, rng *rand.Rand, caller int, n *node, key string, c claim.Claim) {
 	begin := h.now()
 	switch fate := rng.IntN(10); {
 	case fate < 3:
 		n.Settle(settlement(c, claim.Released))
-		h.add(caller, input{key: key, act: actRelease, request: c.Request}, output{}, begin, never)
+		h.add(caller, input{key: key, kind: opRelease, request: c.Request}, output{}, begin, endOfHistory)
 		return
 	case fate < 4:
-		return // The entry died before it sent the call.
+		return // The entry crashed before it sent the call.
 	case fate < 5:
-		b.call(key, c.Request) // The entry died before it could tell how the call ended.
+		cl.runCall(key, c.Request) // The entry crashed before it could report how the call ended.
 	default:
-		b.call(key, c.Request)
+		cl.runCall(key, c.Request)
 		n.Settle(settlement(c, claim.Ran))
 	}
-	h.add(caller, input{key: key, act: actRun, request: c.Request}, output{}, begin, h.now())
+	h.add(caller, input{key: key, kind: opRun, request: c.Request}, output{}, begin, h.now())
 }
 
-// trouble makes faults until stop.
-func (b *bench) trouble(rng *rand.Rand, stop chan struct{}) {
+// injectFaults injects one fault after another until stop is closed, then ends all faults.
+func (cl *cluster) injectFaults(rng *rand.Rand, stop chan struct{}) {
 	for {
 		select {
 		case <-stop:
-			b.faults(`{"outage":false,"hang":false,"delay_ms":0,"lose_next_answers":0}`)
-			b.resumeAll()
+			cl.setFaults(`{"outage":false,"hang":false,"delay_ms":0,"lose_next_answers":0}`)
+			cl.resumeAll()
 			return
 		case <-time.After(time.Duration(20+rng.IntN(60)) * time.Millisecond):
-			b.oneFault(rng)
+			cl.injectFault(rng)
 		}
 	}
 }
 
-func (b *bench) resumeAll() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, n := range b.nodes {
+func (cl *cluster) resumeAll() {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	for _, n := range cl.nodes {
 		n.resume()
 	}
 }
 
-func (b *bench) oneFault(rng *rand.Rand) {
+// injectFault injects one random fault. Faults with a duration last 10 to 359 ms.
+func (cl *cluster) injectFault(rng *rand.Rand) {
 	hold := time.Duration(10+rng.IntN(350)) * time.Millisecond
 	switch rng.IntN(8) {
 	case 0:
-		b.faults(`{"outage":true}`)
+		cl.setFaults(`{"outage":true}`)
 		time.Sleep(hold)
-		b.faults(`{"outage":false}`)
+		cl.setFaults(`{"outage":false}`)
 	case 1:
-		b.faults(`{"hang":true}`)
+		cl.setFaults(`{"hang":true}`)
 		time.Sleep(hold)
-		b.faults(`{"hang":false}`)
+		cl.setFaults(`{"hang":false}`)
 	case 2:
-		b.faults(`{"delay_ms":60}`)
+		cl.setFaults(`{"delay_ms":60}`)
 		time.Sleep(hold)
-		b.faults(`{"delay_ms":0}`)
+		cl.setFaults(`{"delay_ms":0}`)
 	case 3, 4:
-		b.faults(`{"lose_next_answers":2}`)
+		cl.setFaults(`{"lose_next_answers":2}`)
 	case 5, 6:
-		n := b.node(rng.IntN(64))
+		n := cl.nodeByIndex(rng.IntN(64))
 		n.pause()
 		time.Sleep(hold)
 		n.resume()
 	case 7:
-		b.node(rng.IntN(64)).kill()
-		fresh := b.start()
-		b.mu.Lock()
-		b.nodes = append([]*node{fresh}, living(b.nodes[:len(b.nodes)-1])...)
-		b.mu.Unlock()
+		cl.nodeByIndex(rng.IntN(64)).kill()
+		fresh := cl.startNode()
+		cl.mu.Lock()
+		cl.nodes = append([]*node{fresh}, notKilled(cl.nodes[:len(cl.nodes)-1])...)
+		cl.mu.Unlock()
 	}
 }
 
-func living(nodes []*node) []*node {
+func notKilled(nodes []*node) []*node {
 	var list []*node
 	for _, n := range nodes {
-		if !n.isDead() {
+		if !n.isKilled() {
 			list = append(list, n)
 		}
 	}
--- a/internal/claims/load.go
+++ b/internal/claims/load.go
@@ -14,27 +14,29 @@
 )
 
 const (
-	// loadTimeout bounds the reading of a whole partition, when a new owner takes it over.
+	// loadTimeout limits reading a complete partition, as a new owner does.
 	loadTimeout = 30 * time.Second
-	// parallelReads is how many segments are read at once.
-	parallelReads = 8
-	// readTries is how often a segment's reading is tried, and readRetry the wait between.
-	readTries = 3
-	readRetry = 200 * time.Millisecond
+	// maxParallelReads is the max number of segments that are read concurrently.
+	maxParallelReads = 8
+	// maxReadAttempts is the max number of attempts to read a segment, and readRetryInterval the time between two.
+	maxReadAttempts   = 3
+	readRetryInterval = 200 * time.Millisecond
 )
 
+// load carries out a claim.Load effect and reports its result to the reducer.
 func (p *partition) load(e claim.Load) {
 	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
 	loaded, err := p.readPartition(ctx, e.KnownSegments)
 	if err != nil {
-		p.failed(err, "read")
-		p.step(claim.LoadFailed{})
+		p.logFailure(err, "read")
+		p.handle(claim.LoadFailed{})
 		return
 	}
-	p.step(loaded)
+	p.handle(loaded)
 }
 
+// readPartition reads the head and its segments, except those in have.
 func (p *partition) readPartition(ctx context.Context, have map[string]bool) (claim.Loaded, error) {
 	ev, err := p.readHead(ctx)
 	if err != nil {
@@ -42,7 +44,7 @@
 	}
 	var mu sync.Mutex
 	reads, ctx := errgroup.WithContext(ctx)
-	reads.SetLimit(parallelReads)
+	reads.SetLimit(maxParallelReads)
 	for _, g := range ev.Head.Segments {
 		if have[g.Name] {
 			continue
@@ -58,6 +60,7 @@
 	return ev, reads.Wait()
 }
 
+// readHead reads the head. A head that does not exist yet has version 0.
 func (p *partition) readHead(ctx context.Context) (claim.Loaded, error) {
 	ev := claim.Loaded{Segments: map[string][]claim.Record{}}
 	item, err := p.get(ctx, claim.HeadKey(p.number))
@@ -68,27 +71,27 @@
 		return ev, err
 	}
 	ev.Version = item.Version
-	return ev, errors.Wrap(json.Unmarshal(item.Value, &ev.Head), "decode the head")
+	return ev, errors.Wrap(json.Unmarshal(item.Value, &ev.Head), "decoding partition head")
 }
 
-// readSegment reads a segment, and again when the platform refuses it, such as for its rate.
+// readSegment reads a segment. It retries when the platform refuses the read, for example because of its rate limit.
 func (p *partition) readSegment(ctx context.Context, name string) ([]claim.Record, error) {
 	var segment claim.RecordSegment
 	item, err := p.get(ctx, name)
-	for try := 1; try < readTries && certainlyRefused(err); try++ {
-		wait(ctx, readRetry)
+	for try := 1; try < maxReadAttempts && rejectedByPlatform(err); try++ {
+		sleep(ctx, readRetryInterval)
 		item, err = p.get(ctx, name)
 	}
 	if err != nil {
-		return nil, errors.Wrapf(err, "read %s", name)
+		return nil, errors.Wrapf(err, "reading segment %s", name)
 	}
 	err = json.Unmarshal(item.Value, &segment)
-	return segment.Records, errors.Wrapf(err, "decode %s", name)
+	return segment.Records, errors.Wrapf(err, "decoding segment %s", name)
 }
 
-// get bounds each call to the platform by itself.
+// get reads an object with the timeout of a single call to the platform.
 func (p *partition) get(ctx context.Context, key string) (objectapi.Item, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.timeout)
+	ctx, cancel := context.WithTimeout(ctx, p.callTimeout)
 	defer cancel()
 	return p.objects.Get(ctx, key)
 }
--- a/internal/claims/partition.go
+++ b/internal/claims/partition.go
@@ -16,61 +16,63 @@
 	"samphireweir.example/samphireweir/internal/objectapi"
 )
 
-// step is an event of the reducer.
-type step = corestep.Event
+// event is an event of the claims reducer.
+type event = corestep.Event
 
-// partition runs the reducer of one partition.
+// partition is the shell of one partition's reducer: it carries out the reducer's effects.
 type partition struct {
 	number  int
 	objects *objectapi.Client
 	log     zerolog.Logger
-	// timeout bounds one call to the platform.
-	timeout time.Duration
-
-	mu    sync.Mutex
-	state *claim.State
-	ops   uint64
-	// answers maps an op to the channel on which its answer is awaited.
-	answers map[uint64]chan claim.Reply
+	// callTimeout limits one call to the platform.
+	callTimeout time.Duration
+
+	mu     sync.Mutex
+	state  *claim.State
+	lastOp uint64
+	// replies maps an operation to the channel that receives its reply.
+	replies map[uint64]chan claim.Reply
 	timer   *time.Timer
 }
 
 func newPartition(number int, writer string, c Config) *partition {
 	return &partition{
-		number: number, objects: c.Objects, log: c.Log, timeout: c.Timing.Platform,
+		number: number, objects: c.Objects, log: c.Log, callTimeout: c.Timing.PlatformTimeout,
 		state:   claim.NewState(number, writer, c.Claims),
-		answers: map[uint64]chan claim.Reply{},
+		replies: map[uint64]chan claim.Reply{},
 	}
 }
 
-// do hands the reducer an event with a fresh op number and waits for its answer; ok is false when ctx ended first.
-func (p *partition) do(ctx context.Context, event func(op uint64) step) (a claim.Reply, ok bool) {
-	answer := make(chan claim.Reply, 1)
+// submit sends the reducer an event with a new operation number and waits for the reply; ok is false if ctx ended
+// first.
+func (p *partition) submit(ctx context.Context, newEvent func(op uint64) event) (a claim.Reply, ok bool) {
+	reply := make(chan claim.Reply, 1)
 	p.mu.Lock()
-	p.ops++
-	op := p.ops
-	p.answers[op] = answer
-	p.reduce(event(op))
+	p.lastOp++
+	op := p.lastOp
+	p.replies[op] = reply
+	p.reduce(newEvent(op))
 	p.mu.Unlock()
 	select {
-	case a := <-answer:
+	case a := <-reply:
 		return a, true
 	case <-ctx.Done():
 		p.mu.Lock()
-		delete(p.answers, op)
+		delete(p.replies, op)
 		p.mu.Unlock()
 		return claim.Reply{}, false
 	}
 }
 
-func (p *partition) step(ev step) {
+// handle sends the reducer one event.
+func (p *partition) handle(ev event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reduce(ev)
 }
 
-// reduce carries out the effects of one event; the caller holds mu.
-func (p *partition) reduce(ev step) {
+// reduce sends the reducer one event and carries out the effects; the caller holds mu.
+func (p *partition) reduce(ev event) {
 	for _, e := range p.state.Reduce(corestep.Input{Now: time.Now(), Event: ev}) {
 		switch e := e.(type) {
 		case claim.Reply:
@@ -87,62 +89,66 @@
 	}
 }
 
+// deliver passes a reply to the caller that waits for it, if there still is one.
 func (p *partition) deliver(e claim.Reply) {
-	if answer, waits := p.answers[e.Op]; waits {
-		answer <- e
-		delete(p.answers, e.Op)
+	if reply, waits := p.replies[e.Op]; waits {
+		reply <- e
+		delete(p.replies, e.Op)
 	}
 }
 
+// wakeAt schedules a claim.Woken event; it replaces the one scheduled before.
 func (p *partition) wakeAt(at time.Time) {
 	if p.timer != nil {
 		p.timer.Stop()
 	}
-	p.timer = time.AfterFunc(time.Until(at), func() { p.step(claim.Woken{}) })
+	p.timer = time.AfterFunc(time.Until(at), func() { p.handle(claim.Woken{}) })
 }
 
+// commit carries out a claim.Commit effect and reports its result to the reducer.
 func (p *partition) commit(e claim.Commit) {
-	ctx, cancel := context.WithTimeout(context.Background(), p.timeout)
+	ctx, cancel := context.WithTimeout(context.Background(), p.callTimeout)
 	defer cancel()
-	p.step(p.write(ctx, e))
+	p.handle(p.write(ctx, e))
 }
 
-// write returns the event that tells what became of the commit.
-func (p *partition) write(ctx context.Context, e claim.Commit) step {
+// write writes the commit and returns the event that reports its result.
+func (p *partition) write(ctx context.Context, e claim.Commit) event {
 	for _, segment := range e.Segments {
 		if err := p.writeSegment(ctx, segment); err != nil {
-			// The head was not written, whatever became of the segment.
-			p.failed(err, "write")
+			// The head was not written, whether or not the segment was.
+			p.logFailure(err, "write")
 			return claim.Refused{RetryAfter: retryAfter(err)}
 		}
 	}
 	value, err := json.Marshal(e.Head)
 	if err != nil {
-		p.failed(err, "encode")
+		p.logFailure(err, "encode")
 		return claim.Refused{}
 	}
 	item, err := p.objects.Put(ctx, claim.HeadKey(p.number), value, e.IfVersion)
 	if err == nil {
 		return claim.Committed{Version: item.Version}
 	}
-	return p.notWritten(err)
+	return p.writeFailed(err)
 }
 
-func (p *partition) notWritten(err error) step {
+// writeFailed returns the event for a write of the head that returned err.
+func (p *partition) writeFailed(err error) event {
 	var conflict *objectapi.ConflictError
 	if errors.As(err, &conflict) {
 		return claim.Conflicted{}
 	}
-	p.failed(err, "write")
-	if certainlyRefused(err) {
+	p.logFailure(err, "write")
+	if rejectedByPlatform(err) {
 		return claim.Refused{RetryAfter: retryAfter(err)}
 	}
 	return claim.Uncertain{}
 }
 
-// certainlyRefused tells whether the platform itself said that it did nothing. Other errors, such as a gateway's,
-// may come after the write took effect.
-func certainlyRefused(err error) bool {
+// rejectedByPlatform reports whether the platform itself refused the call, so that it certainly had no effect. Other
+// errors, such as those of a gateway, may be returned after the write took effect.
+func rejectedByPlatform(err error) bool {
 	var refused *objectapi.RefusedError
 	if !errors.As(err, &refused) {
 		return false
@@ -154,6 +160,7 @@
 	return false
 }
 
+// retryAfter returns the Retry-After delay in the platform's refusal, or 0 if there is none.
 func retryAfter(err error) time.Duration {
 	var refused *objectapi.RefusedError
 	if errors.As(err, &refused) {
@@ -162,28 +169,31 @@
 	return 0
 }
 
-// writeSegment writes an object that nobody else writes; a conflict says that it is there already.
+// writeSegment writes an object whose name is unique to this process. A conflict therefore means that an earlier
+// attempt has written it.
 func (p *partition) writeSegment(ctx context.Context, s claim.NewSegment) error {
 	value, err := json.Marshal(s.Value)
 	if err != nil {
-		return errors.Wrapf(err, "encode %s", s.Name)
+		return errors.Wrapf(err, "encoding segment object %s", s.Name)
 	}
 	_, err = p.objects.Put(ctx, s.Name, value, 0)
 	var conflict *objectapi.ConflictError
 	if errors.As(err, &conflict) {
 		return nil
 	}
-	return errors.Wrapf(err, "write %s", s.Name)
+	return errors.Wrapf(err, "writing segment object %s", s.Name)
 }
 
+// sweep deletes the objects of swept segments.
 func (p *partition) sweep(e claim.Sweep) {
 	for _, name := range e.Names {
-		p.sweepOne(name)
+		p.deleteObject(name)
 	}
 }
 
-func (p *partition) sweepOne(name string) {
-	ctx, cancel := context.WithTimeout(context.Background(), p.timeout)
+// deleteObject deletes an object if it can. A failure only leaves an unused object behind.
+func (p *partition) deleteObject(name string) {
+	ctx, cancel := context.WithTimeout(context.Background(), p.callTimeout)
 	defer cancel()
 	item, err := p.objects.Get(ctx, name)
 	if err != nil {
@@ -192,6 +202,6 @@
 	_, _ = p.objects.Delete(ctx, name, item.Version)
 }
 
-func (p *partition) failed(err error, what string) {
-	logevent.Warn(p.log, logevent.ClaimFailed).Int("partition", p.number).Str("what", what).Err(err).Msg("claim failed")
+func (p *partition) logFailure(err error, operation string) {
+	logevent.Warn(p.log, logevent.ClaimFailed).Int("partition", p.number).Str("what", operation).Err(err).Msg("claim failed")
 }
--- a/internal/claims/service.go
+++ b/internal/claims/service.go
@@ -1,5 +1,5 @@
-// Package claims carries out the reducer of package claim in a process: it calls the platform for the partitions
-// that this process owns, and passes claims for other partitions on to their owners over the control channel.
+// Package claims is the shell of the reducer of package claim: it calls the platform for the partitions that this
+// process owns, and forwards claims of other partitions to their owners over the control channel.
 package claims
 
 import (
@@ -17,7 +17,7 @@
 	"samphireweir.example/samphireweir/internal/objectapi"
 )
 
-// Peers tells which processes can own partitions, and how to call them.
+// Peers lists the processes that can own partitions, and calls them.
 type Peers interface {
 	// Entries returns the addresses of the live entries, this process's own included.
 	Entries() []string
@@ -25,34 +25,34 @@
 	Call(ctx context.Context, address, method string, params, answer any) error
 }
 
-// Config is what a Service needs.
+// Config is the configuration of a Service.
 type Config struct {
 	// Self is this process's address among its peers.
 	Self    string
 	Objects *objectapi.Client
 	Peers   Peers
 	Log     zerolog.Logger
-	// Claims sets the bounds; zero fields take the defaults.
+	// Claims sets the limits of the partitions; zero fields take the defaults.
 	Claims claim.Config
-	// Timing bounds the calls; zero fields take the defaults.
+	// Timing sets the timeouts; zero fields take the defaults.
 	Timing Timing
 }
 
-// Service makes claims.
+// Service claims idempotency keys and records the outcomes of their calls.
 type Service struct {
 	config     Config
 	partitions [claim.Partitions]*partition
-	// background counts settlements that are not recorded yet.
+	// background counts the settlements that are still being recorded.
 	background sync.WaitGroup
 
-	mu      sync.Mutex
-	silence *claim.OwnerBackoff
+	mu           sync.Mutex
+	ownerBackoff *claim.OwnerBackoff
 }
 
-// New returns a service. It makes no call before it is asked for a claim.
+// New returns a service. It makes no call before the first claim or settlement.
 func New(c Config) *Service {
 	c.Timing = c.Timing.withDefaults()
-	s := &Service{config: c, silence: claim.NewOwnerBackoff()}
+	s := &Service{config: c, ownerBackoff: claim.NewOwnerBackoff()}
 	writer := uuid.NewString()
 	for i := range s.partitions {
 		s.partitions[i] = newPartition(i, writer, c)
@@ -60,21 +60,21 @@
 	return s
 }
 
-// Answer is the answer to a claim.
+// Answer is the result of a claim.
 type Answer struct {
 	Verdict claim.Verdict `json:"verdict"`
-	// RetryAfterMS is when it is worth asking again, in milliseconds.
+	// RetryAfterMS is the delay after which the caller may repeat its request, in milliseconds.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
-	// Kept is the answer to replay.
+	// Kept is the stored response to replay; nil unless the verdict is Replayed.
 	Kept *claim.Answer `json:"kept,omitempty"`
 }
 
-// Make claims a key. When the verdict is not Granted, the call must not be sent: not then and not later.
+// Make claims a key. Unless the verdict is Granted, the call must not be sent, neither then nor later.
 func (s *Service) Make(ctx context.Context, c claim.Claim) Answer {
-	// A caller that goes away must not cut the connection to an owner, which other claims share.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.config.Timing.Claim)
+	// A caller that disconnects must not close the connection to an owner, which other claims share.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.config.Timing.ClaimTimeout)
 	defer cancel()
-	a := s.ask(ctx, c)
+	a := s.claimFromOwners(ctx, c)
 	if a.Verdict == claim.Granted && ctx.Err() != nil {
 		a = Answer{Verdict: claim.Unsure}
 	}
@@ -84,20 +84,20 @@
 	return a
 }
 
-// ask asks the partition's owner and, when it does not answer, those next in line. The record tells by the
-// request's id whether one that did not answer had made the claim.
-func (s *Service) ask(ctx context.Context, c claim.Claim) Answer {
-	unsure := false
-	for _, address := range s.owners(c.Key) {
-		if !s.mayAsk(address) {
+// claimFromOwners sends the claim to the partition's owner and, if that does not answer, to the owners after it. An
+// owner that did not answer may have recorded the claim; the next one finds it in the record by its request id.
+func (s *Service) claimFromOwners(ctx context.Context, c claim.Claim) Answer {
+	maybeRecorded := false
+	for _, address := range s.ownersToCall(c.Key) {
+		if !s.mayCall(address) {
 			continue
 		}
-		a, err := s.askOne(ctx, address, c)
+		a, err := s.claimFrom(ctx, address, c)
 		if err != nil {
-			unsure = unsure || !neverAsked(err)
+			maybeRecorded = maybeRecorded || !dialFailed(err)
 			continue
 		}
-		if unsure && a.Verdict == claim.NotRecorded {
+		if maybeRecorded && a.Verdict == claim.NotRecorded {
 			a.Verdict = claim.Unsure
 		}
 		return a
@@ -105,81 +105,84 @@
 	return Answer{Verdict: claim.Unsure, RetryAfterMS: claim.MinRetryAfter.Milliseconds()}
 }
 
-// neverAsked tells whether the call did not even reach a process.
-func neverAsked(err error) bool {
+// dialFailed reports whether no connection was made, so that the call certainly had no effect.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// mayAsk passes over owners that did not answer lately; this process itself may always be asked.
-func (s *Service) mayAsk(address string) bool {
+// mayCall reports whether the owner at address may be called. Owners that did not answer recently are skipped; this
+// process itself is never skipped.
+func (s *Service) mayCall(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return address == s.config.Self || s.silence.MayCall(time.Now(), address, s.config.Timing.Forward)
+	return address == s.config.Self || s.ownerBackoff.MayCall(time.Now(), address, s.config.Timing.ForwardTimeout)
 }
 
-// call calls another owner, and remembers whether it answered.
+// call calls another owner and records whether it answered.
 func (s *Service) call(ctx context.Context, address, method string, params, answer any) error {
 	err := s.config.Peers.Call(ctx, address, method, params, answer)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.silence.RecordFailure(time.Now(), address)
+		s.ownerBackoff.RecordFailure(time.Now(), address)
 	} else {
-		s.silence.RecordSuccess(address)
+		s.ownerBackoff.RecordSuccess(address)
 	}
 	return err
 }
 
-// owners returns whom to ask, in order; this process itself is the last resort.
-func (s *Service) owners(k claim.Key) []string {
-	const takeOvers = 2
+// ownersToCall returns the owners to call for a key, in order. This process itself is always the last one.
+func (s *Service) ownersToCall(k claim.Key) []string {
+	const maxFailovers = 2
 	ranked := claim.RankOwners(k.Partition(), s.config.Peers.Entries())
 	var owners []string
 	for _, address := range ranked {
 		if address == s.config.Self {
 			return append(owners, address)
 		}
-		if len(owners) < takeOvers {
+		if len(owners) < maxFailovers {
 			owners = append(owners, address)
 		}
 	}
 	return append(owners, s.config.Self)
 }
 
-func (s *Service) askOne(ctx context.Context, address string, c claim.Claim) (Answer, error) {
+// claimFrom sends the claim to one owner.
+func (s *Service) claimFrom(ctx context.Context, address string, c claim.Claim) (Answer, error) {
 	if address == s.config.Self {
-		return s.Own(ctx, c), ctx.Err()
+		return s.ClaimAsOwner(ctx, c), ctx.Err()
 	}
 	deadline, _ := ctx.Deadline()
-	ctx, cancel := context.WithTimeout(ctx, s.config.Timing.Forward)
+	ctx, cancel := context.WithTimeout(ctx, s.config.Timing.ForwardTimeout)
 	defer cancel()
-	within := min(s.config.Timing.Owner, time.Until(deadline))
+	timeout := min(s.config.Timing.OwnerTimeout, time.Until(deadline))
 	var a Answer
-	err := s.call(ctx, address, makeMethod, makeMessage{Claim: c, WithinMS: within.Milliseconds()}, &a)
+	err := s.call(ctx, address, claimMethod, claimMessage{Claim: c, TimeoutMS: timeout.Milliseconds()}, &a)
 	return a, err
 }
 
-// Own claims a key as the partition's owner.
-func (s *Service) Own(ctx context.Context, c claim.Claim) Answer {
+// ClaimAsOwner claims a key with this process as the partition's owner.
+func (s *Service) ClaimAsOwner(ctx context.Context, c claim.Claim) Answer {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(s.config.Timing.Claim)
+		deadline = time.Now().Add(s.config.Timing.ClaimTimeout)
 	}
 	p := s.partitions[c.Key.Partition()]
-	e, ok := p.do(ctx, func(op uint64) step { return claim.ClaimRequested{Op: op, Claim: c, Deadline: deadline} })
+	e, ok := p.submit(ctx, func(op uint64) event { return claim.ClaimRequested{Op: op, Claim: c, Deadline: deadline} })
 	if !ok {
 		return Answer{Verdict: claim.Unsure}
 	}
 	a := Answer{Verdict: e.Verdict, RetryAfterMS: e.RetryAfter.Milliseconds(), Kept: e.Answer}
 	if e.Verdict == claim.Replayed && a.Kept == nil {
-		a = s.readKept(ctx, c.Key, e.AnswersName)
+		a = s.readStoredAnswer(ctx, c.Key, e.AnswersName)
 	}
 	return a
 }
 
-// readKept reads a kept answer from its segment.
-func (s *Service) readKept(ctx context.Context, k claim.Key, segment string) Answer {
+// readStoredAnswer reads a stored response from its AnswerSegment object. If it can't be read, the verdict is
+// AlreadyRan.
+func (s *Service) readStoredAnswer(ctx context.Context, k claim.Key, segment string) Answer {
 	var kept claim.AnswerSegment
 	item, err := s.config.Objects.Get(ctx, segment)
 	if err != nil || json.Unmarshal(item.Value, &kept) != nil || kept.Answers[k] == nil {
@@ -188,21 +191,21 @@
 	return Answer{Verdict: claim.Replayed, Kept: kept.Answers[k]}
 }
 
-// Settle records how the call of a claim ended. It returns at once and goes on trying for Timing.Settle; when it
-// does not succeed, the key's outcome is told as unknown.
+// Settle records how the call of a claim ended. It returns immediately and retries in the background for
+// Timing.SettleTimeout. If that fails, repeats of the key are refused because its outcome is unknown.
 func (s *Service) Settle(t claim.Settlement) {
 	s.background.Add(1)
 	go func() {
 		defer s.background.Done()
-		ctx, cancel := context.WithTimeout(context.Background(), s.config.Timing.Settle)
+		ctx, cancel := context.WithTimeout(context.Background(), s.config.Timing.SettleTimeout)
 		defer cancel()
 		for !s.settleOnce(ctx, t) && ctx.Err() == nil {
-			wait(ctx, s.config.Timing.SettleRetry)
+			sleep(ctx, s.config.Timing.SettleRetryInterval)
 		}
 	}()
 }
 
-// Wait waits until all settlements are recorded or given up, or ctx ends.
+// Wait waits until all settlements are recorded or abandoned, or ctx ends.
 func (s *Service) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -215,13 +218,14 @@
 	}
 }
 
+// settleOnce makes one attempt to record a settlement and reports whether it is recorded.
 func (s *Service) settleOnce(ctx context.Context, t claim.Settlement) bool {
-	for _, address := range s.owners(t.Key) {
-		if !s.mayAsk(address) {
+	for _, address := range s.ownersToCall(t.Key) {
+		if !s.mayCall(address) {
 			continue
 		}
 		if address == s.config.Self {
-			return s.ownSettle(ctx, t) == claim.Settled
+			return s.settleAsOwner(ctx, t) == claim.Settled
 		}
 		var a Answer
 		err := s.call(ctx, address, settleMethod, t, &a)
@@ -232,19 +236,21 @@
 	return false
 }
 
-func (s *Service) ownSettle(ctx context.Context, t claim.Settlement) claim.Verdict {
-	ctx, cancel := context.WithTimeout(ctx, s.config.Timing.SettleTry)
+// settleAsOwner records a settlement with this process as the partition's owner.
+func (s *Service) settleAsOwner(ctx context.Context, t claim.Settlement) claim.Verdict {
+	ctx, cancel := context.WithTimeout(ctx, s.config.Timing.SettleAttemptTimeout)
 	defer cancel()
 	deadline, _ := ctx.Deadline()
 	p := s.partitions[t.Key.Partition()]
-	e, ok := p.do(ctx, func(op uint64) step { return claim.SettlementRequested{Op: op, Settlement: t, Deadline: deadline} })
+	e, ok := p.submit(ctx, func(op uint64) event { return claim.SettlementRequested{Op: op, Settlement: t, Deadline: deadline} })
 	if !ok {
 		return claim.NotRecorded
 	}
 	return e.Verdict
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/claims/timing.go
+++ b/internal/claims/timing.go
@@ -6,43 +6,44 @@
 	"samphireweir.example/samphireweir/internal/control"
 )
 
-// Timing bounds the parts of a claim. Zero fields take the defaults.
+// Timing sets the timeouts of the steps of a claim. Zero fields take the defaults.
 type Timing struct {
-	// Claim bounds a claim, with all its calls. After it the call is refused as not run.
-	Claim time.Duration
-	// Owner bounds the wait for the platform in an owner that was asked by another process.
-	Owner time.Duration
-	// Forward is how long an owner may be silent before the next in line is asked. It is longer than Owner, so that
-	// an owner that lives has answered by then, also when the platform is slow.
-	Forward time.Duration
-	// Settle bounds the attempts to record how a call ended.
-	Settle time.Duration
-	// SettleTry bounds one of them, and SettleRetry is the wait between two.
-	SettleTry   time.Duration
-	SettleRetry time.Duration
-	// Platform bounds one call to the platform.
-	Platform time.Duration
+	// ClaimTimeout limits a claim with all its calls. After it the caller's request is refused as not run.
+	ClaimTimeout time.Duration
+	// OwnerTimeout limits how long an owner waits for the platform when it handles a claim of another process.
+	OwnerTimeout time.Duration
+	// ForwardTimeout limits the call to another owner. After it the next owner is called. It is longer than
+	// OwnerTimeout, so that a live owner answers in time even if the platform is slow.
+	ForwardTimeout time.Duration
+	// SettleTimeout limits the time in which recording the outcome of a call is retried.
+	SettleTimeout time.Duration
+	// SettleAttemptTimeout limits one attempt of an owner to record an outcome, and SettleRetryInterval is the time
+	// between two attempts.
+	SettleAttemptTimeout time.Duration
+	SettleRetryInterval  time.Duration
+	// PlatformTimeout limits one call to the platform.
+	PlatformTimeout time.Duration
 }
 
 // The defaults of Timing.
 const (
-	DefaultClaim       = 2 * time.Second
-	DefaultOwner       = time.Second
-	DefaultForward     = DefaultOwner + 200*time.Millisecond
-	DefaultSettle      = time.Minute
-	DefaultSettleTry   = control.CallTimeout
-	DefaultSettleRetry = 500 * time.Millisecond
-	DefaultPlatform    = 2 * time.Second
+	DefaultClaimTimeout         = 2 * time.Second
+	DefaultOwnerTimeout         = time.Second
+	DefaultForwardTimeout       = DefaultOwnerTimeout + 200*time.Millisecond
+	DefaultSettleTimeout        = time.Minute
+	DefaultSettleAttemptTimeout = control.CallTimeout
+	DefaultSettleRetryInterval  = 500 * time.Millisecond
+	DefaultPlatformTimeout      = 2 * time.Second
 )
 
 func (t Timing) withDefaults() Timing {
-	setDefault(&t.Claim, DefaultClaim)
-	setDefault(&t.Owner, DefaultOwner)
-	setDefault(&t.Forward, DefaultForward)
-	setDefault(&t.Settle, DefaultSettle)
-	setDefault(&t.SettleTry, DefaultSettleTry)
-	setDefault(&t.SettleRetry, DefaultSettleRetry)
-	setDefault(&t.Platform, DefaultPlatform)
+	setDefault(&t.ClaimTimeout, DefaultClaimTimeout)
+	setDefault(&t.OwnerTimeout, DefaultOwnerTimeout)
+	setDefault(&t.ForwardTimeout, DefaultForwardTimeout)
+	setDefault(&t.SettleTimeout, DefaultSettleTimeout)
+	setDefault(&t.SettleAttemptTimeout, DefaultSettleAttemptTimeout)
+	setDefault(&t.SettleRetryInterval, DefaultSettleRetryInterval)
+	setDefault(&t.PlatformTimeout, DefaultPlatformTimeout)
 	return t
 }
 
