--- a/internal/core/incarnation/incarnation.go
+++ b/internal/core/incarnation/incarnation.go
@@ -1,7 +1,10 @@
-// Package incarnation is the reducer by which an agent takes its incarnation: the number that fences its orders to
-// engines. The number is the revision of the write that took the host's object, so it only goes up, also when the
-// object was deleted in between. For engines that ignore the number the same object is a lease: it is renewed by
-// writing it, and a new agent waits until no order of the former one can be on its way.
+// Package incarnation is the reducer that acquires an agent's incarnation: the fencing number that the agent sends
+// with its load orders to engines. The number is the revision of the conditional write by which the agent took over
+// its host's object on the platform. Revisions only increase, so a later incarnation is always higher, even if the
+// object was deleted in between.
+//
+// For engines that ignore fencing numbers, the same object serves as a lease. The holder renews it by writing it. A
+// new holder waits until no order of the previous one can still be in flight.
 package incarnation
 
 import (
@@ -11,31 +14,34 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// Prefix is where the objects live: Prefix + host.
+// Prefix begins the keys of the objects: the key is Prefix + host.
 const Prefix = "incarnations/"
 
-// The default times.
+// Default timing.
 const (
-	// DefaultLease is how long a renewal permits orders to engines that ignore fencing numbers.
+	// DefaultLease is how long one renewal allows orders to engines that ignore fencing numbers.
 	DefaultLease = 15 * time.Second
-	// DefaultSettle is the longest that an order can still be on its way after its holder cut it.
+	// DefaultSettle is the maximum time for which an order can stay in flight after its holder cancelled it.
 	DefaultSettle = 5 * time.Second
-	// DefaultRetry is the wait after a failed call, and half of the longest wait after a conflict.
+	// DefaultRetry is the minimum delay after a failed call. A random part of up to the same length is added.
 	DefaultRetry = 500 * time.Millisecond
 )
 
-// marginPart is the part of the lease that the holder leaves unused: clocks of two hosts may run at rates that
-// differ by far less.
-const marginPart = 10
+// leaseMarginDivisor sets the safety margin: the holder leaves 1/10 of the lease unused. The clock rates of two hosts
+// differ by far less than that.
+const leaseMarginDivisor = 10
 
-// renewParts is into how many parts the lease is cut by renewals while orders run.
-const renewParts = 3
+// renewalsPerLease is the number of renewals per lease while orders are in flight or wanted.
+const renewalsPerLease = 3
 
-// Timing holds the times; zero fields take the defaults.
+// Timing configures the lease; zero fields take the defaults.
 type Timing struct {
-	Lease  time.Duration
+	// Lease is how long one renewal allows orders to engines that ignore fencing numbers.
+	Lease time.Duration
+	// Settle is the maximum time for which an order can stay in flight after its holder cancelled it.
 	Settle time.Duration
-	Retry  time.Duration
+	// Retry is the minimum delay after a failed call.
+	Retry time.Duration
 }
 
 func (t Timing) withDefaults() Timing {
@@ -51,41 +57,45 @@
 	return t
 }
 
-// Record is the object's value.
+// Record is the JSON value of the host's object.
 type Record struct {
-	// Holder names the process that wrote it; no two processes share a name.
+	// Holder is the unique name of the process that wrote the object.
 	Holder string `json:"holder"`
 	// Renewal counts the holder's writes.
 	Renewal uint64 `json:"renewal"`
-	// Released says that the holder gives no order any more.
+	// Released is set when the holder sends no more orders.
 	Released bool `json:"released,omitempty"`
 }
 
-// State is what an agent knows of its incarnation.
+// State is an agent's view of its incarnation.
 type State struct {
-	// Number is the incarnation; 0 before it is held.
+	// Number is the incarnation, or 0 while none is held.
 	Number uint64
-	// Superseded is set for good when another process took the host's object, or when this one released it.
+	// Superseded is set when another process took over the host's object or this one released it. It is never reset.
 	Superseded bool
 
 	key    string
 	holder string
 	timing Timing
-	// version is the version of the object as last heard.
+	// version is the object's version in the last answer.
 	version uint64
-	// renewal is the count in the last write, sentAt when it was emitted.
-	renewal uint64
-	sentAt  time.Time
-	// renewedAt is when the last write that took effect was emitted.
-	renewedAt time.Time
-	// heldAt is when this process learned that it holds the number.
-	heldAt time.Time
-	// clear is set when no former holder can have an order on its way.
-	clear     bool
-	inFlight  bool
-	doubt     bool
+	// renewal is the counter in the last write, and renewalSentAt is when that write was emitted.
+	renewal       uint64
+	renewalSentAt time.Time
+	// leaseStart is when the last write that took effect was emitted. The lease runs from then.
+	leaseStart time.Time
+	// acquiredAt is when this process learned that it holds the incarnation.
+	acquiredAt time.Time
+	// noFormerOrders is set when no order of a previous holder can be in flight.
+	noFormerOrders bool
+	// inFlight is set while a call awaits its answer.
+	inFlight bool
+	// needsRead is set when the object must be read before any other call.
+	needsRead bool
+	// releasing is set when the incarnation is to be given up.
 	releasing bool
-	notBefore time.Time
+	// nextCallAt is the earliest time of the next call.
+	nextCallAt time.Time
 }
 
 // Event is an event of this package.
@@ -94,14 +104,14 @@
 	incarnation()
 }
 
-// Present is the object as it now is: the answer to a read, to a write, or to a write that met a conflict.
+// Present reports the object's current state. It answers a read, a write, or a write that failed on a version conflict.
 type Present struct {
-	// Version is 0 when there is no object.
+	// Version is 0 when the object does not exist.
 	Version uint64
 	Value   []byte
 }
 
-// Failed says that a call failed; a write may have taken effect or not.
+// Failed reports that a call failed. If it was a write, its outcome is unknown.
 type Failed struct{}
 
 // Event marks the type as an event.
@@ -116,17 +126,17 @@
 // Read reads the object.
 type Read struct{ Key string }
 
-// Write writes the object on condition of its version.
+// Write writes the object if its version is still IfVersion.
 type Write struct {
 	Key       string
 	IfVersion uint64
 	Value     []byte
 }
 
-// Held tells the shell that the incarnation is held.
+// Held notifies the shell that the incarnation was acquired. The shell carries out the effects of reducers.
 type Held struct{ Number uint64 }
 
-// Lost tells the shell that another process took the host's object; this one gives no order any more.
+// Lost notifies the shell that another process took over the host's object, so this one sends no more orders.
 type Lost struct{ Number uint64 }
 
 // Effect marks the type as an effect.
@@ -141,32 +151,34 @@
 // Effect marks the type as an effect.
 func (Lost) Effect() {}
 
-// NewState returns the state of a process that holds nothing. holder must be unique among all processes.
+// NewState returns the state of a process that does not hold the incarnation. holder must be unique among all
+// processes.
 func NewState(host, holder string, t Timing) *State {
 	return &State{key: Prefix + host, holder: holder, timing: t.withDefaults()}
 }
 
-// Retry is the wait after a failed call.
+// Retry returns the minimum delay after a failed call.
 func (s *State) Retry() time.Duration { return s.timing.Retry }
 
-// taken tells whether this process has ever held the incarnation.
-func (s *State) taken() bool { return !s.heldAt.IsZero() }
+// everHeld reports whether this process has ever held the incarnation.
+func (s *State) everHeld() bool { return !s.acquiredAt.IsZero() }
 
-// Settled tells whether no answer about the object is outstanding or wanted.
-func (s *State) Settled() bool { return !s.inFlight && !s.doubt }
+// Settled reports whether no call is in flight and no read of the object is pending.
+func (s *State) Settled() bool { return !s.inFlight && !s.needsRead }
 
-// Held tells whether this process holds the incarnation, as far as it knows.
+// Held reports whether this process holds the incarnation, as far as it knows.
 func (s *State) Held() bool { return s.Number != 0 && !s.Superseded }
 
-// Clear tells whether no order of a former agent can reach an engine that ignores fencing numbers.
+// Clear reports whether orders of a previous agent can no longer reach an engine that ignores fencing numbers.
 func (s *State) Clear(now time.Time) bool {
 	if !s.Held() {
 		return false
 	}
-	return s.clear || now.Sub(s.heldAt) >= s.timing.Lease+s.timing.Settle
+	return s.noFormerOrders || now.Sub(s.acquiredAt) >= s.timing.Lease+s.timing.Settle
 }
 
-// MayOrder tells whether an order may go out at now. ignored says that the engine ignores fencing numbers.
+// MayOrder reports whether an order may be sent at now. ignored is set when the engine ignores fencing numbers; then
+// the lease must be valid as well.
 func (s *State) MayOrder(now time.Time, ignored bool) bool {
 	if !s.Held() || s.releasing {
 		return false
@@ -174,33 +186,33 @@
 	if !ignored {
 		return true
 	}
-	valid := s.timing.Lease - s.timing.Lease/marginPart
-	return s.Clear(now) && now.Sub(s.renewedAt) < valid
+	valid := s.timing.Lease - s.timing.Lease/leaseMarginDivisor
+	return s.Clear(now) && now.Sub(s.leaseStart) < valid
 }
 
-// Doubt asks for the object to be read again: an engine has seen a higher number.
-func (s *State) Doubt() { s.doubt = true }
+// Doubt requests that the object is read again. It is called when an engine has seen a higher fencing number.
+func (s *State) Doubt() { s.needsRead = true }
 
-// Release gives the incarnation back once the caller has no order on its way.
+// Release starts giving up the incarnation. The caller must have no order in flight.
 func (s *State) Release() { s.releasing = true }
 
-// Advance returns the call that is due at now, if any. renew says that orders to engines that ignore fencing
-// numbers are on their way or wanted.
+// Advance returns the call to make at now, if any. renew is set while orders to engines that ignore fencing numbers
+// are in flight or wanted, so that the lease must be kept.
 func (s *State) Advance(now time.Time, renew bool) []step.Effect {
-	if s.inFlight || s.Superseded || now.Before(s.notBefore) {
+	if s.inFlight || s.Superseded || now.Before(s.nextCallAt) {
 		return nil
 	}
-	if s.releasing && !s.taken() {
-		return nil // Nothing to give back.
+	if s.releasing && !s.everHeld() {
+		return nil // There is nothing to release.
 	}
-	if s.Number == 0 || s.doubt {
+	if s.Number == 0 || s.needsRead {
 		s.inFlight = true
 		return []step.Effect{Read{Key: s.key}}
 	}
 	if s.releasing {
 		return s.write(now, true)
 	}
-	if renew && now.Sub(s.renewedAt) >= s.timing.Lease/renewParts {
+	if renew && now.Sub(s.leaseStart) >= s.timing.Lease/renewalsPerLease {
 		return s.write(now, false)
 	}
 	return nil
@@ -211,49 +223,51 @@
 	s.inFlight = false
 	switch ev := in.Event.(type) {
 	case Present:
-		return s.present(in, ev)
+		return s.handlePresent(in, ev)
 	case Failed:
-		s.wait(in)
-		// A write whose answer is lost is settled by reading back.
-		s.doubt = true
+		s.delayNextCall(in)
+		// The outcome of a failed write is unknown until the object is read.
+		s.needsRead = true
 	}
 	return nil
 }
 
-// wait keeps the next call back, by a time that differs between processes.
-func (s *State) wait(in step.Input) {
-	s.notBefore = in.Now.Add(s.timing.Retry + time.Duration(in.Rand%uint64(s.timing.Retry)))
+// delayNextCall delays the next call by Retry plus random jitter, so that processes do not retry at the same time.
+func (s *State) delayNextCall(in step.Input) {
+	s.nextCallAt = in.Now.Add(s.timing.Retry + time.Duration(in.Rand%uint64(s.timing.Retry)))
 }
 
-func (s *State) present(in step.Input, ev Present) []step.Effect {
+// handlePresent handles the object's current state.
+func (s *State) handlePresent(in step.Input, ev Present) []step.Effect {
 	var r Record
 	if ev.Version != 0 && json.Unmarshal(ev.Value, &r) != nil {
-		r = Record{} // Not ours: it is taken over like another process's.
+		r = Record{} // A malformed value is treated as one of another process.
 	}
 	s.version = ev.Version
 	if ev.Version != 0 && r.Holder == s.holder {
-		return s.own(in, r)
+		return s.handleOwn(in, r)
 	}
-	if s.taken() && ev.Version != 0 {
-		// A process that held the incarnation never takes it back: two would take it from each other without end.
+	if s.everHeld() && ev.Version != 0 {
+		// A process that lost the incarnation never takes it again. Otherwise two processes could take it from each
+		// other forever.
 		s.Superseded = true
 		return []step.Effect{Lost{Number: s.Number}}
 	}
-	s.doubt = false
-	if s.taken() {
-		// The object was deleted. The number stays good: any later one is higher.
+	s.needsRead = false
+	if s.everHeld() {
+		// The object was deleted. The number stays valid, because any later incarnation is higher.
 		return s.write(in.Now, s.releasing)
 	}
-	s.clear = ev.Version == 0 || r.Released
+	s.noFormerOrders = ev.Version == 0 || r.Released
 	return s.write(in.Now, false)
 }
 
-// own takes in that the object is this process's.
-func (s *State) own(in step.Input, r Record) []step.Effect {
+// handleOwn handles an object whose holder is this process.
+func (s *State) handleOwn(in step.Input, r Record) []step.Effect {
 	if r.Renewal == s.renewal {
-		s.renewedAt = s.sentAt
+		s.leaseStart = s.renewalSentAt
 	}
-	s.doubt = false
+	s.needsRead = false
 	if r.Released {
 		s.Superseded = true
 		return nil
@@ -262,25 +276,27 @@
 		return nil
 	}
 	s.Number = s.version
-	if !s.taken() {
-		s.heldAt = in.Now
+	if !s.everHeld() {
+		s.acquiredAt = in.Now
 	}
 	return []step.Effect{Held{Number: s.Number}}
 }
 
-// Raise takes a new, higher number over the one that an engine refused although this process is the holder.
+// Raise acquires a new, higher number. It is called when an engine refused the current number although this process
+// is the holder.
 func (s *State) Raise(now time.Time) []step.Effect {
 	if s.inFlight || !s.Held() {
 		return nil
 	}
 	s.Number = 0
-	s.clear = true
+	s.noFormerOrders = true
 	return s.write(now, false)
 }
 
+// write emits a write of the object with the next renewal counter.
 func (s *State) write(now time.Time, released bool) []step.Effect {
 	s.renewal++
-	s.sentAt = now
+	s.renewalSentAt = now
 	s.inFlight = true
 	value, err := json.Marshal(Record{Holder: s.holder, Renewal: s.renewal, Released: released})
 	if err != nil {
--- a/internal/core/incarnation/incarnation_test.go
+++ b/internal/core/incarnation/incarnation_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// object is the platform's object with its conditional writes.
+// object models the host's object on the platform, with conditional writes.
 type object struct {
 	revision uint64
 	version  uint64
@@ -35,27 +35,28 @@
 	if w.IfVersion != o.version {
 		return o.present()
 	}
-	o.touch()
+	o.bumpRevision()
 	o.value = w.Value
 	return o.present()
 }
 
-// touch takes a revision, as any write to the platform does.
-func (o *object) touch() {
+// bumpRevision advances the revision, as every write to the platform does.
+func (o *object) bumpRevision() {
 	o.revision++
 	o.version = o.revision
 }
 
-// process is one agent of the host with the call that it waits for.
+// process is one agent of the host and the call that it has in flight.
 type process struct {
 	state *State
 	call  step.Effect
-	// arrived is set when the call took effect, answer is what it will bring.
+	// arrived is set once the call has taken effect; answer is the result to deliver.
 	arrived bool
 	answer  Present
 }
 
-func (p *process) take(effects []step.Effect) {
+// trackCalls stores the call among the effects as the one in flight.
+func (p *process) trackCalls(effects []step.Effect) {
 	for _, e := range effects {
 		switch e.(type) {
 		case Read, Write:
@@ -65,24 +66,24 @@
 	}
 }
 
-// model is a platform and the processes that claim one host.
+// model is the platform and the processes that compete for one host.
 type model struct {
 	object    object
 	processes []*process
 	now       time.Time
-	// numbers are the incarnations seen, by process; highest is the highest.
+	// numbers maps each incarnation seen to the index of its process; highest is the highest one.
 	numbers map[uint64]int
 	highest uint64
-	// late are writes that their process gave up on and that still arrive.
-	late []Write
+	// lateWrites are writes that failed for their process but can still reach the platform.
+	lateWrites []Write
 }
 
-func (m *model) pick(t *rapid.T) *process {
+func (m *model) pickProcess(t *rapid.T) *process {
 	return m.processes[rapid.IntRange(0, len(m.processes)-1).Draw(t, "process")]
 }
 
-// arrive lets a call take effect at the platform.
-func (m *model) arrive(p *process) {
+// applyCall applies the process's call at the platform.
+func (m *model) applyCall(p *process) {
 	if p.call == nil || p.arrived {
 		return
 	}
@@ -93,39 +94,41 @@
 	}
 }
 
+// step delivers an event to a process.
 func (m *model) step(p *process, ev step.Event) {
 	p.call = nil
-	p.take(p.state.Reduce(step.Input{Now: m.now, Rand: 1, Event: ev}))
+	p.trackCalls(p.state.Reduce(step.Input{Now: m.now, Rand: 1, Event: ev}))
 }
 
-// check holds the invariants: numbers are a process's own and go up; of the processes that may order an engine
-// that ignores numbers there is one at most.
-func (m *model) check(t *rapid.T) {
-	may := 0
+// checkInvariants verifies the invariants: no two processes have the same number, numbers increase, and orders to an
+// engine that ignores numbers are open to at most one process.
+func (m *model) checkInvariants(t *rapid.T) {
+	allowed := 0
 	for i, p := range m.processes {
 		if n := p.state.Number; n != 0 {
 			owner, known := m.numbers[n]
 			if known && owner != i {
-				t.Fatalf("two processes hold %d", n)
+				t.Fatalf("two processes hold number %d", n)
 			}
 			if !known && n < m.highest {
-				t.Fatalf("number %d after %d", n, m.highest)
+				t.Fatalf("new number %d is lower than %d", n, m.highest)
 			}
 			m.numbers[n] = i
 			m.highest = max(m.highest, n)
 		}
 		if p.state.MayOrder(m.now, true) {
-			may++
+			allowed++
 		}
 	}
-	if may > 1 {
-		t.Fatalf("%d processes may order an engine that ignores numbers", may)
+	if allowed > 1 {
+		t.Fatalf("%d processes may send orders to an engine that ignores numbers", allowed)
 	}
 }
 
-// TestOneMayOrder runs processes of one host against each other, with answers lost, calls refused, the object
-// deleted, and pauses: a process that is not picked stands still while time passes.
-func TestOneMayOrder(t *testing.T) {
+// TestAtMostOneProcessMaySendOrders guards against two agents of one host sending orders at the same time. Three
+// processes compete while answers are lost, writes arrive late, other writes advance the revision, holders release,
+// and time passes. A process that is not picked is paused meanwhile.
+func TestAtMostOneProcessMaySendOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{now: time.Unix(1000, 0), numbers: map[uint64]int{}}
 		for i := range 3 {
@@ -136,111 +139,114 @@
 				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 9000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"tick": func(t *rapid.T) {
-				p := m.pick(t)
-				p.take(p.state.Advance(m.now, true))
+				p := m.pickProcess(t)
+				p.trackCalls(p.state.Advance(m.now, true))
 			},
-			"arrive": func(t *rapid.T) { m.arrive(m.pick(t)) },
+			"arrive": func(t *rapid.T) { m.applyCall(m.pickProcess(t)) },
 			"answer": func(t *rapid.T) {
-				p := m.pick(t)
+				p := m.pickProcess(t)
 				if p.call != nil && p.arrived {
 					m.step(p, p.answer)
 				}
 			},
 			"lose": func(t *rapid.T) {
-				p := m.pick(t)
+				p := m.pickProcess(t)
 				if p.call == nil {
 					return
 				}
 				if w, ok := p.call.(Write); ok && !p.arrived {
-					m.late = append(m.late, w)
+					m.lateWrites = append(m.lateWrites, w)
 				}
 				m.step(p, Failed{})
 			},
 			"arrive late": func(*rapid.T) {
-				if len(m.late) > 0 {
-					m.object.write(m.late[0])
-					m.late = m.late[1:]
+				if len(m.lateWrites) > 0 {
+					m.object.write(m.lateWrites[0])
+					m.lateWrites = m.lateWrites[1:]
 				}
 			},
 			"others write": func(*rapid.T) { m.object.revision++ },
 			"release": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "rare") == 0 {
-					m.pick(t).state.Release()
+					m.pickProcess(t).state.Release()
 				}
 			},
-			"": m.check,
+			"": m.checkInvariants,
 		})
 	})
 }
 
-// TestPausedHolderIsExpired treats a holder as expired after a pause, and lets it renew before it orders again.
-func TestPausedHolderIsExpired(t *testing.T) {
+// TestPausedHolderMustRenewLeaseBeforeOrders guards against orders on an expired lease. A holder that was paused for
+// a whole lease must renew it before it sends orders to engines that ignore numbers.
+func TestPausedHolderMustRenewLeaseBeforeOrders(t *testing.T) {
 	m := &model{now: time.Unix(1000, 0), numbers: map[uint64]int{}}
 	p := &process{state: NewState("host-1", "p", Timing{})}
 	m.processes = []*process{p}
-	m.settle(p)
+	m.runUntilIdle(p)
 	require.True(t, p.state.MayOrder(m.now, true))
 	m.now = m.now.Add(DefaultLease)
 	require.False(t, p.state.MayOrder(m.now, true))
-	require.True(t, p.state.MayOrder(m.now, false), "the number alone fences orders to engines that check")
-	m.settle(p)
+	require.True(t, p.state.MayOrder(m.now, false), "engines that check the number need no valid lease")
+	m.runUntilIdle(p)
 	require.True(t, p.state.MayOrder(m.now, true))
 }
 
-// settle ticks a process and answers its calls until it has none.
-func (m *model) settle(p *process) {
-	p.take(p.state.Advance(m.now, true))
+// runUntilIdle advances a process and answers its calls until it has none in flight.
+func (m *model) runUntilIdle(p *process) {
+	p.trackCalls(p.state.Advance(m.now, true))
 	for p.call != nil {
-		m.arrive(p)
+		m.applyCall(p)
 		m.step(p, p.answer)
 	}
 }
 
-// TestNextHolderWaits keeps a new holder from engines that ignore numbers until the former's orders are over,
-// unless the former gave the incarnation back.
-func TestNextHolderWaits(t *testing.T) {
+// TestNewHolderWaitsForFormerOrders guards against overlap with the previous holder's orders on engines that ignore
+// numbers. A new holder waits for the lease and the settle time, unless the previous holder released the incarnation.
+func TestNewHolderWaitsForFormerOrders(t *testing.T) {
 	for _, released := range []bool{false, true} {
 		m := &model{now: time.Unix(1000, 0), numbers: map[uint64]int{}}
 		first := &process{state: NewState("host-1", "first", Timing{})}
 		next := &process{state: NewState("host-1", "next", Timing{})}
-		m.settle(first)
+		m.runUntilIdle(first)
 		if released {
 			first.state.Release()
-			m.settle(first)
+			m.runUntilIdle(first)
 		}
-		m.settle(next)
+		m.runUntilIdle(next)
 		require.Equal(t, released, next.state.Clear(m.now))
 		m.now = m.now.Add(DefaultLease + DefaultSettle)
 		require.True(t, next.state.Clear(m.now))
 		require.Greater(t, next.state.Number, first.state.Number)
-		m.settle(first)
+		m.runUntilIdle(first)
 		require.True(t, first.state.Superseded)
 	}
 }
 
-// TestRefusedNumberIsRaised takes a higher number when an engine refuses the present one.
-func TestRefusedNumberIsRaised(t *testing.T) {
+// TestHolderReplacesRefusedNumberByHigherOne guards against a holder whose orders an engine keeps refusing, because
+// the engine has seen a higher number. The holder writes the object again and takes the new revision as its number.
+func TestHolderReplacesRefusedNumberByHigherOne(t *testing.T) {
 	m := &model{now: time.Unix(1000, 0), numbers: map[uint64]int{}}
 	p := &process{state: NewState("host-1", "p", Timing{})}
-	m.settle(p)
+	m.runUntilIdle(p)
 	before := p.state.Number
 	m.object.revision += 5
-	p.take(p.state.Raise(m.now))
-	m.arrive(p)
+	p.trackCalls(p.state.Raise(m.now))
+	m.applyCall(p)
 	m.step(p, p.answer)
 	require.Greater(t, p.state.Number, before+5)
 }
 
-// TestLateAnswerRenewsNothing counts the lease from when the renewal was sent, however late its answer comes.
-func TestLateAnswerRenewsNothing(t *testing.T) {
+// TestLateAnswerDoesNotExtendLease guards against a lease that is counted from a late answer. It runs from when the
+// renewal was sent. Otherwise a holder that lost the lease could send orders along with its successor.
+func TestLateAnswerDoesNotExtendLease(t *testing.T) {
 	m := &model{now: time.Unix(1000, 0), numbers: map[uint64]int{}}
 	first := &process{state: NewState("host-1", "first", Timing{})}
 	next := &process{state: NewState("host-1", "next", Timing{})}
-	m.settle(first)
+	m.runUntilIdle(first)
 	m.now = m.now.Add(DefaultLease)
-	first.take(first.state.Advance(m.now, true))
-	m.arrive(first)
-	m.settle(next)
+	first.trackCalls(first.state.Advance(m.now, true))
+	m.applyCall(first)
+	m.runUntilIdle(next)
 	m.now = m.now.Add(DefaultLease + DefaultSettle)
 	m.step(first, first.answer)
 	require.True(t, next.state.Clear(m.now))
