--- a/internal/core/slot/slot.go
+++ b/internal/core/slot/slot.go
@@ -9,17 +9,18 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// Timing holds the times of slots; zero fields take the defaults.
+// Timing configures the slots; zero fields take the defaults.
 type Timing struct {
-	// Expiry is how long a beat must stand still, under unbroken observation, before its slot may be removed.
+	// Expiry is how long a heartbeat must stay unchanged, under observation without a gap, before its slot may be
+	// removed.
 	Expiry time.Duration
-	// Poll is the wait between two readings for a free slot.
+	// Poll is the minimum interval between two reads of the object while waiting for a free slot.
 	Poll time.Duration
-	// Patience is how long an engine waits for its turn before it asks for a slot out of turn.
+	// Patience is how long an engine waits for its turn before it requests a slot out of turn.
 	Patience time.Duration
 }
 
-// The default times.
+// Default timing.
 const (
 	DefaultExpiry   = 30 * time.Second
 	DefaultPoll     = 500 * time.Millisecond
@@ -27,21 +28,23 @@
 )
 
 const (
-	// marginPart is the part of the expiry that a holder leaves unused.
-	marginPart = 10
-	// beatParts is into how many parts beats cut the expiry. It also bounds the gap in an unbroken observation.
-	beatParts = 3
-	// turnsPerSlot is how many engines ask for each slot; more would only meet conflicts.
-	turnsPerSlot = 2
-	// freshFor is how old the table may be for a write: others write too, and a read is cheaper than a conflict.
-	freshFor = 20 * time.Millisecond
-	// conflictPart is the part of the poll over which writers that met a conflict spread.
-	conflictPart = 4
-	// sentKept is how many writes are remembered, to tell when one that arrives late was sent.
-	sentKept = 8
+	// expiryMarginDivisor sets the safety margin: a holder leaves 1/10 of the expiry unused.
+	expiryMarginDivisor = 10
+	// beatsPerExpiry is the number of heartbeats per expiry. An observation has a gap when no answer arrived for longer
+	// than one such interval.
+	beatsPerExpiry = 3
+	// requestersPerSlot is the number of engines that request each slot. More requesters would only cause conflicts.
+	requestersPerSlot = 2
+	// maxTableAge is the maximum age of the table that a write is based on. Other agents write too, and a read is
+	// cheaper than a conflict.
+	maxTableAge = 20 * time.Millisecond
+	// conflictJitterDivisor sets the jitter after a conflict: retries are spread over 1/4 of the poll interval.
+	conflictJitterDivisor = 4
+	// maxSentTimes is how many writes have their send time kept. It gives the send time of a write that arrives late.
+	maxSentTimes = 8
 )
 
-// WithDefaults fills in the zero fields.
+// WithDefaults returns the timing with the zero fields set to the defaults.
 func (t Timing) WithDefaults() Timing {
 	if t.Expiry == 0 {
 		t.Expiry = DefaultExpiry
@@ -61,17 +64,18 @@
 	slot()
 }
 
-// Present is a service's object as it now is: the answer to a read, to a write, or to a write that met a conflict.
+// Present reports the current state of a service's object. It answers a read, a write, or a write that failed on a
+// version conflict.
 type Present struct {
 	Key string
-	// Version is 0 when there is no object.
+	// Version is 0 when the object does not exist.
 	Version uint64
 	Value   []byte
-	// Conflict says that a write met another version and did nothing.
+	// Conflict is set when a write was rejected because the object had another version.
 	Conflict bool
 }
 
-// Failed says that a call failed; a write may have taken effect or not.
+// Failed reports that a call failed. If it was a write, its outcome is unknown.
 type Failed struct{ Key string }
 
 // Event marks the type as an event.
@@ -86,7 +90,7 @@
 // Read reads the object.
 type Read struct{ Key string }
 
-// Write writes the object on condition of its version.
+// Write writes the object if its version is still IfVersion.
 type Write struct {
 	Key       string
 	IfVersion uint64
@@ -99,87 +103,94 @@
 // Effect marks the type as an effect.
 func (Write) Effect() {}
 
-// request is one engine of this host that wants a slot or keeps one.
+// request is the request of one engine of this host for a new slot, or for keeping the one that it has.
 type request struct {
+	// since is when the request was made.
 	since time.Time
-	// rank is the engine's turn among those that want to go away.
+	// rank is the engine's position among those that wait to become unavailable, from 0.
 	rank int
-	// keepOnly is set for an engine that is away already: it takes no new slot, but keeps one that it has.
+	// keepOnly is set for an engine that is unavailable already. It gets no new slot but keeps the one that it has.
 	keepOnly bool
 }
 
-// sighting is a beat and since when it stands still.
-type sighting struct {
+// observation is a slot as it was observed, and since when it has not changed.
+type observation struct {
 	holder Holder
-	at     time.Time
+	since  time.Time
 }
 
-// Service is what an agent knows of a service's slots.
+// Service is an agent's view of the slots of one service.
 type Service struct {
 	key    string
 	host   string
 	timing Timing
 
-	wants map[string]request
-	// table and version are the object as last heard; known is set when it was heard at all.
+	// requests are the requests of this host's engines, by HOST/NAME.
+	requests map[string]request
+	// table and version are the object in the last answer; known is set once there was an answer.
 	table   Table
 	version uint64
 	known   bool
 	// stale is set when the table must be read before the next write.
-	stale   bool
-	heardAt time.Time
-	seen    map[string]sighting
-	// beat counts this agent's writes; sent has when each of the last ones was emitted.
-	beat     uint64
-	sent     map[uint64]time.Time
-	beatAt   time.Time
+	stale bool
+	// asOf is when the last answer, and with it the table, arrived.
+	asOf time.Time
+	// observations are the observed slots, by engine.
+	observations map[string]observation
+	// heartbeat counts this agent's writes, and sentTimes maps the most recent counters to when the write was emitted.
+	heartbeat uint64
+	sentTimes map[uint64]time.Time
+	// heartbeatAt is when the last write was emitted.
+	heartbeatAt time.Time
+	// inFlight is set while a call awaits its answer.
 	inFlight bool
-	// readAfter keeps back readings for a free slot, notAgain all calls.
-	readAfter time.Time
-	notAgain  time.Time
+	// nextPollAt is the earliest time of the next read for a free slot, and nextCallAt that of any call.
+	nextPollAt time.Time
+	nextCallAt time.Time
 }
 
-// NewService returns what a fresh agent of a host knows of a service's slots.
+// NewService returns the state of an agent that has not read the slots of a service yet.
 func NewService(team, service, host string, t Timing) *Service {
 	return &Service{
 		key: Key(team, service), host: host, timing: t.WithDefaults(),
-		wants: map[string]request{}, seen: map[string]sighting{}, sent: map[uint64]time.Time{},
+		requests: map[string]request{}, observations: map[string]observation{}, sentTimes: map[uint64]time.Time{},
 	}
 }
 
-func (s *Service) name(engine string) string { return s.host + "/" + engine }
+// engineID returns the engine's identifier, HOST/NAME.
+func (s *Service) engineID(engine string) string { return s.host + "/" + engine }
 
-// Want asks for a slot for an engine that serves and is to go away. rank is its turn, from 0.
+// Want requests a slot for an engine that serves and is to become unavailable. rank is its turn, from 0.
 func (s *Service) Want(engine string, rank int, now time.Time) {
-	name := s.name(engine)
-	r, known := s.wants[name]
+	id := s.engineID(engine)
+	r, known := s.requests[id]
 	if !known || r.keepOnly {
 		r = request{since: now}
 	}
 	r.rank = rank
-	s.wants[name] = r
+	s.requests[id] = r
 }
 
-// Keep keeps the slot, if there is one, of an engine that is away already; it takes none.
+// Keep keeps the slot, if any, of an engine that is unavailable already. It does not request a new one.
 func (s *Service) Keep(engine string, now time.Time) {
-	name := s.name(engine)
-	if _, known := s.wants[name]; !known {
-		s.wants[name] = request{since: now, keepOnly: true}
+	id := s.engineID(engine)
+	if _, known := s.requests[id]; !known {
+		s.requests[id] = request{since: now, keepOnly: true}
 	}
 }
 
-// Done gives an engine's slot back: it serves.
-func (s *Service) Done(engine string) { delete(s.wants, s.name(engine)) }
+// Done releases the slot of an engine that serves again.
+func (s *Service) Done(engine string) { delete(s.requests, s.engineID(engine)) }
 
-// Valid tells whether an engine of this host holds a slot at now. After a pause it does not, until the slot was
-// written again: others may have removed it.
+// Valid reports whether an engine of this host holds a valid slot at now. After a pause of the process the slot is
+// invalid until it was written again, because other agents may have removed it.
 func (s *Service) Valid(engine string, fencing uint64, now time.Time) bool {
-	h, held := s.table.find(s.name(engine))
+	h, held := s.table.holderOf(s.engineID(engine))
 	if !held || h.Fencing != fencing {
 		return false
 	}
-	sentAt, known := s.sent[h.Beat]
-	return known && now.Sub(sentAt) < s.timing.Expiry-s.timing.Expiry/marginPart
+	sentAt, known := s.sentTimes[h.Heartbeat]
+	return known && now.Sub(sentAt) < s.timing.Expiry-s.timing.Expiry/expiryMarginDivisor
 }
 
 // Reduce handles one event of this service's object.
@@ -187,66 +198,67 @@
 	s.inFlight = false
 	switch ev := in.Event.(type) {
 	case Present:
-		s.heard(in.Now, ev)
+		s.receive(in.Now, ev)
 		if ev.Conflict {
-			s.notAgain = in.Now.Add(jitter(in, s.timing.Poll/conflictPart))
+			s.nextCallAt = in.Now.Add(jitter(in, s.timing.Poll/conflictJitterDivisor))
 		}
 	case Failed:
-		// The outcome is unknown, and the observation is broken.
+		// The outcome is unknown, and the observation has a gap.
 		s.stale = true
-		s.seen = map[string]sighting{}
-		s.notAgain = in.Now.Add(s.timing.Poll + jitter(in, s.timing.Poll))
+		s.observations = map[string]observation{}
+		s.nextCallAt = in.Now.Add(s.timing.Poll + jitter(in, s.timing.Poll))
 	}
 }
 
-// jitter is a time below most that differs between agents.
-func jitter(in step.Input, most time.Duration) time.Duration {
-	return time.Duration(in.Rand % uint64(most))
+// jitter returns a random duration below limit, so that agents do not retry at the same time.
+func jitter(in step.Input, limit time.Duration) time.Duration {
+	return time.Duration(in.Rand % uint64(limit))
 }
 
-// heard takes in the object, and since when each slot's beat stands still.
-func (s *Service) heard(now time.Time, ev Present) {
-	if s.broken(now) {
-		s.seen = map[string]sighting{} // What happened in the gap is not known.
+// receive stores the object and records since when each slot has not changed.
+func (s *Service) receive(now time.Time, ev Present) {
+	if s.hasGap(now) {
+		s.observations = map[string]observation{} // Changes during the gap are unknown.
 	}
-	s.heardAt = now
+	s.asOf = now
 	s.known = true
 	s.stale = false
 	s.version = ev.Version
 	s.table = parse(ev.Value)
-	seen := make(map[string]sighting, len(s.table.Holders))
+	observations := make(map[string]observation, len(s.table.Holders))
 	for _, h := range s.table.Holders {
-		before, known := s.seen[h.Engine]
+		before, known := s.observations[h.Engine]
 		if !known || before.holder != h {
-			before = sighting{holder: h, at: now}
+			before = observation{holder: h, since: now}
 		}
-		seen[h.Engine] = before
+		observations[h.Engine] = before
 	}
-	s.seen = seen
+	s.observations = observations
 }
 
-// Advance returns the call that is due, if any. max is the service's max_unavailable, fencing this agent's number.
-func (s *Service) Advance(in step.Input, max int, fencing uint64) []step.Effect {
-	if s.inFlight || in.Now.Before(s.notAgain) {
+// Advance returns the call to make now, if any. maxUnavailable is the service's max_unavailable setting, and fencing
+// is this agent's incarnation.
+func (s *Service) Advance(in step.Input, maxUnavailable int, fencing uint64) []step.Effect {
+	if s.inFlight || in.Now.Before(s.nextCallAt) {
 		return nil
 	}
 	if !s.known || s.stale {
-		if len(s.wants) == 0 && !s.stale {
+		if len(s.requests) == 0 && !s.stale {
 			return nil
 		}
 		return s.read()
 	}
-	next, changed := s.next(in.Now, max, fencing)
-	if changed && in.Now.Sub(s.heardAt) > freshFor {
-		return s.read() // A write against an old version would only meet a conflict.
+	wanted, changed := s.nextTable(in.Now, maxUnavailable, fencing)
+	if changed && in.Now.Sub(s.asOf) > maxTableAge {
+		return s.read() // A write based on an old version would only fail with a conflict.
 	}
 	if changed {
-		return s.write(in.Now, next)
+		return s.write(in.Now, wanted)
 	}
-	if len(s.asking(in.Now, max)) == 0 || in.Now.Before(s.readAfter) {
+	if len(s.requesters(in.Now, maxUnavailable)) == 0 || in.Now.Before(s.nextPollAt) {
 		return nil
 	}
-	s.readAfter = in.Now.Add(s.timing.Poll + jitter(in, s.timing.Poll))
+	s.nextPollAt = in.Now.Add(s.timing.Poll + jitter(in, s.timing.Poll))
 	return s.read()
 }
 
@@ -255,63 +267,66 @@
 	return []step.Effect{Read{Key: s.key}}
 }
 
+// write emits a write of the table with the next heartbeat counter.
 func (s *Service) write(now time.Time, t Table) []step.Effect {
 	value, err := json.Marshal(t)
 	if err != nil {
 		return nil
 	}
-	s.beat++
-	s.sent[s.beat] = now
-	delete(s.sent, s.beat-sentKept)
-	s.beatAt = now
+	s.heartbeat++
+	s.sentTimes[s.heartbeat] = now
+	delete(s.sentTimes, s.heartbeat-maxSentTimes)
+	s.heartbeatAt = now
 	s.inFlight = true
 	return []step.Effect{Write{Key: s.key, IfVersion: s.version, Value: value}}
 }
 
-// own tells whether a slot is of an engine of this host.
-func (s *Service) own(h Holder) bool { return strings.HasPrefix(h.Engine, s.host+"/") }
+// isLocal reports whether a slot is held by an engine of this host.
+func (s *Service) isLocal(h Holder) bool { return strings.HasPrefix(h.Engine, s.host+"/") }
 
-// next works out the table that this agent wants, and whether it differs enough from the present one to be written.
-func (s *Service) next(now time.Time, max int, fencing uint64) (next Table, changed bool) {
-	beating := now.Sub(s.beatAt) >= s.timing.Expiry/beatParts
-	next = s.table.without(s.own)
+// nextTable computes the table that this agent wants. changed reports whether the table must be written: a local slot
+// is added, released, due for a heartbeat or held under another fencing number.
+func (s *Service) nextTable(now time.Time, maxUnavailable int, fencing uint64) (wanted Table, changed bool) {
+	heartbeatDue := now.Sub(s.heartbeatAt) >= s.timing.Expiry/beatsPerExpiry
+	wanted = s.table.without(s.isLocal)
 	for _, h := range s.table.Holders {
-		if !s.own(h) {
+		if !s.isLocal(h) {
 			continue
 		}
-		if _, wanted := s.wants[h.Engine]; !wanted {
+		if _, requested := s.requests[h.Engine]; !requested {
 			changed = true
 			continue
 		}
-		changed = changed || beating || h.Fencing != fencing
-		next.add(Holder{Engine: h.Engine, Fencing: fencing, Beat: s.beat + 1})
+		changed = changed || heartbeatDue || h.Fencing != fencing
+		wanted.add(Holder{Engine: h.Engine, Fencing: fencing, Heartbeat: s.heartbeat + 1})
 	}
-	for _, engine := range s.asking(now, max) {
-		if len(next.Holders) >= max {
-			next = next.without(func(h Holder) bool { return s.expired(now, h) })
+	for _, engine := range s.requesters(now, maxUnavailable) {
+		if len(wanted.Holders) >= maxUnavailable {
+			wanted = wanted.without(func(h Holder) bool { return s.expired(now, h) })
 		}
-		if len(next.Holders) >= max {
+		if len(wanted.Holders) >= maxUnavailable {
 			break
 		}
-		next.add(Holder{Engine: engine, Fencing: fencing, Beat: s.beat + 1})
+		wanted.add(Holder{Engine: engine, Fencing: fencing, Heartbeat: s.heartbeat + 1})
 		changed = true
 	}
-	return next, changed
+	return wanted, changed
 }
 
-// asking lists the engines of this host that want a slot, have none and whose turn it is, the first in turn first.
-func (s *Service) asking(now time.Time, max int) []string {
+// requesters lists the engines of this host that request a slot, hold none and whose turn it is, in the order of their
+// turns.
+func (s *Service) requesters(now time.Time, maxUnavailable int) []string {
 	var list []string
-	for engine, r := range s.wants {
-		if _, held := s.table.find(engine); held || r.keepOnly {
+	for engine, r := range s.requests {
+		if _, held := s.table.holderOf(engine); held || r.keepOnly {
 			continue
 		}
-		if r.rank < turnsPerSlot*max || now.Sub(r.since) >= s.timing.Patience {
+		if r.rank < requestersPerSlot*maxUnavailable || now.Sub(r.since) >= s.timing.Patience {
 			list = append(list, engine)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool {
-		a, b := s.wants[list[i]], s.wants[list[j]]
+		a, b := s.requests[list[i]], s.requests[list[j]]
 		if a.rank != b.rank {
 			return a.rank < b.rank
 		}
@@ -320,11 +335,13 @@
 	return list
 }
 
-// broken tells whether the object was not heard of for so long that holders may have been kept from beating.
-func (s *Service) broken(now time.Time) bool { return now.Sub(s.heardAt) > s.timing.Expiry/beatParts }
+// hasGap reports whether the observation has a gap: the last answer is so old that an outage may have kept holders
+// from sending heartbeats.
+func (s *Service) hasGap(now time.Time) bool { return now.Sub(s.asOf) > s.timing.Expiry/beatsPerExpiry }
 
-// expired tells whether a slot's beat stood still for the whole expiry, under unbroken observation.
+// expired reports whether a slot of another host has not changed for the whole expiry, under observation without a
+// gap.
 func (s *Service) expired(now time.Time, h Holder) bool {
-	before, known := s.seen[h.Engine]
-	return known && !s.broken(now) && before.holder == h && !s.own(h) && now.Sub(before.at) >= s.timing.Expiry
+	before, known := s.observations[h.Engine]
+	return known && !s.hasGap(now) && before.holder == h && !s.isLocal(h) && now.Sub(before.since) >= s.timing.Expiry
 }
--- a/internal/core/slot/slot_test.go
+++ b/internal/core/slot/slot_test.go
@@ -22,25 +22,26 @@
 	os.Exit(m.Run())
 }
 
-// agent is one host's view of the service with the call that it waits for.
+// agent is the agent of one host and the call that it has in flight.
 type agent struct {
 	service *Service
 	fencing uint64
 	call    step.Effect
+	// arrived is set once the call has taken effect; result is what will be delivered.
 	arrived bool
-	answer  Present
+	result  Present
 }
 
-// model is the platform's object and the agents of a service.
+// model is the platform's object for a service and the agents that share its slots.
 type model struct {
 	version uint64
 	value   []byte
 	now     time.Time
 	max     int
 	agents  []*agent
-	// late are writes that their agent gave up on and that still arrive.
-	late   []Write
-	writes int
+	// lateWrites are writes that failed for their agent but can still reach the platform.
+	lateWrites []Write
+	writes     int
 }
 
 const engine = "e1"
@@ -71,7 +72,8 @@
 	return m.present()
 }
 
-func (m *model) tick(a *agent) {
+// advance lets an agent emit its next call, unless one is in flight.
+func (m *model) advance(a *agent) {
 	if a.call != nil {
 		return
 	}
@@ -81,55 +83,59 @@
 	}
 }
 
-func (m *model) arrive(a *agent) {
+// applyCall applies an agent's call at the platform.
+func (m *model) applyCall(a *agent) {
 	if a.call == nil || a.arrived {
 		return
 	}
 	a.arrived = true
-	a.answer = m.present()
+	a.result = m.present()
 	if w, ok := a.call.(Write); ok {
-		a.answer = m.write(w)
+		a.result = m.write(w)
 	}
 }
 
-func (m *model) answer(a *agent) {
+// deliver delivers the result of an agent's call.
+func (m *model) deliver(a *agent) {
 	if a.call == nil || !a.arrived {
 		return
 	}
 	a.call = nil
-	a.service.Reduce(step.Input{Now: m.now, Event: a.answer})
-	m.tick(a) // As the rollout reducer does after each event.
+	a.service.Reduce(step.Input{Now: m.now, Event: a.result})
+	m.advance(a) // The rollout reducer also advances after each event.
 }
 
-func (m *model) lose(a *agent) {
+// failCall fails an agent's call. A write that has not taken effect can still reach the platform later.
+func (m *model) failCall(a *agent) {
 	if a.call == nil {
 		return
 	}
 	if w, ok := a.call.(Write); ok && !a.arrived {
-		m.late = append(m.late, w)
+		m.lateWrites = append(m.lateWrites, w)
 	}
 	a.call = nil
 	a.service.Reduce(step.Input{Now: m.now, Rand: 1, Event: Failed{Key: Key("t", "s")}})
 }
 
-// round lets an agent make a call and hear its answer.
+// round lets an agent make a call and receive its answer.
 func (m *model) round(a *agent) {
-	m.tick(a)
-	m.arrive(a)
-	m.answer(a)
+	m.advance(a)
+	m.applyCall(a)
+	m.deliver(a)
 }
 
-// restart replaces an agent by a successor on the same host.
+// restart replaces an agent by a new instance on the same host.
 func (m *model) restart(a *agent, i int) {
 	if w, ok := a.call.(Write); ok && !a.arrived {
-		m.late = append(m.late, w)
+		m.lateWrites = append(m.lateWrites, w)
 	}
 	a.call = nil
 	a.fencing += 100
 	a.service = NewService("t", "s", fmt.Sprint("host-", i), Timing{})
 }
 
-func (m *model) valid() int {
+// validSlots counts the agents whose engine holds a valid slot.
+func (m *model) validSlots() int {
 	n := 0
 	for _, a := range m.agents {
 		if a.service.Valid(engine, a.fencing, m.now) {
@@ -139,92 +145,94 @@
 	return n
 }
 
-// TestNeverMoreThanMax runs agents that stand still at any point, lose answers, restart, and write late: at no time
-// do more than max of them hold a valid slot.
-func TestNeverMoreThanMax(t *testing.T) {
-	most := 0
+// TestValidSlotsNeverExceedMaxUnavailable guards against more unavailable engines than max. Agents pause at any
+// point, lose answers, restart, and have writes that arrive late.
+func TestValidSlotsNeverExceedMaxUnavailable(t *testing.T) {
+	peak := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(5, rapid.IntRange(1, 2).Draw(t, "max"))
-		pick := func(t *rapid.T) (*agent, int) {
+		pickAgent := func(t *rapid.T) (*agent, int) {
 			i := rapid.IntRange(0, len(m.agents)-1).Draw(t, "agent")
 			return m.agents[i], i
 		}
-		on := func(f func(*agent)) func(*rapid.T) {
+		onAgent := func(f func(*agent)) func(*rapid.T) {
 			return func(t *rapid.T) {
-				a, _ := pick(t)
+				a, _ := pickAgent(t)
 				f(a)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"want":   on(func(a *agent) { a.service.Want(engine, 0, m.now) }),
-			"keep":   on(func(a *agent) { a.service.Keep(engine, m.now) }),
-			"done":   on(func(a *agent) { a.service.Done(engine) }),
-			"tick":   on(m.tick),
-			"arrive": on(m.arrive),
-			"answer": on(m.answer),
-			"lose":   on(m.lose),
-			"round":  on(m.round),
-			"observe": on(func(a *agent) {
-				// Enough rounds without a gap that a slot that stands still expires.
+			"want":   onAgent(func(a *agent) { a.service.Want(engine, 0, m.now) }),
+			"keep":   onAgent(func(a *agent) { a.service.Keep(engine, m.now) }),
+			"done":   onAgent(func(a *agent) { a.service.Done(engine) }),
+			"tick":   onAgent(m.advance),
+			"arrive": onAgent(m.applyCall),
+			"answer": onAgent(m.deliver),
+			"lose":   onAgent(m.failCall),
+			"round":  onAgent(m.round),
+			"observe": onAgent(func(a *agent) {
+				// Enough rounds without a gap that a slot without heartbeats expires.
 				for range 8 {
 					m.now = m.now.Add(5 * time.Second)
 					m.round(a)
 				}
 			}),
 			"restart": func(t *rapid.T) {
-				a, i := pick(t)
+				a, i := pickAgent(t)
 				m.restart(a, i)
 			},
 			"time": func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 9000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"arrive late": func(*rapid.T) {
-				if len(m.late) > 0 {
-					m.write(m.late[0])
-					m.late = m.late[1:]
+				if len(m.lateWrites) > 0 {
+					m.write(m.lateWrites[0])
+					m.lateWrites = m.lateWrites[1:]
 				}
 			},
 			"": func(t *rapid.T) {
-				n := m.valid()
-				most = max(most, n)
+				n := m.validSlots()
+				peak = max(peak, n)
 				if n > m.max {
 					t.Fatalf("%d valid slots of %d", n, m.max)
 				}
 			},
 		})
 	})
-	require.Equal(t, 2, most, "the model never filled the slots")
+	require.Equal(t, 2, peak, "the model never filled the slots")
 }
 
-// TestDeadHolderExpires gives the slot of a holder that stands still to another, after the expiry and not before,
-// and not at once after an outage in which nobody could beat.
-func TestDeadHolderExpires(t *testing.T) {
+// TestSlotOfDeadHolderExpires guards against a slot that a dead holder blocks forever, and against removing a slot too
+// early. It must not be removed before the expiry, nor right after an outage during which no holder could send
+// heartbeats.
+func TestSlotOfDeadHolderExpires(t *testing.T) {
 	m := newModel(2, 1)
 	dead, next := m.agents[0], m.agents[1]
 	dead.service.Want(engine, 0, m.now)
 	m.round(dead)
 	m.round(dead)
-	require.Equal(t, 1, m.valid())
+	require.Equal(t, 1, m.validSlots())
 	next.service.Want(engine, 0, m.now)
 	m.observe(next, DefaultExpiry-2*time.Second)
 	require.False(t, next.service.Valid(engine, next.fencing, m.now))
 	m.now = m.now.Add(10 * DefaultExpiry)
 	m.observe(next, DefaultExpiry-2*time.Second)
-	require.False(t, next.service.Valid(engine, next.fencing, m.now), "the gap in the observation counted")
+	require.False(t, next.service.Valid(engine, next.fencing, m.now), "the gap in the observation was counted")
 	m.observe(next, 4*time.Second)
 	require.True(t, next.service.Valid(engine, next.fencing, m.now))
 	require.False(t, dead.service.Valid(engine, dead.fencing, m.now))
 }
 
-// observe lets an agent look at the slots every second.
+// observe lets an agent read the slots every second for d.
 func (m *model) observe(a *agent, d time.Duration) {
 	for end := m.now.Add(d); m.now.Before(end); m.now = m.now.Add(time.Second) {
 		m.round(a)
 	}
 }
 
-// TestSuccessorKeepsTheSlot lets a holder's successor on the same host keep the slot of an engine that is away.
-func TestSuccessorKeepsTheSlot(t *testing.T) {
+// TestRestartedAgentKeepsSlot guards against losing the slot of an unavailable engine when the agent restarts. The new
+// instance keeps the slot under its own fencing number, and releases it when the engine serves.
+func TestRestartedAgentKeepsSlot(t *testing.T) {
 	m := newModel(1, 1)
 	a := m.agents[0]
 	a.service.Want(engine, 0, m.now)
@@ -240,15 +248,16 @@
 	require.Empty(t, parse(m.value).Holders)
 }
 
-// TestLostSlotAnswer settles a taken slot whose answer was lost by reading back.
-func TestLostSlotAnswer(t *testing.T) {
+// TestLostWriteAnswerIsResolvedByRead guards against writing twice when the answer to a successful write is lost. The
+// agent reads the object and finds that it holds the slot.
+func TestLostWriteAnswerIsResolvedByRead(t *testing.T) {
 	m := newModel(1, 1)
 	a := m.agents[0]
 	a.service.Want(engine, 0, m.now)
 	m.round(a)
-	m.tick(a)
-	m.arrive(a)
-	m.lose(a)
+	m.advance(a)
+	m.applyCall(a)
+	m.failCall(a)
 	m.now = m.now.Add(2 * DefaultPoll)
 	m.round(a)
 	require.True(t, a.service.Valid(engine, a.fencing, m.now))
--- a/internal/core/slot/table.go
+++ b/internal/core/slot/table.go
@@ -1,7 +1,9 @@
-// Package slot is the reducer by which agents share the right to take engines of a service away: at most
-// max_unavailable at once. The slots of a service are one object of the platform, written on condition of its
-// version. A holder beats by writing; a slot whose beat stands still for the whole expiry, while the observer heard
-// the platform all the time, may be removed by whoever needs it.
+// Package slot is the reducer by which agents limit how many engines of a service are unavailable at once. An engine
+// may be taken out of service only while it holds a slot, and a service has max_unavailable slots.
+//
+// The slots of a service are stored in one platform object that is written conditionally on its version. A holder
+// sends heartbeats by writing the object. An agent that needs a slot may remove one whose heartbeat did not change
+// for the whole expiry, provided that the agent observed the object without a gap during that time.
 package slot
 
 import (
@@ -9,28 +11,28 @@
 	"sort"
 )
 
-// Prefix is where the objects live: Prefix + team + "/" + service.
+// Prefix begins the keys of the objects: the key is Prefix + team + "/" + service.
 const Prefix = "slots/"
 
 // Key returns the object key of a service's slots.
 func Key(team, service string) string { return Prefix + team + "/" + service }
 
-// Holder is one slot.
+// Holder is one slot and the engine that holds it.
 type Holder struct {
-	// Engine is HOST/NAME.
+	// Engine identifies the engine as HOST/NAME.
 	Engine string `json:"engine"`
 	// Fencing is the incarnation of the agent that holds the slot.
 	Fencing uint64 `json:"fencing"`
-	// Beat counts the holder's writes.
-	Beat uint64 `json:"beat"`
+	// Heartbeat counts the writes of the holder's agent.
+	Heartbeat uint64 `json:"beat"`
 }
 
-// Table is the object's value.
+// Table is the JSON value of the object.
 type Table struct {
 	Holders []Holder `json:"holders"`
 }
 
-// parse reads a table; a value that can't be read counts as empty and is overwritten by the next write.
+// parse decodes a table. A malformed value counts as an empty table and is overwritten by the next write.
 func parse(value []byte) Table {
 	var t Table
 	if json.Unmarshal(value, &t) != nil {
@@ -39,8 +41,8 @@
 	return t
 }
 
-// find returns the slot of an engine.
-func (t Table) find(engine string) (Holder, bool) {
+// holderOf returns the slot that an engine holds, if any.
+func (t Table) holderOf(engine string) (Holder, bool) {
 	for _, h := range t.Holders {
 		if h.Engine == engine {
 			return h, true
@@ -49,7 +51,7 @@
 	return Holder{}, false
 }
 
-// without returns the slots for which drop is false, in a table of their own.
+// without returns a copy of the table that leaves out the slots for which drop is true.
 func (t Table) without(drop func(Holder) bool) Table {
 	kept := Table{Holders: make([]Holder, 0, len(t.Holders)+1)}
 	for _, h := range t.Holders {
@@ -60,7 +62,7 @@
 	return kept
 }
 
-// add puts a slot in, in the order of the engines' names.
+// add inserts a slot and keeps the slots sorted by engine.
 func (t *Table) add(h Holder) {
 	t.Holders = append(t.Holders, h)
 	sort.Slice(t.Holders, func(i, j int) bool { return t.Holders[i].Engine < t.Holders[j].Engine })
