--- a/internal/core/run/health.go
+++ b/internal/core/run/health.go
@@ -2,33 +2,33 @@
 
 import "samphireweir.example/samphireweir/internal/setting"
 
-// Health is what is held of an upstream after a connection to it failed or fell silent.
+// Health is the diagnosis of an upstream after a connection to it failed or timed out.
 type Health int
 
-// The sorts of health.
+// Values of Health.
 const (
-	// Alive: the upstream is the process it was; only the connection failed, or the answer is slow.
+	// Alive means that the upstream is still the same process. Only the connection failed, or the answer is slow.
 	Alive Health = iota
-	// Crashing: the process that had the request is gone.
+	// Crashing means that the process that had the request no longer exists.
 	Crashing
-	// Unanswered: nothing came back in time; the upstream is frozen or can't be reached.
+	// Unanswered means that the probe timed out. The upstream hangs or is unreachable.
 	Unanswered
 )
 
-// Probe is the outcome of a question to an upstream over a new connection.
+// Probe is the result of a health probe of an upstream over a new connection.
 type Probe struct {
-	// Refused says that no connection was taken.
+	// Refused is set when the connection was refused.
 	Refused bool
-	// Silent says that the question was not answered in time.
+	// Silent is set when the probe timed out.
 	Silent bool
-	// BootID is the engine's present life; empty when it gave none.
+	// BootID identifies the engine's current instance; empty when the engine reported none.
 	BootID string
 }
 
-// Diagnose tells a crash from a plain failure of a connection. before is the life of the engine when the run
-// began, empty when it is not known. A plain service has no lives to tell apart: only a refused connection proves
-// that it is gone.
-func Diagnose(kind setting.Kind, before string, p Probe) Health {
+// Diagnose distinguishes a crash of the upstream from a connection failure alone. previousBootID is the boot ID of
+// the engine when the run started, or empty when it is unknown. A plain service has no boot ID, so only a refused
+// connection proves that it is gone.
+func Diagnose(kind setting.Kind, previousBootID string, p Probe) Health {
 	switch {
 	case p.Refused:
 		return Crashing
@@ -36,8 +36,8 @@
 		return Unanswered
 	case kind != setting.Engine:
 		return Alive
-	case p.BootID == "" || (before != "" && p.BootID != before):
-		// An engine that answers without a life is on its way back up.
+	case p.BootID == "" || (previousBootID != "" && p.BootID != previousBootID):
+		// An engine that answers without a boot ID is restarting.
 		return Crashing
 	}
 	return Alive
--- a/internal/core/run/load.go
+++ b/internal/core/run/load.go
@@ -8,23 +8,25 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// FirstByte says that the first byte of a run's answer came from the upstream.
+// FirstByte reports that the first byte of a run's answer arrived from the upstream.
 type FirstByte struct{ ID ID }
 
-// LoadRead says what an engine told of its batch; it lags.
+// LoadRead is an engine's report of its batch. The report lags behind the engine's actual state.
 type LoadRead struct {
 	Upstream string
-	Running  int
-	Waiting  int
-	// Age is how old the engine's word was when it was read.
+	// Running and Waiting count the requests in the engine's batch and in its queue.
+	Running int
+	Waiting int
+	// Age is how old the report was when it was read.
 	Age time.Duration
 }
 
-// CacheRead says what an engine told of its prefix cache: changes that come late and with gaps.
+// CacheRead carries the changes of its prefix cache that an engine reported. Reports can be late and incomplete.
 type CacheRead struct {
 	Upstream string
-	Boot     string
-	Events   []routing.CacheEvent
+	// Boot identifies the engine's instance.
+	Boot   string
+	Events []routing.CacheEvent
 }
 
 // Event marks the type as an event.
@@ -36,40 +38,45 @@
 // Event marks the type as an event.
 func (CacheRead) Event() {}
 
-// keptCacheEvents is how many changes of a cache an agent keeps for its entries.
-const keptCacheEvents = 512
+// maxCacheEvents is how many cache changes of one upstream an agent keeps for entries that have not received them.
+const maxCacheEvents = 512
 
-// upstreamLoad is what the agent knows of the work of one upstream.
+// upstreamLoad is the agent's view of the load of one upstream.
 type upstreamLoad struct {
 	limiter *admission.Limiter
+	// waiting is the engine's queue length as of readAt.
 	waiting int
 	readAt  time.Time
-	boot    string
-	// events are the last changes of the cache; seq is the number of the last one.
+	// bootID identifies the engine's instance whose cache changes are kept.
+	bootID string
+	// events are the latest changes of the cache, and seq is the sequence number of the last one.
 	events []routing.CacheEvent
 	seq    uint64
 }
 
-// Load bounds and reports the work of the agent's upstreams.
+// Load limits and reports the load of the agent's upstreams.
 type Load struct {
 	upstreams map[string]*upstreamLoad
-	// starts are the times of the runs that wait for their first byte.
-	starts  map[ID]startedRun
+	// awaitingFirstByte are the runs that wait for their first byte.
+	awaitingFirstByte map[ID]pendingRun
+	// leaving is set while the host takes no new work.
 	leaving bool
-	// Unlimited takes the limits away; for baselines of experiments only.
+	// Unlimited disables the concurrency limits. It is meant only for the baseline of experiments.
 	Unlimited bool
 }
 
-type startedRun struct {
+// pendingRun is a run that waits for its first byte.
+type pendingRun struct {
 	at       time.Time
 	upstream string
 }
 
-// NewLoad returns a load without work.
+// NewLoad returns a Load without upstreams.
 func NewLoad() *Load {
-	return &Load{upstreams: map[string]*upstreamLoad{}, starts: map[ID]startedRun{}}
+	return &Load{upstreams: map[string]*upstreamLoad{}, awaitingFirstByte: map[ID]pendingRun{}}
 }
 
+// upstream returns the load of an upstream and creates it on first use.
 func (l *Load) upstream(name string) *upstreamLoad {
 	u := l.upstreams[name]
 	if u == nil {
@@ -79,29 +86,30 @@
 	return u
 }
 
-func (l *Load) hasRoom(name string) bool {
+// hasCapacity reports whether an upstream is below its concurrency limit.
+func (l *Load) hasCapacity(name string) bool {
 	limiter := l.upstream(name).limiter
 	return l.Unlimited || limiter.Running() < limiter.Limit()
 }
 
-func (l *Load) started(now time.Time, id ID, name string) {
+func (l *Load) runStarted(now time.Time, id ID, name string) {
 	l.upstream(name).limiter.Add()
-	l.starts[id] = startedRun{at: now, upstream: name}
+	l.awaitingFirstByte[id] = pendingRun{at: now, upstream: name}
 }
 
-func (l *Load) finished(id ID, name string) {
+func (l *Load) runFinished(id ID, name string) {
 	l.upstream(name).limiter.Finish()
-	delete(l.starts, id)
+	delete(l.awaitingFirstByte, id)
 }
 
 func (l *Load) reduce(in step.Input) {
 	switch ev := in.Event.(type) {
 	case FirstByte:
-		start, waits := l.starts[ev.ID]
+		start, waits := l.awaitingFirstByte[ev.ID]
 		if !waits {
 			return
 		}
-		delete(l.starts, ev.ID)
+		delete(l.awaitingFirstByte, ev.ID)
 		l.upstream(start.upstream).limiter.FirstByte(in.Now, in.Now.Sub(start.at))
 	case LoadRead:
 		u := l.upstream(ev.Upstream)
@@ -109,24 +117,25 @@
 		u.readAt = in.Now.Add(-ev.Age)
 		u.limiter.Queue(in.Now, ev.Running, ev.Waiting)
 	case CacheRead:
-		l.upstream(ev.Upstream).readCache(ev)
+		l.upstream(ev.Upstream).addCacheEvents(ev)
 	}
 }
 
-func (u *upstreamLoad) readCache(ev CacheRead) {
-	if ev.Boot != u.boot {
-		u.boot = ev.Boot
+// addCacheEvents appends cache changes. It drops the earlier ones if the engine has restarted.
+func (u *upstreamLoad) addCacheEvents(ev CacheRead) {
+	if ev.Boot != u.bootID {
+		u.bootID = ev.Boot
 		u.events = nil
 		u.seq = 0
 	}
 	u.events = append(u.events, ev.Events...)
 	u.seq += uint64(len(ev.Events))
-	if over := len(u.events) - keptCacheEvents; over > 0 {
+	if over := len(u.events) - maxCacheEvents; over > 0 {
 		u.events = append([]routing.CacheEvent(nil), u.events[over:]...)
 	}
 }
 
-// Report returns the agent's word on an upstream for an entry that heard the cache's changes up to seen.
+// Report returns the load report on an upstream for an entry that has received the cache changes up to seen.
 func (l *Load) Report(now time.Time, name string, seen routing.CacheMark) routing.Report {
 	u := l.upstream(name)
 	r := routing.Report{Running: u.limiter.Running(), Limit: u.limiter.Limit(), Leaving: l.leaving}
@@ -137,25 +146,26 @@
 		r.Waiting = u.waiting
 		r.AgeMS = now.Sub(u.readAt).Milliseconds()
 	}
-	if u.boot != "" && seen != (routing.CacheMark{Boot: u.boot, Seq: u.seq}) {
-		r.Cache = u.cacheNews(seen)
+	if u.bootID != "" && seen != (routing.CacheMark{Boot: u.bootID, Seq: u.seq}) {
+		r.Cache = u.cacheChanges(seen)
 	}
 	return r
 }
 
-func (u *upstreamLoad) cacheNews(mark routing.CacheMark) *routing.CacheNews {
+// cacheChanges returns the cache changes after mark. Gap is set if some of them are no longer kept.
+func (u *upstreamLoad) cacheChanges(mark routing.CacheMark) *routing.CacheNews {
 	seen := mark.Seq
-	if mark.Boot != u.boot || seen > u.seq {
+	if mark.Boot != u.bootID || seen > u.seq {
 		seen = 0
 	}
-	first := u.seq - uint64(len(u.events))
-	news := &routing.CacheNews{Boot: u.boot, Gap: seen < first}
+	oldest := u.seq - uint64(len(u.events))
+	changes := &routing.CacheNews{Boot: u.bootID, Gap: seen < oldest}
 	from := 0
-	if seen > first {
-		from = int(seen - first)
+	if seen > oldest {
+		from = int(seen - oldest)
 	}
 	to := min(len(u.events), from+routing.MaxCacheNews)
-	news.Events = u.events[from:to:to]
-	news.Seq = first + uint64(to)
-	return news
+	changes.Events = u.events[from:to:to]
+	changes.Seq = oldest + uint64(to)
+	return changes
 }
--- a/internal/core/run/reduce.go
+++ b/internal/core/run/reduce.go
@@ -10,19 +10,20 @@
 	"samphireweir.example/samphireweir/internal/core/suspect"
 )
 
-func (s *State) asked(in step.Input, ev Asked, upstreams *rollout.State, marks Marks) []step.Effect {
-	if refusal, known := s.knownAlready(ev); known {
+// handleAsked decides whether a request starts, waits in the queue or is refused.
+func (s *State) handleAsked(in step.Input, ev Asked, upstreams *rollout.State, verdicts Verdicts) []step.Effect {
+	if refusal, known := s.answerRepeated(ev); known {
 		return []step.Effect{refusal}
 	}
-	verdict := marks.Look(in.Now, ev.Fingerprint)
+	verdict := verdicts.Look(in.Now, ev.Fingerprint)
 	r := &Run{
 		Message: ev.Message, Upstream: ev.Upstream, Fingerprint: ev.Fingerprint,
 		Alone: ev.Alone || verdict == suspect.Suspect, call: ev.Call,
 	}
-	if why := s.mayNotStart(ev, r, verdict, upstreams); why != 0 {
-		// A refused try is over: a second copy of its message must not start it after all.
-		s.remember(in.Now, ev.Message, code.NotRun)
-		return []step.Effect{Refuse{Call: ev.Call, ID: ev.ID, Code: why, Ran: code.NotRun}}
+	if rejection := s.startRejection(ev, r, verdict, upstreams); rejection != 0 {
+		// A refused attempt is over. A second copy of its message must not start it.
+		s.recordOutcome(in.Now, ev.Message, code.NotRun)
+		return []step.Effect{Refuse{Call: ev.Call, ID: ev.ID, Code: rejection, Ran: code.NotRun}}
 	}
 	s.Running[ev.ID] = r
 	if r.Alone && s.occupied(ev.Upstream) {
@@ -33,10 +34,11 @@
 	return []step.Effect{s.start(in, r, upstreams)}
 }
 
-// knownAlready answers messages that are not the first of their try, or not for this life of the agent.
-func (s *State) knownAlready(ev Asked) (step.Effect, bool) {
+// answerRepeated answers a message that is not the first of its attempt, or that is for another incarnation of the
+// agent. The second result is false for any other message.
+func (s *State) answerRepeated(ev Asked) (step.Effect, bool) {
 	if ev.Incarnation != s.incarnation {
-		// This copy did not run. Whether another copy reached the life before, the entry must judge.
+		// This copy did not run. Only the entry can judge whether another copy reached the previous incarnation.
 		return Refuse{Call: ev.Call, ID: ev.ID, Code: code.AgentRestarted, Ran: code.NotRun}, true
 	}
 	if r, running := s.Running[ev.ID]; running {
@@ -45,16 +47,17 @@
 		}
 		return Join{Call: ev.Call, ID: ev.ID}, true
 	}
-	if f, over := s.fates[ev.ID]; over {
-		return Refuse{Call: ev.Call, ID: ev.ID, Code: code.AttemptFenced, Ran: f.ran}, true
+	if o, done := s.outcomes[ev.ID]; done {
+		return Refuse{Call: ev.Call, ID: ev.ID, Code: code.AttemptFenced, Ran: o.ran}, true
 	}
-	if s.forgotten(ev.Message) {
+	if s.outcomeForgotten(ev.Message) {
 		return Refuse{Call: ev.Call, ID: ev.ID, Code: code.AttemptFenced, Ran: code.Unknown}, true
 	}
 	return nil, false
 }
 
-func (s *State) mayNotStart(ev Asked, r *Run, verdict suspect.Verdict, upstreams *rollout.State) code.Code {
+// startRejection returns why an attempt must not start, or 0 when it may.
+func (s *State) startRejection(ev Asked, r *Run, verdict suspect.Verdict, upstreams *rollout.State) code.Code {
 	u := upstreams.Upstreams[ev.Upstream]
 	switch {
 	case s.stopping:
@@ -67,19 +70,19 @@
 		return code.WeightsChanged
 	case !r.Alone && s.reserved(ev.Upstream):
 		return code.UpstreamReserved
-	case !r.Alone && ev.Digest == "" && !s.Load.hasRoom(ev.Upstream):
-		// One with a digest goes on with an answer that has begun; it is not cut for a limit's sake.
+	case !r.Alone && ev.Digest == "" && !s.Load.hasCapacity(ev.Upstream):
+		// A request with a digest continues an answer that has started. The concurrency limit does not cut it off.
 		return code.Overloaded
 	}
 	return 0
 }
 
-// reserved tells whether an upstream is kept for a suspect that runs or waits.
+// reserved reports whether an upstream is reserved for a suspect that runs or is queued.
 func (s *State) reserved(upstream string) bool {
 	if len(s.queues[upstream]) > 0 {
 		return true
 	}
-	for _, r := range s.on[upstream] {
+	for _, r := range s.runningOn[upstream] {
 		if r.Alone {
 			return true
 		}
@@ -87,47 +90,51 @@
 	return false
 }
 
+// occupied reports whether an upstream has running or queued requests.
 func (s *State) occupied(upstream string) bool {
-	return len(s.on[upstream]) > 0 || len(s.queues[upstream]) > 0
+	return len(s.runningOn[upstream]) > 0 || len(s.queues[upstream]) > 0
 }
 
+// start marks a run as running and returns the effect that starts it.
 func (s *State) start(in step.Input, r *Run, upstreams *rollout.State) step.Effect {
 	u := upstreams.Started(r.Upstream)
 	r.queued = false
 	r.bootID = u.BootID
-	s.Load.started(in.Now, r.ID, r.Upstream)
-	if s.on[r.Upstream] == nil {
-		s.on[r.Upstream] = map[ID]*Run{}
+	s.Load.runStarted(in.Now, r.ID, r.Upstream)
+	if s.runningOn[r.Upstream] == nil {
+		s.runningOn[r.Upstream] = map[ID]*Run{}
 	}
-	for _, other := range s.on[r.Upstream] {
+	for _, other := range s.runningOn[r.Upstream] {
 		other.Company = true
 		r.Company = true
 	}
-	s.on[r.Upstream][r.ID] = r
+	s.runningOn[r.Upstream][r.ID] = r
 	return Start{Call: r.call, ID: r.ID, Upstream: u.Name, Kind: u.Kind, URL: u.URL, Digest: u.Digest, Generation: u.Generation, BootID: u.BootID}
 }
 
-// finished ends a run, remembers its fate, and starts the next suspect that waits for the upstream.
-func (s *State) finished(in step.Input, ev Finished, upstreams *rollout.State) []step.Effect {
+// handleFinished ends a run, records its outcome, and starts the next suspect that is queued for the upstream.
+func (s *State) handleFinished(in step.Input, ev Finished, upstreams *rollout.State) []step.Effect {
 	r := s.Running[ev.ID]
 	if r == nil || r.queued {
 		return nil
 	}
 	delete(s.Running, ev.ID)
-	delete(s.on[r.Upstream], ev.ID)
-	s.Load.finished(ev.ID, r.Upstream)
+	delete(s.runningOn[r.Upstream], ev.ID)
+	s.Load.runFinished(ev.ID, r.Upstream)
 	ran := ev.Ran
 	if ran == "" {
 		ran = code.Unknown
 	}
-	s.remember(in.Now, r.Message, ran)
+	s.recordOutcome(in.Now, r.Message, ran)
 	upstreams.Finished(r.Upstream)
 	return s.startNext(in, r.Upstream, upstreams)
 }
 
+// startNext starts the next queued suspect if the upstream is idle. It refuses the queue if the upstream does not
+// serve.
 func (s *State) startNext(in step.Input, upstream string, upstreams *rollout.State) []step.Effect {
 	queue := s.queues[upstream]
-	if len(queue) == 0 || len(s.on[upstream]) > 0 {
+	if len(queue) == 0 || len(s.runningOn[upstream]) > 0 {
 		return nil
 	}
 	if !s.serving(upstreams, upstream) {
@@ -137,7 +144,7 @@
 	return []step.Effect{s.start(in, s.Running[queue[0]], upstreams)}
 }
 
-// refuseQueues lets go the suspects whose upstream is gone, or all of them when the agent stops.
+// refuseQueues refuses the queued suspects of upstreams that do not serve, or all of them when the agent stops.
 func (s *State) refuseQueues(in step.Input, upstreams *rollout.State) []step.Effect {
 	names := make([]string, 0, len(s.queues))
 	for name := range s.queues {
@@ -156,43 +163,44 @@
 	return effects
 }
 
-func (s *State) refuseQueue(in step.Input, upstream string, why code.Code) []step.Effect {
+func (s *State) refuseQueue(in step.Input, upstream string, rejection code.Code) []step.Effect {
 	var effects []step.Effect
 	for _, id := range s.queues[upstream] {
 		r := s.Running[id]
 		delete(s.Running, id)
-		s.remember(in.Now, r.Message, code.NotRun)
-		effects = append(effects, Refuse{Call: r.call, ID: id, Code: why, Ran: code.NotRun})
+		s.recordOutcome(in.Now, r.Message, code.NotRun)
+		effects = append(effects, Refuse{Call: r.call, ID: id, Code: rejection, Ran: code.NotRun})
 	}
 	delete(s.queues, upstream)
 	return effects
 }
 
-// fence keeps a try from starting, or tells what became of it.
-func (s *State) fence(in step.Input, ev Fenced) []step.Effect {
+// handleFenced prevents an attempt from starting, or reports its outcome if it is already known.
+func (s *State) handleFenced(in step.Input, ev Fenced) []step.Effect {
 	a := FenceAnswer{Call: ev.Call, ID: ev.ID, Ran: code.Unknown}
 	if ev.Incarnation != s.incarnation {
-		return []step.Effect{a} // The life before may have run it.
+		return []step.Effect{a} // The previous incarnation may have run it.
 	}
 	r, known := s.Running[ev.ID]
-	f, over := s.fates[ev.ID]
+	o, done := s.outcomes[ev.ID]
 	switch {
 	case known && r.queued:
-		s.unqueue(in, r)
+		s.dequeue(in, r)
 		a.Ran = code.NotRun
 		return []step.Effect{Refuse{Call: r.call, ID: r.ID, Code: code.AttemptFenced, Ran: code.NotRun}, a}
 	case known:
 		a.Running = true
-	case over:
-		a.Ran = f.ran
-	case !s.forgotten(ev.Message):
-		s.remember(in.Now, ev.Message, code.NotRun)
+	case done:
+		a.Ran = o.ran
+	case !s.outcomeForgotten(ev.Message):
+		s.recordOutcome(in.Now, ev.Message, code.NotRun)
 		a.Ran = code.NotRun
 	}
 	return []step.Effect{a}
 }
 
-func (s *State) unqueue(in step.Input, r *Run) {
+// dequeue removes a run from the queue of its upstream.
+func (s *State) dequeue(in step.Input, r *Run) {
 	delete(s.Running, r.ID)
 	queue := s.queues[r.Upstream]
 	for i, id := range queue {
@@ -201,42 +209,46 @@
 			break
 		}
 	}
-	s.remember(in.Now, r.Message, code.NotRun)
+	s.recordOutcome(in.Now, r.Message, code.NotRun)
 }
 
-func (s *State) remember(now time.Time, m Message, ran code.Ran) {
-	s.fates[m.ID] = fate{Message: m, ran: ran, until: now.Add(FateKept)}
-	s.order = append(s.order, m.ID)
+// recordOutcome records the outcome of an attempt.
+func (s *State) recordOutcome(now time.Time, m Message, ran code.Ran) {
+	s.outcomes[m.ID] = outcome{Message: m, ran: ran, until: now.Add(OutcomeRetention)}
+	s.outcomeOrder = append(s.outcomeOrder, m.ID)
 }
 
-// forgotten tells whether a message is as old as a try of its entry whose fate was forgotten.
-func (s *State) forgotten(m Message) bool {
-	floor, known := s.floors[m.Entry]
-	return known && m.Sequence <= floor
+// outcomeForgotten reports whether a message is so old that the outcome of its attempt may have been dropped: its
+// sequence number is not above the highest one of its entry whose outcome was dropped.
+func (s *State) outcomeForgotten(m Message) bool {
+	highest, known := s.maxForgotten[m.Entry]
+	return known && m.Sequence <= highest
 }
 
-// sweep forgets old fates and raises the floors of their entries.
-func (s *State) sweep(now time.Time) {
+// expireOutcomes drops expired outcomes and raises the highest dropped sequence numbers of their entries.
+func (s *State) expireOutcomes(now time.Time) {
 	n := 0
-	for ; n < len(s.order); n++ {
-		f := s.fates[s.order[n]]
-		if now.Before(f.until) {
+	for ; n < len(s.outcomeOrder); n++ {
+		o := s.outcomes[s.outcomeOrder[n]]
+		if now.Before(o.until) {
 			break
 		}
-		delete(s.fates, s.order[n])
-		s.raise(f.Entry, f.Sequence)
+		delete(s.outcomes, s.outcomeOrder[n])
+		s.raiseMaxForgotten(o.Entry, o.Sequence)
 	}
-	s.order = s.order[n:]
+	s.outcomeOrder = s.outcomeOrder[n:]
 }
 
-func (s *State) raise(entry string, sequence uint64) {
-	floor, known := s.floors[entry]
+// raiseMaxForgotten records that the outcome of an attempt of an entry was dropped. It evicts the oldest known entry
+// when there are too many.
+func (s *State) raiseMaxForgotten(entry string, sequence uint64) {
+	highest, known := s.maxForgotten[entry]
 	if !known {
-		s.lives = append(s.lives, entry)
-		if len(s.lives) > maxEntries {
-			delete(s.floors, s.lives[0])
-			s.lives = s.lives[1:]
+		s.knownEntries = append(s.knownEntries, entry)
+		if len(s.knownEntries) > maxKnownEntries {
+			delete(s.maxForgotten, s.knownEntries[0])
+			s.knownEntries = s.knownEntries[1:]
 		}
 	}
-	s.floors[entry] = max(floor, sequence)
+	s.maxForgotten[entry] = max(highest, sequence)
 }
--- a/internal/core/run/run.go
+++ b/internal/core/run/run.go
@@ -1,8 +1,9 @@
-// Package run is the agent's reducer for requests that entries hand it: whether a request may start on an
-// upstream, under which weights, and what is true of it when it can't.
+// Package run is the agent's reducer for requests that entries send to it. It decides whether a request may start on
+// an upstream and under which weights. If it may not, the reducer reports whether the request ran.
 //
-// A try is unknown, queued (a suspect that waits to run alone), running, or over. What is over keeps its fate, so
-// that a late copy of its message is refused and a late question is answered truly.
+// An attempt is unknown, queued, running, or over. Only suspects are queued: requests that may crash an upstream and
+// therefore wait to run alone on it. The outcome of an attempt that is over is kept for a time. A late copy of its
+// message is then refused, and a late question about it gets the right answer.
 package run
 
 import (
@@ -17,119 +18,124 @@
 )
 
 const (
-	// FateKept is how long the fate of a try is remembered by its id. After that its entry's sequence number
-	// keeps a late copy out.
-	FateKept = 2 * time.Minute
-	// maxEntries bounds the lives of entries for which a sequence number is kept.
-	maxEntries = 4096
+	// OutcomeRetention is how long the outcome of an attempt is kept by its ID. After that, a late copy is recognized
+	// by its entry's sequence number.
+	OutcomeRetention = 2 * time.Minute
+	// maxKnownEntries is the maximum number of entry instances for which a sequence number is kept.
+	maxKnownEntries = 4096
 )
 
-// ID names one try of one request.
+// ID identifies one attempt of one request.
 type ID struct {
 	Request string
 	Attempt int
 }
 
-// Message is what an entry's message says of a try.
+// Message holds the fields by which an entry's message identifies an attempt.
 type Message struct {
 	ID ID
-	// Incarnation is the life of the agent that the entry means.
+	// Incarnation is the incarnation of the agent that the entry addressed.
 	Incarnation uint64
-	// Entry names the life of the entry; Sequence counts the tries that it sent.
+	// Entry identifies the entry's instance, and Sequence counts the attempts that it sent.
 	Entry    string
 	Sequence uint64
 }
 
-// Run is one try that is queued or running.
+// Run is one attempt that is queued or running.
 type Run struct {
 	Message
 	Upstream    string
 	Fingerprint string
-	// Alone asks that nothing else runs on the upstream meanwhile.
+	// Alone requests that no other request runs on the upstream at the same time.
 	Alone bool
-	// bootID is the life of the engine that took the run.
+	// bootID identifies the engine's instance that runs the request.
 	bootID string
-	// Company is set when another request was on the upstream at any time during the run.
+	// Company is set when another request ran on the upstream at any time during the run.
 	Company bool
-	call    uint64
-	queued  bool
+	// call is the message that the shell answers for this run.
+	call   uint64
+	queued bool
 }
 
-// fate is what became of a try.
-type fate struct {
+// outcome is the outcome of an attempt that is over, and until when it is kept.
+type outcome struct {
 	Message
 	ran   code.Ran
 	until time.Time
 }
 
-// State holds the tries that run here and the fates of those that are over.
+// State holds the queued and running attempts, and the outcomes of those that are over.
 type State struct {
-	// Running holds the tries that run or are queued.
-	Running     map[ID]*Run
+	// Running holds the attempts that are queued or running.
+	Running map[ID]*Run
+	// incarnation is this agent's incarnation.
 	incarnation uint64
-	// on holds the running tries by upstream; queues the suspects that wait to run alone on it.
-	on     map[string]map[ID]*Run
-	queues map[string][]ID
-	fates  map[ID]fate
-	// order lists the fates from the oldest.
-	order []ID
-	// crashed holds the last life of each engine that crashed under a run.
-	crashed map[string]string
-	// floors holds, by entry, the highest sequence number whose fate was forgotten; lives lists them by age.
-	floors map[string]uint64
-	lives  []string
-	// stopping is set when a graceful shutdown began.
+	// runningOn holds the running attempts by upstream, and queues the suspects that wait to run alone on it.
+	runningOn map[string]map[ID]*Run
+	queues    map[string][]ID
+	// outcomes holds the outcomes of the attempts that are over.
+	outcomes map[ID]outcome
+	// outcomeOrder lists the outcomes, the oldest first.
+	outcomeOrder []ID
+	// crashedBootIDs holds, by upstream, the boot ID of the last instance that crashed during a run.
+	crashedBootIDs map[string]string
+	// maxForgotten holds, by entry instance, the highest sequence number whose outcome was dropped. knownEntries
+	// lists these instances, the oldest first.
+	maxForgotten map[string]uint64
+	knownEntries []string
+	// stopping is set while no new work is accepted: after the start of a graceful shutdown or while the host is
+	// leaving.
 	stopping bool
-	// Load bounds and reports the work of each upstream.
+	// Load limits and reports the load of each upstream.
 	Load *Load
 }
 
-// NewState returns the state of the agent's life numbered incarnation.
+// NewState returns the initial state of an agent with the given incarnation.
 func NewState(incarnation uint64) *State {
 	return &State{
 		incarnation: incarnation,
-		Running:     map[ID]*Run{}, on: map[string]map[ID]*Run{}, queues: map[string][]ID{},
-		fates: map[ID]fate{}, floors: map[string]uint64{}, Load: NewLoad(),
-		crashed: map[string]string{},
+		Running:     map[ID]*Run{}, runningOn: map[string]map[ID]*Run{}, queues: map[string][]ID{},
+		outcomes: map[ID]outcome{}, maxForgotten: map[string]uint64{}, Load: NewLoad(),
+		crashedBootIDs: map[string]string{},
 	}
 }
 
-// Asked says that an entry wants a request started.
+// Asked reports that an entry requests the start of an attempt.
 type Asked struct {
-	// Call tells the shell which message to answer; two copies of a message have different calls.
+	// Call identifies the message that the shell answers. Two copies of a message have different calls.
 	Call uint64
 	Message
 	Upstream string
-	// Fingerprint names what the request is, whoever sends it.
+	// Fingerprint identifies the request by its content, independent of its sender.
 	Fingerprint string
-	// Alone asks that nothing else runs on the upstream meanwhile.
+	// Alone requests that no other request runs on the upstream at the same time.
 	Alone bool
-	// Digest, when set, is the only version that the request may run under.
+	// Digest, if set, identifies the only version of the weights that the request may run under.
 	Digest string
 }
 
-// Finished says that a run is over.
+// Finished reports that a run is over.
 type Finished struct {
 	ID ID
-	// Ran tells what is true of it; empty for unknown.
+	// Ran reports whether the request ran; empty means unknown.
 	Ran code.Ran
-	// Whole says that the answer came to its end.
+	// Whole is set when the answer is complete.
 	Whole bool
 }
 
-// Crashed says that the upstream crashed under a run.
+// Crashed reports that the upstream crashed during a run.
 type Crashed struct{ ID ID }
 
-// Fenced says that an entry gave up on a try: it must not start any more.
+// Fenced reports that an entry abandoned an attempt, which must not start from now on.
 type Fenced struct {
 	Call uint64
 	Message
 }
 
-// StopAsked says that a graceful shutdown began.
+// StopAsked reports that a graceful shutdown started.
 type StopAsked struct{}
 
-// Leaving says whether the host takes no new work though the process goes on.
+// Leaving reports whether the host takes no new work although the process keeps running.
 type Leaving struct{ Now bool }
 
 // Event marks the type as an event.
@@ -150,7 +156,7 @@
 // Event marks the type as an event.
 func (Leaving) Event() {}
 
-// Start starts the request on the upstream, pinned to these weights.
+// Start starts the request on the upstream, pinned to the version of the weights that Digest identifies.
 type Start struct {
 	Call       uint64
 	ID         ID
@@ -159,17 +165,17 @@
 	URL        string
 	Digest     string
 	Generation uint64
-	// BootID is the run of the engine that holds these weights.
+	// BootID identifies the engine's instance that holds these weights.
 	BootID string
 }
 
-// Join gives the answer of a run that another copy of the message started.
+// Join answers a message with the answer of the run that another copy of the message started.
 type Join struct {
 	Call uint64
 	ID   ID
 }
 
-// Refuse answers the entry that the try does not start, and what is true of it.
+// Refuse tells the entry that the attempt does not start, and whether it ran earlier.
 type Refuse struct {
 	Call uint64
 	ID   ID
@@ -177,7 +183,8 @@
 	Ran  code.Ran
 }
 
-// FenceAnswer tells the entry what is true of the try that it gave up on. Running asks the shell to cancel it.
+// FenceAnswer tells the entry whether the attempt that it abandoned ran. If Running is set, the attempt is running and
+// the shell cancels it.
 type FenceAnswer struct {
 	Call    uint64
 	ID      ID
@@ -197,24 +204,24 @@
 // Effect marks the type as an effect.
 func (FenceAnswer) Effect() {}
 
-// Marks tells what is held of a request's fingerprint.
-type Marks interface {
+// Verdicts returns the verdict on a request's fingerprint: whether it is suspect or quarantined.
+type Verdicts interface {
 	Look(now time.Time, fingerprint string) suspect.Verdict
 }
 
 // Reduce handles one input.
-func (s *State) Reduce(in step.Input, upstreams *rollout.State, marks Marks) []step.Effect {
+func (s *State) Reduce(in step.Input, upstreams *rollout.State, verdicts Verdicts) []step.Effect {
 	switch ev := in.Event.(type) {
 	case Asked:
-		return s.asked(in, ev, upstreams, marks)
+		return s.handleAsked(in, ev, upstreams, verdicts)
 	case Crashed:
 		if r := s.Running[ev.ID]; r != nil {
-			s.crashed[r.Upstream] = r.bootID
+			s.crashedBootIDs[r.Upstream] = r.bootID
 		}
 	case Finished:
-		return s.finished(in, ev, upstreams)
+		return s.handleFinished(in, ev, upstreams)
 	case Fenced:
-		return s.fence(in, ev)
+		return s.handleFenced(in, ev)
 	case StopAsked:
 		s.stopping = true
 		s.Load.leaving = true
@@ -224,17 +231,17 @@
 	case FirstByte, LoadRead, CacheRead:
 		s.Load.reduce(in)
 	case step.Tick:
-		s.sweep(in.Now)
+		s.expireOutcomes(in.Now)
 		return s.refuseQueues(in, upstreams)
 	}
 	return nil
 }
 
-// serving tells whether an upstream takes requests. One that crashed takes none until its state was read again.
+// serving reports whether an upstream accepts requests. After a crash it accepts none until its state was read again.
 func (s *State) serving(upstreams *rollout.State, name string) bool {
 	u := upstreams.Upstreams[name]
 	if u == nil || u.Phase != member.Serving {
 		return false
 	}
-	return u.BootID == "" || s.crashed[name] != u.BootID
+	return u.BootID == "" || s.crashedBootIDs[name] != u.BootID
 }
