--- a/internal/core/record/digest_test.go
+++ b/internal/core/record/digest_test.go
@@ -12,8 +12,9 @@
 
 const sumsBytes = 8 * record.Buckets
 
-// TestOnlyTheSumsThatDifferAreSent: entries whose settings are equal and whose phases differ compare the phases only.
-func TestOnlyTheSumsThatDifferAreSent(t *testing.T) {
+// TestOnlyDifferentHalvesOfSumsAreSent guards against digests that are larger than needed: two entries with equal
+// settings and different phases exchange only the sums of the dynamic records.
+func TestOnlyDifferentHalvesOfSumsAreSent(t *testing.T) {
 	ask := func(s *record.State, common, dynamic uint64) record.Answer {
 		return reduce(s, start, record.Asked{Common: common, Dynamic: dynamic}, record.Peers{})[0].(record.Answer)
 	}
@@ -27,10 +28,11 @@
 	got := reduce(peer, start, record.CompareAsked{Buckets: c.Buckets, Versions: c.Versions, Prints: c.Prints}, record.Peers{})[0].(record.CompareAnswer)
 	require.Len(t, got.Records, 1)
 	require.Len(t, ask(peer, 1, 1).Digest, 1+2*sumsBytes, "both halves")
-	require.Len(t, ask(peer, 1, 0).Digest, 1+sumsBytes, "the peer holds no dynamic ones")
+	require.Len(t, ask(peer, 1, 0).Digest, 1+sumsBytes, "the peer holds no dynamic records")
 }
 
-// TestMalformedDigestsAreRefused also hands them to the reducer, which must not fall over what a check missed.
+// TestMalformedDigestsAreRefused guards against malformed digests from peers. They are passed to the reducer as well,
+// which must not panic on digests that skipped the check.
 func TestMalformedDigestsAreRefused(t *testing.T) {
 	part := func(from byte, n int) []byte { return append([]byte{from}, make([]byte, n)...) }
 	for _, good := range [][]byte{nil, part(0, sumsBytes), part(1, sumsBytes), part(0, 2*sumsBytes)} {
@@ -44,17 +46,18 @@
 	}
 }
 
-// TestSumsOfPhasesAreComparedNowAndThenInABurst: with news all the time they go along once in DynamicInterval, not with
-// each exchange and not never; without news with each.
-func TestSumsOfPhasesAreComparedNowAndThenInABurst(t *testing.T) {
+// TestDynamicSumsAreComparedOncePerIntervalInABurst guards against needless comparisons of the dynamic records while
+// they keep changing, and against none at all. They take place once per DynamicInterval then, and in each exchange
+// otherwise.
+func TestDynamicSumsAreComparedOncePerIntervalInABurst(t *testing.T) {
 	s := newState()
 	peers := record.Peers{Near: []string{"e"}, Entries: []string{"e"}, All: []string{"e"}}
 	entry := record.Standing{Dynamic: true, Seasoned: true, Floor: 1}
 	now := start
-	compared := func(seconds int, news bool) (n int) {
+	countCompared := func(seconds int, changing bool) (n int) {
 		for range seconds {
 			now = now.Add(time.Second)
-			if news {
+			if changing {
 				reduce(s, now, record.Received{From: "e", Records: []record.Record{phase("a", uint64(now.Unix()))}}, peers)
 			}
 			for _, e := range reduce(s, now, step.Tick{}, peers) {
@@ -68,15 +71,16 @@
 		}
 		return n
 	}
-	compared(2, false)
-	require.Equal(t, 10, compared(10, false))
-	require.Equal(t, 6, compared(30, true))
-	compared(2, false)
-	require.Equal(t, 10, compared(10, false))
+	countCompared(2, false)
+	require.Equal(t, 10, countCompared(10, false))
+	require.Equal(t, 6, countCompared(30, true))
+	countCompared(2, false)
+	require.Equal(t, 10, countCompared(10, false))
 }
 
-// TestWhatWasNotComparedWasNotHeard: a fresh entry that is asked by one that leaves its phases out still knows none.
-func TestWhatWasNotComparedWasNotHeard(t *testing.T) {
+// TestUncomparedDynamicRecordsDoNotCountAsReceived guards against a new entry that takes its dynamic records for
+// complete after an exchange that left them out.
+func TestUncomparedDynamicRecordsDoNotCountAsReceived(t *testing.T) {
 	fresh := newState()
 	entry := record.Standing{Dynamic: true, Seasoned: true, Floor: 1}
 	var empty record.Sums
@@ -87,15 +91,16 @@
 	require.True(t, fresh.HeardDynamic)
 }
 
-// TestPhasesThatDifferEitherWayMeet: each side lacks some, has some older, and one knows a host as gone.
-func TestPhasesThatDifferEitherWayMeet(t *testing.T) {
+// TestDifferentDynamicRecordsConvergeOnBothSides guards against a comparison that repairs only one side. Each side
+// lacks some records and has older versions of others, and one has the tombstone of a host.
+func TestDifferentDynamicRecordsConvergeOnBothSides(t *testing.T) {
 	asker, peer := newState(), newState()
 	gone := record.Record{Key: record.PhasePrefix + "gone", Version: record.Version{Major: 1, Minor: 9}, Deleted: true}
 	deliver(asker, phase("a", 1), phase("b", 1), phase("c", 2), phase("same", 3), phase("gone", 1))
 	deliver(peer, phase("b", 2), phase("c", 1), phase("d", 1), phase("same", 3), gone)
 	a := reduce(peer, start, record.Asked{Common: 1, Dynamic: 1}, record.Peers{})[0].(record.Answer)
 	c := reduce(asker, start, record.Answered{From: "peer", Digest: a.Digest, Standing: a.Standing}, record.Peers{})[0].(record.Compare)
-	require.Empty(t, c.Versions, "dynamic records go by their fingerprints")
+	require.Empty(t, c.Versions, "dynamic records are compared by their fingerprints")
 	got := reduce(peer, start, record.CompareAsked{Buckets: c.Buckets, Versions: c.Versions, Prints: c.Prints}, record.Peers{})[0].(record.CompareAnswer)
 	for _, r := range got.Records {
 		require.NotEqual(t, record.PhasePrefix+"same", r.Key)
--- a/internal/core/record/exchange.go
+++ b/internal/core/record/exchange.go
@@ -8,49 +8,53 @@
 )
 
 const (
-	// ExchangeInterval is the time between two anti-entropy exchanges of one process.
+	// ExchangeInterval is the interval between two anti-entropy exchanges of one process.
 	ExchangeInterval = time.Second
-	// DynamicInterval is that of comparing the dynamic records while there is news of them, which the offers bring: in a
-	// burst two entries always differ by what is on its way. They count as news for newsTime.
+	// DynamicInterval is the interval between comparisons of the dynamic records while they keep changing. Offers
+	// deliver the changes, and in a burst two entries always differ by the records in flight.
 	DynamicInterval = 5 * time.Second
-	newsTime        = time.Second
-	// FirstInterval is that of a process that has not got the settings yet.
-	FirstInterval = 200 * time.Millisecond
-	// MaxAnswer bounds the records in one answer; the next exchange brings the rest.
-	MaxAnswer = 4096
+	// dynamicBusyTime is how long after a change the dynamic records count as changing.
+	dynamicBusyTime = time.Second
+	// InitialInterval is the interval between the exchanges of a process that has not received all records yet.
+	InitialInterval = 200 * time.Millisecond
+	// MaxAnswerRecords is the maximum number of records in one answer. The next exchange transfers the rest.
+	MaxAnswerRecords = 4096
 )
 
-// Standing is what a process tells with each exchange of how much it knows.
+// Standing is what a process reports in each exchange about the completeness and the age of its state.
 type Standing struct {
-	// Dynamic is set when the peer holds the dynamic records.
+	// Dynamic is set when the process holds the dynamic records.
 	Dynamic bool `json:"dynamic,omitempty"`
-	// Seasoned is set when every setting up to Floor is known; only then do the other fields count.
-	Seasoned bool   `json:"seasoned,omitempty"`
-	Floor    uint64 `json:"floor,omitempty"`
-	// AgeMS is how long ago the Floor was the platform's own, as a duration, so that clocks need not agree.
+	// Seasoned is set when the process knows every setting up to Floor. The other fields are valid only then.
+	Seasoned bool `json:"seasoned,omitempty"`
+	// Floor is the object API's revision up to which the process knows every setting.
+	Floor uint64 `json:"floor,omitempty"`
+	// AgeMS is how long ago Floor was the platform's current revision. It is a duration, so that clocks need not be
+	// synchronized.
 	AgeMS int64 `json:"age_ms,omitempty"`
 }
 
-// Asked says that a peer sent the sums of its state and waits for ours.
+// Asked reports that a peer sent the sums of its state and waits for those of this process.
 type Asked struct {
-	// Call tells the shell which call to answer.
-	Call     uint64
-	From     string
+	// Call identifies the call that the shell answers.
+	Call uint64
+	From string
+	// Common and Dynamic are the peer's hashes over all its buckets. Dynamic is 0 when it is left out.
 	Common   uint64
 	Dynamic  uint64
 	Standing Standing
 }
 
-// Answered says that a peer answered our sums with its own.
+// Answered reports that a peer answered an Exchange with its own sums.
 type Answered struct {
 	From string
-	// Same tells that the states are equal; else Digest has the peer's sums.
+	// Same is set when the states are equal. Otherwise Digest contains the peer's sums.
 	Same     bool
 	Digest   []byte
 	Standing Standing
 }
 
-// KeyVersion names a record without its value.
+// KeyVersion identifies a version of a record. Its JSON names are short like those of Record.
 type KeyVersion struct {
 	Key   string `json:"k"`
 	Major uint64 `json:"a"`
@@ -59,8 +63,9 @@
 
 func (k KeyVersion) version() Version { return Version{Major: k.Major, Minor: k.Minor} }
 
-// CompareAsked says that a peer sent its versions in some buckets and waits for what differs. Prints has the fingerprints
-// of its dynamic records in them: a key and version takes five times as much.
+// CompareAsked reports that a peer sent the versions of its records in some buckets and waits for the differences.
+// Prints contains the fingerprints of its dynamic records in these buckets; a key with its version takes five times as
+// much space.
 type CompareAsked struct {
 	Call     uint64
 	Buckets  []int
@@ -68,16 +73,17 @@
 	Prints   []byte
 }
 
-// Compared says that a peer answered our versions. Standing is what it told before we compared.
+// Compared reports that a peer answered a Compare. Standing is what the peer reported before the comparison.
 type Compared struct {
 	From    string
 	Records []Record
-	// Wants are the keys that the peer lacks or has in an older version.
+	// Wants are the keys of records that the peer lacks or has in an older version.
 	Wants []string
-	// WantPrints are the fingerprints of the dynamic records that it lacks.
+	// WantPrints are the fingerprints of the dynamic records that the peer lacks.
 	WantPrints []byte
-	Partial    bool
-	Standing   Standing
+	// Partial is set when the answer was cut off at the limit of records or bytes.
+	Partial  bool
+	Standing Standing
 }
 
 // Event marks the type as an event.
@@ -92,7 +98,7 @@
 // Event marks the type as an event.
 func (Compared) Event() {}
 
-// Exchange sends the sums of our state to a peer.
+// Exchange sends the sums of this process's state to a peer.
 type Exchange struct {
 	To       string
 	Common   uint64
@@ -100,32 +106,35 @@
 	Standing Standing
 }
 
-// Answer answers a peer's Asked.
+// Answer answers an Asked.
 type Answer struct {
-	Call     uint64
+	Call uint64
+	// Same is set when the states are equal. Otherwise Digest contains the sums of this process.
 	Same     bool
 	Digest   []byte
 	Standing Standing
 }
 
-// Compare sends our versions in the buckets that differ.
+// Compare sends the versions of this process's records in the buckets that differ.
 type Compare struct {
 	To       string
 	Buckets  []int
 	Versions []KeyVersion
 	Prints   []byte
-	// Standing is the peer's, from before; it comes back with Compared.
+	// Standing is what the peer reported before; the shell returns it with Compared.
 	Standing Standing
 }
 
-// CompareAnswer answers a peer's CompareAsked.
+// CompareAnswer answers a CompareAsked.
 type CompareAnswer struct {
 	Call    uint64
 	Records []Record
-	Wants   []string
+	// Wants are the keys of records that this process lacks or has in an older version.
+	Wants []string
 	// WantPrints are the fingerprints of the dynamic records that this process lacks.
 	WantPrints []byte
-	Partial    bool
+	// Partial is set when the answer was cut off at the limit of records or bytes.
+	Partial bool
 }
 
 // Effect marks the type as an effect.
@@ -140,6 +149,7 @@
 // Effect marks the type as an effect.
 func (CompareAnswer) Effect() {}
 
+// standing returns what this process reports about its own state.
 func (s *State) standing(now time.Time) Standing {
 	if !s.Seasoned {
 		return Standing{}
@@ -147,34 +157,35 @@
 	return Standing{Dynamic: s.holdDynamic, Seasoned: true, Floor: s.Floor, AgeMS: now.Sub(s.Fresh).Milliseconds()}
 }
 
-// adopt raises Floor and Fresh to a peer's, of whose state everything was merged.
-func (s *State) adopt(now time.Time, from string, st Standing) {
+// adoptStanding raises Floor and Fresh to those of a peer whose complete state was merged.
+func (s *State) adoptStanding(now time.Time, from string, st Standing) {
 	if !st.Seasoned {
 		return
 	}
 	s.Heard[from] = true
 	s.HeardDynamic = s.HeardDynamic || s.holdDynamic && st.Dynamic
-	s.raise(st.Floor, now.Add(-time.Duration(st.AgeMS)*time.Millisecond))
+	s.raiseFloor(st.Floor, now.Add(-time.Duration(st.AgeMS)*time.Millisecond))
 }
 
-// dynamicSum is 0 for a process that does not hold the dynamic records, and while it has news of them and has compared
-// them not long ago.
+// dynamicSum returns the hash over the dynamic buckets. It returns 0, which leaves them out of the exchange, when this
+// process does not hold them, or when they keep changing and were compared recently.
 func (s *State) dynamicSum(now time.Time) uint64 {
-	busy := s.HeardDynamic && now.Before(s.newsUntil) && now.Before(s.nextDynamic)
+	busy := s.HeardDynamic && now.Before(s.dynamicBusyUntil) && now.Before(s.nextDynamicCompare)
 	if !s.holdDynamic || busy {
 		return 0
 	}
 	return s.sums.Dynamic()
 }
 
-func (s *State) answer(in step.Input, ask Asked) Answer {
+// handleAsked compares a peer's sums with those of this process.
+func (s *State) handleAsked(in step.Input, ask Asked) Answer {
 	a := Answer{Call: ask.Call, Standing: s.standing(in.Now)}
 	both := s.holdDynamic && ask.Dynamic != 0
 	a.Same = s.sums.Common() == ask.Common && (!both || s.sums.Dynamic() == ask.Dynamic)
 	if a.Same {
-		// What was not compared was not heard.
+		// Records that were not compared do not count as received.
 		ask.Standing.Dynamic = ask.Standing.Dynamic && both
-		s.adopt(in.Now, ask.From, ask.Standing)
+		s.adoptStanding(in.Now, ask.From, ask.Standing)
 		return a
 	}
 	switch {
@@ -188,25 +199,26 @@
 	return a
 }
 
-func (s *State) answered(in step.Input, ev Answered) []step.Effect {
-	if ev.Standing.Dynamic && !in.Now.Before(s.nextDynamic) {
-		s.nextDynamic = in.Now.Add(DynamicInterval)
+// handleAnswered compares a peer's digest and asks for the differences, if any.
+func (s *State) handleAnswered(in step.Input, ev Answered) []step.Effect {
+	if ev.Standing.Dynamic && !in.Now.Before(s.nextDynamicCompare) {
+		s.nextDynamicCompare = in.Now.Add(DynamicInterval)
 	}
 	if ev.Same {
-		s.adopt(in.Now, ev.From, ev.Standing)
+		s.adoptStanding(in.Now, ev.From, ev.Standing)
 		return nil
 	}
-	from, theirs := unpack(ev.Digest)
+	from, sums := unpack(ev.Digest)
 	differs := map[int]bool{}
 	c := Compare{To: ev.From, Standing: ev.Standing}
-	for i, sum := range theirs {
+	for i, sum := range sums {
 		b := from + i
 		if sum != s.sums[b] {
 			differs[b] = true
 			c.Buckets = append(c.Buckets, b)
 		}
 	}
-	for _, key := range s.keys() {
+	for _, key := range s.sortedKeys() {
 		r := s.Records[key]
 		switch {
 		case r.Deleted || !differs[bucket(key)]:
@@ -219,45 +231,46 @@
 	return []step.Effect{c}
 }
 
-func (s *State) compareAnswer(ask CompareAsked) CompareAnswer {
+// handleCompareAsked compares a peer's versions with those of this process.
+func (s *State) handleCompareAsked(ask CompareAsked) CompareAnswer {
 	a := CompareAnswer{Call: ask.Call}
-	theirs := make(map[string]Version, len(ask.Versions))
+	peerVersions := make(map[string]Version, len(ask.Versions))
 	for _, kv := range ask.Versions {
-		theirs[kv.Key] = kv.version()
-		a = s.compareOne(a, kv)
+		peerVersions[kv.Key] = kv.version()
+		a = s.compareRecord(a, kv)
 	}
 	known := map[uint64]bool{}
-	for _, print := range splitPrints(ask.Prints) {
-		known[print] = true
-		if _, held := s.prints[print]; s.holdDynamic && !held {
-			a.WantPrints = binary.BigEndian.AppendUint64(a.WantPrints, print)
+	for _, fp := range decodeFingerprints(ask.Prints) {
+		known[fp] = true
+		if _, held := s.keyByFingerprint[fp]; s.holdDynamic && !held {
+			a.WantPrints = binary.BigEndian.AppendUint64(a.WantPrints, fp)
 		}
 	}
-	asked := map[int]bool{}
+	requested := map[int]bool{}
 	for _, b := range ask.Buckets {
-		asked[b] = true
+		requested[b] = true
 	}
-	for _, key := range s.keys() {
+	for _, key := range s.sortedKeys() {
 		r := s.Records[key]
-		if _, named := theirs[key]; named || r.Deleted || !asked[bucket(key)] || isDynamic(key) && known[fingerprint(r)] {
+		if _, listed := peerVersions[key]; listed || r.Deleted || !requested[bucket(key)] || isDynamic(key) && known[fingerprint(r)] {
 			continue
 		}
 		a.Records = append(a.Records, r)
 	}
-	if n := fitting(a.Records, MaxAnswer); n < len(a.Records) {
+	if n := countThatFits(a.Records, MaxAnswerRecords); n < len(a.Records) {
 		a.Records = a.Records[:n]
 		a.Partial = true
 	}
 	return a
 }
 
-// compareOne adds to the answer what a peer's version of one record asks for.
-func (s *State) compareOne(a CompareAnswer, kv KeyVersion) CompareAnswer {
+// compareRecord adds to the answer what follows from the peer's version of one record.
+func (s *State) compareRecord(a CompareAnswer, kv KeyVersion) CompareAnswer {
 	own, known := s.Records[kv.Key]
 	switch {
 	case !s.holds(kv.Key):
 	case s.deletedBelowFloor(kv.Key, kv.version(), known):
-		a.Records = append(a.Records, s.belowFloor(kv.Key))
+		a.Records = append(a.Records, s.floorTombstone(kv.Key))
 	case !known || own.Version.Less(kv.version()):
 		a.Wants = append(a.Wants, kv.Key)
 	case kv.version().Less(own.Version):
@@ -266,15 +279,16 @@
 	return a
 }
 
-func (s *State) compared(in step.Input, ev Compared) ([]Record, []step.Effect) {
+// handleCompared merges a peer's answer and returns the pushes of the records that the peer wants.
+func (s *State) handleCompared(in step.Input, ev Compared) ([]Record, []step.Effect) {
 	changed, newer := s.merge(in.Now, ev.From, ev.Records)
 	if !ev.Partial {
-		s.adopt(in.Now, ev.From, ev.Standing)
+		s.adoptStanding(in.Now, ev.From, ev.Standing)
 	}
 	for _, key := range ev.Wants {
 		if r, known := s.Records[key]; known {
 			newer = append(newer, r)
 		}
 	}
-	return changed, append(push(ev.From, newer), s.wanted(Wanted{From: ev.From, Prints: ev.WantPrints})...)
+	return changed, append(splitIntoPushes(ev.From, newer), s.handleWanted(Wanted{From: ev.From, Prints: ev.WantPrints})...)
 }
--- a/internal/core/record/offer.go
+++ b/internal/core/record/offer.go
@@ -9,29 +9,33 @@
 )
 
 const (
-	// OfferFanout is how many entries an entry offers news to: all its neighbours among them, since an offer is small.
+	// OfferFanout is the number of entries to which an entry offers changed records. Offers are small, so that it
+	// covers all of an entry's peers that are entries.
 	OfferFanout = 6
-	// OfferInterval is the least time between two offers of an entry: the first news goes out at the next tick, and
-	// while there is more, that of three ticks goes together. Half a tick less, since ticks are not exact.
+	// OfferInterval is the minimum time between two offers of an entry. The first change is offered at the next tick.
+	// While changes continue, those of three ticks are offered together. Ticks are not exact, so that the interval is
+	// half a tick shorter.
 	OfferInterval = 3*step.TickInterval - step.TickInterval/2
-	// OwnFanout is how many entries an agent pushes its dynamic record to; they spread it.
+	// OwnFanout is the number of entries to which an agent pushes its own dynamic record. The entries distribute it.
 	OwnFanout = 2
-	// MaxOffer bounds the records that one offer names.
-	MaxOffer = 1024
-	// wantPatience is how long an entry that asked for a record does not ask another for the same. When the answer
-	// is lost, the next exchange of sums brings the record.
-	wantPatience = 3 * step.TickInterval
-	printBytes   = 8
+	// MaxOfferRecords is the maximum number of records in one offer.
+	MaxOfferRecords = 1024
+	// requestTimeout is how long an entry that requested a record does not request it from another entry. If the answer
+	// is lost, the next exchange of sums transfers the record.
+	requestTimeout = 3 * step.TickInterval
+	// fingerprintBytes is the encoded size of one fingerprint.
+	fingerprintBytes = 8
 )
 
-// Offer tells another entry which dynamic records are new here, by the fingerprints of their keys and versions. It
-// answers which of them it lacks and only those are sent, so that a record passes each entry's link about once.
+// Offer offers the dynamic records that changed here to another entry, by the fingerprints of their keys and versions.
+// The other entry answers with those that it lacks, and only these are sent. A record therefore passes each entry's
+// link about once.
 type Offer struct {
 	To     string
 	Prints []byte
 }
 
-// Offered says that an entry told what it has and waits for what is lacking here.
+// Offered reports that another entry offered records and waits for the fingerprints of those that are missing here.
 type Offered struct {
 	Call   uint64
 	From   string
@@ -40,13 +44,15 @@
 
 // OfferAnswer answers an Offered.
 type OfferAnswer struct {
-	Call  uint64
+	Call uint64
+	// Wants are the fingerprints of the records that are missing here.
 	Wants []byte
 }
 
-// Wanted says that an entry answered our offer.
+// Wanted reports that another entry answered an Offer.
 type Wanted struct {
-	From   string
+	From string
+	// Prints are the fingerprints of the records that it requests.
 	Prints []byte
 }
 
@@ -62,19 +68,19 @@
 // Event marks the type as an event.
 func (Wanted) Event() {}
 
-// CheckPrints refuses fingerprints of the wrong length.
+// CheckPrints returns an error when encoded fingerprints have an invalid length.
 func CheckPrints(raw []byte) error {
-	if len(raw)%printBytes != 0 || len(raw) > MaxOffer*printBytes {
-		return code.Errorf(code.BadMessage, "prints", "%d bytes, want a multiple of %d up to %d", len(raw), printBytes, MaxOffer*printBytes)
+	if len(raw)%fingerprintBytes != 0 || len(raw) > MaxOfferRecords*fingerprintBytes {
+		return code.Errorf(code.BadMessage, "prints", "%d bytes, want a multiple of %d up to %d", len(raw), fingerprintBytes, MaxOfferRecords*fingerprintBytes)
 	}
 	return nil
 }
 
-// offers names the records of some keys to a peer.
-func (s *State) offers(to string, keys []string) []step.Effect {
+// makeOffers returns the offers of the records under some keys to a peer.
+func (s *State) makeOffers(to string, keys []string) []step.Effect {
 	var effects []step.Effect
 	for len(keys) > 0 {
-		n := min(len(keys), MaxOffer)
+		n := min(len(keys), MaxOfferRecords)
 		o := Offer{To: to}
 		for _, key := range keys[:n] {
 			o.Prints = binary.BigEndian.AppendUint64(o.Prints, fingerprint(s.Records[key]))
@@ -85,48 +91,49 @@
 	return effects
 }
 
-// offered answers which of the offered records are lacking here and not on their way.
-func (s *State) offered(now time.Time, ev Offered) OfferAnswer {
+// handleOffered returns which of the offered records are missing here and were not requested recently.
+func (s *State) handleOffered(now time.Time, ev Offered) OfferAnswer {
 	a := OfferAnswer{Call: ev.Call}
 	if !s.holdDynamic {
 		return a
 	}
-	for _, print := range splitPrints(ev.Prints) {
-		_, held := s.prints[print]
-		asked, waits := s.asked[print]
-		if held || waits && now.Sub(asked) < wantPatience {
+	for _, fp := range decodeFingerprints(ev.Prints) {
+		_, held := s.keyByFingerprint[fp]
+		at, waits := s.requestedAt[fp]
+		if held || waits && now.Sub(at) < requestTimeout {
 			continue
 		}
-		s.asked[print] = now
-		a.Wants = binary.BigEndian.AppendUint64(a.Wants, print)
+		s.requestedAt[fp] = now
+		a.Wants = binary.BigEndian.AppendUint64(a.Wants, fp)
 	}
 	return a
 }
 
-// wanted sends what a peer lacks. What has changed since the offer is offered again anyway.
-func (s *State) wanted(ev Wanted) []step.Effect {
+// handleWanted sends the requested records. Those that changed since the offer are offered again anyway.
+func (s *State) handleWanted(ev Wanted) []step.Effect {
 	var records []Record
-	for _, print := range splitPrints(ev.Prints) {
-		if key, held := s.prints[print]; held {
+	for _, fp := range decodeFingerprints(ev.Prints) {
+		if key, held := s.keyByFingerprint[fp]; held {
 			records = append(records, s.Records[key])
 		}
 	}
-	return push(ev.From, records)
+	return splitIntoPushes(ev.From, records)
 }
 
-func splitPrints(raw []byte) []uint64 {
+// decodeFingerprints decodes fingerprints and ignores an incomplete one at the end.
+func decodeFingerprints(raw []byte) []uint64 {
 	var list []uint64
-	for ; len(raw) >= printBytes; raw = raw[printBytes:] {
+	for ; len(raw) >= fingerprintBytes; raw = raw[fingerprintBytes:] {
 		list = append(list, binary.BigEndian.Uint64(raw))
 	}
 	return list
 }
 
-// forgetAsked drops the records that were asked for long ago.
-func (s *State) forgetAsked(now time.Time) {
-	for print, asked := range s.asked {
-		if now.Sub(asked) >= wantPatience {
-			delete(s.asked, print)
+// expireRequests drops the requests for records that have timed out.
+func (s *State) expireRequests(now time.Time) {
+	for fp, at := range s.requestedAt {
+		if now.Sub(at) >= requestTimeout {
+			delete(s.requestedAt, fp)
 		}
 	}
 }
--- a/internal/core/record/offer_test.go
+++ b/internal/core/record/offer_test.go
@@ -15,13 +15,13 @@
 	return record.Record{Key: record.PhasePrefix + host, Version: record.Version{Major: 1, Minor: minor}, Value: json.RawMessage(`{"o":"1"}`)}
 }
 
-// reduce hands one event to a state.
+// reduce passes one event to a state and returns the effects.
 func reduce(s *record.State, now time.Time, ev step.Event, peers record.Peers) []step.Effect {
 	_, effects := s.Reduce(step.Input{Now: now, Event: ev}, peers)
 	return effects
 }
 
-// offerOf has an entry learn of records and returns its offer to the one other entry.
+// offerOf delivers records to an entry and returns its offer of them to the only other entry.
 func offerOf(t *testing.T, s *record.State, records ...record.Record) record.Offer {
 	t.Helper()
 	deliver(s, records...)
@@ -34,8 +34,9 @@
 	return record.Offer{}
 }
 
-// TestOfferedRecordPassesOnce: of many entries that offer the same record, one is asked for it, and none once it is here.
-func TestOfferedRecordPassesOnce(t *testing.T) {
+// TestOfferedRecordIsTransferredOnce guards against transferring a record more than once when several entries offer
+// it. Only one of them is asked at a time, and none once the record has arrived.
+func TestOfferedRecordIsTransferredOnce(t *testing.T) {
 	from, to := newState(), newState()
 	o := offerOf(t, from, phase("a", 1), phase("b", 1))
 	ask := func(now time.Time) []byte {
@@ -43,7 +44,7 @@
 	}
 	wants := ask(start)
 	require.ElementsMatch(t, o.Prints, wants, "both")
-	require.Empty(t, ask(start.Add(100*time.Millisecond)), "asked another just now")
+	require.Empty(t, ask(start.Add(100*time.Millisecond)), "the records were requested just now")
 	require.Equal(t, wants, ask(start.Add(time.Second)), "the answer was lost")
 	sent := reduce(from, start, record.Wanted{From: "to", Prints: wants}, record.Peers{})[0].(record.Push)
 	require.Equal(t, "to", sent.To)
@@ -52,8 +53,9 @@
 	require.Empty(t, ask(start.Add(time.Minute)))
 }
 
-// TestOfferOfAnOlderVersionDoesNotGoBack: whoever offers what is old is told what is new.
-func TestOfferOfAnOlderVersionDoesNotGoBack(t *testing.T) {
+// TestOfferOfOlderVersionDoesNotRevertRecord guards against an offer of an old version that reverts a record. The
+// peer that offered it receives the newer version instead.
+func TestOfferOfOlderVersionDoesNotRevertRecord(t *testing.T) {
 	from, to := newState(), newState()
 	o := offerOf(t, from, phase("a", 1))
 	deliver(to, phase("a", 2))
@@ -65,8 +67,9 @@
 	require.Equal(t, to.Records, from.Records)
 }
 
-// TestAgentsPushTheirOwnToFewEntries: agents hold no others' dynamic records, so they neither offer nor ask.
-func TestAgentsPushTheirOwnToFewEntries(t *testing.T) {
+// TestAgentsPushOwnRecordToFewEntries guards against agents that offer or request dynamic records. They hold only their
+// own, which they push to a few entries.
+func TestAgentsPushOwnRecordToFewEntries(t *testing.T) {
 	s := record.NewState(record.PhasePrefix+"self", false)
 	entries := []string{"e1", "e2", "e3", "e4", "e5", "e6"}
 	reduce(s, start, record.Published{Records: []record.Record{phase("self", 1)}}, record.Peers{})
@@ -75,16 +78,17 @@
 		require.IsType(t, record.Push{}, e)
 		pushes++
 	}
-	require.Equal(t, record.OwnFanout+1, pushes, "two for the news, one of each interval")
-	print := offerOf(t, newState(), phase("a", 1)).Prints
-	require.Empty(t, reduce(s, start, record.Offered{Prints: print}, record.Peers{})[0].(record.OfferAnswer).Wants)
+	require.Equal(t, record.OwnFanout+1, pushes, "two for the change, one per interval")
+	fingerprints := offerOf(t, newState(), phase("a", 1)).Prints
+	require.Empty(t, reduce(s, start, record.Offered{Prints: fingerprints}, record.Peers{})[0].(record.OfferAnswer).Wants)
 }
 
-// TestMalformedOffersAreRefused also hands them to the reducer, which must not fall over what a check missed.
+// TestMalformedOffersAreRefused guards against malformed fingerprints from peers. They are passed to the reducer as
+// well, which must not panic on those that skipped the check.
 func TestMalformedOffersAreRefused(t *testing.T) {
 	require.NoError(t, record.CheckPrints(make([]byte, 16)))
 	require.Error(t, record.CheckPrints(make([]byte, 15)))
-	require.Error(t, record.CheckPrints(make([]byte, 8*(record.MaxOffer+1))))
+	require.Error(t, record.CheckPrints(make([]byte, 8*(record.MaxOfferRecords+1))))
 	require.Len(t, reduce(newState(), start, record.Offered{Prints: make([]byte, 15)}, record.Peers{})[0].(record.OfferAnswer).Wants, 8)
 	require.Empty(t, reduce(newState(), start, record.Wanted{Prints: make([]byte, 15)}, record.Peers{}))
 }
--- a/internal/core/record/push.go
+++ b/internal/core/record/push.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// Fanout is how many peers a process pushes news to.
+	// Fanout is the number of peers to which a process pushes changed records.
 	Fanout = 4
-	// MaxPush bounds the records in one push, MaxBytes the bytes in one push or answer; a connection carries at most
-	// four times as much in one message.
-	MaxPush  = 256
-	MaxBytes = 1 << 20
-	// OwnInterval is the time between two pushes of an agent's own dynamic record to an entry, which repair a lost
-	// one: agents take no part in the exchanges of dynamic records.
-	OwnInterval = 10 * time.Second
+	// MaxPushRecords is the maximum number of records in one push. MaxMessageBytes is the maximum size in bytes of
+	// one push or answer. A connection allows messages of up to four times that size.
+	MaxPushRecords  = 256
+	MaxMessageBytes = 1 << 20
+	// OwnPushInterval is the interval at which an agent pushes its own dynamic record to an entry again, in case that
+	// an earlier push was lost. Agents take no part in the exchanges of dynamic records.
+	OwnPushInterval = 10 * time.Second
 )
 
 // Push sends records to a peer.
@@ -28,46 +28,48 @@
 // Effect marks the type as an effect.
 func (Push) Effect() {}
 
+// tick pushes pending changes and starts an exchange when one is due.
 func (s *State) tick(in step.Input, peers Peers) []step.Effect {
-	s.forgetAsked(in.Now)
+	s.expireRequests(in.Now)
 	var effects []step.Effect
-	if len(s.news) > 0 {
-		effects = s.pushNews(in, peers)
+	if len(s.pending) > 0 {
+		effects = s.pushPending(in, peers)
 	}
 	effects = append(effects, s.pushOwn(in, peers)...)
 	if in.Now.Before(s.nextExchange) || len(peers.All) == 0 {
 		return effects
 	}
-	s.nextExchange = in.Now.Add(s.interval(len(peers.Entries) > 0))
-	e := Exchange{To: s.partner(in, peers), Common: s.sums.Common(), Dynamic: s.dynamicSum(in.Now), Standing: s.standing(in.Now)}
+	s.nextExchange = in.Now.Add(s.exchangeInterval(len(peers.Entries) > 0))
+	e := Exchange{To: s.exchangePeer(in, peers), Common: s.sums.Common(), Dynamic: s.dynamicSum(in.Now), Standing: s.standing(in.Now)}
 	return append(effects, e)
 }
 
-// TellOwn has the own dynamic record sent to a peer at the next tick.
-func (s *State) TellOwn(address string) { s.tellOwn = append(s.tellOwn, address) }
+// TellOwn schedules a push of the own dynamic record to a peer at the next tick.
+func (s *State) TellOwn(address string) { s.ownPushTargets = append(s.ownPushTargets, address) }
 
+// pushOwn pushes an agent's own dynamic record to the scheduled peers, and to one entry per OwnPushInterval.
 func (s *State) pushOwn(in step.Input, peers Peers) []step.Effect {
-	own, known := s.Records[s.self]
+	own, known := s.Records[s.ownKey]
 	if s.holdDynamic || !known {
 		return nil
 	}
-	to := s.tellOwn
-	s.tellOwn = nil
-	if len(peers.Entries) > 0 && !in.Now.Before(s.nextOwn) {
-		s.nextOwn = in.Now.Add(OwnInterval)
+	to := s.ownPushTargets
+	s.ownPushTargets = nil
+	if len(peers.Entries) > 0 && !in.Now.Before(s.nextOwnPush) {
+		s.nextOwnPush = in.Now.Add(OwnPushInterval)
 		to = append(to, peers.Entries[(in.Rand>>8)%uint64(len(peers.Entries))])
 	}
 	var effects []step.Effect
 	for _, address := range to {
-		effects = append(effects, push(address, []Record{own})...)
+		effects = append(effects, splitIntoPushes(address, []Record{own})...)
 	}
 	return effects
 }
 
-// partner picks whom to exchange with. A process without the settings asks any listed process, since its
-// neighbours may be as new as it is; an entry every other time asks an entry, since agents hold no dynamic
-// records.
-func (s *State) partner(in step.Input, peers Peers) string {
+// exchangePeer picks the peer of the next exchange. A process without the settings picks any listed process, because
+// its near peers may have just started, too. An entry picks an entry about every other time, because agents hold no
+// dynamic records.
+func (s *State) exchangePeer(in step.Input, peers Peers) string {
 	from := peers.Near
 	entry := s.holdDynamic && len(peers.Entries) > 0 && (in.Rand%2 == 0 || !s.HeardDynamic)
 	switch {
@@ -79,50 +81,50 @@
 	return from[(in.Rand>>1)%uint64(len(from))]
 }
 
-// pushNews passes what changed on to a few neighbours: common records to any, dynamic ones to entries. An agent pushes
-// its own dynamic record, an entry offers those that it has, now and then.
-func (s *State) pushNews(in step.Input, peers Peers) []step.Effect {
+// pushPending sends the changed records to a few peers: common records to any peer, dynamic records to entries. An
+// agent pushes its own dynamic record. An entry offers dynamic records, at most once per OfferInterval.
+func (s *State) pushPending(in step.Input, peers Peers) []step.Effect {
 	byPeer := map[string][]Record{}
 	offers := map[string][]string{}
-	later := map[string]string{}
-	for _, key := range sorted(s.news) {
-		from := s.news[key]
+	deferred := map[string]string{}
+	for _, key := range sortedKeysOf(s.pending) {
+		from := s.pending[key]
 		switch {
 		case !isDynamic(key):
-			for _, peer := range choose(in.Rand, peers.Near, from, Fanout) {
+			for _, peer := range choosePeers(in.Rand, peers.Near, from, Fanout) {
 				byPeer[peer] = append(byPeer[peer], s.Records[key])
 			}
 		case !s.holdDynamic:
-			for _, peer := range choose(in.Rand, peers.Entries, from, OwnFanout) {
+			for _, peer := range choosePeers(in.Rand, peers.Entries, from, OwnFanout) {
 				byPeer[peer] = append(byPeer[peer], s.Records[key])
 			}
 		case in.Now.Before(s.nextOffer):
-			later[key] = from
+			deferred[key] = from
 		default:
-			for _, peer := range choose(in.Rand, peers.Entries, from, OfferFanout) {
+			for _, peer := range choosePeers(in.Rand, peers.Entries, from, OfferFanout) {
 				offers[peer] = append(offers[peer], key)
 			}
 		}
 	}
-	s.news = later
+	s.pending = deferred
 	if len(offers) > 0 {
 		s.nextOffer = in.Now.Add(OfferInterval)
 	}
 	var effects []step.Effect
-	for _, peer := range sorted(byPeer) {
-		effects = append(effects, push(peer, byPeer[peer])...)
+	for _, peer := range sortedKeysOf(byPeer) {
+		effects = append(effects, splitIntoPushes(peer, byPeer[peer])...)
 	}
-	for _, peer := range sorted(offers) {
-		effects = append(effects, s.offers(peer, offers[peer])...)
+	for _, peer := range sortedKeysOf(offers) {
+		effects = append(effects, s.makeOffers(peer, offers[peer])...)
 	}
 	return effects
 }
 
-// choose draws up to limit distinct peers, not the one that the news came from.
-func choose(random uint64, peers []string, not string, limit int) []string {
+// choosePeers draws up to limit distinct peers, without the one that a change came from.
+func choosePeers(random uint64, peers []string, except string, limit int) []string {
 	pool := make([]string, 0, len(peers))
 	for _, p := range peers {
-		if p != not {
+		if p != except {
 			pool = append(pool, p)
 		}
 	}
@@ -136,32 +138,34 @@
 	return pool[:n]
 }
 
-func push(to string, records []Record) []step.Effect {
+// splitIntoPushes splits records into pushes within the limits.
+func splitIntoPushes(to string, records []Record) []step.Effect {
 	var effects []step.Effect
 	for len(records) > 0 {
-		n := fitting(records, MaxPush)
+		n := countThatFits(records, MaxPushRecords)
 		effects = append(effects, Push{To: to, Records: records[:n]})
 		records = records[n:]
 	}
 	return effects
 }
 
-// fitting is how many of the first records go into one message: at least one, at most limit.
-func fitting(records []Record, limit int) int {
+// countThatFits returns how many of the first records fit into one message: at least one, at most limit.
+func countThatFits(records []Record, limit int) int {
 	size := 0
 	for i, r := range records {
 		size += len(r.Key) + len(r.Value) + recordOverhead
-		if i == limit || i > 0 && size > MaxBytes {
+		if i == limit || i > 0 && size > MaxMessageBytes {
 			return i
 		}
 	}
 	return len(records)
 }
 
-// recordOverhead is about what a record's version and punctuation take in a message, in bytes.
+// recordOverhead is the approximate size in bytes of a record's version and punctuation in a message.
 const recordOverhead = 100
 
-func sorted[V any](m map[string]V) []string {
+// sortedKeysOf returns the keys of a map in ascending order.
+func sortedKeysOf[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
@@ -170,9 +174,10 @@
 	return keys
 }
 
-func (s *State) interval(hasEntries bool) time.Duration {
+// exchangeInterval returns the time until the next exchange.
+func (s *State) exchangeInterval(hasEntries bool) time.Duration {
 	if !s.Seasoned || s.holdDynamic && !s.HeardDynamic && hasEntries {
-		return FirstInterval
+		return InitialInterval
 	}
 	return ExchangeInterval
 }
--- a/internal/core/record/record.go
+++ b/internal/core/record/record.go
@@ -1,12 +1,15 @@
-// Package record is the reducer for what every process must know: operators' settings, the list of hosts, the
-// hosts' own advertisements, quarantines. Each is a record under a key; two versions of a record merge by taking
-// the higher one. Merging is commutative, associative and idempotent, so neither the order of arrival nor a
-// repetition nor a peer with old state can make a record go back.
+// Package record is the reducer for the state that is replicated to every process: operators' settings, the list of
+// hosts, the hosts' own advertisements, and quarantines. Each of them is a record under a key. Two versions of a
+// record are merged by keeping the higher one. Merging is commutative, associative and idempotent, so that reordered
+// or repeated messages and peers with old state cannot revert a record.
 //
-// Deletions are records too (tombstones). They are not part of the digest, so that each process can sweep its own
-// when it likes without its peers giving them back. For settings a second guard needs no tombstone at all: the
-// Floor is the object API's revision up to which this process knows every setting there is, so a setting that it
-// does not know, at or below the Floor, was deleted.
+// Processes push changed records to peers, offer dynamic records by fingerprint, and repair missed messages with
+// periodic anti-entropy exchanges.
+//
+// A deletion is stored as a record, too (a tombstone). Tombstones are not part of the digest, so that each process
+// can drop its own at any time without getting them back from its peers. Settings are also protected without them:
+// the Floor is the object API's revision up to which this process knows every setting. A setting that it does not
+// know, at or below the Floor, was therefore deleted.
 package record
 
 import (
@@ -18,14 +21,14 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// Version orders the states of one record. For settings Major is the object API's revision; for advertisements
-// Major is the host's incarnation and Minor its sequence number.
+// Version orders the states of one record. For settings, Major is the object API's revision. For advertisements, Major
+// is the host's incarnation and Minor is the host's sequence number.
 type Version struct {
 	Major uint64 `json:"a"`
 	Minor uint64 `json:"b,omitempty"`
 }
 
-// Less tells whether v is older than w.
+// Less reports whether v is older than w.
 func (v Version) Less(w Version) bool {
 	if v.Major != w.Major {
 		return v.Major < w.Major
@@ -33,7 +36,7 @@
 	return v.Minor < w.Minor
 }
 
-// Record is one versioned value. Its names in messages are short: most records are small, and there are many.
+// Record is one versioned value. Its JSON names are short, because most records are small and there are many.
 type Record struct {
 	Key     string          `json:"k"`
 	Version Version         `json:"v"`
@@ -42,71 +45,73 @@
 }
 
 const (
-	// SettingsPrefix begins the keys that the Floor speaks of.
+	// SettingsPrefix begins the keys of settings, to which the Floor applies.
 	SettingsPrefix = "settings/"
-	// PhasePrefix and DemandPrefix begin the keys of the dynamic records: they change often and only entries need
-	// them, so agents don't hold those of others.
+	// PhasePrefix and DemandPrefix begin the keys of the dynamic records. These change often and only entries need
+	// them, so that an agent holds none but its own.
 	PhasePrefix  = "phase/"
 	DemandPrefix = "demand/"
-	// TombstoneKeep is how long a tombstone is kept. A process that was cut off for longer may bring a deleted
-	// host back until the list is next read; it can't bring a setting back, because of the Floor.
-	TombstoneKeep = 24 * time.Hour
-	// sweepInterval is the time between two sweeps of tombstones.
+	// TombstoneRetention is how long a tombstone is kept. A process that was disconnected for longer may restore a
+	// deleted host until the list is next read. It cannot restore a setting, because of the Floor.
+	TombstoneRetention = 24 * time.Hour
+	// sweepInterval is the interval between two sweeps of tombstones.
 	sweepInterval = time.Minute
 )
 
-// State holds the records and what must still be passed on.
+// State holds the records and the changes that still have to be sent to peers.
 type State struct {
-	// Records by key.
+	// Records holds the records by key, tombstones included.
 	Records map[string]Record
-	// Seasoned is set once every setting up to Floor is known here, from the platform or from a peer.
+	// Seasoned is set once this process knows every setting up to Floor, from the platform or from a peer.
 	Seasoned bool
-	// Floor is the object API's revision up to which every setting is known here.
+	// Floor is the object API's revision up to which this process knows every setting.
 	Floor uint64
-	// Fresh is the last time at which the Floor was known to be the platform's own, by this process's clock.
+	// Fresh is the last time, by this process's clock, at which Floor was known to be the platform's current revision.
 	Fresh time.Time
-	// Heard has the peers whose whole state was merged since the start.
+	// Heard contains the peers whose complete state was merged since the start.
 	Heard map[string]bool
-	// HeardDynamic is set once the dynamic records of another holder of them were merged.
+	// HeardDynamic is set once all dynamic records of a peer that holds them were merged.
 	HeardDynamic bool
 
-	// self is the own dynamic record's key; others' are held by entries only.
-	self        string
+	// ownKey is the key of the own dynamic record.
+	ownKey string
+	// holdDynamic is set when this process holds the dynamic records of others. Only entries do.
 	holdDynamic bool
 	sums        Sums
-	// news are the records to push at the next tick, with the peer that they came from.
-	news map[string]string
-	// prints are the fingerprints of the dynamic records, to answer offers; asked are those that were asked for.
-	prints map[uint64]string
-	asked  map[uint64]time.Time
-	// gone has the tombstones and when they came.
-	gone         map[string]time.Time
+	// pending maps the keys of the records to push at the next tick to the peer that they came from.
+	pending map[string]string
+	// keyByFingerprint maps the fingerprints of the dynamic records to their keys, to answer offers.
+	keyByFingerprint map[uint64]string
+	// requestedAt maps the fingerprints of requested records to the time of the request.
+	requestedAt map[uint64]time.Time
+	// tombstones maps the keys of the tombstones to when they were received.
+	tombstones   map[string]time.Time
 	nextExchange time.Time
 	nextSweep    time.Time
-	nextOwn      time.Time
-	// nextOffer is when dynamic news may be offered again.
+	nextOwnPush  time.Time
+	// nextOffer is the earliest time of the next offer of dynamic records.
 	nextOffer time.Time
-	// newsUntil is until when the last dynamic news counts as new, nextDynamic when the dynamic records are compared
-	// even so.
-	newsUntil   time.Time
-	nextDynamic time.Time
-	// tellOwn are the peers that the own dynamic record goes to at the next tick.
-	tellOwn []string
+	// dynamicBusyUntil is until when the dynamic records count as changing.
+	dynamicBusyUntil time.Time
+	// nextDynamicCompare is when the dynamic records are next compared although they keep changing.
+	nextDynamicCompare time.Time
+	// ownPushTargets are the peers to which the own dynamic record is pushed at the next tick.
+	ownPushTargets []string
 }
 
-// NewState returns an empty state. selfDynamic is the key of this process's own dynamic record; holdDynamic tells
-// whether it also holds the others'.
+// NewState returns an empty state. selfDynamic is the key of this process's own dynamic record. holdDynamic is set for
+// a process that also holds those of others.
 func NewState(selfDynamic string, holdDynamic bool) *State {
 	return &State{
-		Records: map[string]Record{}, Heard: map[string]bool{}, self: selfDynamic, holdDynamic: holdDynamic,
-		news: map[string]string{}, gone: map[string]time.Time{}, prints: map[uint64]string{}, asked: map[uint64]time.Time{},
+		Records: map[string]Record{}, Heard: map[string]bool{}, ownKey: selfDynamic, holdDynamic: holdDynamic,
+		pending: map[string]string{}, tombstones: map[string]time.Time{}, keyByFingerprint: map[uint64]string{}, requestedAt: map[uint64]time.Time{},
 	}
 }
 
-// Published says that this process itself has a new record.
+// Published reports that this process itself has new records.
 type Published struct{ Records []Record }
 
-// Received says that a peer sent records.
+// Received reports that a peer sent records.
 type Received struct {
 	From    string
 	Records []Record
@@ -118,12 +123,14 @@
 // Event marks the type as an event.
 func (Received) Event() {}
 
-// Peers are the processes that may be talked to.
+// Peers are the addresses of the processes to which messages may be sent.
 type Peers struct {
-	// Near are this process's fixed neighbours; Entries those among the entries. All are all listed processes.
-	Near    []string
+	// Near are the fixed peers of this process.
+	Near []string
+	// Entries are its peers among the entries.
 	Entries []string
-	All     []string
+	// All are all listed processes.
+	All []string
 }
 
 // Reduce handles one input. It returns the records that changed, for the other reducers, and the effects.
@@ -134,27 +141,27 @@
 		return changed, nil
 	case Received:
 		changed, newer := s.merge(in.Now, ev.From, ev.Records)
-		return changed, push(ev.From, newer)
+		return changed, splitIntoPushes(ev.From, newer)
 	case Offered:
-		return nil, []step.Effect{s.offered(in.Now, ev)}
+		return nil, []step.Effect{s.handleOffered(in.Now, ev)}
 	case Wanted:
-		return nil, s.wanted(ev)
+		return nil, s.handleWanted(ev)
 	case Asked:
-		return nil, []step.Effect{s.answer(in, ev)}
+		return nil, []step.Effect{s.handleAsked(in, ev)}
 	case Answered:
-		return nil, s.answered(in, ev)
+		return nil, s.handleAnswered(in, ev)
 	case CompareAsked:
-		return nil, []step.Effect{s.compareAnswer(ev)}
+		return nil, []step.Effect{s.handleCompareAsked(ev)}
 	case Compared:
-		return s.compared(in, ev)
+		return s.handleCompared(in, ev)
 	case step.Tick:
-		s.sweep(in.Now)
+		s.sweepTombstones(in.Now)
 		return nil, s.tick(in, peers)
 	}
 	return nil, nil
 }
 
-// Listed takes in a complete listing of the settings at a revision: what is known at or below it and is not
+// Listed merges a complete listing of the settings at a revision. A known setting at or below the revision that is not
 // listed was deleted.
 func (s *State) Listed(now time.Time, revision uint64, records []Record) []Record {
 	listed := make(map[string]bool, len(records))
@@ -162,7 +169,7 @@
 		listed[r.Key] = true
 	}
 	var missing []Record
-	for _, key := range s.keys() {
+	for _, key := range s.sortedKeys() {
 		r := s.Records[key]
 		if isSetting(key) && !r.Deleted && !listed[key] && r.Version.Major <= revision {
 			missing = append(missing, Record{Key: key, Version: Version{Major: revision}, Deleted: true})
@@ -171,14 +178,15 @@
 	return s.Watched(now, revision, append(records, missing...))
 }
 
-// Watched takes in all changes of settings since the Floor, up to a revision.
+// Watched merges all changes of settings since the Floor, up to a revision.
 func (s *State) Watched(now time.Time, revision uint64, records []Record) []Record {
 	changed, _ := s.merge(now, "", records)
-	s.raise(revision, now)
+	s.raiseFloor(revision, now)
 	return changed
 }
 
-func (s *State) raise(floor uint64, fresh time.Time) {
+// raiseFloor raises Floor and Fresh; neither ever decreases.
+func (s *State) raiseFloor(floor uint64, fresh time.Time) {
 	s.Seasoned = true
 	s.Floor = max(s.Floor, floor)
 	if fresh.After(s.Fresh) {
@@ -186,7 +194,8 @@
 	}
 }
 
-// merge takes in records. newer are those that the sender has in an older version than this process.
+// merge stores the records that are newer than the known ones. newer are the records of this process of which the
+// sender has an older version.
 func (s *State) merge(now time.Time, from string, records []Record) (changed, newer []Record) {
 	for _, r := range records {
 		if !s.holds(r.Key) {
@@ -195,7 +204,7 @@
 		old, known := s.Records[r.Key]
 		if s.deletedBelowFloor(r.Key, r.Version, known) {
 			if !r.Deleted {
-				newer = append(newer, s.belowFloor(r.Key))
+				newer = append(newer, s.floorTombstone(r.Key))
 			}
 			continue
 		}
@@ -205,68 +214,72 @@
 			}
 			continue
 		}
-		s.put(now, from, r)
+		s.store(now, from, r)
 		changed = append(changed, r)
 	}
 	return changed, newer
 }
 
-// deletedBelowFloor tells whether a setting is unknown here because it was deleted.
+// deletedBelowFloor reports whether a setting is unknown here because it was deleted.
 func (s *State) deletedBelowFloor(key string, v Version, known bool) bool {
 	return !known && isSetting(key) && v.Major <= s.Floor
 }
 
-func (s *State) belowFloor(key string) Record {
+// floorTombstone returns a tombstone at the Floor for a setting that was deleted at or below it.
+func (s *State) floorTombstone(key string) Record {
 	return Record{Key: key, Version: Version{Major: s.Floor}, Deleted: true}
 }
 
-func (s *State) put(now time.Time, from string, r Record) {
+// store stores a record, updates the sums and schedules the record to be sent to peers.
+func (s *State) store(now time.Time, from string, r Record) {
 	old, known := s.Records[r.Key]
 	if known && !old.Deleted {
 		s.sums[bucket(r.Key)] ^= fingerprint(old)
 	}
 	if isDynamic(r.Key) {
-		s.newsUntil = now.Add(newsTime)
-		delete(s.prints, fingerprint(old))
-		s.prints[fingerprint(r)] = r.Key
+		s.dynamicBusyUntil = now.Add(dynamicBusyTime)
+		delete(s.keyByFingerprint, fingerprint(old))
+		s.keyByFingerprint[fingerprint(r)] = r.Key
 	}
-	delete(s.gone, r.Key)
+	delete(s.tombstones, r.Key)
 	if r.Deleted {
 		r.Value = nil
-		s.gone[r.Key] = now
+		s.tombstones[r.Key] = now
 	} else {
 		s.sums[bucket(r.Key)] ^= fingerprint(r)
 	}
 	s.Records[r.Key] = r
-	s.news[r.Key] = from
+	s.pending[r.Key] = from
 }
 
-// holds tells whether this process keeps a key at all.
+// holds reports whether this process stores records under a key.
 func (s *State) holds(key string) bool {
-	return s.holdDynamic || key == s.self || !isDynamic(key)
+	return s.holdDynamic || key == s.ownKey || !isDynamic(key)
 }
 
-// sweep drops old tombstones. That can't resurrect a setting: one is dropped only when the Floor covers it.
-func (s *State) sweep(now time.Time) {
+// sweepTombstones drops expired tombstones. This cannot restore a deleted setting, because its tombstone is dropped
+// only when the Floor covers it.
+func (s *State) sweepTombstones(now time.Time) {
 	if now.Before(s.nextSweep) {
 		return
 	}
 	s.nextSweep = now.Add(sweepInterval)
-	for key, since := range s.gone {
+	for key, since := range s.tombstones {
 		covered := !isSetting(key) || s.Records[key].Version.Major <= s.Floor
-		if covered && now.Sub(since) > TombstoneKeep {
-			delete(s.gone, key)
-			delete(s.prints, fingerprint(s.Records[key]))
+		if covered && now.Sub(since) > TombstoneRetention {
+			delete(s.tombstones, key)
+			delete(s.keyByFingerprint, fingerprint(s.Records[key]))
 			delete(s.Records, key)
-			delete(s.news, key)
+			delete(s.pending, key)
 		}
 	}
 }
 
-// Tombstones returns how many deletions are kept.
-func (s *State) Tombstones() int { return len(s.gone) }
+// Tombstones returns the number of tombstones.
+func (s *State) Tombstones() int { return len(s.tombstones) }
 
-func (s *State) keys() []string {
+// sortedKeys returns the keys of all records in ascending order.
+func (s *State) sortedKeys() []string {
 	keys := make([]string, 0, len(s.Records))
 	for k := range s.Records {
 		keys = append(keys, k)
--- a/internal/core/record/record_test.go
+++ b/internal/core/record/record_test.go
@@ -26,7 +26,7 @@
 	prefix := rapid.SampledFrom([]string{"settings/t/", "host/", "advert/", "phase/"}).Draw(t, "prefix")
 	version := rapid.Uint64Range(1, 6).Draw(t, "version")
 	key := fmt.Sprintf("%s%d", prefix, rapid.IntRange(0, 3).Draw(t, "key"))
-	// One version of a key has one value, as the object API and the hosts' own sequence numbers make sure.
+	// One version of a key has one value. The object API and the hosts' own sequence numbers guarantee this.
 	r := record.Record{Key: key, Version: record.Version{Major: version}, Deleted: version%3 == 0}
 	if !r.Deleted {
 		r.Value = json.RawMessage(fmt.Sprintf(`{"v":%d}`, version))
@@ -34,8 +34,9 @@
 	return r
 }
 
-// TestOrderAndRepetitionDoNotMatter delivers the same records in two orders, one of them with repetitions.
-func TestOrderAndRepetitionDoNotMatter(t *testing.T) {
+// TestMergeIsIndependentOfOrderAndRepetition guards against processes whose states differ after they received the
+// same records. The records are delivered in two orders, one of them with repetitions.
+func TestMergeIsIndependentOfOrderAndRepetition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(drawRecord), 1, 30).Draw(t, "records")
 		shuffled := rapid.Permutation(records).Draw(t, "shuffled")
@@ -49,8 +50,9 @@
 	})
 }
 
-// TestVersionsNeverGoDown delivers anything, with Floors between, and watches each key.
-func TestVersionsNeverGoDown(t *testing.T) {
+// TestRecordVersionsNeverDecrease guards against a record that reverts to an older version, whatever records are
+// delivered and whenever the Floor is raised.
+func TestRecordVersionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newState()
 		seen := map[string]record.Version{}
@@ -61,30 +63,32 @@
 				deliver(s, drawRecord(t))
 			}
 			for key, r := range s.Records {
-				require.False(t, r.Version.Less(seen[key]), "%s went back", key)
+				require.False(t, r.Version.Less(seen[key]), "%s reverted to an older version", key)
 				seen[key] = r.Version
 			}
 		}
 	})
 }
 
-// TestSettingBelowTheFloorStaysDeleted has no tombstone at all.
+// TestSettingBelowTheFloorStaysDeleted guards against a peer with old state that restores a deleted setting. The Floor
+// alone prevents this; there is no tombstone.
 func TestSettingBelowTheFloorStaysDeleted(t *testing.T) {
 	s := newState()
 	s.Listed(start, 100, nil)
 	old := record.Record{Key: "settings/t/s", Version: record.Version{Major: 50}, Value: json.RawMessage(`{}`)}
 	_, effects := s.Reduce(step.Input{Now: start, Event: record.Received{From: "peer", Records: []record.Record{old}}}, record.Peers{})
 	require.Empty(t, s.Records)
-	require.Len(t, effects, 1, "the peer is told")
-	told := effects[0].(record.Push)
-	require.Equal(t, "peer", told.To)
-	require.True(t, told.Records[0].Deleted)
+	require.Len(t, effects, 1, "the peer receives a tombstone")
+	pushed := effects[0].(record.Push)
+	require.Equal(t, "peer", pushed.To)
+	require.True(t, pushed.Records[0].Deleted)
 	old.Version.Major = 101
 	deliver(s, old)
-	require.Contains(t, s.Records, old.Key, "made again after the Floor")
+	require.Contains(t, s.Records, old.Key, "created again above the Floor")
 }
 
-// TestLargeSettingsFitIntoMessages brings more than one message holds to a process that has nothing, by exchanges.
+// TestLargeSettingsFitIntoMessages guards against answers that exceed the size limit of a message. An empty process
+// receives more settings than fit into one message, in several exchanges.
 func TestLargeSettingsFitIntoMessages(t *testing.T) {
 	full, fresh := newState(), newState()
 	value := json.RawMessage(`"` + strings.Repeat("x", 60<<10) + `"`)
@@ -104,7 +108,7 @@
 	require.Greater(t, rounds, 1)
 }
 
-// exchange has asker make one exchange with peer.
+// exchange performs one exchange of asker with peer.
 func exchange(t *testing.T, asker, peer *record.State) {
 	t.Helper()
 	reduce := func(s *record.State, ev step.Event) step.Effect {
@@ -119,6 +123,6 @@
 	got := reduce(peer, record.CompareAsked{Buckets: c.Buckets, Versions: c.Versions, Prints: c.Prints}).(record.CompareAnswer)
 	raw, err := json.Marshal(got)
 	require.NoError(t, err)
-	require.Less(t, len(raw), 4<<20, "one message holds no more")
+	require.Less(t, len(raw), 4<<20, "the answer must fit into one message")
 	reduce(asker, record.Compared{From: "peer", Records: got.Records, Wants: got.Wants, WantPrints: got.WantPrints, Partial: got.Partial, Standing: c.Standing})
 }
