--- a/internal/core/admission/budget.go
+++ b/internal/core/admission/budget.go
@@ -1,20 +1,21 @@
 package admission
 
 const (
-	// RetryShare is how many retries each success pays for.
-	RetryShare = 0.1
-	// RetryBurst is how many retries may be saved up; a service begins with them.
+	// RetriesPerSuccess is the number of retries that one successful request adds to the budget.
+	RetriesPerSuccess = 0.1
+	// RetryBurst is the maximum number of retries in the budget. A new service starts with a full budget.
 	RetryBurst = 10
 )
 
-// Budget bounds the retries of a service by its successes, so that a failing service does not get a multiple of its
-// callers' load. Tries that certainly were not run cost nothing.
+// Budget limits the retries of one service in proportion to its successful requests. Without it, a failing service
+// would receive a multiple of its callers' load. Callers take nothing from the budget for a retry of an attempt that
+// certainly was not run.
 type Budget struct{ spent float64 }
 
-// Succeeded pays for a part of a retry.
-func (b *Budget) Succeeded() { b.spent = max(0, b.spent-RetryShare) }
+// Succeeded adds RetriesPerSuccess to the budget for one successful request.
+func (b *Budget) Succeeded() { b.spent = max(0, b.spent-RetriesPerSuccess) }
 
-// Take takes a retry from the budget, if there is one left.
+// Take takes one retry from the budget and reports whether the budget allowed it.
 func (b *Budget) Take() bool {
 	if b.spent+1 > RetryBurst {
 		return false
--- a/internal/core/admission/fleet.go
+++ b/internal/core/admission/fleet.go
@@ -5,29 +5,29 @@
 	"sort"
 )
 
-// DemandPrefix is where entries publish their clients' demand among the records.
+// DemandPrefix is the key prefix of the records in which entries publish the demand of their client accounts.
 const DemandPrefix = "demand/"
 
-// Demand is what one entry publishes: the requests that its clients have in flight or want, by service and client.
-// Only clients with a fleet-wide limit are in it.
+// Demand is the record that one entry publishes. It holds the number of requests in flight, waiting or recently refused
+// at this entry, by service and client account. Only client accounts with a fleet-wide limit are included.
 type Demand struct {
 	Entry   string                    `json:"entry"`
 	Clients map[string]map[string]int `json:"clients,omitempty"`
 }
 
-// Fleet holds what the entries publish of their clients' demand.
+// Fleet holds the demand records of all entries of the fleet.
 type Fleet struct {
 	self    string
 	entries []string
 	demands map[string]Demand
 }
 
-// NewFleet returns a fleet of one entry.
+// NewFleet returns a fleet whose only entry is self.
 func NewFleet(self string) *Fleet {
 	return &Fleet{self: self, entries: []string{self}, demands: map[string]Demand{}}
 }
 
-// SetEntries tells which entries the fleet has; demands of others are forgotten.
+// SetEntries sets the names of the entries in the fleet and drops the demand records of all others.
 func (f *Fleet) SetEntries(names []string) {
 	f.entries = append([]string(nil), names...)
 	sort.Strings(f.entries)
@@ -39,10 +39,11 @@
 	}
 }
 
-// Heard takes in what an entry published, this one included.
+// Heard stores the demand record that an entry published. Records of this entry are stored too.
 func (f *Fleet) Heard(d Demand) { f.demands[d.Entry] = d }
 
-// Cap returns how many of a client's fleet-wide limit this entry may have in flight.
+// Cap returns how many requests of a client account this entry may have in flight, given the account's fleet-wide
+// limit.
 func (f *Fleet) Cap(service, name string, limit int) int {
 	if len(f.entries) <= 1 {
 		return limit
@@ -54,71 +55,72 @@
 	return Share(limit, f.self, f.entries, demand)
 }
 
-// Share returns how many of a client's limit the entry self may have in flight. Half of the limit is split evenly and
-// half by demand, so that an entry without a part can always begin one. entries are all entries of the fleet, self
-// included; an entry whose demand is not known counts as one that wants as much as self does. When all entries know
-// the same demands, the shares sum up to the limit exactly.
+// Share returns how many requests of a client account the entry self may have in flight. Half of the account's limit is
+// split evenly and half by demand. The even half lets an entry without demand start requests at any time. The list of
+// entries holds all entries of the fleet, including self. An entry with unknown demand counts with the demand of self.
+// When all entries use the same demands, the shares add up to exactly the limit.
 func Share(limit int, self string, entries []string, demand map[string]int) int {
 	if limit <= 0 || len(entries) == 0 {
 		return 0
 	}
 	total := 0
 	for _, e := range entries {
-		total += wants(e, self, demand)
+		total += demandOf(e, self, demand)
 	}
-	parts := make([]part, 0, len(entries))
-	given := 0
+	allocations := make([]allocation, 0, len(entries))
+	allocated := 0
 	for _, e := range entries {
 		exact := float64(limit) / 2 / float64(len(entries))
 		if total > 0 {
-			exact += float64(limit) / 2 * float64(wants(e, self, demand)) / float64(total)
+			exact += float64(limit) / 2 * float64(demandOf(e, self, demand)) / float64(total)
 		} else {
 			exact *= 2
 		}
-		whole := math.Floor(exact)
-		given += int(whole)
-		parts = append(parts, part{entry: e, whole: int(whole), rest: exact - whole})
+		floor := math.Floor(exact)
+		allocated += int(floor)
+		allocations = append(allocations, allocation{entry: e, floor: int(floor), fraction: exact - floor})
 	}
-	return withRest(parts, limit-given, self)
+	return roundedShare(allocations, limit-allocated, self)
 }
 
-func wants(entry, self string, demand map[string]int) int {
+func demandOf(entry, self string, demand map[string]int) int {
 	if n, known := demand[entry]; known {
 		return n
 	}
 	return demand[self]
 }
 
-// part is one entry's share: its whole requests and the fraction that is left.
-type part struct {
-	entry string
-	whole int
-	rest  float64
+// allocation is the exact share of one entry, split into its integer and its fractional part.
+type allocation struct {
+	entry    string
+	floor    int
+	fraction float64
 }
 
-// withRest gives what rounding left over to the largest fractions, and returns the part of self.
-func withRest(parts []part, left int, self string) int {
-	sort.Slice(parts, func(i, j int) bool {
-		if parts[i].rest != parts[j].rest {
-			return parts[i].rest > parts[j].rest
+// roundedShare returns the rounded share of self. The remainder goes to the entries with the largest fractions, one
+// request each.
+func roundedShare(allocations []allocation, remainder int, self string) int {
+	sort.Slice(allocations, func(i, j int) bool {
+		if allocations[i].fraction != allocations[j].fraction {
+			return allocations[i].fraction > allocations[j].fraction
 		}
-		return parts[i].entry < parts[j].entry
+		return allocations[i].entry < allocations[j].entry
 	})
-	for i, p := range parts {
-		if p.entry != self {
+	for i, a := range allocations {
+		if a.entry != self {
 			continue
 		}
-		if i < left {
-			return p.whole + 1
+		if i < remainder {
+			return a.floor + 1
 		}
-		return p.whole
+		return a.floor
 	}
 	return 0
 }
 
-func sortedNames(clients map[string]*client) []string {
-	names := make([]string, 0, len(clients))
-	for name := range clients {
+func sortedNames(accounts map[string]*account) []string {
+	names := make([]string, 0, len(accounts))
+	for name := range accounts {
 		names = append(names, name)
 	}
 	sort.Strings(names)
--- a/internal/core/admission/flood_test.go
+++ b/internal/core/admission/flood_test.go
@@ -10,35 +10,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ends are the times at which running requests end.
-type ends []struct {
+// completions is a heap of the requests in flight, ordered by the time at which they complete.
+type completions []struct {
 	at time.Time
 	id string
 }
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any) {
-	*e = append(*e, x.(struct {
+func (h completions) Len() int           { return len(h) }
+func (h completions) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h completions) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *completions) Push(x any) {
+	*h = append(*h, x.(struct {
 		at time.Time
 		id string
 	}))
 }
-func (e *ends) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (h *completions) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// simulation serves a gate's requests on a fixed number of places with a clock of its own.
+// simulation serves the requests of a gate with a fixed concurrency and a simulated clock.
 type simulation struct {
-	gate    *Gate
-	now     time.Time
-	places  int
-	running ends
-	took    time.Duration
-	// answered and sent count by client.
+	gate        *Gate
+	now         time.Time
+	concurrency int
+	running     completions
+	serviceTime time.Duration
+	// answered and sent count requests by client account.
 	answered, sent map[string]int
 }
 
@@ -46,10 +46,10 @@
 	heap.Push(&s.running, struct {
 		at time.Time
 		id string
-	}{s.now.Add(s.took), id})
+	}{s.now.Add(s.serviceTime), id})
 }
 
-// advance ends what is due by now and lets waiting requests in.
+// advance moves the clock to the given time. It completes the requests that are due and admits waiting ones.
 func (s *simulation) advance(to time.Time) {
 	for len(s.running) > 0 && !s.running[0].at.After(to) {
 		done := heap.Pop(&s.running).(struct {
@@ -60,7 +60,7 @@
 		s.gate.Left(done.id, true)
 		s.answered[clientOf(done.id)]++
 		s.gate.Sweep(s.now)
-		if id, ok := s.gate.Next(anyFits); ok {
+		if id, ok := s.gate.Next(equalFit); ok {
 			s.start(id)
 		}
 	}
@@ -75,15 +75,16 @@
 	return client
 }
 
-// TestFloodInSteadyState lets one account ask for three times the capacity and nine small ones for a third of their
-// share each: every request of the small ones is answered, and no place is idle.
+// TestFloodInSteadyState guards against a client account that floods the service for a long time. The large account
+// sends three times the capacity, and nine small accounts send a third of their share each. Every request of the small
+// accounts must be answered, and at least 98% of the capacity must be used.
 func TestFloodInSteadyState(t *testing.T) {
 	s := &simulation{
-		gate: NewGate(), now: epoch, places: 40, took: 100 * time.Millisecond,
+		gate: NewGate(), now: epoch, concurrency: 40, serviceTime: 100 * time.Millisecond,
 		answered: map[string]int{}, sent: map[string]int{},
 	}
 	random := rand.New(rand.NewPCG(1, 1))
-	const capacity = 400 // a second
+	const capacity = 400 // requests per second
 	for range 60000 {
 		s.advance(s.now.Add(time.Duration(random.ExpFloat64() / (3.3 * capacity) * float64(time.Second))))
 		client := "large"
@@ -93,7 +94,7 @@
 		s.sent[client]++
 		id := fmt.Sprint(client, " ", s.sent[client])
 		a := Ask{ID: id, Client: client, Priority: DefaultPriority, Weight: 1, Deadline: s.now.Add(time.Minute)}
-		if in, _ := s.gate.Admit(s.now, a, len(s.running) < s.places); in {
+		if admitted, _ := s.gate.Admit(s.now, a, len(s.running) < s.concurrency); admitted {
 			s.start(id)
 		}
 	}
@@ -106,6 +107,6 @@
 			require.Equal(t, n, s.answered[client], client)
 		}
 	}
-	require.Greater(t, float64(total), 0.98*capacity*elapsed, "no place is idle")
+	require.Greater(t, float64(total), 0.98*capacity*elapsed, "capacity is idle")
 	require.Less(t, s.answered["large"], s.sent["large"])
 }
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -8,158 +8,162 @@
 )
 
 const (
-	// MaxWait is the longest that a request waits at an entry for room. A longer wait would hold a request that is
-	// better refused and sent again.
+	// MaxWait is the maximum time that a request waits at an entry for capacity. After that time, it is better to refuse
+	// the request so that its caller sends it again.
 	MaxWait = 300 * time.Millisecond
-	// MinWaiting is how many requests of a service may wait at an entry however slow it is.
-	MinWaiting = 16
-	// MaxWaiting bounds the requests of a service that wait at an entry.
-	MaxWaiting = 512
-	// NoWaitPriority is the first priority that is refused at once instead of waiting.
+	// MinQueueCapacity is how many requests of a service may wait at an entry, however slow the service is.
+	MinQueueCapacity = 16
+	// MaxQueueCapacity is the maximum number of requests of a service that wait at an entry.
+	MaxQueueCapacity = 512
+	// NoWaitPriority is the first priority whose requests are refused at once instead of waiting. So are those of all
+	// lower priorities, which have higher numbers.
 	NoWaitPriority = 8
-	// DefaultPriority is that of a request that names none; 0 is the highest, 9 the lowest.
+	// DefaultPriority is the priority of a request that sets none. 0 is the highest priority, 9 the lowest.
 	DefaultPriority = 5
-	// MinRetryAfter and MaxRetryAfter bound what a refused caller is told.
+	// MinRetryAfter and MaxRetryAfter bound the Retry-After delay of a refusal.
 	MinRetryAfter = time.Second
 	MaxRetryAfter = 30 * time.Second
-	// StalledRetryAfter is for a service of which nothing ended of late.
+	// StalledRetryAfter is the Retry-After delay while no request of the service completes.
 	StalledRetryAfter = 5 * time.Second
 
-	// maxScan bounds the waiting requests that are looked at for one that fits.
-	maxScan = 64
-	// rateWindow is the time over which arrivals and ends are counted.
+	// maxFitScan is the maximum number of waiting requests that are compared to find the one that fits best.
+	maxFitScan = 64
+	// rateWindow is the minimum time over which arrivals and completions are counted.
 	rateWindow = time.Second
 )
 
-// Ask is a request that wants to be let in.
+// Ask describes a request that asks for admission.
 type Ask struct {
 	ID       string
 	Client   string
 	Priority int
-	// Weight is the client's share relative to the others.
+	// Weight is the share of the client account relative to the others; values below 1 count as 1.
 	Weight int
-	// Cap bounds the client's requests in flight at this entry; 0 for no bound.
+	// Cap is the maximum number of requests of the client account at this entry, in flight or waiting; 0 means no
+	// maximum.
 	Cap int
-	// Deadline is the caller's.
+	// Deadline is the caller's deadline.
 	Deadline time.Time
 }
 
-// Refusal is a request that is not let in, with the time after which it should come again.
+// Refusal is a request that is not admitted. After is the delay after which the caller should send it again.
 type Refusal struct {
 	ID    string
 	Code  code.Code
 	After time.Duration
 }
 
-// waiter is a request in the queue.
+// waiter is a request in the queue. It is refused at expiresAt.
 type waiter struct {
-	ask   Ask
-	since time.Time
-	until time.Time
+	ask        Ask
+	enqueuedAt time.Time
+	expiresAt  time.Time
 }
 
-// client is what a gate knows of one client account.
-type client struct {
+// account is the state of one client account at a gate.
+type account struct {
 	weight   int
 	inFlight int
 	waiting  []waiter
-	// turnedAway counts the refusals of this window, as a part of the client's demand.
-	turnedAway int
+	// refusals counts the requests refused in the current window. They are part of the account's demand.
+	refusals int
 }
 
-// ratio is the client's use in relation to its weight.
-func (c *client) ratio(more int) float64 {
-	return float64(c.inFlight+more) / float64(max(1, c.weight))
+// weightedUse returns the account's requests in flight plus extra, divided by its weight.
+func (acct *account) weightedUse(extra int) float64 {
+	return float64(acct.inFlight+extra) / float64(max(1, acct.weight))
 }
 
-// Gate lets the requests of one service in at one entry.
+// Gate admits the requests of one service at one entry.
 type Gate struct {
-	clients map[string]*client
-	// owners maps a request that is in to its client.
-	owners  map[string]string
-	waiting int
+	accounts map[string]*account
+	// admitted maps the ID of each admitted request to its client account.
+	admitted map[string]string
+	waiting  int
 
-	windowFrom time.Time
-	arrivals   int
-	ends       int
-	// arrivalRate and endRate are those of the last window, a second.
-	arrivalRate float64
-	endRate     float64
+	windowStart time.Time
+	arrivals    int
+	completions int
+	// arrivalRate and completionRate are the rates of the last window, in requests per second.
+	arrivalRate    float64
+	completionRate float64
 }
 
-// NewGate returns a gate that nothing went through.
-func NewGate() *Gate { return &Gate{clients: map[string]*client{}, owners: map[string]string{}} }
+// NewGate returns a gate without requests.
+func NewGate() *Gate { return &Gate{accounts: map[string]*account{}, admitted: map[string]string{}} }
 
-// Admit decides on a new request: it is let in (in), or waits, or is refused. The refusals may also name a request
-// that waited and gave way. room tells whether an upstream has room now.
-func (g *Gate) Admit(now time.Time, ask Ask, room bool) (in bool, refused []Refusal) {
-	g.roll(now)
+// Admit decides whether a new request is admitted, waits or is refused. The returned refusals may include another
+// request that waited and was evicted for the new one. hasCapacity reports whether an upstream can take a request now.
+func (g *Gate) Admit(now time.Time, ask Ask, hasCapacity bool) (admitted bool, refused []Refusal) {
+	g.advanceWindow(now)
 	g.arrivals++
-	c := g.client(ask)
-	if ask.Cap > 0 && c.inFlight+len(c.waiting) >= ask.Cap {
-		c.turnedAway++
+	acct := g.account(ask)
+	if ask.Cap > 0 && acct.inFlight+len(acct.waiting) >= ask.Cap {
+		acct.refusals++
 		return false, []Refusal{g.refusal(ask.ID, code.ClientOverShare)}
 	}
-	if room && g.waiting == 0 {
-		g.enter(ask)
+	if hasCapacity && g.waiting == 0 {
+		g.recordAdmission(ask)
 		return true, nil
 	}
-	return false, g.wait(now, ask, c)
+	return false, g.enqueue(now, ask, acct)
 }
 
-// wait puts a request into the queue, or refuses it, or another one that has less right to wait.
-func (g *Gate) wait(now time.Time, ask Ask, c *client) []Refusal {
+// enqueue puts a request into the queue. If the request must not wait or the queue is full, it returns the request that
+// is refused instead: the new one or one of the account that uses most for its weight.
+func (g *Gate) enqueue(now time.Time, ask Ask, acct *account) []Refusal {
 	if ask.Priority >= NoWaitPriority {
-		c.turnedAway++
+		acct.refusals++
 		return []Refusal{g.refusal(ask.ID, code.Overloaded)}
 	}
-	until := now.Add(MaxWait)
-	if ask.Deadline.Before(until) {
-		until = ask.Deadline
+	expiresAt := now.Add(MaxWait)
+	if ask.Deadline.Before(expiresAt) {
+		expiresAt = ask.Deadline
 	}
-	c.push(waiter{ask: ask, since: now, until: until})
+	acct.insert(waiter{ask: ask, enqueuedAt: now, expiresAt: expiresAt})
 	g.waiting++
-	if g.waiting <= g.capacity() {
+	if g.waiting <= g.queueCapacity() {
 		return nil
 	}
 	return []Refusal{g.evict()}
 }
 
-// push keeps the client's queue in the order of priorities, and of arrival within one.
-func (c *client) push(w waiter) {
-	at := len(c.waiting)
-	for at > 0 && c.waiting[at-1].ask.Priority > w.ask.Priority {
+// insert adds a request to the account's queue, which is ordered by priority and then by arrival.
+func (acct *account) insert(w waiter) {
+	at := len(acct.waiting)
+	for at > 0 && acct.waiting[at-1].ask.Priority > w.ask.Priority {
 		at--
 	}
-	c.waiting = append(c.waiting, waiter{})
-	copy(c.waiting[at+1:], c.waiting[at:])
-	c.waiting[at] = w
+	acct.waiting = append(acct.waiting, waiter{})
+	copy(acct.waiting[at+1:], acct.waiting[at:])
+	acct.waiting[at] = w
 }
 
-// capacity is how many requests may wait: as many as end within MaxWait; before that is known, as many as are in.
-func (g *Gate) capacity() int {
-	n := int(g.endRate * MaxWait.Seconds())
-	if g.endRate == 0 {
-		n = len(g.owners)
+// queueCapacity returns how many requests may wait: as many as complete within MaxWait or, while no completion rate is
+// known, as many as are in flight.
+func (g *Gate) queueCapacity() int {
+	n := int(g.completionRate * MaxWait.Seconds())
+	if g.completionRate == 0 {
+		n = len(g.admitted)
 	}
-	return min(MaxWaiting, max(MinWaiting, n))
+	return min(MaxQueueCapacity, max(MinQueueCapacity, n))
 }
 
-// evict refuses the last request of the client that uses and asks for the most in relation to its weight.
+// evict refuses the last waiting request of the account with the highest demand relative to its weight.
 func (g *Gate) evict() Refusal {
-	var victim *client
+	var victim *account
 	var name string
-	for n, c := range g.clients {
-		if len(c.waiting) == 0 {
+	for n, acct := range g.accounts {
+		if len(acct.waiting) == 0 {
 			continue
 		}
-		if victim == nil || more(c, n, victim, name) {
-			victim, name = c, n
+		if victim == nil || demandsMore(acct, n, victim, name) {
+			victim, name = acct, n
 		}
 	}
 	last := victim.waiting[len(victim.waiting)-1]
 	victim.waiting = victim.waiting[:len(victim.waiting)-1]
-	victim.turnedAway++
+	victim.refusals++
 	g.waiting--
 	if g.overShare(victim) {
 		return g.refusal(last.ask.ID, code.ClientOverShare)
@@ -167,19 +171,20 @@
 	return g.refusal(last.ask.ID, code.Overloaded)
 }
 
-// more orders clients by their use and demand; names settle a tie, so that a run can be replayed.
-func more(c *client, name string, than *client, thanName string) bool {
-	a, b := c.ratio(len(c.waiting)), than.ratio(len(than.waiting))
+// demandsMore reports whether acct demands more than other, relative to their weights. It breaks ties by name, so that
+// replaying a run gives the same result.
+func demandsMore(acct *account, name string, other *account, otherName string) bool {
+	a, b := acct.weightedUse(len(acct.waiting)), other.weightedUse(len(other.waiting))
 	if a != b {
 		return a > b
 	}
-	return name < thanName
+	return name < otherName
 }
 
-// overShare tells whether a client asks for more than an even share, by weight, while others are there too.
-func (g *Gate) overShare(c *client) bool {
+// overShare reports whether an account demands more than its share by weight while other accounts have requests too.
+func (g *Gate) overShare(acct *account) bool {
 	total, weights, active := 0, 0, 0
-	for _, other := range g.clients {
+	for _, other := range g.accounts {
 		n := other.inFlight + len(other.waiting)
 		if n == 0 {
 			continue
@@ -188,21 +193,23 @@
 		total += n
 		weights += max(1, other.weight)
 	}
-	share := float64(total) * float64(max(1, c.weight)) / float64(max(1, weights))
-	return active > 1 && float64(c.inFlight+len(c.waiting)) > share
+	share := float64(total) * float64(max(1, acct.weight)) / float64(max(1, weights))
+	return active > 1 && float64(acct.inFlight+len(acct.waiting)) > share
 }
 
-// Next lets in the waiting request that is first: that of the client with the least use in relation to its weight.
-// Among that client's requests of equal priority, the one that fits the upstream with room best goes first: when all are busy, work on a prefix that the upstream has in its cache is worth a multiple of other work.
+// Next admits one waiting request and returns its ID; ok is false if none waits. It takes the account with the fewest
+// requests in flight relative to its weight. Among that account's requests of the highest priority, it takes the one
+// for which fits returns the highest value. When all upstreams are busy, a request whose prefix is in the upstream's
+// cache costs a fraction of other work.
 func (g *Gate) Next(fits func(id string) int) (id string, ok bool) {
-	var best *client
+	var best *account
 	var name string
-	for n, c := range g.clients {
-		if len(c.waiting) == 0 {
+	for n, acct := range g.accounts {
+		if len(acct.waiting) == 0 {
 			continue
 		}
-		if best == nil || c.ratio(0) < best.ratio(0) || (c.ratio(0) == best.ratio(0) && n < name) {
-			best, name = c, n
+		if best == nil || acct.weightedUse(0) < best.weightedUse(0) || (acct.weightedUse(0) == best.weightedUse(0) && n < name) {
+			best, name = acct, n
 		}
 	}
 	if best == nil {
@@ -212,14 +219,14 @@
 	w := best.waiting[at]
 	best.waiting = append(best.waiting[:at], best.waiting[at+1:]...)
 	g.waiting--
-	g.enter(w.ask)
+	g.recordAdmission(w.ask)
 	return w.ask.ID, true
 }
 
-func (c *client) bestFitting(fits func(id string) int) int {
+func (acct *account) bestFitting(fits func(id string) int) int {
 	at, best := 0, -1
-	for i, w := range c.waiting {
-		if i == maxScan || w.ask.Priority != c.waiting[0].ask.Priority {
+	for i, w := range acct.waiting {
+		if i == maxFitScan || w.ask.Priority != acct.waiting[0].ask.Priority {
 			break
 		}
 		if fit := fits(w.ask.ID); fit > best {
@@ -229,47 +236,47 @@
 	return at
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (g *Gate) Waiting() int { return g.waiting }
 
-// Sweep refuses the requests that waited too long.
+// Sweep refuses the requests that have waited for MaxWait or until their deadline.
 func (g *Gate) Sweep(now time.Time) []Refusal {
-	g.roll(now)
+	g.advanceWindow(now)
 	var refused []Refusal
 	if g.waiting == 0 {
 		return nil
 	}
-	for _, name := range sortedNames(g.clients) {
-		c := g.clients[name]
-		kept := c.waiting[:0]
-		for _, w := range c.waiting {
-			if now.Before(w.until) {
+	for _, name := range sortedNames(g.accounts) {
+		acct := g.accounts[name]
+		kept := acct.waiting[:0]
+		for _, w := range acct.waiting {
+			if now.Before(w.expiresAt) {
 				kept = append(kept, w)
 				continue
 			}
 			g.waiting--
-			c.turnedAway++
+			acct.refusals++
 			refused = append(refused, g.refusal(w.ask.ID, code.Overloaded))
 		}
-		c.waiting = kept
+		acct.waiting = kept
 	}
 	return refused
 }
 
-// Left takes out a request, wherever it is. done tells that it was answered.
-func (g *Gate) Left(id string, done bool) {
-	if name, in := g.owners[id]; in {
-		delete(g.owners, id)
-		g.clients[name].inFlight--
-		if done {
-			g.ends++
+// Left removes a request that is in flight or waiting. answered reports whether it was answered.
+func (g *Gate) Left(id string, answered bool) {
+	if name, ok := g.admitted[id]; ok {
+		delete(g.admitted, id)
+		g.accounts[name].inFlight--
+		if answered {
+			g.completions++
 		}
 		return
 	}
-	for _, c := range g.clients {
-		for i, w := range c.waiting {
+	for _, acct := range g.accounts {
+		for i, w := range acct.waiting {
 			if w.ask.ID == id {
-				c.waiting = append(c.waiting[:i], c.waiting[i+1:]...)
+				acct.waiting = append(acct.waiting[:i], acct.waiting[i+1:]...)
 				g.waiting--
 				return
 			}
@@ -277,37 +284,39 @@
 	}
 }
 
-// Back puts a request that was let in, and found no room after all, to the front of its client's queue.
+// Back moves a request that was admitted, but found no upstream with free capacity, to the front of its account's
+// queue.
 func (g *Gate) Back(now time.Time, ask Ask) {
 	g.Left(ask.ID, false)
-	until := now.Add(MaxWait)
-	if ask.Deadline.Before(until) {
-		until = ask.Deadline
+	expiresAt := now.Add(MaxWait)
+	if ask.Deadline.Before(expiresAt) {
+		expiresAt = ask.Deadline
 	}
-	c := g.client(ask)
-	c.waiting = append([]waiter{{ask: ask, since: now, until: until}}, c.waiting...)
+	acct := g.account(ask)
+	acct.waiting = append([]waiter{{ask: ask, enqueuedAt: now, expiresAt: expiresAt}}, acct.waiting...)
 	g.waiting++
 }
 
-// Demand returns what a client has in flight and wants besides.
+// Demand returns the number of requests of a client account that are in flight, wait, or were refused in the current
+// window.
 func (g *Gate) Demand(name string) int {
-	c := g.clients[name]
-	if c == nil {
+	acct := g.accounts[name]
+	if acct == nil {
 		return 0
 	}
-	return c.inFlight + len(c.waiting) + c.turnedAway
+	return acct.inFlight + len(acct.waiting) + acct.refusals
 }
 
-// RetryAfter tells a refused caller when to come again: at the present rates, the callers of a window need as many
-// windows as the arrivals are a multiple of the ends.
+// RetryAfter returns the Retry-After delay of a refusal. At the rates of the last window, the arrivals of one window
+// need arrivalRate/completionRate windows to complete.
 func (g *Gate) RetryAfter() time.Duration {
-	if g.arrivalRate <= g.endRate {
+	if g.arrivalRate <= g.completionRate {
 		return MinRetryAfter
 	}
-	if g.endRate <= 0 {
+	if g.completionRate <= 0 {
 		return StalledRetryAfter
 	}
-	after := time.Duration(math.Ceil(g.arrivalRate/g.endRate)) * rateWindow
+	after := time.Duration(math.Ceil(g.arrivalRate/g.completionRate)) * rateWindow
 	return min(MaxRetryAfter, max(MinRetryAfter, after))
 }
 
@@ -315,36 +324,37 @@
 	return Refusal{ID: id, Code: c, After: g.RetryAfter()}
 }
 
-func (g *Gate) enter(ask Ask) {
-	g.client(ask).inFlight++
-	g.owners[ask.ID] = ask.Client
+func (g *Gate) recordAdmission(ask Ask) {
+	g.account(ask).inFlight++
+	g.admitted[ask.ID] = ask.Client
 }
 
-func (g *Gate) client(ask Ask) *client {
-	c := g.clients[ask.Client]
-	if c == nil {
-		c = &client{}
-		g.clients[ask.Client] = c
+func (g *Gate) account(ask Ask) *account {
+	acct := g.accounts[ask.Client]
+	if acct == nil {
+		acct = &account{}
+		g.accounts[ask.Client] = acct
 	}
-	c.weight = max(1, ask.Weight)
-	return c
+	acct.weight = max(1, ask.Weight)
+	return acct
 }
 
-// roll closes the window of the rates when it is over, and forgets clients that are idle.
-func (g *Gate) roll(now time.Time) {
-	passed := now.Sub(g.windowFrom)
-	if passed < rateWindow {
+// advanceWindow starts a new window once the current one has lasted for rateWindow. It computes the rates of the old
+// window and drops idle accounts.
+func (g *Gate) advanceWindow(now time.Time) {
+	elapsed := now.Sub(g.windowStart)
+	if elapsed < rateWindow {
 		return
 	}
-	if !g.windowFrom.IsZero() {
-		g.arrivalRate = float64(g.arrivals) / passed.Seconds()
-		g.endRate = float64(g.ends) / passed.Seconds()
+	if !g.windowStart.IsZero() {
+		g.arrivalRate = float64(g.arrivals) / elapsed.Seconds()
+		g.completionRate = float64(g.completions) / elapsed.Seconds()
 	}
-	g.windowFrom, g.arrivals, g.ends = now, 0, 0
-	for name, c := range g.clients {
-		c.turnedAway = 0
-		if c.inFlight == 0 && len(c.waiting) == 0 {
-			delete(g.clients, name)
+	g.windowStart, g.arrivals, g.completions = now, 0, 0
+	for name, acct := range g.accounts {
+		acct.refusals = 0
+		if acct.inFlight == 0 && len(acct.waiting) == 0 {
+			delete(g.accounts, name)
 		}
 	}
 }
--- a/internal/core/admission/limiter.go
+++ b/internal/core/admission/limiter.go
@@ -1,7 +1,10 @@
-// Package admission holds the decisions about how much work is let in: an adaptive limit for each upstream (at the
-// agent, which sees all of an upstream's work), fair shares between client accounts and a short queue (at the entry,
-// which knows the clients), fleet-wide limits shared between entries, and the budget of retries. It is pure: see
-// package step.
+// Package admission decides how much work is admitted. It holds four parts:
+//   - an adaptive concurrency limit per upstream, at the agent, which sees all of the upstream's work
+//   - fair shares between client accounts and a short queue, at the entry, which knows the client accounts
+//   - fleet-wide limits of client accounts, shared between entries
+//   - the retry budget of a service
+//
+// The package is pure: see package step.
 package admission
 
 import (
@@ -10,127 +13,135 @@
 )
 
 const (
-	// InitialLimit is the concurrency that a new upstream may have. It doubles with each word of an engine that has
-	// none waiting, until the first cut; a higher one would fill the engine's own queue, which knows no accounts.
+	// InitialLimit is the concurrency limit of a new upstream, in requests. Until the first decrease, the limit doubles
+	// with each report of an engine that has no request waiting. A higher initial limit would fill the engine's own
+	// queue, which does not distinguish client accounts.
 	InitialLimit = 16
-	// MinLimit and MaxLimit bound the adaptive limit.
+	// MinLimit and MaxLimit bound the adaptive limit, in requests.
 	MinLimit = 4
 	MaxLimit = 1024
-	// Tolerance is how many times its baseline the first-byte time may be before the limit is cut.
-	Tolerance = 2.5
-	// Slack is added to the tolerated time, so that very quick services are not cut for noise.
-	Slack = 5 * time.Millisecond
-	// CutFactor is what a cut leaves of a limit.
-	CutFactor = 0.9
-	// HalfFactor is what one word of an engine's queue leaves of a limit at least.
-	HalfFactor = 0.5
-	// CutInterval is the least time between two cuts: the effect of the last one must show first.
-	CutInterval = 250 * time.Millisecond
-	// GrowStep is what a limit gains in the time in which as many answers end as it permits.
-	GrowStep = 4
-	// QueueShare is the part of an engine's batch that may wait at the engine, so that it is never idle.
-	QueueShare = 0.25
-	// QueueWordKept is how long an engine's word on its batch decides instead of the first-byte times.
-	QueueWordKept = 3 * time.Second
-	// MinQueue is the least number of requests that may wait at an engine.
-	MinQueue = 2
+	// LatencyTolerance is the ratio of the recent first-byte time to its baseline above which the limit decreases.
+	LatencyTolerance = 2.5
+	// LatencySlack is added to the tolerated first-byte time. It keeps noise from decreasing the limit of a very
+	// fast service.
+	LatencySlack = 5 * time.Millisecond
+	// DecreaseFactor is the factor by which a decrease multiplies the limit.
+	DecreaseFactor = 0.9
+	// MinQueueDecreaseFactor is the lowest factor by which a single report of an engine's queue multiplies the limit.
+	MinQueueDecreaseFactor = 0.5
+	// MinDecreaseInterval is the minimum time between two decreases. It lets the first one take effect.
+	MinDecreaseInterval = 250 * time.Millisecond
+	// IncreaseStep is how much the limit grows, in requests, in the course of one answer per request that it allows.
+	IncreaseStep = 4
+	// EngineQueueShare is how many requests may wait at an engine, as a share of its batch. The short queue keeps the
+	// engine from being idle.
+	EngineQueueShare = 0.25
+	// QueueReportMaxAge is how long the limit follows an engine's report on its batch instead of first-byte times.
+	QueueReportMaxAge = 3 * time.Second
+	// MinEngineQueue is the minimum number of requests that may wait at an engine.
+	MinEngineQueue = 2
 
+	// recentWeight and baselineWeight are the weights of a new sample in the moving averages of the first-byte time.
 	recentWeight   = 0.1
 	baselineWeight = 0.02
 )
 
-// Limiter adapts the concurrency of one upstream.
+// Limiter adapts the concurrency limit of one upstream.
 type Limiter struct {
 	limit float64
-	// running counts the requests with the upstream.
+	// running counts the requests in flight at the upstream.
 	running int
-	// baseline is the first-byte time when the upstream was less than half busy; recent is that of late.
-	baseline float64
-	recent   float64
-	lastCut  time.Time
-	// batch is the most that the engine ran at once of late.
+	// baseline is the average first-byte time, in nanoseconds, while the upstream is at most half busy. recent is the
+	// average of all recent first-byte times, in nanoseconds.
+	baseline     float64
+	recent       float64
+	lastDecrease time.Time
+	// batch is the highest recent number of requests that the engine ran at once. It decays with each report.
 	batch float64
-	// wasCut ends the doubling.
-	wasCut bool
-	// heardAt is when the engine last told of its batch.
-	heardAt time.Time
+	// decreased is set by the first decrease. From then on, the limit no longer doubles.
+	decreased bool
+	// queueReportAt is when the engine last reported its batch; zero if it never did.
+	queueReportAt time.Time
 }
 
-// NewLimiter returns a limiter at InitialLimit.
+// NewLimiter returns a limiter with a limit of InitialLimit.
 func NewLimiter() *Limiter { return &Limiter{limit: InitialLimit} }
 
-// Limit returns how many requests may run at once.
+// Limit returns the maximum number of requests in flight.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// Running returns how many requests run.
+// Running returns the number of requests in flight.
 func (l *Limiter) Running() int { return l.running }
 
-// Add counts a request in.
+// Add counts a request that starts.
 func (l *Limiter) Add() { l.running++ }
 
-// Finish counts a request out.
+// Finish counts a request that ends.
 func (l *Limiter) Finish() { l.running = max(0, l.running-1) }
 
-// FirstByte takes in how long an upstream took for the first byte of an answer. It decides for upstreams that do not
-// tell of their queue: a full batch answers later than an idle one, and should not be cut for that.
+// FirstByte adapts the limit to the time that an upstream took for the first byte of an answer. It changes the limit
+// only of an upstream without a recent queue report. An engine with a full batch answers later than an idle one; its
+// limit must not decrease for that reason.
 func (l *Limiter) FirstByte(now time.Time, took time.Duration) {
 	t := float64(took)
-	l.recent = blend(l.recent, t, recentWeight)
+	l.recent = movingAverage(l.recent, t, recentWeight)
 	if l.baseline == 0 || l.running <= l.Limit()/2 || l.limit <= MinLimit {
-		// At the least limit there is no waiting, so a longer time is the work's own.
-		l.baseline = blend(l.baseline, t, baselineWeight)
+		// At the minimum limit no request waits, so a longer time is due to the work itself.
+		l.baseline = movingAverage(l.baseline, t, baselineWeight)
 	}
-	if !l.heardAt.IsZero() && now.Sub(l.heardAt) < QueueWordKept {
+	if !l.queueReportAt.IsZero() && now.Sub(l.queueReportAt) < QueueReportMaxAge {
 		return
 	}
-	if l.recent > Tolerance*l.baseline+float64(Slack) {
-		l.cut(now, l.limit*CutFactor)
+	if l.recent > LatencyTolerance*l.baseline+float64(LatencySlack) {
+		l.decrease(now, l.limit*DecreaseFactor)
 		return
 	}
-	if l.binding() {
-		l.limit = math.Min(MaxLimit, l.limit+GrowStep/l.limit)
+	if l.nearLimit() {
+		l.limit = math.Min(MaxLimit, l.limit+IncreaseStep/l.limit)
 	}
 }
 
-// Queue takes in an engine's own, late word on its batch. It bounds the limit by what the engine runs at once plus a
-// short queue.
+// Queue adapts the limit to an engine's own report on its batch, which arrives with a delay. It bounds the limit by the
+// number of requests that the engine runs at once plus a short queue.
 func (l *Limiter) Queue(now time.Time, running, waiting int) {
-	l.batch = math.Max(float64(running), l.batch*CutFactor)
-	short := math.Max(MinQueue, QueueShare*l.batch)
-	l.heardAt = now
+	l.batch = math.Max(float64(running), l.batch*DecreaseFactor)
+	maxQueue := math.Max(MinEngineQueue, EngineQueueShare*l.batch)
+	l.queueReportAt = now
 	switch {
-	case float64(waiting) > short:
-		// A word from the moment before a batch is filled shows few running and many waiting: one word halves at most.
-		l.cut(now, math.Max(l.batch+short, l.limit*HalfFactor))
-	case waiting == 0 && l.binding():
-		// The word is late, so a limit grows by little until the next one.
-		l.limit = math.Min(MaxLimit, l.limit+l.growth())
+	case float64(waiting) > maxQueue:
+		// A report from just before a batch is filled shows few running and many waiting requests. A single report
+		// therefore at most halves the limit.
+		l.decrease(now, math.Max(l.batch+maxQueue, l.limit*MinQueueDecreaseFactor))
+	case waiting == 0 && l.nearLimit():
+		// The report is delayed, so once the limit has decreased it grows in small steps.
+		l.limit = math.Min(MaxLimit, l.limit+l.queueIncrease())
 	}
 }
 
-func (l *Limiter) growth() float64 {
-	if !l.wasCut {
+// queueIncrease returns by how much a report of an empty engine queue increases the limit.
+func (l *Limiter) queueIncrease() float64 {
+	if !l.decreased {
 		return l.limit
 	}
-	return math.Max(1, (1-CutFactor)*l.limit)
+	return math.Max(1, (1-DecreaseFactor)*l.limit)
 }
 
-// binding tells whether more would run if the limit were higher.
-func (l *Limiter) binding() bool { return float64(l.running) >= l.limit*CutFactor }
+// nearLimit reports whether so many requests are in flight that a higher limit would admit more.
+func (l *Limiter) nearLimit() bool { return float64(l.running) >= l.limit*DecreaseFactor }
 
-func (l *Limiter) cut(now time.Time, to float64) {
-	if now.Sub(l.lastCut) < CutInterval || to >= l.limit {
+func (l *Limiter) decrease(now time.Time, to float64) {
+	if now.Sub(l.lastDecrease) < MinDecreaseInterval || to >= l.limit {
 		return
 	}
-	l.lastCut = now
-	l.wasCut = true
+	l.lastDecrease = now
+	l.decreased = true
 	l.limit = math.Max(MinLimit, to)
 }
 
-// blend moves a running mean towards a sample; the first sample is taken as it is.
-func blend(mean, sample, weight float64) float64 {
-	if mean == 0 {
+// movingAverage returns the exponentially weighted moving average after a sample. The first sample sets the average.
+func movingAverage(average, sample, weight float64) float64 {
+	if average == 0 {
 		return sample
 	}
-	return mean + weight*(sample-mean)
+	return average + weight*(sample-average)
 }
