--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -18,8 +18,8 @@
 
 func equalFit(string) int { return 0 }
 
-// fullGate returns a gate on which the client account large has MinQueueCapacity requests in flight and as many waiting,
-// which fills the queue.
+// fullGate returns a gate on which the client account large has MinQueueCapacity requests in flight and as many
+// waiting, which fills the queue.
 func fullGate(t *testing.T) *Gate {
 	g := NewGate()
 	for i := range MinQueueCapacity {
@@ -183,8 +183,8 @@
 	require.Equal(t, 10, Share(30, "a", entries, map[string]int{"a": 5}), "unknown demand counts as this entry's own")
 }
 
-// TestSharesOvershootIsBounded guards against shares that add up to far more than the limit. They exceed it while demands
-// change, because each entry knows its own new demand before the others do.
+// TestSharesOvershootIsBounded guards against shares that add up to far more than the limit. They exceed it while
+// demands change, because each entry knows its own new demand before the others do.
 func TestSharesOvershootIsBounded(t *testing.T) {
 	entries := []string{"a", "b", "c", "d"}
 	const limit = 40
--- a/internal/core/routing/outlier.go
+++ b/internal/core/routing/outlier.go
@@ -6,79 +6,80 @@
 )
 
 const (
-	// SlowFactor is how many times slower than its peers' median an upstream must be to be taken out.
+	// SlowFactor is how many times the median first-byte time of its peers an upstream must exceed to be ejected.
 	SlowFactor = 2.5
-	// SlowMargin is the least difference to the median that counts.
+	// SlowMargin is the minimum difference to the peers' median for an upstream to be ejected.
 	SlowMargin = 10 * time.Millisecond
-	// FailuresToEject is how many answers in a row must say that an upstream can't serve.
+	// FailuresToEject is how many consecutive answers must say that an upstream can't serve until it is ejected.
 	FailuresToEject = 3
-	// MinSamples is how many answers an upstream and each peer must have given.
+	// MinSamples is the minimum number of answers of an upstream, and of each peer, for a comparison.
 	MinSamples = 8
-	// MinPeers is how many peers there must be to compare with.
+	// MinPeers is the minimum number of peers for a comparison.
 	MinPeers = 3
-	// MaxEjected is the share of a service's upstreams that may be out at once.
-	MaxEjected = 0.4
-	// EjectFor is how long an upstream is out the first time; each further time doubles it, up to MaxEjectFor.
-	EjectFor    = 2 * time.Second
-	MaxEjectFor = 30 * time.Second
-	// ProbeInterval is the time between two requests that probe an upstream which was out.
-	ProbeInterval = 250 * time.Millisecond
-	// ProbesToReturn is how many probes in a row must be answered in good time.
+	// MaxEjectedShare is the maximum share of a service's upstreams that are ejected or on probation at once.
+	MaxEjectedShare = 0.4
+	// InitialEjectTime is how long an upstream is ejected the first time. The time doubles with each further ejection, up
+	// to MaxEjectTime.
+	InitialEjectTime = 2 * time.Second
+	MaxEjectTime     = 30 * time.Second
+	// MinProbeInterval is the minimum time between two probes of an upstream on probation.
+	MinProbeInterval = 250 * time.Millisecond
+	// ProbesToReturn is how many consecutive probes must be answered fast enough until an upstream is back in service.
 	ProbesToReturn = 3
-	// maxStrikes bounds the doubling of EjectFor.
-	maxStrikes = 10
-	// medianKept is how long the peers' median is used before it is worked out anew.
-	medianKept = 100 * time.Millisecond
-	// latencyWeight is the weight of a new sample in a mean.
+	// maxEjectDoublings bounds how often InitialEjectTime is doubled.
+	maxEjectDoublings = 10
+	// medianMaxAge is how long the peers' median is used before it is computed again.
+	medianMaxAge = 100 * time.Millisecond
+	// latencyWeight is the minimum weight of a new sample in the average first-byte time of an upstream.
 	latencyWeight = 0.15
 )
 
-// health tells whether an upstream is in use.
+// health is the state of an upstream in outlier ejection.
 type health int
 
 const (
-	// inService: it takes its share.
+	// inService is the state of an upstream that gets its share of the requests.
 	inService health = iota
-	// out: it takes nothing until its time is over.
-	out
-	// onProbation: it takes one request at a time to show whether it is well again.
+	// ejected is the state of an upstream that gets no requests until its eject time is over.
+	ejected
+	// onProbation is the state of an upstream that gets one probe request at a time until it has proved healthy.
 	onProbation
 )
 
-// latency is a running mean of the time to the first byte.
+// latency is the moving average of the first-byte time, in nanoseconds.
 type latency struct {
-	value   float64
+	average float64
 	samples int
 }
 
 func (l *latency) add(took time.Duration) {
 	l.samples++
 	if l.samples == 1 {
-		l.value = float64(took)
+		l.average = float64(took)
 		return
 	}
-	// The first samples weigh equally, so that one odd answer does not stand for all.
+	// The first samples have equal weight, so that a single outlier does not dominate the average.
 	weight := max(latencyWeight, 1/float64(l.samples))
-	l.value += weight * (float64(took) - l.value)
+	l.average += weight * (float64(took) - l.average)
 }
 
-func (l *latency) mean() time.Duration { return time.Duration(l.value) }
+func (l *latency) mean() time.Duration { return time.Duration(l.average) }
 
-// peers is the median of the upstreams' means.
-type peers struct {
-	median time.Duration
-	count  int
-	at     time.Time
+// peerLatency is the median of the mean first-byte times of the upstreams in service.
+type peerLatency struct {
+	median     time.Duration
+	count      int
+	computedAt time.Time
 }
 
-// sample takes in one first-byte time and decides whether the upstream goes out or comes back.
-func (svc *service) sample(now time.Time, u *upstream, took time.Duration) {
-	if u.health == out {
-		return // It was sent before the upstream went out.
+// addSample adds a first-byte time of an upstream. It ejects the upstream if it is too slow, or counts a probe.
+func (svc *service) addSample(now time.Time, u *upstream, took time.Duration) {
+	if u.health == ejected {
+		return // The request was sent before the upstream was ejected.
 	}
-	svc.refresh(now)
+	svc.refreshMedian(now)
 	if u.health == onProbation {
-		svc.probed(now, u, took)
+		svc.probeAnswered(now, u, took)
 		return
 	}
 	u.latency.add(took)
@@ -87,10 +88,10 @@
 	}
 }
 
-// failed takes in an answer that says that the upstream can't serve. Such answers come fast, so that without this an
-// upstream that is down draws the more requests.
-func (svc *service) failed(now time.Time, u *upstream) {
-	if u.health == out {
+// addFailure counts an answer that says that the upstream can't serve, and ejects the upstream after FailuresToEject of
+// them. Such answers are fast, so an upstream that is down would otherwise attract more requests.
+func (svc *service) addFailure(now time.Time, u *upstream) {
+	if u.health == ejected {
 		return
 	}
 	u.failures++
@@ -106,11 +107,12 @@
 	return float64(took) > SlowFactor*float64(svc.peers.median) && took-svc.peers.median > SlowMargin
 }
 
-func (svc *service) refresh(now time.Time) {
-	if now.Sub(svc.peers.at) < medianKept {
+// refreshMedian computes the peers' median again if it is older than medianMaxAge.
+func (svc *service) refreshMedian(now time.Time) {
+	if now.Sub(svc.peers.computedAt) < medianMaxAge {
 		return
 	}
-	svc.peers.at = now
+	svc.peers.computedAt = now
 	var means []time.Duration
 	for _, u := range svc.byKey {
 		if u.health == inService && u.latency.samples >= MinSamples {
@@ -125,61 +127,64 @@
 	svc.peers.median = means[(len(means)-1)/2]
 }
 
+// mayEject reports whether one more upstream may be ejected under MaxEjectedShare.
 func (svc *service) mayEject() bool {
-	gone := 0
+	count := 0
 	for _, u := range svc.byKey {
 		if u.health != inService {
-			gone++
+			count++
 		}
 	}
-	return float64(gone+1) <= MaxEjected*float64(len(svc.list))
+	return float64(count+1) <= MaxEjectedShare*float64(len(svc.list))
 }
 
 func (svc *service) eject(now time.Time, u *upstream) {
-	u.health = out
-	away := EjectFor << min(u.strikes, maxStrikes)
-	u.ejected = now.Add(min(away, MaxEjectFor))
-	u.strikes++
-	u.goodTries = 0
+	u.health = ejected
+	duration := InitialEjectTime << min(u.ejections, maxEjectDoublings)
+	u.ejectedUntil = now.Add(min(duration, MaxEjectTime))
+	u.ejections++
+	u.goodProbes = 0
 	u.failures = 0
 	u.latency = latency{}
 }
 
-// probed judges the answer to a probe.
-func (svc *service) probed(now time.Time, u *upstream, took time.Duration) {
+// probeAnswered ejects the upstream again if the answer to a probe was too slow. Otherwise it counts the probe, and
+// returns the upstream to service after ProbesToReturn of them.
+func (svc *service) probeAnswered(now time.Time, u *upstream, took time.Duration) {
 	if svc.tooSlow(u, took) {
 		svc.eject(now, u)
 		return
 	}
-	u.goodTries++
-	if u.goodTries < ProbesToReturn {
+	u.goodProbes++
+	if u.goodProbes < ProbesToReturn {
 		return
 	}
 	u.health = inService
-	u.strikes = max(0, u.strikes-1)
+	u.ejections = max(0, u.ejections-1)
 }
 
-// inUse tells whether an upstream may get a request, a probe included.
-func (svc *service) inUse(now time.Time, u *upstream) bool {
-	if u.health == out && !now.Before(u.ejected) {
+// eligible reports whether an upstream may get a request, including a probe. It puts an ejected upstream on probation
+// once its eject time is over.
+func (svc *service) eligible(now time.Time, u *upstream) bool {
+	if u.health == ejected && !now.Before(u.ejectedUntil) {
 		u.health = onProbation
 	}
-	return u.health != out
+	return u.health != ejected
 }
 
-// slowness is how many times slower than the peers an upstream is.
+// slowness returns the ratio of an upstream's mean first-byte time to the peers' median; 1 if they can't be compared.
 func (svc *service) slowness(now time.Time, u *upstream) float64 {
-	svc.refresh(now)
+	svc.refreshMedian(now)
 	if u.latency.samples < MinSamples || svc.peers.count < MinPeers || svc.peers.median <= 0 {
 		return 1
 	}
 	return float64(u.latency.mean()) / float64(svc.peers.median)
 }
 
-// probeDue returns an upstream on probation whose next probe is due.
+// probeDue returns an upstream on probation whose next probe is due; nil for none.
 func probeDue(now time.Time, usable []*upstream) *upstream {
 	for _, u := range usable {
-		if u.health == onProbation && u.own == 0 && now.Sub(u.lastProbe) >= ProbeInterval {
+		if u.health == onProbation && u.inFlight == 0 && now.Sub(u.lastProbe) >= MinProbeInterval {
 			return u
 		}
 	}
@@ -195,8 +200,8 @@
 	return true
 }
 
-// withoutProbes leaves out the upstreams on probation, unless there are no others.
-func withoutProbes(usable []*upstream) []*upstream {
+// withoutProbation removes the upstreams on probation, unless there are no others.
+func withoutProbation(usable []*upstream) []*upstream {
 	if allOnProbation(usable) {
 		return usable
 	}
--- a/internal/core/routing/prefix.go
+++ b/internal/core/routing/prefix.go
@@ -11,47 +11,48 @@
 )
 
 const (
-	// PrefixCharacters is how much of a prompt names its prefix.
+	// PrefixCharacters is the number of characters of a prompt that form its prefix.
 	PrefixCharacters = 256
-	// PeekBytes is how much of a body is looked at for the prompt's prefix.
+	// PeekBytes is the size of the beginning of a body that is searched for the prompt's prefix.
 	PeekBytes = 4 << 10
-	// HolderKept is how long a belief that an upstream has a prefix lasts without being renewed. It bounds the harm
-	// of a cache event that was lost.
-	HolderKept = 60 * time.Second
-	// MaxPrefixes bounds the prefixes that an entry remembers for a service, twice over.
+	// HolderMaxAge is how long an upstream is assumed to have a prefix after the last request or cache event that
+	// confirmed it. It bounds the effect of a lost cache event.
+	HolderMaxAge = 60 * time.Second
+	// MaxPrefixes is the maximum number of prefixes in each of the two generations that an entry keeps for a service.
 	MaxPrefixes = 4096
-	// MaxHolders bounds the upstreams that are remembered for a prefix.
+	// MaxHolders is the maximum number of upstreams that are remembered for a prefix.
 	MaxHolders = 4
-	// MaxCacheNews bounds the events in one report.
+	// MaxCacheNews is the maximum number of cache events in one report.
 	MaxCacheNews = 64
 )
 
 // CacheEvent is one change of an engine's prefix cache.
 type CacheEvent struct {
 	Prefix uint64 `json:"p"`
-	// Evicted is false for a prefix that was stored.
+	// Evicted is true for a prefix that was evicted and false for one that was stored.
 	Evicted bool `json:"e,omitempty"`
 }
 
-// CacheNews are the changes of an engine's prefix cache, late and perhaps with gaps.
+// CacheNews holds changes of an engine's prefix cache. They arrive with a delay and may be incomplete.
 type CacheNews struct {
-	// Boot names the engine's run; another one began with an empty cache.
+	// Boot identifies the engine's instance. Another instance starts with an empty cache.
 	Boot string `json:"boot,omitempty"`
-	// Seq is the number of the last change that is covered.
+	// Seq is the sequence number of the last change included.
 	Seq uint64 `json:"seq"`
-	// Gap says that more changes came before these than the agent keeps: what was believed is void. Single changes
-	// that the engine lost are not known to anyone; HolderKept bounds the harm.
+	// Gap reports whether earlier changes are missing because the agent no longer keeps them. Everything known of the
+	// cache is then invalid. Changes that the engine itself lost can't be detected; HolderMaxAge bounds their effect.
 	Gap    bool         `json:"gap,omitempty"`
 	Events []CacheEvent `json:"events,omitempty"`
 }
 
-// CacheMark names the last change of an engine's prefix cache that an entry has heard.
+// CacheMark identifies the last change of an engine's prefix cache that an entry has received.
 type CacheMark struct {
 	Boot string `json:"boot,omitempty"`
 	Seq  uint64 `json:"seq,omitempty"`
 }
 
-// PrefixHash names the first characters of a prompt, as engines name them in their cache events.
+// PrefixHash returns the hash of the first PrefixCharacters characters of a prompt. Engines identify prefixes by the
+// same hash in their cache events. It is never 0.
 func PrefixHash(prompt string) uint64 {
 	end := len(prompt)
 	seen := 0
@@ -66,7 +67,7 @@
 	return max(1, binary.BigEndian.Uint64(sum[:8]))
 }
 
-// ParsePrefix reads the name of a prefix in an engine's cache event.
+// ParsePrefix parses the hexadecimal prefix hash of an engine's cache event. It returns false if the hash is malformed.
 func ParsePrefix(text string) (uint64, bool) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != 8 {
@@ -75,7 +76,8 @@
 	return max(1, binary.BigEndian.Uint64(raw)), true
 }
 
-// PromptPrefix finds the prefix of the prompt in the first bytes of a JSON body; 0 when there is none.
+// PromptPrefix returns the prefix hash of the prompt, given the first bytes of a JSON body; 0 if they contain no
+// prompt.
 func PromptPrefix(body []byte) uint64 {
 	const field = `"prompt"`
 	for {
@@ -84,9 +86,10 @@
 			return 0
 		}
 		body = body[at+len(field):]
-		// A quote inside a JSON string is escaped, so this is a name or a whole value; a name has a colon.
-		rest, named := bytes.CutPrefix(bytes.TrimLeft(body, " \t\r\n"), []byte(":"))
-		if !named {
+		// Quotes inside a JSON string are escaped, so this match is a field name or a complete value. Only a name is
+		// followed by a colon.
+		rest, isName := bytes.CutPrefix(bytes.TrimLeft(body, " \t\r\n"), []byte(":"))
+		if !isName {
 			continue
 		}
 		text, ok := bytes.CutPrefix(bytes.TrimLeft(rest, " \t\r\n"), []byte(`"`))
@@ -97,7 +100,7 @@
 	}
 }
 
-// unquote returns the JSON string that begins text, or as much of it as is there.
+// unquote decodes a JSON string without its opening quote. If text is truncated, it decodes as much as is complete.
 func unquote(text []byte) string {
 	end := len(text)
 	for i := 0; i < len(text); i++ {
@@ -109,7 +112,7 @@
 			i++
 		}
 	}
-	for cut := end; cut >= 0 && cut > end-escapeBytes; cut-- {
+	for cut := end; cut >= 0 && cut > end-maxEscapeBytes; cut-- {
 		var s string
 		if json.Unmarshal(append(append([]byte{'"'}, text[:cut]...), '"'), &s) == nil && utf8.ValidString(s) {
 			return s
@@ -118,10 +121,10 @@
 	return ""
 }
 
-// escapeBytes is longer than any escape that a cut may have halved.
-const escapeBytes = 13
+// maxEscapeBytes is one more than the length of the longest JSON escape, a surrogate pair, which may be truncated.
+const maxEscapeBytes = 13
 
-// holder is an upstream that is believed to have a prefix.
+// holder is an upstream that probably has a prefix in its cache, as of the time at.
 type holder struct {
 	upstream *upstream
 	epoch    int
@@ -129,36 +132,37 @@
 }
 
 func (h holder) valid(now time.Time) bool {
-	return h.epoch == h.upstream.cacheEpoch && now.Sub(h.at) < HolderKept
+	return h.epoch == h.upstream.cacheEpoch && now.Sub(h.at) < HolderMaxAge
 }
 
-// prefixes remembers which upstreams probably have which prefixes. Of two generations the older one is dropped when
-// the younger is full, so that the memory is bounded and what is used stays.
-type prefixes struct {
-	young, old map[uint64][]holder
+// prefixIndex maps prefix hashes to the upstreams that probably have the prefix in their cache. It keeps two
+// generations. When the current one is full, it becomes the previous one and the old previous one is dropped. This
+// bounds the memory and keeps the prefixes that are in use.
+type prefixIndex struct {
+	current, previous map[uint64][]holder
 }
 
-func newPrefixes() prefixes {
-	return prefixes{young: map[uint64][]holder{}, old: map[uint64][]holder{}}
+func newPrefixIndex() prefixIndex {
+	return prefixIndex{current: map[uint64][]holder{}, previous: map[uint64][]holder{}}
 }
 
-func (p *prefixes) get(prefix uint64) []holder {
-	if list, ok := p.young[prefix]; ok {
+func (p *prefixIndex) get(prefix uint64) []holder {
+	if list, ok := p.current[prefix]; ok {
 		return list
 	}
-	return p.old[prefix]
+	return p.previous[prefix]
 }
 
-func (p *prefixes) put(prefix uint64, list []holder) {
-	if len(p.young) >= MaxPrefixes {
-		p.old = p.young
-		p.young = make(map[uint64][]holder, MaxPrefixes)
+func (p *prefixIndex) put(prefix uint64, list []holder) {
+	if len(p.current) >= MaxPrefixes {
+		p.previous = p.current
+		p.current = make(map[uint64][]holder, MaxPrefixes)
 	}
-	p.young[prefix] = list
+	p.current[prefix] = list
 }
 
-// add believes that u has the prefix from now on.
-func (p *prefixes) add(now time.Time, prefix uint64, u *upstream) {
+// add records that u has the prefix as of now.
+func (p *prefixIndex) add(now time.Time, prefix uint64, u *upstream) {
 	list := make([]holder, 0, MaxHolders)
 	list = append(list, holder{upstream: u, epoch: u.cacheEpoch, at: now})
 	for _, h := range p.get(prefix) {
@@ -169,7 +173,8 @@
 	p.put(prefix, list)
 }
 
-func (p *prefixes) remove(prefix uint64, u *upstream, before time.Time) {
+// remove removes u from the holders of a prefix, unless it was recorded after the given time.
+func (p *prefixIndex) remove(prefix uint64, u *upstream, before time.Time) {
 	var list []holder
 	for _, h := range p.get(prefix) {
 		if h.upstream != u || h.at.After(before) {
@@ -179,9 +184,9 @@
 	p.put(prefix, list)
 }
 
-// holder returns an upstream that is believed to have the prefix and that ok accepts, the one with the fewest
-// requests first.
-func (p *prefixes) holder(now time.Time, prefix uint64, ok func(*upstream) bool) *upstream {
+// bestHolder returns the upstream with the lowest load among those that probably have the prefix and that ok accepts;
+// nil for none.
+func (p *prefixIndex) bestHolder(now time.Time, prefix uint64, ok func(*upstream) bool) *upstream {
 	var best *upstream
 	for _, h := range p.get(prefix) {
 		if !h.valid(now) || !ok(h.upstream) {
@@ -194,25 +199,26 @@
 	return best
 }
 
-// EventLag is how late cache events may be: an eviction does not touch a belief that is younger.
-const EventLag = 2 * time.Second
+// MaxEventDelay is the maximum delay of a cache event. An eviction does not remove a holder that was recorded later
+// than that, because the prefix may have been stored again since.
+const MaxEventDelay = 2 * time.Second
 
-// correct takes in what an engine said of its cache. Only what this entry already follows is corrected; news of other
-// prefixes would fill the memory with what this entry is never asked for.
-func (p *prefixes) correct(now time.Time, u *upstream, news *CacheNews) {
-	if news == nil {
+// apply applies an engine's cache changes to the index. It skips prefixes that are not in the index, which would fill
+// the memory with prefixes that this entry never gets requests for.
+func (p *prefixIndex) apply(now time.Time, u *upstream, changes *CacheNews) {
+	if changes == nil {
 		return
 	}
-	if news.Gap || news.Boot != u.cache.Boot && u.cache.Boot != "" {
+	if changes.Gap || changes.Boot != u.cache.Boot && u.cache.Boot != "" {
 		u.cacheEpoch++
 	}
-	u.cache = CacheMark{Boot: news.Boot, Seq: news.Seq}
-	for _, e := range news.Events {
+	u.cache = CacheMark{Boot: changes.Boot, Seq: changes.Seq}
+	for _, e := range changes.Events {
 		if p.get(e.Prefix) == nil {
 			continue
 		}
 		if e.Evicted {
-			p.remove(e.Prefix, u, now.Add(-EventLag))
+			p.remove(e.Prefix, u, now.Add(-MaxEventDelay))
 			continue
 		}
 		p.add(now, e.Prefix, u)
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing is the entry's reducer for where a request goes: which upstreams this entry uses at all, how busy
-// each is likely to be now, which one probably has the prompt's prefix in its cache, and which are slower than
-// their peers. It is pure: see package step.
+// Package routing is the entry's reducer that chooses an upstream for each request. It keeps track of which upstreams
+// this entry uses, the estimated load of each, which ones probably have a prompt's prefix in their cache, and which are
+// slower than their peers. The package is pure: see package step.
 package routing
 
 import (
@@ -10,27 +10,29 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// Policy chooses among the upstreams that have room. Operators get Affinity; the others are baselines of experiments.
+// Policy is how an upstream is chosen among those with free capacity. Operators use Affinity; the others are baselines
+// for experiments.
 type Policy string
 
 // The policies.
 const (
-	// Affinity follows the prompt's prefix with a bounded load, and takes two choices for requests without one.
+	// Affinity chooses by the prompt's prefix, with a bounded load. A request without a prefix goes to the better of two
+	// random upstreams.
 	Affinity Policy = "affinity"
-	// Random takes any.
+	// Random chooses a random upstream.
 	Random Policy = "random"
-	// Least takes the one with the fewest requests of this entry in flight.
+	// Least chooses the upstream with the fewest requests of this entry in flight.
 	Least Policy = "least"
-	// Two takes the better of two random ones by requests of this entry in flight.
+	// Two chooses, of two random upstreams, the one with fewer requests of this entry in flight.
 	Two Policy = "two"
 )
 
-// ValidPolicy tells whether p is a policy.
+// ValidPolicy reports whether p is one of the policies.
 func ValidPolicy(p Policy) bool {
 	return p == Affinity || p == Random || p == Least || p == Two
 }
 
-// Self is what an entry's routing knows of its own place in the fleet.
+// Self identifies an entry and its location in the fleet, and holds its routing policy. Place is its data centre.
 type Self struct {
 	Name   string
 	Place  string
@@ -38,15 +40,15 @@
 	Policy Policy
 }
 
-// State holds what this entry knows of upstreams' load and speed.
+// State holds this entry's view of the load and the speed of the upstreams.
 type State struct {
 	Self Self
-	// entries are the names of the entries of this place, this one included, sorted.
+	// entries holds the sorted names of the entries of this data centre, including this one.
 	entries  []string
 	services map[string]*service
 }
 
-// NewState returns a state that knows nothing yet.
+// NewState returns a state without services. The default policy is Affinity.
 func NewState(self Self) *State {
 	if self.Policy == "" {
 		self.Policy = Affinity
@@ -54,14 +56,14 @@
 	return &State{Self: self, entries: []string{self.Name}, services: map[string]*service{}}
 }
 
-// SetEntries tells which entries share this place's requests.
+// SetEntries sets the sorted names of the entries that share the requests of this data centre, including this one.
 func (s *State) SetEntries(names []string) {
 	if equal(s.entries, names) {
 		return
 	}
 	s.entries = append([]string(nil), names...)
 	for _, svc := range s.services {
-		svc.list = nil // The subsets are worked out anew.
+		svc.list = nil // The next call of Pick computes the subset again.
 	}
 }
 
@@ -77,46 +79,47 @@
 	return true
 }
 
-// Query is a request that looks for an upstream.
+// Query describes a request for which an upstream is chosen.
 type Query struct {
-	// Service is the key of the service's setting.
+	// Service is the key of the service's settings object.
 	Service string
-	// Prefix is the hash of the prompt's prefix; 0 for a request without one.
+	// Prefix is the hash of the prompt's prefix; 0 for none.
 	Prefix uint64
-	// OverLimit is set for an answer that has begun and goes on elsewhere, which is not cut for a limit's sake, and for a
-	// retry after a failure, which is not refused on an estimate.
+	// OverLimit allows an upstream whose estimated load has reached its limit. It is set for an answer that another
+	// upstream continues, because a limit must not truncate an answer. It is also set for a retry after a failure, because
+	// an estimate must not cause a refusal.
 	OverLimit bool
-	// Tried are the upstreams that were tried before, by Key.
+	// Tried holds the upstreams that were tried before, by Key.
 	Tried map[string]bool
 }
 
-// Outcome tells how a search for an upstream ended.
+// Outcome is the result of Pick.
 type Outcome int
 
 // The outcomes.
 const (
-	// Found: there is an upstream with room.
+	// Found means that an upstream has free capacity.
 	Found Outcome = iota
-	// Full: there are upstreams, and each is at its limit.
+	// Full means that there are upstreams, but each is at its limit.
 	Full
-	// None: no upstream can take the request, not even later.
+	// None means that no upstream can take the request, now or later.
 	None
 )
 
-// Key names an upstream within a service.
+// Key returns the identifier of an upstream within a service.
 func Key(c member.Candidate) string { return c.Address + c.Upstream.Name }
 
-// Pick finds an upstream for q among all, which must not change once it was given here. It looks in this entry's
-// subset of its own place first, then in the rest of the place, the region, and the other regions; the first of
-// these that has room is used.
-func (s *State) Pick(in step.Input, q Query, all []member.Candidate) (member.Candidate, Outcome) {
-	svc := s.view(q.Service, all)
+// Pick chooses an upstream for q among the candidates. The caller must not modify the slice afterwards. Pick searches
+// four tiers in order: this entry's subset of its own data centre, the rest of the data centre, the rest of the region
+// and the other regions. It uses the first tier with free capacity.
+func (s *State) Pick(in step.Input, q Query, candidates []member.Candidate) (member.Candidate, Outcome) {
+	svc := s.updatedService(q.Service, candidates)
 	outcome := None
-	// A slow upstream is better than none, so those that were taken out are looked at last.
-	for _, slowToo := range []bool{false, true} {
+	// A slow upstream is better than none, so ejected upstreams are searched last.
+	for _, includeEjected := range []bool{false, true} {
 		for _, tier := range svc.tiers {
-			usable, any := svc.usable(in.Now, tier, q, slowToo)
-			if any {
+			usable, exists := svc.usable(in.Now, tier, q, includeEjected)
+			if exists {
 				outcome = Full
 			}
 			if len(usable) > 0 {
@@ -127,49 +130,51 @@
 	return member.Candidate{}, outcome
 }
 
-// How well an upstream fits a request.
+// How well an upstream fits a request, from worst to best.
 const (
-	// FitsNot: it probably has to compute the prompt's prefix.
-	FitsNot = iota
-	// FitsCache: it probably has the prefix, as a copy.
-	FitsCache
-	// FitsOwner: it is the first in the prefix's order, and has the prefix or should get it.
-	FitsOwner
+	// FitNone means that the upstream probably has to compute the prompt's prefix.
+	FitNone = iota
+	// FitCached means that the upstream probably has the prefix in its cache, but does not own it.
+	FitCached
+	// FitOwner means that the upstream owns the prefix: it is the first in the prefix's rendezvous order. It has the
+	// prefix in its cache or should get it.
+	FitOwner
 )
 
-// Fit tells how well an upstream fits a request. When all are busy, the owner is to be preferred to a copy: each
-// engine's cache then has to hold its own prefixes only.
+// Fit returns how well an upstream fits a request: FitNone, FitCached or FitOwner. When all upstreams are busy, the
+// owner of a prefix is preferred to another upstream that has it, so that each engine's cache only has to hold the
+// prefixes that it owns.
 func (s *State) Fit(now time.Time, q Query, c member.Candidate) int {
 	if q.Prefix == 0 || s.Self.Policy != Affinity {
-		return FitsOwner
+		return FitOwner
 	}
 	svc := s.service(q.Service)
 	u := svc.upstream(c)
 	if rendezvous(q.Prefix, svc.tiers[0], func(*upstream) bool { return true }) == u {
-		return FitsOwner
+		return FitOwner
 	}
-	if svc.prefixes.holder(now, q.Prefix, func(other *upstream) bool { return other == u }) != nil {
-		return FitsCache
+	if svc.prefixes.bestHolder(now, q.Prefix, func(other *upstream) bool { return other == u }) != nil {
+		return FitCached
 	}
-	return FitsNot
+	return FitNone
 }
 
-// choose applies the policy; usable is not empty.
+// choose returns an upstream whose probe is due, or else one according to the policy. usable must not be empty.
 func (s *State) choose(in step.Input, svc *service, q Query, usable []*upstream) *upstream {
 	if probe := probeDue(in.Now, usable); probe != nil {
 		return probe
 	}
-	usable = withoutProbes(usable)
+	usable = withoutProbation(usable)
 	switch s.Self.Policy {
 	case Random:
 		return usable[in.Rand%uint64(len(usable))]
 	case Least:
 		return leastInFlight(in.Rand, usable)
 	case Two:
-		return twoChoices(in.Rand, usable, func(u *upstream) float64 { return float64(u.own) })
+		return twoChoices(in.Rand, usable, func(u *upstream) float64 { return float64(u.inFlight) })
 	}
 	if q.Prefix != 0 {
-		if u := svc.affine(in.Now, q.Prefix, usable); u != nil {
+		if u := svc.byPrefix(in.Now, q.Prefix, usable); u != nil {
 			return u
 		}
 	}
@@ -181,7 +186,7 @@
 	start := int(random % uint64(n))
 	best := usable[start]
 	for i := 1; i < n; i++ {
-		if u := usable[(start+i)%n]; u.own < best.own {
+		if u := usable[(start+i)%n]; u.inFlight < best.inFlight {
 			best = u
 		}
 	}
@@ -198,11 +203,11 @@
 	return a
 }
 
-// Sent notes that this entry sent a request to an upstream.
+// Sent records that this entry sent a request to an upstream.
 func (s *State) Sent(now time.Time, q Query, c member.Candidate) {
 	svc := s.service(q.Service)
 	u := svc.upstream(c)
-	u.own++
+	u.inFlight++
 	u.sentSince++
 	if u.health == onProbation {
 		u.lastProbe = now
@@ -212,62 +217,62 @@
 	}
 }
 
-// FirstByte notes how long the first byte of an answer took.
+// FirstByte records the time that an upstream took for the first byte of an answer.
 func (s *State) FirstByte(now time.Time, service string, c member.Candidate, took time.Duration) {
 	svc := s.service(service)
 	u := svc.upstream(c)
 	u.failures = 0
-	svc.sample(now, u, took)
+	svc.addSample(now, u, took)
 }
 
-// Failed notes an answer that says that the upstream can't serve.
+// Failed records an answer that says that the upstream can't serve.
 func (s *State) Failed(now time.Time, service string, c member.Candidate) {
 	svc := s.service(service)
-	svc.failed(now, svc.upstream(c))
+	svc.addFailure(now, svc.upstream(c))
 }
 
-// Ended notes that a request that was sent is over. waited is how long it waited in vain for its first byte, 0 when
-// that came.
+// Ended records that a request that was sent to an upstream has ended. waited is how long the request waited for a
+// first byte that did not arrive; 0 if it arrived.
 func (s *State) Ended(now time.Time, service string, c member.Candidate, waited time.Duration) {
 	svc := s.service(service)
 	u := svc.upstream(c)
-	u.own = max(0, u.own-1)
+	u.inFlight = max(0, u.inFlight-1)
 	u.endedSince++
-	// A wait that was broken off counts only when it was long: then it says that the upstream is slow.
+	// An aborted wait shows that the upstream is slow only if it was longer than the mean first-byte time.
 	if waited > 0 && waited > u.latency.mean() {
-		svc.sample(now, u, waited)
+		svc.addSample(now, u, waited)
 	}
 }
 
-// Reported takes in an agent's report.
+// Reported records an agent's load report.
 func (s *State) Reported(now time.Time, service string, c member.Candidate, r Report) {
 	svc := s.service(service)
 	u := svc.upstream(c)
 	r.Leaving = r.Leaving && c.Incarnation == u.candidate.Incarnation
 	u.reported(now, r)
-	svc.prefixes.correct(now, u, r.Cache)
+	svc.prefixes.apply(now, u, r.Cache)
 }
 
-// Left notes an agent's word that it takes no new work, whatever the host list and its advertisement say. The word of
-// an earlier life of the agent says nothing of the present one.
+// Left records that an agent accepts no new requests because it is shutting down. This takes precedence over the host
+// list and the agent's advertisement. A report of an earlier instance of the agent does not apply to the present one.
 func (s *State) Left(now time.Time, c member.Candidate) {
 	for _, svc := range s.services {
 		for _, u := range svc.byKey {
 			if u.candidate.Address == c.Address && u.candidate.Incarnation == c.Incarnation {
-				u.leftUntil = now.Add(LeftKept)
+				u.leavingUntil = now.Add(LeavingMaxAge)
 			}
 		}
 	}
 }
 
-// CacheSeen names the last change of an upstream's prefix cache that was heard.
+// CacheSeen identifies the last change of an upstream's prefix cache that this entry has received.
 func (s *State) CacheSeen(service string, c member.Candidate) CacheMark {
 	return s.service(service).upstream(c).cache
 }
 
-// Room returns how many requests the known upstreams of a service have in flight, as this entry estimates, and
-// how many they may have by their limits.
-func (s *State) Room(now time.Time, key string) (load, limit int) {
+// TotalLoad returns the estimated number of requests in flight at all known upstreams of a service, and the sum of
+// their limits.
+func (s *State) TotalLoad(now time.Time, key string) (load, limit int) {
 	for _, u := range s.service(key).byKey {
 		load += u.load(now)
 		limit += u.limit()
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -16,7 +16,7 @@
 
 var epoch = time.Unix(1000, 0)
 
-// candidates returns n upstreams in a place, each on a host of its own.
+// candidates returns n upstreams in a data centre, each on its own host.
 func candidates(place, region string, n int) []member.Candidate {
 	var list []member.Candidate
 	for i := range n {
@@ -30,7 +30,7 @@
 	return NewState(Self{Name: "entry-0", Place: "perth-a", Region: "west", Policy: policy})
 }
 
-// driver sends requests and ends them at once.
+// driver sends requests through a State with a simulated clock.
 type driver struct {
 	t      *testing.T
 	s      *State
@@ -49,7 +49,7 @@
 	return c
 }
 
-// send sends a request that is answered after what took returns, and counts where it went.
+// send sends a request whose first-byte time is what took returns, and returns where it went.
 func (d *driver) send(prefix uint64, took func(member.Candidate) time.Duration) member.Candidate {
 	c := d.pick(prefix)
 	d.s.Sent(d.now, Query{Service: svcKey, Prefix: prefix}, c)
@@ -61,7 +61,8 @@
 
 func steady(member.Candidate) time.Duration { return 20 * time.Millisecond }
 
-// TestPrefixGoesToOneUpstream sends equal prefixes to one upstream and different ones to many.
+// TestPrefixGoesToOneUpstream guards against requests with one prefix that are spread over several caches, and against
+// different prefixes that all go to a few upstreams.
 func TestPrefixGoesToOneUpstream(t *testing.T) {
 	d := newDriver(t, candidates("perth-a", "west", 12))
 	seen := map[string]bool{}
@@ -75,7 +76,7 @@
 	require.GreaterOrEqual(t, len(seen), 10)
 }
 
-// TestPrefixLoadIsBounded keeps one popular prefix from filling its upstream.
+// TestPrefixLoadIsBounded guards against one popular prefix that overloads its owner while other upstreams are idle.
 func TestPrefixLoadIsBounded(t *testing.T) {
 	d := newDriver(t, candidates("perth-a", "west", 8))
 	counts := map[string]int{}
@@ -89,8 +90,9 @@
 	}
 }
 
-// TestSlowUpstreamsAreTakenOutAndComeBack is a brownout of a third: slow answers without one error.
-func TestSlowUpstreamsAreTakenOutAndComeBack(t *testing.T) {
+// TestSlowUpstreamsAreEjectedAndReturn guards against upstreams that answer ten times slower than their peers without
+// any error. They must be ejected, and must get their share of the requests again once they are fast.
+func TestSlowUpstreamsAreEjectedAndReturn(t *testing.T) {
 	d := newDriver(t, candidates("perth-a", "west", 12))
 	slow := func(c member.Candidate) bool { return c.Address < "perth-a-e3" } // e0, e1, e10, e11, e2
 	brownout := func(c member.Candidate) time.Duration {
@@ -113,11 +115,11 @@
 	}
 	share(400, brownout)
 	require.Less(t, share(1000, brownout), 0.06, "only probes go to slow upstreams")
-	share(10000, steady) // They are well again and prove it.
+	share(10000, steady) // They are fast again, and their probes succeed.
 	require.Greater(t, share(1000, steady), 0.25)
 }
 
-// TestEjectionIsBounded leaves most upstreams in use whatever their times.
+// TestEjectionIsBounded guards against ejecting so many slow upstreams that the others are overloaded.
 func TestEjectionIsBounded(t *testing.T) {
 	d := newDriver(t, candidates("perth-a", "west", 10))
 	for range 5000 {
@@ -128,17 +130,18 @@
 			return 10 * time.Millisecond
 		})
 	}
-	gone := 0
+	ejected := 0
 	for _, u := range d.s.service(svcKey).byKey {
 		if u.health != inService {
-			gone++
+			ejected++
 		}
 	}
-	require.LessOrEqual(t, gone, 4)
+	require.LessOrEqual(t, ejected, 4)
 }
 
-// TestStaleReportIsLeftOut counts a report for ReportKept and this entry's own requests always.
-func TestStaleReportIsLeftOut(t *testing.T) {
+// TestStaleReportIsIgnored guards against a load estimate from a report older than ReportMaxAge, which would keep
+// requests from an upstream that has free capacity by now. This entry's own requests always count.
+func TestStaleReportIsIgnored(t *testing.T) {
 	all := candidates("perth-a", "west", 1)
 	s := newTestState(Affinity)
 	q := Query{Service: svcKey}
@@ -148,24 +151,25 @@
 	s.Reported(epoch, svcKey, all[0], Report{Running: 10, Limit: 10})
 	_, outcome = s.Pick(in, q, all)
 	require.Equal(t, Full, outcome)
-	// A request that ends here makes room before the next report does.
+	// A request of this entry that ends frees capacity before the next report arrives.
 	s.Sent(epoch, q, all[0])
 	s.Ended(epoch, svcKey, all[0], 0)
 	s.Ended(epoch, svcKey, all[0], 0)
 	_, outcome = s.Pick(in, q, all)
 	require.Equal(t, Found, outcome)
 	s.Reported(epoch, svcKey, all[0], Report{Running: 10, Limit: 10})
-	_, outcome = s.Pick(step.Input{Now: epoch.Add(ReportKept + time.Millisecond)}, q, all)
-	require.Equal(t, Found, outcome, "an old report says nothing about now")
+	_, outcome = s.Pick(step.Input{Now: epoch.Add(ReportMaxAge + time.Millisecond)}, q, all)
+	require.Equal(t, Found, outcome, "a report older than ReportMaxAge is ignored")
 }
 
-// TestNearUpstreamsFirst uses the own place, then the region, then the rest.
-func TestNearUpstreamsFirst(t *testing.T) {
+// TestNearestUpstreamsAreUsedFirst checks that an upstream of another data centre, or of another region, gets requests
+// only when all nearer ones are at their limit.
+func TestNearestUpstreamsAreUsedFirst(t *testing.T) {
 	all := append(candidates("mackay-b", "north", 2), candidates("karratha-a", "west", 2)...)
 	all = append(all, candidates("perth-a", "west", 2)...)
 	s := newTestState(Affinity)
 	var order []string
-	for range 6 * AssumedLimit {
+	for range 6 * DefaultLimit {
 		c, outcome := s.Pick(step.Input{Now: epoch}, Query{Service: svcKey}, all)
 		require.Equal(t, Found, outcome)
 		s.Sent(epoch, Query{Service: svcKey}, c)
@@ -178,8 +182,9 @@
 	require.Equal(t, Full, outcome)
 }
 
-// TestLeavingUpstreamGetsNoWork believes the agent's word before the list of hosts shows it, until it comes back.
-func TestLeavingUpstreamGetsNoWork(t *testing.T) {
+// TestLeavingUpstreamIsSkippedUntilReloaded guards against requests to an agent that reported its shutdown while the
+// host list still shows it as serving. The upstream gets requests again when its weights are loaded again.
+func TestLeavingUpstreamIsSkippedUntilReloaded(t *testing.T) {
 	all := candidates("perth-a", "west", 2)
 	d := newDriver(t, all)
 	d.pick(0)
@@ -187,9 +192,9 @@
 	for range 50 {
 		require.Equal(t, all[1].Address, d.pick(0).Address)
 	}
-	back := append([]member.Candidate(nil), all...)
-	back[0].Upstream.Generation++
-	d.all = back
+	reloaded := append([]member.Candidate(nil), all...)
+	reloaded[0].Upstream.Generation++
+	d.all = reloaded
 	seen := map[string]bool{}
 	for range 50 {
 		seen[d.pick(0).Address] = true
@@ -197,14 +202,15 @@
 	require.True(t, seen[all[0].Address])
 }
 
-// TestAgentRestartedOnItsAddressGetsWorkAgain: the new agent adopts the weights of the engine, so that only its
-// incarnation is new. What its earlier life said, also late, does not count any more.
-func TestAgentRestartedOnItsAddressGetsWorkAgain(t *testing.T) {
+// TestAgentRestartedAtItsAddressGetsRequests guards against a restarted agent that gets no requests because its
+// previous instance reported a shutdown. The new instance adopts the engine's weights, so only its incarnation differs.
+// Reports of the previous instance that arrive late must not apply to it.
+func TestAgentRestartedAtItsAddressGetsRequests(t *testing.T) {
 	all := candidates("perth-a", "west", 2)
 	d := newDriver(t, all)
 	d.pick(0)
-	old := all[0]
-	d.s.Left(d.now, old)
+	previous := all[0]
+	d.s.Left(d.now, previous)
 	d.all = append([]member.Candidate(nil), all...)
 	d.all[0].Incarnation++
 	picked := func() bool {
@@ -212,19 +218,19 @@
 		for range 50 {
 			seen[d.pick(0).Address] = true
 		}
-		return seen[old.Address]
+		return seen[previous.Address]
 	}
 	require.True(t, picked())
-	d.s.Left(d.now, old)
-	d.s.Reported(d.now, svcKey, old, Report{Leaving: true})
+	d.s.Left(d.now, previous)
+	d.s.Reported(d.now, svcKey, previous, Report{Leaving: true})
 	require.True(t, picked())
 	d.s.Left(d.now, d.all[0])
 	require.False(t, picked())
 }
 
-// TestUpstreamThatFailsFastLosesItsRequests answers at once that it can't serve: after a few such answers the requests go
-// to other places, and come back after probes that succeed.
-func TestUpstreamThatFailsFastLosesItsRequests(t *testing.T) {
+// TestFastFailingUpstreamIsEjected guards against an upstream that attracts requests because its errors are fast. It
+// must be ejected after a few errors, its requests must go to other data centres, and successful probes must return it.
+func TestFastFailingUpstreamIsEjected(t *testing.T) {
 	local, others := candidates("perth-a", "west", 1), candidates("bunbury-a", "west", 2)
 	d := newDriver(t, append(local, others...))
 	bad, down := local[0].Address, true
@@ -241,7 +247,7 @@
 		return c.Address
 	}
 	failed := 0
-	for range 100 { // Five seconds.
+	for range 100 { // 100 requests take 5 seconds.
 		if send() == bad {
 			failed++
 		}
@@ -254,7 +260,8 @@
 	require.Equal(t, bad, send())
 }
 
-// TestSubsetsCoverEvenly gives each of 483 upstreams the same number of entries, give or take one.
+// TestSubsetsCoverEvenly guards against upstreams that too few entries use. Each of 483 upstreams must be in the
+// subsets of the same number of entries, with a difference of at most one, and of at least Coverage entries.
 func TestSubsetsCoverEvenly(t *testing.T) {
 	const n = 483
 	hash := func(i int) uint64 { return step.Score(fmt.Sprint(i), "upstream") }
@@ -278,45 +285,47 @@
 	}
 }
 
-// TestCacheEventsCorrectBeliefs follows a prefix to where it is known to be, forgets what was evicted, and bears late
-// events, gaps and restarts.
-func TestCacheEventsCorrectBeliefs(t *testing.T) {
+// TestCacheEventsUpdatePrefixHolders guards against requests that follow an outdated view of the engines' caches.
+// Eviction events must remove a holder unless they are older than its last use, and a gap must invalidate all that is
+// known.
+func TestCacheEventsUpdatePrefixHolders(t *testing.T) {
 	d := newDriver(t, candidates("perth-a", "west", 6))
 	owner := d.send(9, steady)
 	other := d.all[0]
 	if other.Address == owner.Address {
 		other = d.all[1]
 	}
-	report := func(c member.Candidate, news CacheNews) {
-		d.s.Reported(d.now, svcKey, c, Report{Cache: &news})
+	report := func(c member.Candidate, changes CacheNews) {
+		d.s.Reported(d.now, svcKey, c, Report{Cache: &changes})
 	}
 	report(other, CacheNews{Boot: "b", Seq: 1, Events: []CacheEvent{{Prefix: 9}}})
 	require.Equal(t, owner.Address, d.pick(9).Address, "the owner has it too")
 	report(owner, CacheNews{Boot: "a", Seq: 1, Events: []CacheEvent{{Prefix: 9, Evicted: true}}})
-	require.Equal(t, owner.Address, d.pick(9).Address, "an eviction that is older than the last use does not count")
-	d.now = d.now.Add(EventLag + time.Second)
+	require.Equal(t, owner.Address, d.pick(9).Address, "an eviction older than the last use is ignored")
+	d.now = d.now.Add(MaxEventDelay + time.Second)
 	report(owner, CacheNews{Boot: "a", Seq: 2, Events: []CacheEvent{{Prefix: 9, Evicted: true}}})
-	require.Equal(t, other.Address, d.pick(9).Address, "the owner has lost it, the other has it")
+	require.Equal(t, other.Address, d.pick(9).Address, "the owner evicted it, the other upstream has it")
 	report(other, CacheNews{Boot: "b", Seq: 600, Gap: true})
-	require.Equal(t, owner.Address, d.pick(9).Address, "after a gap nothing is known: the owner gets it anew")
+	require.Equal(t, owner.Address, d.pick(9).Address, "after a gap no holder is known, so the owner gets it")
 	require.Equal(t, CacheMark{Boot: "b", Seq: 600}, d.s.CacheSeen(svcKey, other))
 }
 
-// TestHolderBeliefEnds bounds the harm of an eviction whose event was lost.
-func TestHolderBeliefEnds(t *testing.T) {
+// TestPrefixHolderExpires guards against a holder that is kept for ever because the event of its eviction was lost.
+func TestPrefixHolderExpires(t *testing.T) {
 	d := newDriver(t, candidates("perth-a", "west", 6))
 	owner := d.send(9, steady)
 	svc := d.s.service(svcKey)
-	has := func() bool {
-		return svc.prefixes.holder(d.now, 9, func(u *upstream) bool { return Key(u.candidate) == Key(owner) }) != nil
+	isHolder := func() bool {
+		return svc.prefixes.bestHolder(d.now, 9, func(u *upstream) bool { return Key(u.candidate) == Key(owner) }) != nil
 	}
-	require.True(t, has())
-	d.now = d.now.Add(HolderKept + time.Second)
-	require.False(t, has())
+	require.True(t, isHolder())
+	d.now = d.now.Add(HolderMaxAge + time.Second)
+	require.False(t, isHolder())
 }
 
-// TestPromptPrefix finds the prompt's first characters in whole and cut bodies.
-func TestPromptPrefix(t *testing.T) {
+// TestPromptPrefixOfCompleteAndTruncatedBodies checks that the same prompt has the same prefix hash whether the body is
+// complete, truncated in an escape, or contains the word "prompt" elsewhere.
+func TestPromptPrefixOfCompleteAndTruncatedBodies(t *testing.T) {
 	long := ""
 	for len(long) < 400 {
 		long += "Vendor ä check "
@@ -334,6 +343,7 @@
 	require.Equal(t, PrefixHash("say \"hi\"\n"), PromptPrefix([]byte(`{"prompt":"say \"hi\"\n"}`)))
 }
 
+// BenchmarkPick measures the choice of an upstream for one request.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 128, 483} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
--- a/internal/core/routing/service.go
+++ b/internal/core/routing/service.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// LoadBound is how far above the mean load an upstream may go for the sake of a prefix.
-	LoadBound = 1.25
-	// MinBound is the load up to which a prefix is followed however idle the others are.
-	MinBound = 4
-	// dropAfter is how many upstreams that no longer exist are kept before they are swept.
-	dropAfter = 64
+	// LoadBoundFactor is the maximum load, as a multiple of the mean load, up to which an upstream is chosen by prefix.
+	LoadBoundFactor = 1.25
+	// MinLoadBound is the load, in requests, below which an upstream may always be chosen by prefix, however idle the
+	// others are.
+	MinLoadBound = 4
+	// maxStaleUpstreams is how many upstreams that no longer exist are kept before they are dropped.
+	maxStaleUpstreams = 64
 )
 
-// tierCount is the number of circles in which an upstream is looked for.
+// tierCount is the number of tiers that Pick searches in order.
 const tierCount = 4
 
-// service is what this entry knows of one service.
+// service is the state that this entry keeps of one service.
 type service struct {
-	// list is the list of candidates that the tiers were made from.
+	// list is the list of candidates from which the tiers were computed.
 	list     []member.Candidate
 	tiers    [tierCount][]*upstream
 	byKey    map[string]*upstream
-	prefixes prefixes
-	peers    peers
-	// scratch is used again by each search.
+	prefixes prefixIndex
+	peers    peerLatency
+	// scratch is the buffer that every call of usable reuses.
 	scratch []*upstream
 }
 
 func newService() *service {
-	return &service{byKey: map[string]*upstream{}, prefixes: newPrefixes()}
+	return &service{byKey: map[string]*upstream{}, prefixes: newPrefixIndex()}
 }
 
 func (svc *service) upstream(c member.Candidate) *upstream {
@@ -45,23 +46,23 @@
 	return u
 }
 
-// view returns the service with its tiers made from all.
-func (s *State) view(key string, all []member.Candidate) *service {
+// updatedService returns the service with its tiers computed from the candidates.
+func (s *State) updatedService(key string, candidates []member.Candidate) *service {
 	svc := s.service(key)
-	if sameList(svc.list, all) {
+	if sameSlice(svc.list, candidates) {
 		return svc
 	}
-	svc.list = all
-	svc.sweep(all)
-	local, region, rest := s.byDistance(svc, all)
+	svc.list = candidates
+	svc.dropStale(candidates)
+	local, region, rest := s.byDistance(svc, candidates)
 	subset := Subset(s.Self.Name, s.entries, len(local), func(i int) uint64 { return local[i].hash })
-	in := make(map[int]bool, len(subset))
+	inSubset := make(map[int]bool, len(subset))
 	for _, i := range subset {
-		in[i] = true
+		inSubset[i] = true
 	}
 	svc.tiers = [tierCount][]*upstream{2: region, 3: rest}
 	for i, u := range local {
-		if in[i] {
+		if inSubset[i] {
 			svc.tiers[0] = append(svc.tiers[0], u)
 			continue
 		}
@@ -70,22 +71,25 @@
 	return svc
 }
 
-// sameList tells whether two lists are the same slice. The directory makes a new one for each change.
-func sameList(a, b []member.Candidate) bool {
+// sameSlice reports whether two lists share their backing array. That is enough to detect a change, because the
+// directory makes a new slice for each change.
+func sameSlice(a, b []member.Candidate) bool {
 	if len(a) != len(b) || a == nil {
 		return false
 	}
 	return len(a) == 0 || &a[0] == &b[0]
 }
 
-func (s *State) byDistance(svc *service, all []member.Candidate) (local, region, rest []*upstream) {
-	for _, c := range all {
+// byDistance updates the upstreams from the candidates and splits them into those of this entry's data centre, those of
+// the rest of its region, and all others.
+func (s *State) byDistance(svc *service, candidates []member.Candidate) (local, region, rest []*upstream) {
+	for _, c := range candidates {
 		u := svc.upstream(c)
 		if reloaded(u.candidate, c) {
 			u.cacheEpoch++
 		}
 		if reloaded(u.candidate, c) || u.candidate.Incarnation != c.Incarnation {
-			u.leftUntil = time.Time{}
+			u.leavingUntil = time.Time{}
 		}
 		u.candidate = c
 		switch {
@@ -100,73 +104,75 @@
 	return local, region, rest
 }
 
-// reloaded tells whether an upstream's weights were loaded anew: then it is served again, and its cache is empty. An
-// agent that is restarted adopts the weights that its engine has, which changes the incarnation alone.
+// reloaded reports whether an upstream's weights were loaded again. Its cache is then empty, and it accepts requests
+// again. A restarted agent adopts the weights that its engine has; this changes only the incarnation.
 func reloaded(old, now member.Candidate) bool {
 	return old.Upstream.Generation != now.Upstream.Generation
 }
 
-// sweep forgets upstreams that are gone, once there are many.
-func (svc *service) sweep(all []member.Candidate) {
-	if len(svc.byKey) < len(all)+dropAfter {
+// dropStale drops upstreams that are not among the candidates, once there are maxStaleUpstreams of them. It keeps those
+// with requests in flight.
+func (svc *service) dropStale(candidates []member.Candidate) {
+	if len(svc.byKey) < len(candidates)+maxStaleUpstreams {
 		return
 	}
-	present := make(map[string]bool, len(all))
-	for _, c := range all {
+	present := make(map[string]bool, len(candidates))
+	for _, c := range candidates {
 		present[Key(c)] = true
 	}
 	for key, u := range svc.byKey {
-		if !present[key] && u.own == 0 {
+		if !present[key] && u.inFlight == 0 {
 			delete(svc.byKey, key)
 		}
 	}
 }
 
-// usable returns the upstreams of a tier that q may go to now, those that were taken out for slowness only when
-// slowToo is set. any tells whether one could take it later.
-func (svc *service) usable(now time.Time, tier []*upstream, q Query, slowToo bool) (list []*upstream, any bool) {
+// usable returns the upstreams of a tier that can take q now; ejected upstreams are included only if includeEjected is
+// set. exists reports whether the tier has an upstream that can take q now or later.
+func (svc *service) usable(now time.Time, tier []*upstream, q Query, includeEjected bool) (list []*upstream, exists bool) {
 	list = svc.scratch[:0]
 	for _, u := range tier {
-		if len(q.Tried) > 0 && q.Tried[u.key] || !u.leftUntil.IsZero() && now.Before(u.leftUntil) {
+		if len(q.Tried) > 0 && q.Tried[u.key] || !u.leavingUntil.IsZero() && now.Before(u.leavingUntil) {
 			continue
 		}
-		any = true
+		exists = true
 		u.estimate = u.load(now)
-		if (u.estimate < u.limit() || q.OverLimit) && (svc.inUse(now, u) || slowToo) {
+		if (u.estimate < u.limit() || q.OverLimit) && (svc.eligible(now, u) || includeEjected) {
 			list = append(list, u)
 		}
 	}
 	svc.scratch = list
-	return list, any
+	return list, exists
 }
 
-// cost orders upstreams for two choices: the work before the request, stretched where answers are slower than
-// the peers'.
+// cost returns the cost by which two random upstreams are compared: the load including the new request, multiplied by
+// the slowness if the upstream is slower than its peers.
 func (svc *service) cost(now time.Time, u *upstream) float64 {
 	return float64(u.estimate+1) * math.Max(1, svc.slowness(now, u))
 }
 
-// affine finds the upstream that probably has the prefix, if its load is within the bound: the first in the prefix's
-// rendezvous order; when that one is not known to have it, another one that is; else the first within the bound.
-func (svc *service) affine(now time.Time, prefix uint64, usable []*upstream) *upstream {
-	bound := svc.bound(usable)
+// byPrefix returns an upstream for a prefix among those whose load is within the bound; nil if there is none. It
+// prefers the owner, which is the first of them in the prefix's rendezvous order. If the owner is not known to have the
+// prefix, it returns another one that probably has it, if any.
+func (svc *service) byPrefix(now time.Time, prefix uint64, usable []*upstream) *upstream {
+	bound := svc.loadBound(usable)
 	within := func(u *upstream) bool { return u.estimate < bound }
 	owner := rendezvous(prefix, usable, within)
 	if owner == nil {
 		return nil
 	}
-	has := svc.prefixes.holder(now, prefix, func(u *upstream) bool { return u == owner })
-	if has != nil {
+	cached := svc.prefixes.bestHolder(now, prefix, func(u *upstream) bool { return u == owner })
+	if cached != nil {
 		return owner
 	}
-	copied := svc.prefixes.holder(now, prefix, func(u *upstream) bool { return within(u) && contains(usable, u) })
-	if copied != nil {
-		return copied
+	other := svc.prefixes.bestHolder(now, prefix, func(u *upstream) bool { return within(u) && contains(usable, u) })
+	if other != nil {
+		return other
 	}
 	return owner
 }
 
-// rendezvous returns the first in the prefix's order of those that ok accepts; nil for none.
+// rendezvous returns the first upstream in the prefix's rendezvous order that ok accepts; nil for none.
 func rendezvous(prefix uint64, list []*upstream, ok func(*upstream) bool) *upstream {
 	var best *upstream
 	var highest uint64
@@ -179,13 +185,14 @@
 	return best
 }
 
-func (svc *service) bound(usable []*upstream) int {
+// loadBound returns the load, in requests, below which an upstream may be chosen by prefix.
+func (svc *service) loadBound(usable []*upstream) int {
 	total := 1
 	for _, u := range usable {
 		total += u.estimate
 	}
 	mean := float64(total) / float64(len(usable))
-	return max(MinBound, int(math.Ceil(LoadBound*mean)))
+	return max(MinLoadBound, int(math.Ceil(LoadBoundFactor*mean)))
 }
 
 func contains(list []*upstream, u *upstream) bool {
@@ -197,7 +204,7 @@
 	return false
 }
 
-// mix spreads the bits of a hash (the finalizer of splitmix64).
+// mix mixes the bits of a hash with the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/core/routing/subset.go
+++ b/internal/core/routing/subset.go
@@ -3,21 +3,22 @@
 import "sort"
 
 const (
-	// MinSubset is the least number of upstreams of a place that an entry uses, when there are as many.
+	// MinSubset is the minimum number of upstreams of a data centre that an entry uses, if there are that many.
 	MinSubset = 32
-	// Coverage is how many entries use each upstream, at least: one may be away and the upstream still gets work.
+	// Coverage is the minimum number of entries that use each upstream. With two, an upstream still gets work while one of
+	// them is down.
 	Coverage = 2
 )
 
-// SubsetSize returns how many of n upstreams each of e entries uses.
+// SubsetSize returns how many of the n upstreams of a data centre each of its e entries uses.
 func SubsetSize(n, e int) int {
 	size := (Coverage*n + e - 1) / e
 	return min(n, max(MinSubset, size))
 }
 
-// Subset returns the indices of the upstreams that the entry self uses: an arc of the ring in which hash orders the
-// upstreams, beginning at the entry's own share of the ring. Each upstream is in as many arcs as any other, give
-// or take one, and every process works out the same arcs.
+// Subset returns the indices of the upstreams that the entry self uses. It orders the upstreams by hash on a ring and
+// takes an arc that starts at the entry's position in the sorted list of entries. The numbers of arcs that cover any
+// two upstreams differ by at most one. Every process computes the same arcs.
 func Subset(self string, entries []string, n int, hash func(i int) uint64) []int {
 	e := max(1, len(entries))
 	size := SubsetSize(n, e)
--- a/internal/core/routing/upstream.go
+++ b/internal/core/routing/upstream.go
@@ -8,57 +8,61 @@
 )
 
 const (
-	// ReportKept is how long a load report counts; an older one says nothing about now.
-	ReportKept = 3 * time.Second
-	// LeftKept is how long an agent's word that it leaves is believed without news; a process that comes back at the
-	// same address advertises itself anew.
-	LeftKept = 30 * time.Second
-	// AssumedLimit is the limit of an upstream that has not reported one.
-	AssumedLimit = 16
+	// ReportMaxAge is how long a load report is used. An older one says nothing about the present load.
+	ReportMaxAge = 3 * time.Second
+	// LeavingMaxAge is how long an upstream gets no requests after its agent reported that it is shutting down. It gets
+	// requests sooner if a new instance at the same address advertises itself.
+	LeavingMaxAge = 30 * time.Second
+	// DefaultLimit is the concurrency limit of an upstream that has not reported one.
+	DefaultLimit = 16
 )
 
-// Report is an agent's word on one of its upstreams. It rides on the agent's replies.
+// Report is an agent's load report on one of its upstreams. The agent sends it with its replies.
 type Report struct {
-	// Running counts the requests that the agent has with the upstream, of all entries.
+	// Running is the number of requests of all entries that are in flight at the upstream.
 	Running int `json:"running"`
-	// Limit is how many the agent lets in at present.
+	// Limit is how many requests the agent currently admits; 0 if unknown.
 	Limit int `json:"limit,omitempty"`
-	// Waiting is how many the engine said that it keeps out of its batch, AgeMS milliseconds ago.
+	// Waiting is how many requests waited at the engine outside its batch, according to its report AgeMS milliseconds ago.
 	Waiting int   `json:"waiting,omitempty"`
 	AgeMS   int64 `json:"age_ms,omitempty"`
-	// Leaving says that the agent takes no new work.
+	// Leaving reports whether the agent is shutting down and accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
-	// Cache is what changed in the engine's prefix cache since the entry last heard; nil for nothing.
+	// Cache holds the changes of the engine's prefix cache that the entry has not received yet; nil for none.
 	Cache *CacheNews `json:"cache,omitempty"`
 }
 
-// upstream is what this entry knows of one upstream.
+// upstream is the state that this entry keeps of one upstream.
 type upstream struct {
 	candidate member.Candidate
 	key       string
 	hash      uint64
-	// estimate is the load at the time of the present search.
+	// estimate is the estimated load during the current call of Pick, in requests.
 	estimate int
-	// own counts this entry's requests in flight there.
-	own int
-	// report is the last one, heard at reportAt; sentSince and endedSince count this entry's requests since then.
+	// inFlight counts this entry's requests in flight at the upstream.
+	inFlight int
+	// report is the latest load report, received at reportAt. sentSince and endedSince count this entry's requests since
+	// then.
 	report     Report
 	reportAt   time.Time
 	sentSince  int
 	endedSince int
-	leftUntil  time.Time
-	// cache names the last change of the prefix cache that was heard.
+	// leavingUntil is the time until which the upstream gets no requests because its agent is shutting down.
+	leavingUntil time.Time
+	// cache identifies the last received change of the prefix cache.
 	cache CacheMark
-	// cacheEpoch goes up when all that was believed of the cache is void.
+	// cacheEpoch is incremented when everything known of the cache becomes invalid.
 	cacheEpoch int
 
-	latency   latency
-	health    health
-	ejected   time.Time
-	strikes   int
+	latency      latency
+	health       health
+	ejectedUntil time.Time
+	// ejections counts the ejections, less one for each return to service. It determines the next eject time.
+	ejections int
 	lastProbe time.Time
-	goodTries int
-	// failures counts the answers in a row that said that it can't serve.
+	// goodProbes counts consecutive probes that were answered fast enough.
+	goodProbes int
+	// failures counts consecutive answers that said that the upstream can't serve.
 	failures int
 }
 
@@ -73,22 +77,22 @@
 	u.sentSince = 0
 	u.endedSince = 0
 	if r.Leaving {
-		u.leftUntil = now.Add(LeftKept)
+		u.leavingUntil = now.Add(LeavingMaxAge)
 	}
 }
 
-// load estimates the requests in flight at the upstream: the last report and what this entry did since. What
-// other entries did since is not known; an old report is left out.
+// load estimates the number of requests in flight at the upstream. It adds what this entry sent and completed since the
+// latest report; the changes by other entries since then are unknown. A report older than ReportMaxAge is not used.
 func (u *upstream) load(now time.Time) int {
-	if u.reportAt.IsZero() || now.Sub(u.reportAt) > ReportKept {
-		return u.own
+	if u.reportAt.IsZero() || now.Sub(u.reportAt) > ReportMaxAge {
+		return u.inFlight
 	}
-	return max(u.own, u.report.Running+u.sentSince-u.endedSince)
+	return max(u.inFlight, u.report.Running+u.sentSince-u.endedSince)
 }
 
 func (u *upstream) limit() int {
 	if u.report.Limit > 0 {
 		return u.report.Limit
 	}
-	return AssumedLimit
+	return DefaultLimit
 }
