--- a/internal/core/request/admit.go
+++ b/internal/core/request/admit.go
@@ -10,20 +10,21 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// Terms are what admission and routing know of a request from its head and its service's setting.
+// Terms holds the properties of a request that admission and routing use. They come from its head and the settings of
+// its service.
 type Terms struct {
-	// Client is the account that the request counts for.
+	// Client is the client account that the request counts for.
 	Client string
-	// Priority goes from 0, the highest, to 9.
+	// Priority is from 0, the highest, to 9, the lowest.
 	Priority int
-	// Weight and Concurrency are the client's limits; see setting.Limits.
+	// Weight and Concurrency are the limits of the client account; see setting.Limits.
 	Weight      int
 	Concurrency int
 	// Prefix is the hash of the prompt's prefix; 0 for none.
 	Prefix uint64
 }
 
-// serviceKey names the request's service.
+// serviceKey returns the settings key of the request's service.
 func (r *Request) serviceKey() string { return setting.Key(r.Team, r.Service) }
 
 func (r *Request) query() routing.Query {
@@ -48,12 +49,12 @@
 	return b
 }
 
-func (s *State) ask(r *Request) admission.Ask {
+func (s *State) admissionAsk(r *Request) admission.Ask {
 	a := admission.Ask{
 		ID: r.ID, Client: r.terms.Client, Priority: r.terms.Priority, Weight: r.terms.Weight, Deadline: r.Deadline,
 	}
-	if !r.waitBy.IsZero() && r.waitBy.Before(a.Deadline) {
-		a.Deadline = r.waitBy
+	if !r.queueDeadline.IsZero() && r.queueDeadline.Before(a.Deadline) {
+		a.Deadline = r.queueDeadline
 	}
 	if r.terms.Concurrency > 0 {
 		a.Cap = max(1, s.Fleet.Cap(r.serviceKey(), r.terms.Client, r.terms.Concurrency))
@@ -61,46 +62,46 @@
 	return a
 }
 
-// enter lets a new request in, makes it wait, or refuses it at once.
-func (s *State) enter(in step.Input, r *Request, dir Directory, marks Marks) []step.Effect {
+// admit admits a new request, queues it or refuses it at once.
+func (s *State) admit(in step.Input, r *Request, dir Directory, verdicts Verdicts) []step.Effect {
 	_, outcome := s.Routing.Pick(in, r.query(), dir.Candidates(in.Now, r.Team, r.Service))
 	if outcome == routing.None {
-		return s.refuse(r, code.NoUpstream, code.NotRun, ComeBack)
+		return s.refuse(r, code.NoUpstream, code.NotRun, DefaultRetryAfter)
 	}
 	r.Phase = Queued
-	admitted, refused := s.gate(r.serviceKey()).Admit(in.Now, s.ask(r), outcome == routing.Found)
+	admitted, refused := s.gate(r.serviceKey()).Admit(in.Now, s.admissionAsk(r), outcome == routing.Found)
 	if admitted {
-		return s.admitted(in, r, dir, marks)
+		return s.admitted(in, r, dir, verdicts)
 	}
-	return s.turnAway(refused)
+	return s.refuseQueued(refused)
 }
 
-// admitted goes on with a request that was let in.
-func (s *State) admitted(in step.Input, r *Request, dir Directory, marks Marks) []step.Effect {
+// admitted sends a request that was admitted. A call that runs at most once is claimed before its first attempt.
+func (s *State) admitted(in step.Input, r *Request, dir Directory, verdicts Verdicts) []step.Effect {
 	r.Phase = Admitted
 	if !r.AtMostOnce || r.Attempt > 0 {
-		return s.send(in, r, dir, marks)
+		return s.send(in, r, dir, verdicts)
 	}
 	r.Phase = Claiming
 	return []step.Effect{Claim{ID: r.ID, Key: r.Key}}
 }
 
-// turnAway refuses requests that wait in the queue; what is true of their tries before stays true.
-func (s *State) turnAway(refused []admission.Refusal) []step.Effect {
+// refuseQueued refuses requests that wait in the queue. The run status of their earlier attempts is kept.
+func (s *State) refuseQueued(refused []admission.Refusal) []step.Effect {
 	var effects []step.Effect
-	for _, x := range refused {
-		r := s.Requests[x.ID]
+	for _, refusal := range refused {
+		r := s.Requests[refusal.ID]
 		if r == nil || r.Phase != Queued {
 			continue
 		}
 		r.Phase = Admitted
-		effects = append(effects, s.refuse(r, x.Code, r.Ran, x.After)...)
+		effects = append(effects, s.refuse(r, refusal.Code, r.Ran, refusal.After)...)
 	}
 	return effects
 }
 
-// letIn sends waiting requests of a service on, as long as there is room.
-func (s *State) letIn(in step.Input, team, service string, dir Directory, marks Marks) []step.Effect {
+// admitWaiting admits waiting requests of a service while an upstream has free capacity.
+func (s *State) admitWaiting(in step.Input, team, service string, dir Directory, verdicts Verdicts) []step.Effect {
 	key := setting.Key(team, service)
 	g := s.gate(key)
 	var effects []step.Effect
@@ -121,86 +122,89 @@
 			g.Left(id, false)
 			continue
 		}
-		effects = append(effects, s.admitted(in, r, dir, marks)...)
+		effects = append(effects, s.admitted(in, r, dir, verdicts)...)
 	}
 	return effects
 }
 
-// noRoom handles a request that was let in and finds no upstream: it waits again when upstreams are only full.
-func (s *State) noRoom(in step.Input, r *Request, outcome routing.Outcome) []step.Effect {
+// noCapacity handles a request that was admitted but found no upstream with free capacity. It queues the request again
+// if upstreams are merely full, and refuses it otherwise.
+func (s *State) noCapacity(in step.Input, r *Request, outcome routing.Outcome) []step.Effect {
 	g := s.gate(r.serviceKey())
 	switch {
 	case outcome == routing.None && len(r.tried) == 0:
-		return s.refuse(r, code.NoUpstream, code.NotRun, ComeBack)
+		return s.refuse(r, code.NoUpstream, code.NotRun, DefaultRetryAfter)
 	case outcome == routing.None:
-		return s.refuse(r, r.lastCode, r.Ran, comeBack(r.Ran))
+		return s.refuse(r, r.lastCode, r.Ran, resendDelay(r.Ran))
 	case s.stopping || r.AtMostOnce || r.failed:
 		return s.refuse(r, code.Overloaded, r.Ran, g.RetryAfter())
 	}
-	s.queueAgain(in, r)
+	s.requeue(in, r)
 	return nil
 }
 
-// waitsForRoom tells whether a request that met a full upstream should wait for the next room instead of going to
-// another upstream at once: it should when others wait too, as then each place is better used by whom it fits.
-func (s *State) waitsForRoom(r *Request, why code.Code) bool {
+// shouldRequeue reports whether a request that found its upstream full should wait in the queue instead of being sent
+// to another upstream at once. It should when other requests wait too: free capacity then goes to the request that fits
+// the upstream best.
+func (s *State) shouldRequeue(r *Request, why code.Code) bool {
 	return why == code.Overloaded && !r.failed && !r.AtMostOnce && !s.stopping && s.gate(r.serviceKey()).Waiting() > 0
 }
 
-// queueAgain puts a request that was let in back to the front of the queue. An upstream that was only full may be
-// tried again. All the waits of a request together are bounded as one.
-func (s *State) queueAgain(in step.Input, r *Request) {
+// requeue puts a request that was admitted back at the front of the queue. Upstreams that were merely full may be tried
+// again. All waits of a request together are limited to admission.MaxWait after its first requeue.
+func (s *State) requeue(in step.Input, r *Request) {
 	r.tried = map[string]bool{}
 	r.Phase = Queued
-	if r.waitBy.IsZero() {
-		r.waitBy = in.Now.Add(admission.MaxWait)
+	if r.queueDeadline.IsZero() {
+		r.queueDeadline = in.Now.Add(admission.MaxWait)
 	}
-	s.gate(r.serviceKey()).Back(in.Now, s.ask(r))
+	s.gate(r.serviceKey()).Back(in.Now, s.admissionAsk(r))
 }
 
-// tick refuses the requests that waited too long, and lets in those for which there is room by now: a report may
-// have become too old to count.
-func (s *State) tick(in step.Input, dir Directory, marks Marks) []step.Effect {
+// tick refuses the requests that waited too long, and admits waiting ones. A load report that has become too old can
+// free capacity without any other event.
+func (s *State) tick(in step.Input, dir Directory, verdicts Verdicts) []step.Effect {
 	var effects []step.Effect
 	for _, key := range sortedKeys(s.gates) {
-		effects = append(effects, s.turnAway(s.gates[key].Sweep(in.Now))...)
+		effects = append(effects, s.refuseQueued(s.gates[key].Sweep(in.Now))...)
 		if team, service, ok := setting.SplitKey(key); ok {
-			effects = append(effects, s.letIn(in, team, service, dir, marks)...)
+			effects = append(effects, s.admitWaiting(in, team, service, dir, verdicts)...)
 		}
 	}
 	return effects
 }
 
-// sent notes a try with the routing.
-func (s *State) sent(now time.Time, r *Request) {
+// recordSent records an attempt in the routing state.
+func (s *State) recordSent(now time.Time, r *Request) {
 	s.Routing.Sent(now, r.query(), r.target)
 	r.sentAt = now
 }
 
-// reported takes in the report that came with a reply of the present target.
-func (s *State) reported(now time.Time, r *Request, report *routing.Report) {
+// recordReport records the load report, if any, that arrived with a reply of the current target.
+func (s *State) recordReport(now time.Time, r *Request, report *routing.Report) {
 	if report != nil {
 		s.Routing.Reported(now, r.serviceKey(), r.target, *report)
 	}
 }
 
-// mayRetry tells whether the budget lets a failed try be followed by another. A try that was not run costs
-// nothing, nor does one that a planned stop ended.
-func (s *State) mayRetry(r *Request, ran code.Ran) bool {
+// takeRetry reports whether the retry budget allows another attempt after a failed one, and takes it from the budget. A
+// retry is free if the failed attempt was not run or was ended by a graceful shutdown.
+func (s *State) takeRetry(r *Request, ran code.Ran) bool {
 	return ran == code.NotRun || r.lastCode == code.Stopping || s.budget(r.serviceKey()).Take()
 }
 
-// over takes a request that ended out of admission and lets the next one in.
-func (s *State) over(in step.Input, r *Request, answered bool, dir Directory, marks Marks) []step.Effect {
+// finish removes a request that ended from the gate and admits the next one.
+func (s *State) finish(in step.Input, r *Request, answered bool, dir Directory, verdicts Verdicts) []step.Effect {
 	key := r.serviceKey()
 	s.gate(key).Left(r.ID, answered)
 	if answered {
 		s.budget(key).Succeeded()
 	}
-	return s.letIn(in, r.Team, r.Service, dir, marks)
+	return s.admitWaiting(in, r.Team, r.Service, dir, verdicts)
 }
 
-// Demand returns what a client of a service has in flight at this entry and wants besides.
+// Demand returns the number of requests of a client account that are in flight at this entry, wait, or were recently
+// refused. The key is that of the service.
 func (s *State) Demand(key, client string) int {
 	g := s.gates[key]
 	if g == nil {
--- a/internal/core/request/life.go
+++ b/internal/core/request/attempt.go
@@ -10,7 +10,8 @@
 	"samphireweir.example/samphireweir/internal/core/suspect"
 )
 
-// Both returns what is true of two tries together: "not run" only when it is true of both.
+// Both returns the run status of two attempts together. It is NotRun only if neither ran, DidRun if one of them ran,
+// and Unknown otherwise.
 func Both(a, b code.Ran) code.Ran {
 	if a == code.DidRun || b == code.DidRun {
 		return code.DidRun
@@ -21,15 +22,16 @@
 	return code.Unknown
 }
 
-// attemptFailed tries elsewhere or refuses. What an earlier try may have done sticks to every later statement.
-func (s *State) attemptFailed(in step.Input, ev AttemptFailed, dir Directory, marks Marks) []step.Effect {
+// attemptFailed retries the request or refuses it. The run status that it reports covers all attempts, not only the
+// last one.
+func (s *State) attemptFailed(in step.Input, ev AttemptFailed, dir Directory, verdicts Verdicts) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return nil
 	}
 	switch r.Phase {
 	case Continuing:
-		return s.answerFailed(in, AnswerFailed{ID: ev.ID, Attempt: ev.Attempt, Code: ev.Code, Ran: ev.Ran}, dir, marks)
+		return s.answerFailed(in, AnswerFailed{ID: ev.ID, Attempt: ev.Attempt, Code: ev.Code, Ran: ev.Ran}, dir, verdicts)
 	case Sent:
 	default:
 		return nil
@@ -37,27 +39,28 @@
 	if ev.Code == code.Stopping {
 		s.Routing.Left(in.Now, r.target)
 	}
-	// The report that came with the failure counts this try out already.
+	// The report that arrived with the failure no longer counts this attempt, so release must come first.
 	s.release(in.Now, r)
-	s.reported(in.Now, r, ev.Report)
-	s.settleTry(r, ev.Code, ev.Ran)
-	if refusal, bad := s.quarantined(in, r, marks); bad {
+	s.recordReport(in.Now, r, ev.Report)
+	s.recordOutcome(r, ev.Code, ev.Ran)
+	if refusal, quarantined := s.refuseQuarantined(in, r, verdicts); quarantined {
 		return refusal
 	}
 	if !in.Now.Before(r.Deadline) || ev.Code == code.DeadlinePassed {
 		return s.refuse(r, code.DeadlinePassed, r.Ran, 0)
 	}
-	if !s.mayRepeat(r, ev.Ran) || !s.affordable(in, r, ev.Ran, marks) {
+	if !s.mayRetry(r, ev.Ran) || !s.withinBudget(in, r, ev.Ran, verdicts) {
 		return s.refuse(r, ev.Code, r.Ran, s.retryAfter(r, ev))
 	}
-	if s.waitsForRoom(r, ev.Code) {
-		s.queueAgain(in, r)
-		return s.letIn(in, r.Team, r.Service, dir, marks)
+	if s.shouldRequeue(r, ev.Code) {
+		s.requeue(in, r)
+		return s.admitWaiting(in, r.Team, r.Service, dir, verdicts)
 	}
-	return s.send(in, r, dir, marks)
+	return s.send(in, r, dir, verdicts)
 }
 
-func (s *State) settleTry(r *Request, c code.Code, ran code.Ran) {
+// recordOutcome records the outcome of a failed attempt.
+func (s *State) recordOutcome(r *Request, c code.Code, ran code.Ran) {
 	r.Ran = Both(r.Ran, ran)
 	r.lastCode = c
 	r.failed = r.failed || (c != code.Overloaded && c != code.UpstreamReserved)
@@ -65,45 +68,47 @@
 		r.executed++
 		return
 	}
-	if r.declinedOnly(c) {
+	if r.declinedAfterRun(c) {
 		r.declined++
-		r.again = append(r.again, routing.Key(r.target))
+		r.retryable = append(r.retryable, routing.Key(r.target))
 		return
 	}
 	switch c {
 	case code.UpstreamSilent, code.AgentRestarted, code.AttemptFenced, code.UpstreamReserved:
-		// The connection, the agent's life or another request was at fault, not the upstream.
-		r.again = append(r.again, routing.Key(r.target))
+		// The connection, a restart of the agent or another request caused the failure, not the upstream.
+		r.retryable = append(r.retryable, routing.Key(r.target))
 	}
 }
 
-// declinedOnly tells whether a try found an upstream full, or kept for another, after an earlier one may have run. To
-// give up then would leave its caller without an answer and without knowing what ran, for a want that passes: such a
-// request asks again until its deadline.
-func (r *Request) declinedOnly(c code.Code) bool {
+// declinedAfterRun reports whether an attempt found an upstream full or reserved after an earlier attempt may have run.
+// The lack of capacity is temporary, but a refusal would leave the caller without an answer and with an unknown
+// outcome. Such a request is therefore retried until its deadline.
+func (r *Request) declinedAfterRun(c code.Code) bool {
 	return r.Ran != code.NotRun && (c == code.Overloaded || c == code.UpstreamReserved)
 }
 
-func (s *State) mayRepeat(r *Request, ran code.Ran) bool {
-	if !r.replayable || r.executed >= MaxAttempts || r.Attempt-r.declined >= MaxSends {
+// mayRetry reports whether the limits on attempts, and the at-most-once guarantee, allow another attempt.
+func (s *State) mayRetry(r *Request, ran code.Ran) bool {
+	if !r.replayable || r.executed >= MaxExecutedAttempts || r.Attempt-r.declined >= MaxTotalAttempts {
 		return false
 	}
 	return ran == code.NotRun || !r.AtMostOnce
 }
 
-// affordable tells whether the retry budget has a try left. A suspect's one try alone is bounded by itself.
-func (s *State) affordable(in step.Input, r *Request, ran code.Ran, marks Marks) bool {
-	return marks.Look(in.Now, r.Fingerprint) == suspect.Suspect || s.mayRetry(r, ran)
+// withinBudget reports whether the retry budget allows another attempt, and takes it from the budget. A suspect is
+// exempt, because its single attempt alone on an upstream is already a limit.
+func (s *State) withinBudget(in step.Input, r *Request, ran code.Ran, verdicts Verdicts) bool {
+	return verdicts.Look(in.Now, r.Fingerprint) == suspect.Suspect || s.takeRetry(r, ran)
 }
 
 func (s *State) retryAfter(r *Request, ev AttemptFailed) time.Duration {
 	if ev.Code == code.Overloaded {
 		return s.gate(r.serviceKey()).RetryAfter()
 	}
-	return comeBack(r.Ran)
+	return resendDelay(r.Ran)
 }
 
-func (s *State) answerBegan(in step.Input, ev AnswerBegan, dir Directory, marks Marks) []step.Effect {
+func (s *State) answerBegan(in step.Input, ev AnswerBegan, dir Directory, verdicts Verdicts) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return nil
@@ -123,8 +128,8 @@
 	}
 	r.Phase = Answering
 	r.Ran = code.DidRun
-	s.reported(in.Now, r, ev.Report)
-	return s.letIn(in, r.Team, r.Service, dir, marks)
+	s.recordReport(in.Now, r, ev.Report)
+	return s.admitWaiting(in, r.Team, r.Service, dir, verdicts)
 }
 
 func (s *State) answerMoved(ev AnswerMoved) {
@@ -138,35 +143,36 @@
 	}
 }
 
-// answerBroke asks the same run for the rest over a new connection, and lets go when that brings nothing.
-func (s *State) answerBroke(in step.Input, ev AnswerBroke, dir Directory, marks Marks) []step.Effect {
+// answerBroke requests the rest of the answer from the same run over a new connection. After too many resumes without
+// progress, or after the deadline, it treats the run as lost.
+func (s *State) answerBroke(in step.Input, ev AnswerBroke, dir Directory, verdicts Verdicts) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt || (r.Phase != Answering && r.Phase != Resuming) {
 		return nil
 	}
 	if r.Resumes >= maxResumes(r) || !in.Now.Before(r.Deadline) {
 		lost := AnswerFailed{ID: r.ID, Attempt: r.Attempt, Code: code.StreamBroken, Ran: code.DidRun}
-		return s.answerFailed(in, lost, dir, marks)
+		return s.answerFailed(in, lost, dir, verdicts)
 	}
-	wait := time.Duration(0)
+	delay := time.Duration(0)
 	if r.Resumes > 0 {
-		wait = FirstResumeWait << (r.Resumes - 1)
+		delay = InitialResumeDelay << (r.Resumes - 1)
 	}
 	r.Resumes++
 	r.Phase = Resuming
 	t := Try{ID: r.ID, Attempt: r.Attempt, Target: r.target, Sequence: r.sequence, AtMostOnce: r.AtMostOnce}
-	return []step.Effect{Resume{Try: t, Wait: wait}}
+	return []step.Effect{Resume{Try: t, Wait: delay}}
 }
 
 func maxResumes(r *Request) int {
 	if r.continuable {
-		return MaxResumesElsewhere
+		return MaxContinuableResumes
 	}
 	return MaxResumes
 }
 
-// answerFailed goes on with an answer on another upstream of the same version, else ends it as broken.
-func (s *State) answerFailed(in step.Input, ev AnswerFailed, dir Directory, marks Marks) []step.Effect {
+// answerFailed continues an answer on another upstream with the same version, or aborts it.
+func (s *State) answerFailed(in step.Input, ev AnswerFailed, dir Directory, verdicts Verdicts) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return nil
@@ -175,28 +181,28 @@
 		return nil
 	}
 	s.release(in.Now, r)
-	s.settleTry(r, ev.Code, ev.Ran)
-	if _, bad := s.quarantined(in, r, marks); bad {
+	s.recordOutcome(r, ev.Code, ev.Ran)
+	if _, quarantined := s.refuseQuarantined(in, r, verdicts); quarantined {
 		return s.abort(r, code.Quarantined)
 	}
 	if !in.Now.Before(r.Deadline) || ev.Code == code.DeadlinePassed {
 		return s.abort(r, code.DeadlinePassed)
 	}
-	if ev.Final || !r.continuable || !s.mayRepeat(r, ev.Ran) || !s.affordable(in, r, ev.Ran, marks) {
+	if ev.Final || !r.continuable || !s.mayRetry(r, ev.Ran) || !s.withinBudget(in, r, ev.Ran, verdicts) {
 		return s.abort(r, ev.Code)
 	}
-	target, outcome := s.choose(in, r, sameVersion(dir.Candidates(in.Now, r.Team, r.Service), r.digest), marks)
+	target, outcome := s.choose(in, r, withVersion(dir.Candidates(in.Now, r.Team, r.Service), r.digest), verdicts)
 	if outcome != routing.Found {
 		return s.abort(r, ev.Code)
 	}
-	t := s.try(in, r, target, marks)
+	t := s.newAttempt(in, r, target, verdicts)
 	t.Digest = r.digest
 	r.Phase = Continuing
 	r.Resumes = 0
 	return []step.Effect{Send{Try: t, Continue: true}}
 }
 
-func sameVersion(all []member.Candidate, digest string) []member.Candidate {
+func withVersion(all []member.Candidate, digest string) []member.Candidate {
 	var same []member.Candidate
 	for _, c := range all {
 		if c.Upstream.Digest == digest {
@@ -206,7 +212,7 @@
 	return same
 }
 
-// abort settles a request whose answer was begun and can't be completed.
+// abort settles a request whose answer has started and can't be completed.
 func (s *State) abort(r *Request, c code.Code) []step.Effect {
 	r.Phase = Settled
 	return []step.Effect{Abort{ID: r.ID, Code: c, Ran: r.Ran}}
--- a/internal/core/request/bench_test.go
+++ b/internal/core/request/bench_test.go
@@ -12,13 +12,13 @@
 	"samphireweir.example/samphireweir/internal/core/suspect"
 )
 
-// fixedDirectory is a service whose upstreams do not change.
+// fixedDirectory is a Directory whose upstreams do not change.
 type fixedDirectory []member.Candidate
 
 // Candidates returns the upstreams.
 func (d fixedDirectory) Candidates(time.Time, string, string) []member.Candidate { return d }
 
-// BenchmarkDecisions takes one request from its arrival to its end: what an entry's reducer does for it.
+// BenchmarkDecisions measures the work of an entry's reducer for one request, from receipt to end.
 func BenchmarkDecisions(b *testing.B) {
 	for _, n := range []int{12, 128} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
@@ -27,10 +27,10 @@
 				dir = append(dir, member.Candidate{Address: fmt.Sprint("host-", i), Upstream: member.Upstream{Name: "e"}})
 			}
 			s := request.NewState()
-			marks := suspect.NewState()
+			verdicts := suspect.NewState()
 			now := time.Unix(1000, 0)
 			reduce := func(ev step.Event) []step.Effect {
-				return s.Reduce(step.Input{Now: now, Rand: uint64(now.UnixNano()), Event: ev}, dir, marks)
+				return s.Reduce(step.Input{Now: now, Rand: uint64(now.UnixNano()), Event: ev}, dir, verdicts)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/internal/core/request/reduce.go
+++ b/internal/core/request/reduce.go
@@ -11,174 +11,176 @@
 	"samphireweir.example/samphireweir/internal/core/suspect"
 )
 
-// Reduce handles one input.
-func (s *State) Reduce(in step.Input, dir Directory, marks Marks) []step.Effect {
+// Reduce applies one input to the state and returns the effects that the shell must carry out.
+func (s *State) Reduce(in step.Input, dir Directory, verdicts Verdicts) []step.Effect {
 	switch ev := in.Event.(type) {
 	case Received:
-		return s.received(in, ev, dir, marks)
+		return s.received(in, ev, dir, verdicts)
 	case ClaimSettled:
-		return s.claimSettled(in, ev, dir, marks)
+		return s.claimSettled(in, ev, dir, verdicts)
 	case AttemptFailed:
-		return s.attemptFailed(in, ev, dir, marks)
+		return s.attemptFailed(in, ev, dir, verdicts)
 	case AnswerBegan:
-		return s.answerBegan(in, ev, dir, marks)
+		return s.answerBegan(in, ev, dir, verdicts)
 	case AnswerMoved:
 		s.answerMoved(ev)
 	case AnswerBroke:
-		return s.answerBroke(in, ev, dir, marks)
+		return s.answerBroke(in, ev, dir, verdicts)
 	case AnswerFailed:
-		return s.answerFailed(in, ev, dir, marks)
+		return s.answerFailed(in, ev, dir, verdicts)
 	case Ended:
-		return s.ended(in, ev, dir, marks)
+		return s.ended(in, ev, dir, verdicts)
 	case StopAsked:
 		s.stopping = true
 	case step.Tick:
-		return s.tick(in, dir, marks)
+		return s.tick(in, dir, verdicts)
 	}
 	return nil
 }
 
-func (s *State) received(in step.Input, ev Received, dir Directory, marks Marks) []step.Effect {
+func (s *State) received(in step.Input, ev Received, dir Directory, verdicts Verdicts) []step.Effect {
 	r := &Request{
 		ID: ev.ID, Team: ev.Team, Service: ev.Service, Deadline: ev.Deadline, Key: ev.Key, AtMostOnce: ev.AtMostOnce,
 		Fingerprint: ev.Fingerprint, Ran: code.NotRun, replayable: ev.Replayable, tried: map[string]bool{}, terms: ev.Terms,
 	}
 	s.Requests[r.ID] = r
 	if s.stopping {
-		return s.refuse(r, code.Stopping, code.NotRun, ComeBack)
+		return s.refuse(r, code.Stopping, code.NotRun, DefaultRetryAfter)
 	}
-	if refusal, bad := s.quarantined(in, r, marks); bad {
+	if refusal, quarantined := s.refuseQuarantined(in, r, verdicts); quarantined {
 		return refusal
 	}
-	return s.enter(in, r, dir, marks)
+	return s.admit(in, r, dir, verdicts)
 }
 
-func (s *State) claimSettled(in step.Input, ev ClaimSettled, dir Directory, marks Marks) []step.Effect {
+func (s *State) claimSettled(in step.Input, ev ClaimSettled, dir Directory, verdicts Verdicts) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Phase != Claiming {
 		return nil
 	}
 	switch ev.Outcome {
 	case ClaimGranted:
-		return s.send(in, r, dir, marks)
+		return s.send(in, r, dir, verdicts)
 	case ClaimRefused:
 		return s.refuse(r, ev.Code, ev.Ran, ev.RetryAfter)
 	case ClaimHeld:
 		return s.refuse(r, code.OutcomeUnknown, code.Unknown, 0)
 	case ClaimUnknown:
-		// This try did not run, but the key may be taken: a resend with it may be told so.
-		return s.refuse(r, code.ClaimUnavailable, code.NotRun, ComeBack)
+		// The call did not run, but the key may be recorded. A resend with the same key may then be refused.
+		return s.refuse(r, code.ClaimUnavailable, code.NotRun, DefaultRetryAfter)
 	default:
-		return s.refuse(r, code.ClaimUnavailable, code.NotRun, ComeBack)
+		return s.refuse(r, code.ClaimUnavailable, code.NotRun, DefaultRetryAfter)
 	}
 }
 
-// send picks an upstream and sends the request there.
-func (s *State) send(in step.Input, r *Request, dir Directory, marks Marks) []step.Effect {
-	if refusal, bad := s.quarantined(in, r, marks); bad {
+// send chooses an upstream and sends the request to it, or refuses the request.
+func (s *State) send(in step.Input, r *Request, dir Directory, verdicts Verdicts) []step.Effect {
+	if refusal, quarantined := s.refuseQuarantined(in, r, verdicts); quarantined {
 		return refusal
 	}
 	if !in.Now.Before(r.Deadline) {
 		return s.refuse(r, code.DeadlinePassed, r.Ran, 0)
 	}
-	target, outcome := s.choose(in, r, dir.Candidates(in.Now, r.Team, r.Service), marks)
+	target, outcome := s.choose(in, r, dir.Candidates(in.Now, r.Team, r.Service), verdicts)
 	if outcome != routing.Found {
-		return s.noRoom(in, r, outcome)
+		return s.noCapacity(in, r, outcome)
 	}
-	return []step.Effect{Send{Try: s.try(in, r, target, marks)}}
+	return []step.Effect{Send{Try: s.newAttempt(in, r, target, verdicts)}}
 }
 
-// try counts a new try in and returns it.
-func (s *State) try(in step.Input, r *Request, target member.Candidate, marks Marks) Try {
+// newAttempt starts a new attempt at the target and returns it.
+func (s *State) newAttempt(in step.Input, r *Request, target member.Candidate, verdicts Verdicts) Try {
 	r.Attempt++
 	r.Phase = Sent
 	r.target = target
 	r.tried[routing.Key(target)] = true
-	s.sent(in.Now, r)
+	s.recordSent(in.Now, r)
 	s.sequence++
 	r.sequence = s.sequence
 	return Try{
 		ID: r.ID, Attempt: r.Attempt, Target: target, Sequence: s.sequence, AtMostOnce: r.AtMostOnce,
-		Wait:  r.wait,
+		Wait:  r.delay,
 		Cache: s.Routing.CacheSeen(r.serviceKey(), target),
-		Alone: marks.Look(in.Now, r.Fingerprint) == suspect.Suspect,
+		Alone: verdicts.Look(in.Now, r.Fingerprint) == suspect.Suspect,
 	}
 }
 
-// choose picks an upstream that was not tried yet, or else one whose failure was not its own.
-func (s *State) choose(in step.Input, r *Request, all []member.Candidate, marks Marks) (member.Candidate, routing.Outcome) {
-	r.wait = 0
-	if r.declined >= MaxSends {
-		r.wait = MaxAgainWait
+// choose returns an upstream that was not tried yet or, if none is left, one that did not cause the failure of its
+// earlier attempt. It sets the delay of the next attempt.
+func (s *State) choose(in step.Input, r *Request, candidates []member.Candidate, verdicts Verdicts) (member.Candidate, routing.Outcome) {
+	r.delay = 0
+	if r.declined >= MaxTotalAttempts {
+		r.delay = MaxRetryDelay
 	}
-	target, outcome := s.untried(in, r, all, marks)
-	if outcome != routing.None || len(r.again) == 0 {
+	target, outcome := s.untried(in, r, candidates, verdicts)
+	if outcome != routing.None || len(r.retryable) == 0 {
 		return target, outcome
 	}
-	for _, name := range r.again {
-		delete(r.tried, name)
+	for _, key := range r.retryable {
+		delete(r.tried, key)
 	}
-	r.again = nil
-	r.wait = max(r.wait, againWait(r.rounds))
-	r.rounds++
-	return s.untried(in, r, all, marks)
+	r.retryable = nil
+	r.delay = max(r.delay, retryDelay(r.retryRounds))
+	r.retryRounds++
+	return s.untried(in, r, candidates, verdicts)
 }
 
-// againWait is the wait before upstreams are tried again for the nth time, from 0.
-func againWait(n int) time.Duration {
-	if n >= againDoublings {
-		return MaxAgainWait
+// retryDelay returns the delay before upstreams are tried again for the nth time, counted from 0.
+func retryDelay(n int) time.Duration {
+	if n >= retryDelayDoublings {
+		return MaxRetryDelay
 	}
-	return FirstAgainWait << n
+	return InitialRetryDelay << n
 }
 
-// untried picks an upstream that was not tried yet.
-func (s *State) untried(in step.Input, r *Request, all []member.Candidate, marks Marks) (member.Candidate, routing.Outcome) {
-	if marks.Look(in.Now, r.Fingerprint) == suspect.Suspect {
-		return isolated(r, all)
+// untried returns an upstream that was not tried yet.
+func (s *State) untried(in step.Input, r *Request, candidates []member.Candidate, verdicts Verdicts) (member.Candidate, routing.Outcome) {
+	if verdicts.Look(in.Now, r.Fingerprint) == suspect.Suspect {
+		return isolatedTarget(r, candidates)
 	}
-	return s.Routing.Pick(in, r.query(), all)
+	return s.Routing.Pick(in, r.query(), candidates)
 }
 
-// isolated picks the upstream on which a suspect runs alone.
-func isolated(r *Request, all []member.Candidate) (member.Candidate, routing.Outcome) {
-	names := make([]string, 0, len(all))
-	byName := make(map[string]member.Candidate, len(all))
-	for _, c := range all {
-		names = append(names, routing.Key(c))
-		byName[routing.Key(c)] = c
-	}
-	for _, name := range suspect.Isolation(r.Team+"/"+r.Service, r.Fingerprint, names) {
-		if !r.tried[name] {
-			return byName[name], routing.Found
+// isolatedTarget returns the upstream on which a suspect request runs alone.
+func isolatedTarget(r *Request, candidates []member.Candidate) (member.Candidate, routing.Outcome) {
+	keys := make([]string, 0, len(candidates))
+	byKey := make(map[string]member.Candidate, len(candidates))
+	for _, c := range candidates {
+		keys = append(keys, routing.Key(c))
+		byKey[routing.Key(c)] = c
+	}
+	for _, key := range suspect.Isolation(r.Team+"/"+r.Service, r.Fingerprint, keys) {
+		if !r.tried[key] {
+			return byKey[key], routing.Found
 		}
 	}
 	return member.Candidate{}, routing.None
 }
 
-// quarantined refuses a request that is known to crash upstreams.
-func (s *State) quarantined(in step.Input, r *Request, marks Marks) ([]step.Effect, bool) {
-	if marks.Look(in.Now, r.Fingerprint) != suspect.Quarantined {
+// refuseQuarantined refuses a request that crashes upstreams. It reports whether the request is quarantined.
+func (s *State) refuseQuarantined(in step.Input, r *Request, verdicts Verdicts) ([]step.Effect, bool) {
+	if verdicts.Look(in.Now, r.Fingerprint) != suspect.Quarantined {
 		return nil, false
 	}
-	return s.refuse(r, code.Quarantined, r.Ran, marks.Remaining(in.Now, r.Fingerprint)), true
+	return s.refuse(r, code.Quarantined, r.Ran, verdicts.Remaining(in.Now, r.Fingerprint)), true
 }
 
-// refuse settles a request before any of its answer was passed on.
+// refuse settles a request of whose answer nothing was passed on.
 func (s *State) refuse(r *Request, c code.Code, ran code.Ran, after time.Duration) []step.Effect {
 	r.Phase = Settled
 	return []step.Effect{Refuse{ID: r.ID, Code: c, Ran: ran, RetryAfter: after}}
 }
 
-// comeBack is the Retry-After of a refusal; one that may have run does not ask for a resend.
-func comeBack(ran code.Ran) time.Duration {
+// resendDelay returns the Retry-After delay of a refusal. It is 0 for a request that may have run, because its caller
+// should not send it again.
+func resendDelay(ran code.Ran) time.Duration {
 	if ran == code.NotRun {
-		return ComeBack
+		return DefaultRetryAfter
 	}
 	return 0
 }
 
-func (s *State) ended(in step.Input, ev Ended, dir Directory, marks Marks) []step.Effect {
+func (s *State) ended(in step.Input, ev Ended, dir Directory, verdicts Verdicts) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil {
 		return nil
@@ -186,13 +188,13 @@
 	answered := r.Phase == Answering
 	s.release(in.Now, r)
 	if answered {
-		s.reported(in.Now, r, ev.Report)
+		s.recordReport(in.Now, r, ev.Report)
 	}
 	delete(s.Requests, ev.ID)
-	return s.over(in, r, answered, dir, marks)
+	return s.finish(in, r, answered, dir, verdicts)
 }
 
-// release gives back the place that a request takes on its upstream.
+// release removes the attempt in flight, if any, from the load of its upstream.
 func (s *State) release(now time.Time, r *Request) {
 	if r.Phase != Sent && r.Phase != Answering && r.Phase != Resuming && r.Phase != Continuing {
 		return
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -1,5 +1,6 @@
-// Package request is the entry's reducer for callers' requests: from received to ended, with one result code and
-// one statement (not run, ran, unknown) for each fault in each state.
+// Package request is the entry's reducer for callers' requests, from receipt to end. For each fault in each phase, it
+// sets one result code and reports whether the request ran: not run, did run or unknown. The package is pure: see
+// package step.
 package request
 
 import (
@@ -14,48 +15,51 @@
 )
 
 const (
-	// MaxAttempts bounds the tries of one request that may have run.
-	MaxAttempts = 3
-	// MaxSends bounds the tries of one request, those that did not run included. Those are left out in which one that may
-	// have run found an upstream full or reserved: they end with the deadline.
-	MaxSends = 8
-	// MaxResumes bounds how often one answer is asked for over a new connection without a byte of progress.
+	// MaxExecutedAttempts is the maximum number of attempts of one request that may have run.
+	MaxExecutedAttempts = 3
+	// MaxTotalAttempts is the maximum number of attempts of one request, including those that did not run. It does not
+	// count attempts that find an upstream full or reserved after an earlier attempt may have run; the deadline ends
+	// those.
+	MaxTotalAttempts = 8
+	// MaxResumes is the maximum number of new connections for the rest of an answer without a byte of progress.
 	MaxResumes = 4
-	// MaxResumesElsewhere bounds them for an answer that another upstream can go on with.
-	MaxResumesElsewhere = 2
-	// FirstResumeWait is the wait before the second new connection; it doubles from one to the next. The first one
-	// is made at once.
-	FirstResumeWait = 100 * time.Millisecond
-	// FirstAgainWait is the wait before an upstream is tried again whose failure was not its own; it doubles.
-	FirstAgainWait = 50 * time.Millisecond
-	// MaxAgainWait bounds that wait. After MaxSends tries for which there was no room, each further one waits so long.
-	MaxAgainWait = 3200 * time.Millisecond
-	// againDoublings is how often FirstAgainWait doubles to MaxAgainWait.
-	againDoublings = 6
-	// ComeBack is the Retry-After of a refusal that a short wait may cure.
-	ComeBack = time.Second
+	// MaxContinuableResumes takes the place of MaxResumes for an answer that another upstream can continue.
+	MaxContinuableResumes = 2
+	// InitialResumeDelay is the delay before the second new connection. It doubles with each further one. The first new
+	// connection is made at once.
+	InitialResumeDelay = 100 * time.Millisecond
+	// InitialRetryDelay is the delay before the first retry on upstreams that did not cause the failures of their earlier
+	// attempts. It doubles with each further retry of this kind.
+	InitialRetryDelay = 50 * time.Millisecond
+	// MaxRetryDelay is the upper bound of that delay. It is also the delay of each further attempt once MaxTotalAttempts
+	// attempts have found an upstream full or reserved after an earlier attempt may have run.
+	MaxRetryDelay = 3200 * time.Millisecond
+	// retryDelayDoublings is the number of doublings from InitialRetryDelay to MaxRetryDelay.
+	retryDelayDoublings = 6
+	// DefaultRetryAfter is the Retry-After delay of a refusal whose cause may be gone after a short time.
+	DefaultRetryAfter = time.Second
 )
 
-// Phase is where a request stands.
+// Phase is the phase of a request.
 type Phase int
 
-// The phases of a request, in order. A request is received before them and ended after them.
+// The phases of a request, in order. The event Received precedes them, and the event Ended follows them.
 const (
-	// Admitted: nothing was sent, or all that was sent is settled.
+	// Admitted means that no attempt is in flight.
 	Admitted Phase = iota
-	// Queued: it waits for room at this entry; see package admission.
+	// Queued means that the request waits for capacity at this entry; see package admission.
 	Queued
-	// Claiming: the record that the call is about to run is being made.
+	// Claiming means that the claim of an at-most-once call is being recorded.
 	Claiming
-	// Sent: a try is with an agent, and no byte of its answer was passed on.
+	// Sent means that an attempt is in flight and no byte of its answer was passed on.
 	Sent
-	// Answering: the answer is being passed on.
+	// Answering means that the answer is being passed on to the caller.
 	Answering
-	// Resuming: the answer's connection broke, and the same run is asked for the rest.
+	// Resuming means that the connection broke during the answer, and the rest is requested from the same run.
 	Resuming
-	// Continuing: the run is lost, and another upstream makes the rest of the answer.
+	// Continuing means that the run was lost, and another upstream generates the rest of the answer.
 	Continuing
-	// Settled: the caller was refused or the answer aborted; only the end is to come.
+	// Settled means that the request was refused or its answer aborted. Only the event Ended follows.
 	Settled
 )
 
@@ -69,55 +73,56 @@
 	Key        string
 	AtMostOnce bool
 	Phase      Phase
-	// Fingerprint names what the request is, whoever sends it.
+	// Fingerprint identifies the content of the request, independent of its caller.
 	Fingerprint string
-	// Attempt counts the tries, from 1.
+	// Attempt is the number of the latest attempt, from 1; 0 before the first.
 	Attempt int
 	// Resumes counts the new connections since the last byte of progress.
 	Resumes int
-	// Ran is what is true of all tries so far together.
+	// Ran reports whether the request ran, considering all attempts so far.
 	Ran code.Ran
-	// executed counts the tries that may have run.
+	// executed counts the attempts that may have run.
 	executed int
-	// declined counts the tries that found no room after an earlier one may have run.
+	// declined counts the attempts that found an upstream full or reserved after an earlier one may have run.
 	declined int
-	// lastCode is how the last try failed.
+	// lastCode is the result code of the last failed attempt.
 	lastCode code.Code
 	target   member.Candidate
 	sentAt   time.Time
 	terms    Terms
-	// failed is set when a try failed otherwise than by a full upstream.
+	// failed is set when an attempt failed for another reason than a full or reserved upstream.
 	failed bool
-	// sequence is the number of the present try.
+	// sequence is the sequence number of the current attempt at this entry.
 	sequence uint64
-	// waitBy bounds the waits of a request that met full upstreams.
-	waitBy time.Time
-	tried  map[string]bool
-	// again are the upstreams among tried whose failure was not theirs: the last resort.
-	again []string
-	// rounds counts how often only such upstreams were left; wait is how long the next try waits for them.
-	rounds int
-	wait   time.Duration
-	// replayable tells whether the body can be sent once more.
+	// queueDeadline is when a request that was requeued because upstreams were full stops waiting.
+	queueDeadline time.Time
+	tried         map[string]bool
+	// retryable holds the upstreams among tried that did not cause the failure of their attempt. They are used again when
+	// no other upstream is left.
+	retryable []string
+	// retryRounds counts how often only retryable upstreams were left. delay is the delay of the next attempt.
+	retryRounds int
+	delay       time.Duration
+	// replayable reports whether the body can be sent again.
 	replayable bool
-	// continuable tells whether another upstream can make the rest of the answer; digest is its version.
+	// continuable reports whether another upstream can generate the rest of the answer. digest is the answer's version.
 	continuable bool
 	digest      string
 }
 
-// State holds the requests in flight at this entry.
+// State holds the requests at this entry, by ID, from receipt to end.
 type State struct {
 	Requests map[string]*Request
 	// Routing chooses upstreams.
 	Routing *routing.State
-	// Fleet shares clients' fleet-wide limits between entries.
+	// Fleet shares the fleet-wide limits of client accounts between entries.
 	Fleet *admission.Fleet
-	// gates and budgets are kept by service.
+	// gates and budgets are keyed by service.
 	gates   map[string]*admission.Gate
 	budgets map[string]*admission.Budget
-	// sequence counts the tries that this entry sent.
+	// sequence counts the attempts of all requests at this entry.
 	sequence uint64
-	// stopping is set when a graceful shutdown began.
+	// stopping is set when a graceful shutdown has started.
 	stopping bool
 }
 
@@ -130,7 +135,7 @@
 	}
 }
 
-// Received says that a caller's request came in and its head is read.
+// Received is the event that the head of a caller's request was read.
 type Received struct {
 	ID         string
 	Team       string
@@ -139,29 +144,29 @@
 	Key        string
 	AtMostOnce bool
 	Replayable bool
-	// Fingerprint names what the request is, whoever sends it.
+	// Fingerprint identifies the content of the request, independent of its caller.
 	Fingerprint string
 	Terms       Terms
 }
 
-// ClaimOutcome is what the record of at-most-once calls said.
+// ClaimOutcome is the outcome of claiming the idempotency key of an at-most-once call.
 type ClaimOutcome int
 
 // The outcomes of a claim.
 const (
-	// ClaimGranted: the key is new and is recorded; the call may run, once.
+	// ClaimGranted means that the key was new and is recorded. The call may run once.
 	ClaimGranted ClaimOutcome = iota
-	// ClaimHeld: the key was claimed before.
+	// ClaimHeld means that the key was claimed before.
 	ClaimHeld
-	// ClaimNotMade: nothing was recorded, for certain.
+	// ClaimNotMade means that certainly nothing was recorded.
 	ClaimNotMade
-	// ClaimUnknown: the key may have been recorded by this very try.
+	// ClaimUnknown means that this claim may have recorded the key.
 	ClaimUnknown
-	// ClaimRefused: the fields Code, Ran and RetryAfter say what the caller is told.
+	// ClaimRefused means that the caller is answered with the fields Code, Ran and RetryAfter of ClaimSettled.
 	ClaimRefused
 )
 
-// ClaimSettled says how a claim ended.
+// ClaimSettled is the event that a claim ended.
 type ClaimSettled struct {
 	ID         string
 	Outcome    ClaimOutcome
@@ -170,62 +175,62 @@
 	RetryAfter time.Duration
 }
 
-// AttemptFailed says that a try ended before any of its answer was passed on.
+// AttemptFailed is the event that an attempt failed before any of its answer was passed on.
 type AttemptFailed struct {
 	ID      string
 	Attempt int
 	Code    code.Code
 	Ran     code.Ran
-	// Unreachable says that the host could not be dialled, or went silent.
+	// Unreachable reports whether connecting to the host failed, or the host stopped responding.
 	Unreachable bool
-	// Report is the agent's word on the upstream's load, if it came.
+	// Report is the agent's load report on the upstream; nil if none was received.
 	Report *routing.Report
 }
 
-// AnswerBegan says that the head of the answer is here.
+// AnswerBegan is the event that the head of the answer was received.
 type AnswerBegan struct {
 	ID      string
 	Attempt int
-	// Continuable says that each part of the answer is a function of the request and the version named by Digest,
-	// so that another upstream can go on where this one ends.
+	// Continuable reports whether each part of the answer depends only on the request and the version identified by
+	// Digest. Another upstream with that version can then continue the answer.
 	Continuable bool
 	Digest      string
-	// Unwell says that the upstream answered that it can't serve.
+	// Unwell reports whether the upstream answered that it can't serve.
 	Unwell bool
-	// Report is the agent's word on the upstream's load, if it came.
+	// Report is the agent's load report on the upstream; nil if none was received.
 	Report *routing.Report
 }
 
-// AnswerMoved says that more of the answer was passed on after a break.
+// AnswerMoved is the event that more of the answer was passed on after its connection broke.
 type AnswerMoved struct {
 	ID      string
 	Attempt int
 }
 
-// AnswerBroke says that the connection ended in the middle of the answer.
+// AnswerBroke is the event that the connection broke during the answer.
 type AnswerBroke struct {
 	ID      string
 	Attempt int
 }
 
-// AnswerFailed says that the run of an answer that was begun is lost, or its answer is no good.
+// AnswerFailed is the event that the run of an answer that has started was lost, or that the answer is invalid.
 type AnswerFailed struct {
 	ID      string
 	Attempt int
 	Code    code.Code
 	Ran     code.Ran
-	// Final says that no other upstream may go on with it.
+	// Final reports whether no other upstream may continue the answer.
 	Final bool
 }
 
-// Ended says that the request is over at this entry, however it ended.
+// Ended is the event that the request has ended at this entry, for whatever reason.
 type Ended struct {
 	ID string
-	// Report is the agent's word on the upstream's load at the end of the answer, if it came.
+	// Report is the agent's load report on the upstream at the end of the answer; nil if none was received.
 	Report *routing.Report
 }
 
-// StopAsked says that a graceful shutdown began.
+// StopAsked is the event that a graceful shutdown has started.
 type StopAsked struct{}
 
 // Event marks the type as an event.
@@ -255,51 +260,54 @@
 // Event marks the type as an event.
 func (StopAsked) Event() {}
 
-// Addressed is an effect for one request; the shell hands it to the goroutine that serves the request.
+// Addressed is an effect for one request. The shell, which carries out the effects, passes it to the goroutine that
+// serves the request.
 type Addressed interface {
 	step.Effect
+	// RequestID returns the ID of the request that the effect is for.
 	RequestID() string
 }
 
-// Claim records that the call with this key is about to run.
+// Claim is the effect that claims the idempotency key of an at-most-once call before it runs.
 type Claim struct {
 	ID  string
 	Key string
 }
 
-// Try is one sending of a request.
+// Try is one attempt of a request.
 type Try struct {
 	ID      string
 	Attempt int
 	Target  member.Candidate
-	// Sequence numbers the tries of this entry's life.
+	// Sequence is the number of the attempt among all attempts of this instance of the entry.
 	Sequence uint64
-	// Alone asks that nothing else runs on the upstream meanwhile.
+	// Alone requires that no other request runs on the upstream at the same time.
 	Alone bool
-	// AtMostOnce says that the call must not run twice.
+	// AtMostOnce requires that the call does not run twice.
 	AtMostOnce bool
-	// Wait is how long the sending waits.
+	// Wait is the delay before the request is sent.
 	Wait time.Duration
-	// Digest, when set, is the only version that may make the answer.
+	// Digest is the only version that may generate the answer; empty for any.
 	Digest string
-	// Cache is what this entry has heard of the upstream's prefix cache.
+	// Cache identifies the last change of the upstream's prefix cache that this entry has received.
 	Cache routing.CacheMark
 }
 
-// Send sends the request to an upstream through the agent beside it.
+// Send is the effect that sends the request to an upstream through the agent on its host.
 type Send struct {
 	Try
-	// Continue says that the answer goes on after what the caller has already.
+	// Continue reports whether the upstream continues an answer of which the caller already has a part.
 	Continue bool
 }
 
-// Resume asks the agent of the present try for the answer from where it broke, after Wait.
+// Resume is the effect that, after the delay Wait, requests the rest of the answer from the agent of the current
+// attempt.
 type Resume struct {
 	Try
 	Wait time.Duration
 }
 
-// Refuse answers the caller with a numbered code.
+// Refuse is the effect that answers the caller with a result code.
 type Refuse struct {
 	ID         string
 	Code       code.Code
@@ -307,7 +315,8 @@
 	RetryAfter time.Duration
 }
 
-// Abort ends an answer that has begun and can't be completed, so that the caller sees that it is not whole.
+// Abort is the effect that ends an answer that has started and can't be completed, so that the caller detects that it
+// is incomplete.
 type Abort struct {
 	ID   string
 	Code code.Code
@@ -329,28 +338,31 @@
 // Effect marks the type as an effect.
 func (Abort) Effect() {}
 
-// RequestID names the request that the effect is for.
+// RequestID returns the ID of the request that the effect is for.
 func (e Claim) RequestID() string { return e.ID }
 
-// RequestID names the request that the effect is for.
+// RequestID returns the ID of the request that the effect is for.
 func (e Send) RequestID() string { return e.ID }
 
-// RequestID names the request that the effect is for.
+// RequestID returns the ID of the request that the effect is for.
 func (e Resume) RequestID() string { return e.ID }
 
-// RequestID names the request that the effect is for.
+// RequestID returns the ID of the request that the effect is for.
 func (e Refuse) RequestID() string { return e.ID }
 
-// RequestID names the request that the effect is for.
+// RequestID returns the ID of the request that the effect is for.
 func (e Abort) RequestID() string { return e.ID }
 
-// Marks tells what is held of a request's fingerprint.
-type Marks interface {
+// Verdicts returns the verdict on a request's fingerprint.
+type Verdicts interface {
+	// Look returns the current verdict.
 	Look(now time.Time, fingerprint string) suspect.Verdict
+	// Remaining returns how long the verdict lasts from now.
 	Remaining(now time.Time, fingerprint string) time.Duration
 }
 
-// Directory answers which upstreams can take work of a service.
+// Directory returns the upstreams that can take requests of a service.
 type Directory interface {
+	// Candidates returns a new slice after each change; a slice that it has returned does not change.
 	Candidates(now time.Time, team, service string) []member.Candidate
 }
--- a/internal/core/request/request_test.go
+++ b/internal/core/request/request_test.go
@@ -26,90 +26,90 @@
 	os.Exit(m.Run())
 }
 
-// world is what the reducer asks of others.
-type world struct {
+// environment is a fake Directory and a fake Verdicts.
+type environment struct {
 	candidates []member.Candidate
 	verdict    suspect.Verdict
 }
 
 // Candidates returns the upstreams.
-func (w *world) Candidates(time.Time, string, string) []member.Candidate { return w.candidates }
+func (e *environment) Candidates(time.Time, string, string) []member.Candidate { return e.candidates }
 
-// Look returns the one verdict.
-func (w *world) Look(time.Time, string) suspect.Verdict { return w.verdict }
+// Look returns the same verdict for every fingerprint.
+func (e *environment) Look(time.Time, string) suspect.Verdict { return e.verdict }
 
-// Remaining returns how long a mark lasts.
-func (w *world) Remaining(time.Time, string) time.Duration { return time.Minute }
+// Remaining returns a fixed duration.
+func (e *environment) Remaining(time.Time, string) time.Duration { return time.Minute }
 
-func newWorld(n int) *world {
-	w := &world{}
+func newEnvironment(n int) *environment {
+	env := &environment{}
 	for i := range n {
-		w.candidates = append(w.candidates, member.Candidate{
+		env.candidates = append(env.candidates, member.Candidate{
 			Address:  fmt.Sprintf("10.0.0.%d:1", i),
 			Upstream: member.Upstream{Name: "e", Phase: member.Serving, Digest: "d"},
 		})
 	}
-	return w
+	return env
 }
 
-// life follows one request from its receipt to its end.
-type life struct {
-	t     require.TestingT
-	now   time.Time
-	state *State
-	world *world
-	once  bool
-	last  step.Effect
-	// ran is what is true of all tries that failed so far.
+// lifecycle drives one request from its receipt to its end and checks each effect.
+type lifecycle struct {
+	t          require.TestingT
+	now        time.Time
+	state      *State
+	env        *environment
+	atMostOnce bool
+	last       step.Effect
+	// ran holds the run status of each attempt that failed or was answered.
 	ran      []code.Ran
 	attempt  int
 	began    bool
 	executed int
-	// declined counts the tries that found no room after an earlier one may have run.
+	// declined counts the attempts that found an upstream full or reserved after an earlier one may have run.
 	declined int
 	settled  bool
 	resumes  int
 }
 
-func receive(t require.TestingT, w *world, once bool) *life {
-	l := &life{t: t, now: time.Unix(1000, 0), state: NewState(), world: w, once: once}
+func receive(t require.TestingT, env *environment, atMostOnce bool) *lifecycle {
+	l := &lifecycle{t: t, now: time.Unix(1000, 0), state: NewState(), env: env, atMostOnce: atMostOnce}
 	ev := Received{
-		ID: "r", Team: "t", Service: "s", Deadline: l.now.Add(time.Minute), Key: "k", AtMostOnce: once,
+		ID: "r", Team: "t", Service: "s", Deadline: l.now.Add(time.Minute), Key: "k", AtMostOnce: atMostOnce,
 		Replayable: true, Fingerprint: "f", Terms: Terms{Client: "c", Weight: 1},
 	}
 	l.step(ev)
 	return l
 }
 
-func (l *life) step(ev step.Event) {
-	for _, e := range l.state.Reduce(step.Input{Now: l.now, Rand: uint64(l.attempt) * 7919, Event: ev}, l.world, l.world) {
-		require.False(l.t, l.settled, "an effect after the end: %#v", e)
+func (l *lifecycle) step(ev step.Event) {
+	for _, e := range l.state.Reduce(step.Input{Now: l.now, Rand: uint64(l.attempt) * 7919, Event: ev}, l.env, l.env) {
+		require.False(l.t, l.settled, "an effect after the request was settled: %#v", e)
 		l.last = e
 		l.check(e)
 	}
 }
 
-func (l *life) check(e step.Effect) {
+func (l *lifecycle) check(e step.Effect) {
 	switch e := e.(type) {
 	case Send:
-		require.Greater(l.t, e.Attempt, l.attempt, "a try's number came twice")
+		require.Greater(l.t, e.Attempt, l.attempt, "an attempt number was used twice")
 		l.attempt = e.Attempt
 		l.resumes = 0
 		require.Equal(l.t, l.began, e.Continue)
-		require.NotEqual(l.t, suspect.Quarantined, l.world.verdict)
-		require.Equal(l.t, l.world.verdict == suspect.Suspect, e.Alone)
-		require.Less(l.t, l.executed, MaxAttempts)
-		require.LessOrEqual(l.t, e.Attempt-l.declined, MaxSends)
-		require.LessOrEqual(l.t, e.Wait, MaxAgainWait)
-		require.True(l.t, l.declined < MaxSends || e.Wait == MaxAgainWait, "too many tries in a short time")
-		require.False(l.t, l.once && l.truth() != code.NotRun, "a call that may have run is sent again")
+		require.NotEqual(l.t, suspect.Quarantined, l.env.verdict)
+		require.Equal(l.t, l.env.verdict == suspect.Suspect, e.Alone)
+		require.Less(l.t, l.executed, MaxExecutedAttempts)
+		require.LessOrEqual(l.t, e.Attempt-l.declined, MaxTotalAttempts)
+		require.LessOrEqual(l.t, e.Wait, MaxRetryDelay)
+		require.True(l.t, l.declined < MaxTotalAttempts || e.Wait == MaxRetryDelay, "too many attempts in a short time")
+		require.False(l.t, l.atMostOnce && l.combinedRan() != code.NotRun, "a call that may have run was sent again")
 	case Resume:
 		l.resumes++
 		require.LessOrEqual(l.t, l.resumes, MaxResumes)
 	case Refuse:
 		l.settled = true
 		require.False(l.t, l.began, "a refusal after the answer began")
-		require.Equal(l.t, l.truth(), e.Ran, "%v", e.Code)
+		require.Equal(l.t, l.combinedRan(), e.Ran, "%v", e.Code)
 	case Abort:
 		l.settled = true
 		require.True(l.t, l.began)
@@ -117,16 +117,17 @@
 	}
 }
 
-func (l *life) truth() code.Ran {
-	all := code.NotRun
+// combinedRan returns the run status of all attempts together.
+func (l *lifecycle) combinedRan() code.Ran {
+	combined := code.NotRun
 	for _, ran := range l.ran {
-		all = Both(all, ran)
+		combined = Both(combined, ran)
 	}
-	return all
+	return combined
 }
 
-func (l *life) fail(c code.Code, ran code.Ran) {
-	if ran == code.NotRun && l.truth() != code.NotRun && (c == code.Overloaded || c == code.UpstreamReserved) {
+func (l *lifecycle) fail(c code.Code, ran code.Ran) {
+	if ran == code.NotRun && l.combinedRan() != code.NotRun && (c == code.Overloaded || c == code.UpstreamReserved) {
 		l.declined++
 	}
 	l.ran = append(l.ran, ran)
@@ -140,21 +141,21 @@
 	l.step(AttemptFailed{ID: "r", Attempt: l.attempt, Code: c, Ran: ran})
 }
 
-func (l *life) answer() {
+func (l *lifecycle) answer() {
 	l.began = true
 	l.ran = append(l.ran, code.DidRun)
 	l.step(AnswerBegan{ID: "r", Attempt: l.attempt, Continuable: true, Digest: "d"})
 }
 
-// TestEachRequestEndsOnceAndTruly drives one request with any events in any order, late and doubled ones included:
-// one final effect, with a statement that is true of all tries together; no second run of a call that runs at most
-// once; bounded tries and resumes.
-func TestEachRequestEndsOnceAndTruly(t *testing.T) {
+// TestEachRequestSettlesOnceWithTrueRunStatus drives one request with random events in random order, including late and
+// duplicate ones. It guards against a second final effect, a run status that is false for some attempt, a second run of
+// an at-most-once call, and unbounded attempts or resumes.
+func TestEachRequestSettlesOnceWithTrueRunStatus(t *testing.T) {
 	codes := []code.Code{code.UpstreamDied, code.UpstreamSilent, code.AgentRestarted, code.UpstreamLoading, code.UpstreamReserved}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(1, 6).Draw(t, "upstreams"))
-		w.verdict = rapid.SampledFrom([]suspect.Verdict{suspect.Clear, suspect.Clear, suspect.Suspect}).Draw(t, "verdict")
-		l := receive(t, w, rapid.Bool().Draw(t, "once"))
+		env := newEnvironment(rapid.IntRange(1, 6).Draw(t, "upstreams"))
+		env.verdict = rapid.SampledFrom([]suspect.Verdict{suspect.Clear, suspect.Clear, suspect.Suspect}).Draw(t, "verdict")
+		l := receive(t, env, rapid.Bool().Draw(t, "once"))
 		if _, claims := l.last.(Claim); claims {
 			l.step(ClaimSettled{ID: "r", Outcome: ClaimGranted})
 		}
@@ -181,16 +182,16 @@
 					l.step(AnswerBroke{ID: "r", Attempt: l.attempt})
 				}
 			},
-			"late word of an earlier try": func(t *rapid.T) {
+			"late event of an earlier attempt": func(t *rapid.T) {
 				if before := l.last; l.attempt > 1 {
 					l.step(AttemptFailed{ID: "r", Attempt: l.attempt - 1, Code: code.UpstreamDied, Ran: code.NotRun})
 					l.step(AnswerFailed{ID: "r", Attempt: l.attempt - 1, Code: code.UpstreamDied, Ran: code.NotRun})
-					require.Equal(t, before, l.last, "a late word had an effect")
+					require.Equal(t, before, l.last, "a late event had an effect")
 				}
 			},
 			"convicted": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "rarely") == 0 {
-					w.verdict = suspect.Quarantined
+					env.verdict = suspect.Quarantined
 				}
 			},
 			"time": func(t *rapid.T) {
@@ -203,29 +204,34 @@
 	})
 }
 
-func TestUnknownSticksToLaterRefusals(t *testing.T) {
-	l := receive(t, newWorld(2), false)
+// TestUnknownOutcomeIsKeptInLaterRefusals guards against a refusal that reports only the last attempt. An earlier
+// attempt may have run, so the caller must not be told that the request did not run.
+func TestUnknownOutcomeIsKeptInLaterRefusals(t *testing.T) {
+	l := receive(t, newEnvironment(2), false)
 	l.fail(code.UpstreamDied, code.Unknown)
 	l.fail(code.UpstreamLoading, code.NotRun)
 	assert.Equal(t, Refuse{ID: "r", Code: code.UpstreamLoading, Ran: code.Unknown}, l.last)
 }
 
-func TestResumesWaitLonger(t *testing.T) {
-	l := receive(t, newWorld(1), true)
+// TestResumeDelayDoubles checks the delays between resumes, and that the answer is aborted after MaxResumes of them.
+func TestResumeDelayDoubles(t *testing.T) {
+	l := receive(t, newEnvironment(1), true)
 	l.step(ClaimSettled{ID: "r", Outcome: ClaimGranted})
 	l.answer()
-	var waits []time.Duration
+	var delays []time.Duration
 	for range MaxResumes {
 		l.step(AnswerBroke{ID: "r", Attempt: 1})
-		waits = append(waits, l.last.(Resume).Wait)
+		delays = append(delays, l.last.(Resume).Wait)
 	}
-	assert.Equal(t, []time.Duration{0, FirstResumeWait, 2 * FirstResumeWait, 4 * FirstResumeWait}, waits)
+	assert.Equal(t, []time.Duration{0, InitialResumeDelay, 2 * InitialResumeDelay, 4 * InitialResumeDelay}, delays)
 	l.step(AnswerBroke{ID: "r", Attempt: 1})
 	assert.Equal(t, Abort{ID: "r", Code: code.StreamBroken, Ran: code.DidRun}, l.last)
 }
 
-func TestProgressGivesResumesBack(t *testing.T) {
-	l := receive(t, newWorld(1), false)
+// TestProgressResetsTheResumeCount guards against aborting a long answer whose connection breaks often but which
+// advances between the breaks.
+func TestProgressResetsTheResumeCount(t *testing.T) {
+	l := receive(t, newEnvironment(1), false)
 	l.answer()
 	for range 3 * MaxResumes {
 		l.resumes = 0
@@ -235,59 +241,64 @@
 	}
 }
 
-func TestLostStreamGoesOnElsewhereUnderTheSameVersion(t *testing.T) {
-	w := newWorld(2)
-	l := receive(t, w, false)
+// TestLostStreamIsContinuedWithTheSameVersion guards against an answer that mixes versions. A lost answer is continued
+// on an upstream with the same version and aborted if there is none.
+func TestLostStreamIsContinuedWithTheSameVersion(t *testing.T) {
+	env := newEnvironment(2)
+	l := receive(t, env, false)
 	l.answer()
 	l.fail(code.UpstreamDied, code.DidRun)
 	next := l.last.(Send)
 	assert.True(t, next.Continue)
 	assert.Equal(t, "d", next.Digest)
-	w.candidates[0].Upstream.Digest = "other"
-	w.candidates[1].Upstream.Digest = "other"
+	env.candidates[0].Upstream.Digest = "other"
+	env.candidates[1].Upstream.Digest = "other"
 	l.fail(code.UpstreamDied, code.DidRun)
 	assert.Equal(t, Abort{ID: "r", Code: code.UpstreamDied, Ran: code.DidRun}, l.last)
 }
 
-func TestAnswerOfACallThatRunsOnceIsNotContinuedElsewhere(t *testing.T) {
-	l := receive(t, newWorld(3), true)
+// TestAtMostOnceAnswerIsNotContinuedElsewhere guards against a second run of an at-most-once call, which continuing its
+// answer on another upstream would cause.
+func TestAtMostOnceAnswerIsNotContinuedElsewhere(t *testing.T) {
+	l := receive(t, newEnvironment(3), true)
 	l.step(ClaimSettled{ID: "r", Outcome: ClaimGranted})
 	l.answer()
 	l.fail(code.UpstreamDied, code.DidRun)
 	assert.Equal(t, Abort{ID: "r", Code: code.UpstreamDied, Ran: code.DidRun}, l.last)
 }
 
-// TestReservedUpstreamIsAskedAgain: the only upstream left is kept for a suspect; the request waits for it.
-func TestReservedUpstreamIsAskedAgain(t *testing.T) {
-	l := receive(t, newWorld(1), false)
-	var waits []time.Duration
-	for range MaxSends - 1 {
+// TestReservedUpstreamIsRetriedWithBackoff guards against refusing a request at once because its only upstream is
+// reserved for a suspect. The request is retried with a doubling delay, up to MaxTotalAttempts.
+func TestReservedUpstreamIsRetriedWithBackoff(t *testing.T) {
+	l := receive(t, newEnvironment(1), false)
+	var delays []time.Duration
+	for range MaxTotalAttempts - 1 {
 		l.fail(code.UpstreamReserved, code.NotRun)
-		waits = append(waits, l.last.(Send).Wait)
+		delays = append(delays, l.last.(Send).Wait)
 	}
-	assert.Equal(t, FirstAgainWait, waits[0])
-	assert.Equal(t, 64*FirstAgainWait, waits[len(waits)-1])
+	assert.Equal(t, InitialRetryDelay, delays[0])
+	assert.Equal(t, 64*InitialRetryDelay, delays[len(delays)-1])
 	l.fail(code.UpstreamReserved, code.NotRun)
-	assert.Equal(t, Refuse{ID: "r", Code: code.UpstreamReserved, Ran: code.NotRun, RetryAfter: ComeBack}, l.last)
+	assert.Equal(t, Refuse{ID: "r", Code: code.UpstreamReserved, Ran: code.NotRun, RetryAfter: DefaultRetryAfter}, l.last)
 }
 
-// TestRequestThatMayHaveRunAsksUntilThereIsRoom: after a try that may have run, upstreams that are full or kept for a
-// suspect are asked again until the deadline, more and more slowly; the request is not given up with nobody knowing
-// whether it ran.
-func TestRequestThatMayHaveRunAsksUntilThereIsRoom(t *testing.T) {
+// TestRequestThatMayHaveRunIsRetriedUntilItsDeadline guards against refusing a request with an unknown outcome for a
+// temporary lack of capacity. After an attempt that may have run, full or reserved upstreams are retried until the
+// deadline, with increasing delays.
+func TestRequestThatMayHaveRunIsRetriedUntilItsDeadline(t *testing.T) {
 	for _, c := range []code.Code{code.Overloaded, code.UpstreamReserved} {
 		for _, began := range []bool{false, true} {
-			l := receive(t, newWorld(2), false)
+			l := receive(t, newEnvironment(2), false)
 			if began {
 				l.answer()
 			}
 			l.fail(code.UpstreamDied, code.Unknown)
 			for l.now.Before(l.state.Requests["r"].Deadline) {
-				require.IsType(t, Send{}, l.last, "%d, begun: %v", c, began)
+				require.IsType(t, Send{}, l.last, "%d, answer started: %v", c, began)
 				l.now = l.now.Add(max(time.Millisecond, l.last.(Send).Wait))
 				l.fail(c, code.NotRun)
 			}
-			assert.Less(t, l.attempt, 60, "a minute's tries")
+			assert.Less(t, l.attempt, 60, "attempts within one minute")
 			if began {
 				assert.Equal(t, Abort{ID: "r", Code: code.DeadlinePassed, Ran: code.DidRun}, l.last)
 				continue
--- a/internal/core/request/retry_test.go
+++ b/internal/core/request/retry_test.go
@@ -14,18 +14,18 @@
 	"samphireweir.example/samphireweir/internal/core/suspect"
 )
 
-// TestRetryIsNotRefusedOnAnEstimate sends a request whose first try failed to the other upstream though that is full by
-// this entry's estimate: the agent there knows better, and retries are few by their budget.
+// TestRetryIsNotRefusedOnAnEstimate guards against refusing a retry because this entry's estimate says that the other
+// upstream is full. The agent of that upstream knows the actual load, and the retry budget keeps retries few.
 func TestRetryIsNotRefusedOnAnEstimate(t *testing.T) {
 	dir := fixedDirectory{
 		{Address: "a", Upstream: member.Upstream{Name: "e"}},
 		{Address: "b", Upstream: member.Upstream{Name: "e"}},
 	}
 	s := request.NewState()
-	marks := suspect.NewState()
+	verdicts := suspect.NewState()
 	now := time.Unix(1000, 0)
 	reduce := func(ev step.Event) []step.Effect {
-		return s.Reduce(step.Input{Now: now, Event: ev}, dir, marks)
+		return s.Reduce(step.Input{Now: now, Event: ev}, dir, verdicts)
 	}
 	effects := reduce(request.Received{
 		ID: "r", Team: "karrakin", Service: "summary-model", Deadline: now.Add(time.Minute), Replayable: true,
