--- a/internal/proof/claims.go
+++ b/internal/proof/claims.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// claimMoments are the steps of a claim in the owner of its partition, as TestFaultAtEachStep names them.
+// claimMoments are the steps of a claim in the owner of its partition, as TestCallRunsOnceWhenAFaultHitsItsClaim names them.
 var claimMoments = []string{
 	"before the head is read", "after the head is read", "before the head is written", "after the head is written",
 }
@@ -16,35 +16,35 @@
 // claimCells are the cells of the concern Claims.
 var claimCells = append(claimCellsByStrike(), []Cell{
 	{Concern: Claims, Fault: "any order of the faults of claims, clocks that differ", Step: "each step of a claim, any order",
-		Tests: []string{"TestNoKeyRunsTwice"}},
+		Tests: []string{"TestNoKeyRunsTwiceInRandomHistories"}},
 	{Concern: Claims, Fault: "faults drawn with fixed seeds, callers resend through all entries", Step: "each step, under load",
-		Tests: []string{"TestHistoriesUnderFaults"}},
+		Tests: []string{"TestRandomHistoriesUnderFaultsAreConsistent"}},
 	{Concern: Claims, Fault: "rate limit of the platform", Step: "claim",
-		Tests: []string{"TestRateLimitRefusesAtOnce", "TestRefusedWriteRefusesClaimsAtOnce"}},
+		Tests: []string{"TestRateLimitRejectsClaimsImmediately", "TestRefusedWriteRejectsClaimsImmediately"}},
 	{Concern: Claims, Fault: "outage of the platform", Step: "before the claim, with other requests going on",
-		Tests: []string{"TestOutageStopsOnlyKeyedCalls", "TestOutageRefusesAtOnce"}},
+		Tests: []string{"TestOutageStopsOnlyKeyedCalls", "TestOutageRejectsClaimsImmediately"}},
 	{Concern: Claims, Fault: "slow platform", Step: "claims that come behind a slow one",
-		Tests: []string{"TestSlowPlatformRefusesFurtherClaims", "TestGrantAfterTheDeadlineIsNotUsed"}},
+		Tests: []string{"TestSlowPlatformRejectsFurtherClaims", "TestClaimIsNotGrantedAfterItsDeadline"}},
 	{Concern: Claims, Fault: "a lost write arrives late", Step: "after its claim was given up",
-		Tests: []string{"TestLostWriteThatComesLate", "TestNoKeyRunsTwice"}},
-	{Concern: Claims, Fault: "a claim arrives after its own release", Step: "claim", Tests: []string{"TestReleaseBeforeItsClaim"}},
+		Tests: []string{"TestUncertainClaimIsNotReportedAsUnrecorded", "TestNoKeyRunsTwiceInRandomHistories"}},
+	{Concern: Claims, Fault: "a claim arrives after its own release", Step: "claim", Tests: []string{"TestReleaseBlocksItsLateClaim"}},
 	{Concern: Claims, Fault: "a release arrives twice or late", Step: "after another request holds the key",
-		Tests: []string{"TestReleasedKeyRunsElsewhere"}},
+		Tests: []string{"TestReleasedKeyCanBeClaimedByAnotherRequest"}},
 	{Concern: Claims, Fault: "a lease lapses while its holder is paused", Step: "claim",
 		NotApplicable: "a partition's owner holds no lease: the head's version decides, also after a pause (owner paused)"},
-	{Concern: Claims, Fault: "answer lost after the effect, then an outage", Step: "claim", Tests: []string{"TestUnsureClaimIsReleased"}},
-	{Concern: Claims, Fault: "owner paused for long", Step: "claims of its partition", Tests: []string{"TestSilentOwnerIsPassedOver", "TestPausedOwnerIsFenced"}},
-	{Concern: Claims, Fault: "outage of the platform", Step: "recording of the outcome, for long", Tests: []string{"TestOutcomeOutlastsAnOutage"}},
-	{Concern: Claims, Fault: "entry killed", Step: "while its claimed call runs", Tests: []string{"TestEntryDiesWhileItsCallRuns"}},
-	{Concern: Claims, Fault: "all entries replaced", Step: "after the run", Tests: []string{"TestNewOwnerKnowsEarlierOwnersRecords", "TestTakeOverOfALargePartition"}},
+	{Concern: Claims, Fault: "answer lost after the effect, then an outage", Step: "claim", Tests: []string{"TestClaimThatMayBeRecordedIsReleased"}},
+	{Concern: Claims, Fault: "owner paused for long", Step: "claims of its partition", Tests: []string{"TestUnresponsiveOwnerIsBypassed", "TestPausedOwnerLosesTheConditionalWrite"}},
+	{Concern: Claims, Fault: "outage of the platform", Step: "recording of the outcome, for long", Tests: []string{"TestSettlementIsRetriedThroughAnOutage"}},
+	{Concern: Claims, Fault: "entry killed", Step: "while its claimed call runs", Tests: []string{"TestCallOfACrashedEntryIsNotRunAgain"}},
+	{Concern: Claims, Fault: "all entries replaced", Step: "after the run", Tests: []string{"TestNewOwnerReadsTheRecordsOfEarlierOwners", "TestNewOwnerLoadsALargePartition"}},
 	{Concern: Claims, Fault: "upstream's answer lost after the run", Step: "run, with a key or without, with a body or without",
 		Tests: []string{"TestLostAnswerOfTheRun", "TestTransportDoesNotRepeatRuns"}},
 	{Concern: Claims, Fault: "caller resends through other entries", Step: "before, during and after the run",
 		Tests: []string{"TestSameKeyThroughAllEntriesAtOnce", "TestRepeatWhileRunning", "TestRepeatedKeyGetsTheKeptAnswer"}},
 	{Concern: Claims, Fault: "key used for another request", Step: "claim", Tests: []string{"TestKeyOfAnotherRequest"}},
 	{Concern: Claims, Fault: "key past the retention, or ahead of time", Step: "claim",
-		Tests: []string{"TestKeysOutOfTime", "TestSealAndSweep"}},
-	{Concern: Claims, Fault: "too many keys without a time", Step: "claim", Tests: []string{"TestUntimedKeysAreBounded"}},
+		Tests: []string{"TestKeysOutOfTime", "TestRecordsAreSealedAndSweptAfterRetention"}},
+	{Concern: Claims, Fault: "too many keys without a time", Step: "claim", Tests: []string{"TestUntimedRecordsAreBounded"}},
 	{Concern: Claims, Fault: "entry or owner stopped by SIGSTOP as a process", Step: "each step of a claim",
 		Open: "pauses are played inside one test process (owner paused); with real processes only trials were made"},
 	{Concern: Claims, Fault: "a process dies between a segment and its head", Step: "sealing",
@@ -55,10 +55,10 @@
 	var cells []Cell
 	for _, fault := range claimStrikes {
 		for _, step := range claimMoments {
-			cells = append(cells, Cell{Concern: Claims, Fault: fault, Step: "claim, " + step, Tests: []string{claimTest("TestFaultAtEachStep", fault, step)}})
+			cells = append(cells, Cell{Concern: Claims, Fault: fault, Step: "claim, " + step, Tests: []string{claimTest("TestCallRunsOnceWhenAFaultHitsItsClaim", fault, step)}})
 		}
 		for _, step := range claimMoments[2:] {
-			cells = append(cells, Cell{Concern: Claims, Fault: fault, Step: "recording of the outcome, " + step, Tests: []string{claimTest("TestFaultWhileOutcomeIsRecorded", fault, step)}})
+			cells = append(cells, Cell{Concern: Claims, Fault: fault, Step: "recording of the outcome, " + step, Tests: []string{claimTest("TestCallRunsOnceWhenAFaultHitsItsSettlement", fault, step)}})
 		}
 	}
 	return cells
--- a/internal/proof/requests.go
+++ b/internal/proof/requests.go
@@ -48,8 +48,8 @@
 
 // lifeCells are the other faults of a request's life.
 var lifeCells = []Cell{
-	{Concern: Requests, Fault: "message late, doubled or reordered; agent restarted", Step: "any state at the agent", Tests: []string{"TestNotRunIsTrue"}},
-	{Concern: Requests, Fault: "any event, late ones too", Step: "any state at the entry", Tests: []string{"TestEachRequestEndsOnceAndTruly"}},
+	{Concern: Requests, Fault: "message late, doubled or reordered; agent restarted", Step: "any state at the agent", Tests: []string{"TestNotRunIsNeverReportedForStartedAttempt"}},
+	{Concern: Requests, Fault: "any event, late ones too", Step: "any state at the entry", Tests: []string{"TestEachRequestSettlesOnceWithTrueRunStatus"}},
 	{Concern: Requests, Fault: "two faults", Step: "any state", Tests: []string{"TestPairsOfFaults"}},
 	{Concern: Requests, Fault: "agent restarted", Step: "under a call that runs at most once", Tests: []string{"TestRestartedAgentDoesNotDeny"}},
 	{Concern: Requests, Fault: "entry killed", Step: "answering", Tests: []string{"TestRunWhoseEntryIsGoneIsCancelled"}},
--- a/internal/proof/settings.go
+++ b/internal/proof/settings.go
@@ -20,7 +20,7 @@
 	{Concern: Settings, Fault: "operator of another team", Step: stepAccept, Tests: []string{"TestAnotherTeamsSettingIsRefusedUnlessNamed"}},
 	{Concern: Settings, Fault: "messages lost", Step: stepSpread, Tests: []string{"TestChangesAreInForceEverywhereDespiteLoss"}},
 	{Concern: Settings, Fault: "more settings than one message holds", Step: stepSpread, Tests: []string{"TestLargeSettingsFitIntoMessages"}},
-	{Concern: Settings, Fault: "any order and repetition of messages", Step: stepSpread, Tests: []string{"TestOrderAndRepetitionDoNotMatter", "TestVersionsNeverGoDown"}},
+	{Concern: Settings, Fault: "any order and repetition of messages", Step: stepSpread, Tests: []string{"TestMergeIsIndependentOfOrderAndRepetition", "TestRecordVersionsNeverDecrease"}},
 	{Concern: Settings, Fault: "platform down for long", Step: stepSpread, Tests: []string{"TestPlatformDownForLong"}},
 	{Concern: Settings, Fault: "platform hangs, its watches among the calls", Step: stepSpread, Tests: []string{"TestHangingPlatform", "TestWatchGoesSilent"}},
 	{Concern: Settings, Fault: "watch older than what the platform keeps", Step: stepSpread, Tests: []string{"TestWatchWindowPassedIsListedAgain"}},
