--- a/internal/core/residency/residency.go
+++ b/internal/core/residency/residency.go
@@ -1,5 +1,6 @@
-// Package residency decides in which regions a request may be served, cached and stored. Operators bind routes and client accounts
-// to regions; whoever sends a request, or keeps anything of it, asks the request's Bound first. It is pure: see package step.
+// Package residency decides in which regions a request may be served, cached and stored. Operators restrict routes and client
+// accounts to regions. Code that sends a request or stores any part of it checks the request's Bound first. The package is pure: see
+// package step.
 package residency
 
 import (
@@ -8,23 +9,23 @@
 	"strings"
 )
 
-// Regions are those to which an operator binds a route or a client account. An empty list binds to none.
+// Regions are the regions that an operator restricts a route or a client account to. An empty list means no restriction.
 type Regions []string
 
-// Bound is where one request may be: where both its route and its client account are bound, in the regions that they have in common. Its zero
-// value is that of a request which may be anywhere.
+// Bound is the set of regions in which one request may be: the regions that both its route and its client account allow. The zero
+// value allows every region.
 type Bound struct{ route, account Regions }
 
-// Of returns the bound of a request.
+// Of returns the bound of a request with the given restrictions of its route and its client account.
 func Of(route, account Regions) Bound { return Bound{route: route, account: account} }
 
-// Free tells whether the request may be anywhere.
+// Free reports whether the request may be in any region.
 func (b Bound) Free() bool { return len(b.route) == 0 && len(b.account) == 0 }
 
-// Allows tells whether the request may be in a region.
+// Allows reports whether the request may be in a region.
 func (b Bound) Allows(region string) bool { return b.route.allow(region) && b.account.allow(region) }
 
-// Nowhere tells whether the request may be in no region, since its route and its client account have none in common.
+// Nowhere reports whether no region is allowed because the route and the client account have no region in common.
 func (b Bound) Nowhere() bool {
 	if len(b.route) == 0 || len(b.account) == 0 {
 		return false
@@ -32,7 +33,7 @@
 	return !slices.ContainsFunc(b.route, b.account.allow)
 }
 
-// String names the regions for logs; it is empty for a request that may be anywhere.
+// String lists the allowed regions for logs. It is empty for a request that may be in any region.
 func (b Bound) String() string {
 	var parts []string
 	if len(b.route) > 0 {
@@ -44,4 +45,5 @@
 	return strings.Join(parts, "; ")
 }
 
+// allow reports whether the list permits a region.
 func (r Regions) allow(region string) bool { return len(r) == 0 || slices.Contains(r, region) }
--- a/internal/core/residency/residency_test.go
+++ b/internal/core/residency/residency_test.go
@@ -8,7 +8,9 @@
 	"samphireweir.example/samphireweir/internal/core/residency"
 )
 
-func TestBothRouteAndAccountBind(t *testing.T) {
+// TestBoundAllowsOnlyRegionsOfRouteAndAccount guards against a request that is served or stored in a region that either its route or its
+// client account forbids.
+func TestBoundAllowsOnlyRegionsOfRouteAndAccount(t *testing.T) {
 	for _, c := range []struct {
 		route, account residency.Regions
 		allowed        []string
