--- a/internal/core/forward/backoff.go
+++ b/internal/core/forward/backoff.go
@@ -2,56 +2,56 @@
 
 import "time"
 
-// backoffTrusted is how long a backoff is kept without a question. What a longer one means is asked by a request now and then, so that an upstream
-// which names a time that nobody means is not out of use for ever.
-const backoffTrusted = 30 * time.Second
+// backoffProbeInitial is how long a requested backoff is obeyed before the first probe. A longer backoff is probed with single
+// requests now and then, so that an upstream that asks for an absurd time does not stay out of use forever.
+const backoffProbeInitial = 30 * time.Second
 
-// backoff is the time in which an upstream that has turned a request away wants nothing from this entry, as its Retry-After says. Its zero value is
-// none.
+// backoff is the time for which an upstream that declined a request asked this entry, in its Retry-After header, to send nothing.
+// The zero value means no backoff.
 type backoff struct {
-	// until ends it, and asked is when the upstream asked for it last.
-	until, asked time.Time
-	// tryAt is when a request may be sent all the same, and wait is how long that was put off last.
-	tryAt time.Time
-	wait  time.Duration
+	// until is the end of the backoff, and requestedAt the time of the upstream's last request for one.
+	until, requestedAt time.Time
+	// probeAt is when the next probe may be sent despite the backoff, and probeInterval the delay before it.
+	probeAt       time.Time
+	probeInterval time.Duration
 }
 
-// ask has the entry stay away for d from now on, or longer if the upstream has asked for longer before.
-func (b *backoff) ask(now time.Time, d time.Duration) {
-	if !b.on(now) {
-		b.wait, b.tryAt = backoffTrusted, now.Add(backoffTrusted)
+// request starts a backoff of d, unless the upstream has already requested one that ends later.
+func (b *backoff) request(now time.Time, d time.Duration) {
+	if !b.active(now) {
+		b.probeInterval, b.probeAt = backoffProbeInitial, now.Add(backoffProbeInitial)
 	}
-	b.asked = now
+	b.requestedAt = now
 	if until := now.Add(d); until.After(b.until) {
 		b.until = until
 	}
 }
 
-// on tells whether the backoff goes on.
-func (b *backoff) on(now time.Time) bool { return now.Before(b.until) }
+// active reports whether the backoff is in force.
+func (b *backoff) active(now time.Time) bool { return now.Before(b.until) }
 
-// left is how long it takes until a request may be sent.
-func (b *backoff) left(now time.Time) time.Duration {
-	if b.tryAt.Before(b.until) {
-		return b.tryAt.Sub(now)
+// remaining returns the time until a request may be sent.
+func (b *backoff) remaining(now time.Time) time.Duration {
+	if b.probeAt.Before(b.until) {
+		return b.probeAt.Sub(now)
 	}
 	return b.until.Sub(now)
 }
 
-// allows tells whether a request may be sent now.
-func (b *backoff) allows(now time.Time) bool { return !b.on(now) || !now.Before(b.tryAt) }
+// allows reports whether a request may be sent now.
+func (b *backoff) allows(now time.Time) bool { return !b.active(now) || !now.Before(b.probeAt) }
 
-// use notes that a request was sent. The next one within the backoff is put off for twice as long.
-func (b *backoff) use(now time.Time) {
-	if b.on(now) {
-		b.wait *= 2
-		b.tryAt = now.Add(b.wait)
+// attempted records that a request was sent. Within a backoff it doubles the delay before the next probe.
+func (b *backoff) attempted(now time.Time) {
+	if b.active(now) {
+		b.probeInterval *= 2
+		b.probeAt = now.Add(b.probeInterval)
 	}
 }
 
-// ran ends the backoff if the upstream ran a request that was sent after it had asked for it.
-func (b *backoff) ran(sent time.Time) {
-	if sent.After(b.asked) {
+// served ends the backoff if the upstream ran a request that was sent after the backoff was requested.
+func (b *backoff) served(sent time.Time) {
+	if sent.After(b.requestedAt) {
 		*b = backoff{}
 	}
 }
--- a/internal/core/forward/cold.go
+++ b/internal/core/forward/cold.go
@@ -8,44 +8,48 @@
 )
 
 const (
-	// coldShare is the part of what a cold upstream takes in a second that entries give it on the average. Their moments are at random, so that a
-	// second may hold some more of them than another.
-	coldShare = 0.8
-	// coldSlotKept is how long a moment for a request to a cold upstream stays of use: what a second may hold is counted to the second.
-	coldSlotKept = 200 * time.Millisecond
+	// coldRateFactor is the part of a cold upstream's rate that entries use on average. Entries send at random times, so that one
+	// second may hold more requests than another.
+	coldRateFactor = 0.8
+	// coldSlotLifetime is how long an unused send slot for a cold upstream stays valid. It is short because the upstream's limit
+	// applies to each second.
+	coldSlotLifetime = 200 * time.Millisecond
 )
 
-// cold tells whether the upstream takes no more than its service's cold rate now, as its entry says or it has said itself.
+// cold reports whether the upstream accepts no more than its service's cold rate now, according to its registration or to its own
+// answers.
 func (t *target) cold(now time.Time) bool {
 	return t.coldRate > 0 && (now.Before(t.ColdUntil) || now.Before(t.load.coldUntil))
 }
 
-// saidCold takes how much longer an upstream says that it is cold. It tells nothing when it does not say: only some answers do.
-func (l *load) saidCold(now time.Time, left time.Duration) {
+// noteCold records how much longer an upstream says that it is cold. A value of 0 changes nothing, because only some answers carry
+// it.
+func (l *load) noteCold(now time.Time, left time.Duration) {
 	if left > 0 {
 		l.coldUntil = now.Add(left)
 	}
 }
 
-// paced tells whether this entry may send the upstream one more request now, by the limit that it named and while it is cold.
-func (t *target) paced(now time.Time) bool {
-	return t.load.pace.allows(now) && (!t.cold(now) || t.load.cold.allows(now))
+// rateAllowed reports whether this entry may send the upstream one more request now, under the upstream's rate limit and its cold
+// rate.
+func (t *target) rateAllowed(now time.Time) bool {
+	return t.load.limitPacer.allows(now) && (!t.cold(now) || t.load.coldPacer.allows(now))
 }
 
-// paceCold gives this entry its moments for an upstream that is cold, and ends them for one that is not. It goes by what agents count, and is asked
-// again with each word on the upstream.
-func (s *State) paceCold(now time.Time, t *target) {
+// setColdPacer sets this entry's send slots for a cold upstream, or removes them if the upstream is not cold. The entry's share
+// follows from the entry counts that agents report, so it is computed again with each report.
+func (s *State) setColdPacer(now time.Time, t *target) {
 	if !t.cold(now) {
-		t.load.cold.lift()
+		t.load.coldPacer.reset()
 		return
 	}
-	t.load.cold.kept = coldSlotKept
-	t.load.cold.set(now, coldShare*t.coldRate, s.part(t.Life()), step.Score(s.Self.Name, t.ID))
+	t.load.coldPacer.slotLifetime = coldSlotLifetime
+	t.load.coldPacer.setLimit(now, coldRateFactor*t.coldRate, s.limitShare(t.Life()), step.Score(s.Self.Name, t.ID))
 }
 
-// paceColdLife is paceCold for a life that may be over.
-func (s *State) paceColdLife(now time.Time, life catalog.Life) {
+// setColdPacerOf calls setColdPacer for an upstream's instance if it is still the current one.
+func (s *State) setColdPacerOf(now time.Time, life catalog.Life) {
 	if u := s.Catalog.Upstreams[life.ID]; u != nil && u.Life() == life {
-		s.paceCold(now, s.target(u))
+		s.setColdPacer(now, s.target(u))
 	}
 }
--- a/internal/core/forward/forward.go
+++ b/internal/core/forward/forward.go
@@ -1,10 +1,9 @@
-// Package forward is the entry's reducer for requests that go straight to registered upstreams: which upstream a request
-// is sent to, how long it may wait for room, whether it may be sent once more, and what its caller is told at the end.
-// It is pure: see package step.
+// Package forward is the entry's reducer for requests that are forwarded to registered upstreams. It decides which upstream a
+// request is sent to, how long it may wait for capacity, whether it may be retried, and what its caller is told at the end. The
+// package is pure: see package step.
 //
-// Three rules stand above all others. A request that may run once only is never sent again after a send that may have
-// run. A caller is told "not run" only when every send is known not to have run. A request that can't be helped is
-// answered at once.
+// Three rules take precedence over all others. A request that may run only once is never retried after an attempt that may have
+// run. A caller is told "not run" only if no attempt can have run. A request that can't be served is answered at once.
 package forward
 
 import (
@@ -18,128 +17,128 @@
 	"samphireweir.example/samphireweir/internal/hostconfig"
 )
 
-// Self is what an entry knows of itself.
+// Self holds what an entry knows about itself and its configuration.
 type Self struct {
-	// Name is the host's, by which its choices differ from other entries'.
+	// Name is the host's name. It seeds the entry's choices, so that they differ from those of other entries.
 	Name       string
 	DataCentre string
 	Region     string
 	// Regions maps data centres to regions.
 	Regions map[string]string
 	Retries hostconfig.Retries
-	// VersionTime is how long after the naming of a version requests may begin on an older one.
+	// VersionTime is how long requests may still start on an older version after a newer one was activated.
 	VersionTime time.Duration
 	// Policy is DefaultPolicy unless it is set.
 	Policy Policy
 }
 
-// Outcome tells how a send ended.
+// Outcome is how an attempt to send a request to an upstream ended.
 type Outcome string
 
-// The outcomes.
+// The outcomes of an attempt.
 const (
-	// Answered: the upstream's whole answer was passed on, or is at hand.
+	// Answered: the upstream's complete answer was passed on, or is available.
 	Answered Outcome = "answered"
-	// ServerFailed: the upstream answered with a failure of its own; it ran the request.
+	// ServerFailed: the upstream answered with an error of its own; it ran the request.
 	ServerFailed Outcome = "failed by the upstream"
-	// NotSent: no connection was made, so that nothing reached the upstream.
+	// NotSent: no connection was made, so nothing reached the upstream.
 	NotSent Outcome = "not sent"
 	// Declined: the upstream says that it did not run the request.
 	Declined Outcome = "declined"
 	// Misdirected: another upstream has the address now; it did not run the request.
 	Misdirected Outcome = "misdirected"
-	// Broken: the connection ended or carried something else than the answer; the request may have run.
+	// Broken: the connection ended, or carried something other than the answer; the request may have run.
 	Broken Outcome = "broken"
-	// Silent: nothing came within the patience; the request may have run.
+	// Silent: nothing was received within the timeout; the request may have run.
 	Silent Outcome = "silent"
-	// Withdrawn: the entry took it back before its answer began; the request may have run.
+	// Withdrawn: the entry withdrew the request before its answer began; the request may have run.
 	Withdrawn Outcome = "withdrawn"
-	// Unsent: the entry took it back before anything was sent.
+	// Unsent: the entry withdrew the request before anything was sent.
 	Unsent Outcome = "taken back before it was sent"
 )
 
-// ran tells whether a send with this outcome may have run.
+// ran reports whether an attempt with this outcome may have run.
 func (o Outcome) ran() bool {
 	return o.sent() && o != Declined && o != Misdirected
 }
 
-// sent tells whether anything of a send with this outcome reached its upstream.
+// sent reports whether any part of an attempt with this outcome may have reached its upstream.
 func (o Outcome) sent() bool { return o != NotSent && o != Unsent }
 
-// Arrived says that a caller's request was read.
+// Arrived is the event that a caller's request was read.
 type Arrived struct {
 	ID   uint64
 	Host string
 	Path string
 	Key  string
-	// Model is the model that the request asks for; empty when it names none.
+	// Model is the model that the request asks for; empty if it names none.
 	Model string
-	// Budget is how long the caller will wait from its head on; 0 when it does not say.
+	// Budget is how long the caller waits for its answer, measured from the request's head; 0 if it does not say.
 	Budget time.Duration
-	// Reading is how long the reading of its body took since the head was read.
+	// Reading is how long reading the body took after the head was read.
 	Reading time.Duration
 	// Size is the length of the body in bytes.
 	Size int64
-	// Prompt is the length of the prompt in tokens, and Answer that of the longest answer; 0 when it is not known.
+	// Prompt is the length of the prompt in tokens, and Answer the maximum length of the answer; 0 if unknown.
 	Prompt, Answer int
-	// Fingerprint names what is asked and by whom, whatever the request's id; 0 when it is not known.
+	// Fingerprint identifies the request's content and its caller, independent of the request's ID; 0 if unknown.
 	Fingerprint uint64
 }
 
-// Began says that the first event of an answer came: the prompt has been read.
+// Began is the event that the first event of an answer was received: the upstream has processed the prompt.
 type Began struct {
 	ID uint64
-	// Version is the version of the weights on which the upstream began; 0 when it does not say.
+	// Version is the version of the weights on which the upstream started the request; 0 if it does not say.
 	Version int64
 }
 
-// SendEnded says how a send ended.
+// SendEnded is the event that an attempt ended.
 type SendEnded struct {
 	ID      uint64
 	Outcome Outcome
-	// Partial is set when a part of the answer was passed on, and Quiet is how long ago the last of it was.
+	// Partial is set if part of the answer was passed on to the caller, and Quiet is the time since the last part.
 	Partial bool
 	Quiet   time.Duration
 }
 
-// TimedOut says that a request's time is over.
+// TimedOut is the event that a request's deadline has passed.
 type TimedOut struct {
 	ID uint64
-	// Partial is set when a part of an answer was passed on.
+	// Partial is set if part of an answer was passed on to the caller.
 	Partial bool
-	// Unsent is set when nothing of the present send had been sent.
+	// Unsent is set if nothing of the current attempt had been sent.
 	Unsent bool
 }
 
-// CallerGone says that the caller closed its connection.
+// CallerGone is the event that the caller closed its connection.
 type CallerGone struct{ ID uint64 }
 
-// LoadTold is what the agent beside an engine says of it.
+// LoadTold is the event that a load report was received from the agent that runs beside an engine.
 type LoadTold struct {
-	// Address is the engine's.
+	// Address is the engine's address.
 	Address string
-	// Born is when the engine started; see catalog.Upstream.
+	// Born is the engine's start time; see catalog.Upstream.
 	Born int64
-	// Occupied counts the requests that it works on or has queued.
+	// Occupied is the number of requests that the engine has running or queued.
 	Occupied int
-	// Closing is set while the engine is about to load weights, or loads them.
+	// Closing is set while the engine loads weights, or is about to, and does not accept requests.
 	Closing bool
-	// Versions are the versions that it holds whole, by model.
+	// Versions are the versions that the engine holds completely, by model.
 	Versions map[string]int64
-	// RateLimit is the limit that the engine names to its agent, in requests a second from all entries together; nil for none.
+	// RateLimit is the limit that the engine reported to its agent, in requests per second from all entries together; nil for none.
 	RateLimit *float64
-	// Leaving is set when the engine tells its agent that it shuts down.
+	// Leaving is set if the engine told its agent that it is shutting down.
 	Leaving bool
-	// ColdLeft is how much longer the engine is cold, as it tells its agent; 0 when it does not say.
+	// ColdLeft is how much longer the engine is cold, as it told its agent; 0 if it does not say.
 	ColdLeft time.Duration
-	// Slowdown is how many times as long as its service says the engine takes; 0 when it does not say.
+	// Slowdown is the engine's processing time relative to what its service declares, as a factor; 0 if it does not say.
 	Slowdown float64
-	// Entries is how many entries listen to this agent, and Near how many of them are in its data centre.
+	// Entries is the number of entries that this agent reports to, and Near the number of these in its data centre.
 	Entries int
 	Near    int
 }
 
-// StopAsked says that a graceful shutdown began.
+// StopAsked is the event that a graceful shutdown began.
 type StopAsked struct{}
 
 // Event marks the type as an event.
@@ -163,20 +162,20 @@
 // Event marks the type as an event.
 func (StopAsked) Event() {}
 
-// Admitted tells the shell when a request's time is over, and on which terms it runs.
+// Admitted tells the shell the deadline of a request and the route whose terms apply to it.
 type Admitted struct {
 	ID    uint64
 	Route *catalog.Route
 	By    time.Time
 }
 
-// Send has the shell send a request to an upstream.
+// Send has the shell send a request to an upstream: one attempt.
 type Send struct {
 	ID uint64
-	// Number counts the sends of the request from 1.
+	// Number counts the attempts of the request from 1.
 	Number   int
 	Upstream *catalog.Upstream
-	// Account is the client account's name, empty when the caller has none.
+	// Account is the name of the client account; empty if the caller has none.
 	Account string
 	// Homes are the regions in which the request may be.
 	Homes    residency.Bound
@@ -184,13 +183,14 @@
 	// Version is the version of weights that the upstream must hold; 0 for any.
 	Version int64
 	By      time.Time
-	// Patience is how long nothing may come before the send counts as silent; 0 for as long as the request has.
+	// Patience is the timeout for the first event or answer, after which the attempt counts as silent; 0 for the request's
+	// deadline.
 	Patience time.Duration
-	// GapPatience is the same between two events of a stream.
+	// GapPatience is the timeout between two events of a stream; 0 for the request's deadline.
 	GapPatience time.Duration
-	// Resume is set when the answer goes on that another upstream began.
+	// Resume is set if the upstream must resume an answer that another upstream began.
 	Resume bool
-	// CameBack is set when the caller was refused before, as far as can be told.
+	// CameBack is set if the caller was probably refused before.
 	CameBack bool
 }
 
@@ -199,18 +199,18 @@
 	ID   uint64
 	Code code.Code
 	Ran  code.Ran
-	// Why says it in words, with what decided it.
+	// Why is the reason in words for the log, with the values that the decision was based on.
 	Why string
-	// RetryAfter is when to come back; 0 for no such word.
+	// RetryAfter is the delay after which the caller may retry; 0 for none.
 	RetryAfter time.Duration
-	// CameBack is set when the caller was refused before, as far as can be told.
+	// CameBack is set if the caller was probably refused before.
 	CameBack bool
 }
 
-// Deliver has the shell pass on the failure that an upstream answered with.
+// Deliver has the shell pass on the error that an upstream answered with.
 type Deliver struct{ ID uint64 }
 
-// Abort ends an answer of which a part was passed on, so that it can't be taken for whole.
+// Abort ends an answer that was partly passed on, in a way that the caller can't mistake for a complete answer.
 type Abort struct {
 	ID  uint64
 	Why string
@@ -231,86 +231,89 @@
 // Effect marks the type as an effect.
 func (Abort) Effect() {}
 
-// request is one caller's request in flight.
+// request is a request in flight.
 type request struct {
 	id uint64
-	// host, path and key are what its caller sent, by which the manifest says its route and account.
+	// host, path and key are as the caller sent them. The manifest maps them to a route and a client account.
 	host, path, key string
-	// manifest is the one by which route, service and account were looked up last; see follow.
+	// manifest is the one by which route, service and account were last looked up; see applyManifest.
 	manifest *catalog.Manifest
 	route    *catalog.Route
 	service  string
 	account  *catalog.Account
-	// bound is where it may be, as manifest says.
-	bound residency.Bound
-	// named is the model that its caller named, and model the one that it is for: empty at a plain service.
-	named, model string
-	// fingerprint names what is asked; see package quarantine.
+	// homes are the regions in which the request may be, according to manifest.
+	homes residency.Bound
+	// requestedModel is the model that the caller named, and model the one that applies; model is empty for a plain service.
+	requestedModel, model string
+	// fingerprint identifies the request's content and caller; see package quarantine.
 	fingerprint uint64
-	by          time.Time
-	// arrived is when its head was read.
-	arrived  time.Time
-	queuedBy time.Time
-	// back is set when its caller was refused before, as far as can be told, so that its answer can only be late.
-	back bool
-	// at is the upstream that works on it; zero while none does.
-	at catalog.Life
-	// sentAt is when it was sent there.
+	deadline    time.Time
+	// arrived is when the request's head was read.
+	arrived       time.Time
+	queueDeadline time.Time
+	// returning is set if the caller was probably refused before. Its answer can then only be late, measured from its first try.
+	returning bool
+	// instance is the upstream that the request is with; zero if none.
+	instance catalog.Life
+	// sentAt is when the current attempt was sent.
 	sentAt time.Time
-	// prompt is the length of the prompt in tokens, and reading is set while the upstream has not answered yet.
-	prompt  int
-	reading bool
-	// tokens is what it may take of an engine's memory: its prompt and the longest answer.
+	// prompt is the length of the prompt in tokens. awaitingFirstEvent is set until the upstream sends the first event.
+	prompt             int
+	awaitingFirstEvent bool
+	// tokens is how many tokens of an engine's memory the request may take: its prompt and the maximum answer.
 	tokens int
-	// blind is set when nobody tells of the load of the engine that it is with, and keptWaiting when its first event came late there.
-	blind, keptWaiting bool
-	// version is the version that the present send insists on; 0 for none.
+	// unreported is set if the request is with an engine without a load report, and firstEventLate if the first event was late
+	// there.
+	unreported, firstEventLate bool
+	// version is the version that the current attempt requires; 0 for none.
 	version int64
-	// sends counts all sends, runs those that may have run.
-	sends int
-	runs  int
-	// partial is set once a part of an answer was passed on, the last of it at heardAt; until then this is when the request arrived.
-	partial bool
-	heardAt time.Time
-	tried   map[catalog.Life]bool
+	// attempts counts all attempts, and possibleRuns those that may have run.
+	attempts     int
+	possibleRuns int
+	// partial is set once part of an answer was passed on. progressAt is when the last part was; before that, when the request
+	// arrived.
+	partial    bool
+	progressAt time.Time
+	tried      map[catalog.Life]bool
 }
 
-// State is what an entry knows of its requests and of the upstreams' load.
+// State is what an entry knows about its requests and the load of the upstreams.
 type State struct {
 	Self    Self
 	Catalog *catalog.State
 
-	// Crashes is what is known of requests that bring upstreams down; the shell tells it to other processes.
+	// Crashes is what is known about requests that crash upstreams. The shell reports it to other processes.
 	Crashes *quarantine.Table
 
-	requests map[uint64]*request
-	loads    map[catalog.Life]*load
-	targets  targets
-	budgets  map[string]*budget
-	limits   limits
-	// broke are the upstreams at which requests broke in the last moments, by fingerprint, the oldest first.
-	broke map[uint64][]breakAt
-	// waiting are the requests that wait for room, by service, the oldest first.
-	waiting map[string][]uint64
-	// waited is when a request last began or went on to wait, by service.
-	waited map[string]time.Time
-	// greeted are the engines whose agents are greeted; nil before the first greeting.
-	greeted map[string]bool
-	// blindAgain is when requests may be sent to engines of which nobody tells, and blindFor how long that was put off last.
-	blindAgain time.Time
-	blindFor   time.Duration
-	// blindWaiting counts the requests that wait for their first event there.
-	blindWaiting int
-	// nearShare and farShare are which part of the agents of this data centre and of others is greeted.
-	nearShare, farShare float64
-	// entries is how many entries share the budgets of repeats and the limits of upstreams, as the last agent counts them, and entryPeak as any
-	// of them did of late.
-	entries   int
-	entryPeak peak
-	stopping  bool
-	// overdue are the loads with overdue requests as of the last tick, and forgot is when forget last looked.
-	overdue []*load
-	forgot  time.Time
+	requests       map[uint64]*request
+	loads          map[catalog.Life]*load
+	targets        targets
+	retryBudgets   map[string]*retryBudget
+	callerTimeouts callerTimeouts
+	// breaks are the recent broken attempts by the request's fingerprint, the oldest first.
+	breaks map[uint64][]breakRecord
+	// queues are the IDs of the requests that wait for capacity, by service, the oldest first.
+	queues map[string][]uint64
+	// lastQueuedAt is when a request was last put into the queue, or back into it, by service.
+	lastQueuedAt map[string]time.Time
+	// heartbeatTargets are the IDs of the engines whose agents get heartbeats from this entry; nil before the first Greet.
+	heartbeatTargets map[string]bool
+	// unreportedResumeAt ends the pause for engines without a load report, and unreportedPause is the length of the last pause.
+	unreportedResumeAt time.Time
+	unreportedPause    time.Duration
+	// unreportedWaiting counts the requests that wait for their first event at such engines.
+	unreportedWaiting int
+	// nearFraction and farFraction are the fractions of the agents in this data centre and in others that get heartbeats from one
+	// entry.
+	nearFraction, farFraction float64
+	// estimatedEntries is the number of entries that share the retry budgets and the upstreams' rate limits, estimated from the
+	// last load report. recentEntries is the maximum of the recent estimates.
+	estimatedEntries int
+	recentEntries    recentMax
+	stopping         bool
+	// overdue are the loads that had overdue requests at the last tick, and forgotAt is when forget last ran.
+	overdue  []*load
+	forgotAt time.Time
 }
 
 // NewState returns a state without requests.
@@ -320,17 +323,18 @@
 	}
 	return &State{
 		Self: self, Catalog: c, requests: map[uint64]*request{}, loads: map[catalog.Life]*load{},
-		budgets: map[string]*budget{}, limits: limits{}, Crashes: quarantine.NewTable(), broke: map[uint64][]breakAt{}, waiting: map[string][]uint64{}, waited: map[string]time.Time{},
+		retryBudgets: map[string]*retryBudget{}, callerTimeouts: callerTimeouts{}, Crashes: quarantine.NewTable(),
+		breaks: map[uint64][]breakRecord{}, queues: map[string][]uint64{}, lastQueuedAt: map[string]time.Time{},
 	}
 }
 
-// Reduce handles one input.
+// Reduce handles one input and returns the effects for the shell to carry out.
 func (s *State) Reduce(in step.Input) []step.Effect {
 	switch ev := in.Event.(type) {
 	case Arrived:
 		return s.arrived(in, ev)
 	case Began:
-		return s.hasBegun(in, ev)
+		return s.started(in, ev)
 	case SendEnded:
 		return s.sendEnded(in, ev)
 	case TimedOut:
@@ -338,9 +342,9 @@
 	case CallerGone:
 		return s.callerGone(in, ev.ID)
 	case LoadTold:
-		return s.loadTold(in, ev)
+		return s.loadReported(in, ev)
 	case CrashesTold:
-		return s.crashesTold(in, ev)
+		return s.crashesReported(in, ev)
 	case Noticed:
 		return s.noticed(in, ev)
 	case StopAsked:
@@ -348,12 +352,12 @@
 	case step.Tick:
 		s.forget(in.Now)
 		s.countOverdue(in.Now)
-		s.limits.forget(in.Now)
-		effects := append(s.forgetBreaks(in.Now), s.withdrawUnbegun(in)...)
+		s.callerTimeouts.forget(in.Now)
+		effects := append(s.expireCrashes(in.Now), s.withdrawUnstarted(in)...)
 		return append(effects, s.serveWaiting(in)...)
 	}
 	return nil
 }
 
-// Open counts the requests in flight.
+// Open returns the number of requests in flight.
 func (s *State) Open() int { return len(s.requests) }
--- a/internal/core/forward/pick.go
+++ b/internal/core/forward/pick.go
@@ -10,117 +10,123 @@
 )
 
 const (
-	// quietAfter is how long after its agent's last word an engine is used only when no other can be: the host may be frozen or
-	// cut off. It is a little more than the longest time between two words of an agent that is well, which is shorter in this data centre.
-	quietAfter = 1200 * time.Millisecond
-	quietNear  = 700 * time.Millisecond
-	// overdueQuiet is the same for an engine that keeps a request waiting beyond its latency objective: the load of an engine that works
-	// changes with each request, and its agent tells that within 400 ms.
-	overdueQuiet = 500 * time.Millisecond
-	// fewHeard is how many engines an entry must hear of for these to tell of the others: when all of them are without the weights, so
-	// are most likely those of which nobody tells, whatever the store still says of them.
-	fewHeard = 8
-	// mostChoices bounds how many of the nearest upstreams are looked at for a request; see pick.
-	mostChoices = 4
+	// staleAfter is the age of a load report from which an engine is used only if no other engine can be: its host may be frozen or
+	// disconnected. It is slightly longer than the longest time between two reports of a healthy agent. staleAfterNear applies in
+	// this data centre, where reports are more frequent.
+	staleAfter     = 1200 * time.Millisecond
+	staleAfterNear = 700 * time.Millisecond
+	// staleAfterOverdue applies to an engine that keeps a request waiting beyond its latency objective. The load of a working
+	// engine changes with each request, and its agent reports that within 400 ms.
+	staleAfterOverdue = 500 * time.Millisecond
+	// minReports is how many engines must have a load report for these to stand for the others. If none of them holds the weights,
+	// the unreported engines most likely don't either, whatever the store still says about them.
+	minReports = 8
+	// maxChoices limits how many of the nearest upstreams are compared for a request; see pick.
+	maxChoices = 4
 )
 
-// found tells how the search for an upstream ended.
-type found int
+// availability is the result of the search for an upstream.
+type availability int
 
 const (
-	none found = iota
-	full
-	room
+	none availability = iota
+	allFull
+	available
 )
 
-// pick chooses an upstream with room: of the nearest ones some at random, and of these the one that will answer soonest. The
-// entries see the same loads a little late; if each took the least loaded of all, they would take the same one.
+// pick chooses an upstream with capacity: it samples some of the nearest upstreams at random and takes the one that will answer
+// soonest. Entries see the same loads with a delay; if each of them took the least loaded upstream of all, they would all take the
+// same one.
 //
-// An engine of which nobody tells is used when those that are told of are full, until one such turns a request away or keeps it waiting: then
-// the whole fleet is likely to be full; see mayBlind. One whose agent fell silent is used when no other can be, full or not: a request that waits for
-// a place is answered sooner than one that is with a frozen host. Neither is used when enough are heard of that could take nothing
-// even if they were not full; see fewHeard.
-func (s *State) pick(in step.Input, r *request) (*catalog.Upstream, found) {
+// An engine without a load report is used if the reported ones are full, until one without a report declines a request or is slow
+// to its first event: then the whole fleet is likely to be full; see maySendUnreported. An engine whose report is stale is used,
+// full or not, only if no other engine can be: a request that waits for capacity is answered sooner than one at a frozen host.
+// Neither kind is used if at least minReports engines have a report and none of them could accept requests even if it were not
+// full.
+func (s *State) pick(in step.Input, r *request) (*catalog.Upstream, availability) {
 	p := s.pools(in, r)
 	switch {
-	case p.known.found < room && p.ending.found == room:
-		return p.ending.best(in.Now, r)
-	case p.known.found == none && p.heard >= fewHeard:
+	case p.reported.availability < available && p.expiring.availability == available:
+		return p.expiring.best(in.Now, r)
+	case p.reported.availability == none && p.reports >= minReports:
 		return nil, none
-	case p.known.found < room && p.strangers.found > none && s.mayBlind(in.Now, &p.known):
-		return p.strangers.best(in.Now, r)
-	case p.known.found == none:
-		return p.quiet.best(in.Now, r)
+	case p.reported.availability < available && p.unreported.availability > none && s.maySendUnreported(in.Now, &p.reported):
+		return p.unreported.best(in.Now, r)
+	case p.reported.availability == none:
+		return p.stale.best(in.Now, r)
 	}
-	return p.known.best(in.Now, r)
+	return p.reported.best(in.Now, r)
 }
 
-// pools are the upstreams that could take a request, by how much is known of them.
+// pools are the upstreams that could accept a request, by how much is known about them.
 type pools struct {
-	// known are those that an agent tells of, and those that need none; the agents of quiet ones fell silent, and nobody tells of strangers.
-	known, quiet, strangers choice
-	// ending are those with a version that the request may begin on for a moment more; see lastVersion.
-	ending choice
-	// heard counts the upstreams whose agents are heard, whatever these say, of those that were looked at.
-	heard int
+	// reported are those with a current load report, those that need none, and those whose first one is still expected. The
+	// reports of stale ones are old, and unreported ones have none.
+	reported, stale, unreported sample
+	// expiring are those with a version on which the request may start only for a short time; see minVersionIfFull.
+	expiring sample
+	// reports counts the upstreams with a valid load report, whatever it says, among those that were examined.
+	reports int
 }
 
-// pools looks at the upstreams that a request may go to, the nearest first, as far as farther ones could change what is chosen.
+// pools examines the upstreams that a request may go to, the nearest first. It stops at the distance from which on no upstream can
+// change the choice.
 func (s *State) pools(in step.Input, r *request) pools {
-	p := pools{known: s.noChoice(), quiet: s.noChoice(), strangers: s.noChoice(), ending: s.noChoice()}
-	required, last := s.requiredVersion(in.Now, r.model), s.lastVersion(in.Now, r)
-	wait := s.waitFor(r)
+	p := pools{reported: s.newSample(), stale: s.newSample(), unreported: s.newSample(), expiring: s.newSample()}
+	required, ifFull := s.requiredVersion(in.Now, r.model), s.minVersionIfFull(in.Now, r)
+	wait := s.maxWait(r)
 	for _, t := range s.targetsFor(in.Now, r) {
-		if p.known.settled(t.distance) {
+		if p.reported.settled(t.distance) {
 			break
 		}
-		if t.load.heard(in.Now) {
-			p.heard++
+		if t.load.hasReport(in.Now) {
+			p.reports++
 		}
 		switch {
 		case t.usable(in.Now, r, required):
-			p.of(t, in.Now).consider(in, t, r)
-		case last < required && !t.quiet(in.Now) && t.usable(in.Now, r, last):
-			p.ending.consider(in, t, r)
-		case t.loading(in.Now, r) || t.backSoon(in.Now, wait):
-			p.known.found = max(p.known.found, full)
+			p.poolOf(t, in.Now).consider(in, t, r)
+		case ifFull < required && !t.stale(in.Now) && t.usable(in.Now, r, ifFull):
+			p.expiring.consider(in, t, r)
+		case t.reloading(in.Now, r) || t.backoffEndsWithin(in.Now, wait):
+			p.reported.availability = max(p.reported.availability, allFull)
 		}
 	}
 	return p
 }
 
-// of is the pool that a usable upstream belongs to.
-func (p *pools) of(t *target, now time.Time) *choice {
+// poolOf returns the pool that a usable upstream belongs to.
+func (p *pools) poolOf(t *target, now time.Time) *sample {
 	switch {
-	case t.stranger():
-		return &p.strangers
-	case t.quiet(now):
-		return &p.quiet
+	case t.unreported():
+		return &p.unreported
+	case t.stale(now):
+		return &p.stale
 	}
-	return &p.known
+	return &p.reported
 }
 
-// candidate is an upstream with room for a request.
+// candidate is an upstream with capacity for a request.
 type candidate struct {
 	*target
-	// tie orders upstreams in another way for each request.
-	tie uint64
+	// tieBreak is a random order of the upstreams, different for each request.
+	tieBreak uint64
 }
 
-// quiet tells whether the engine's agent has said nothing for so long that its host may be frozen or cut off.
-func (t *target) quiet(now time.Time) bool {
-	if t.load.toldAt.IsZero() {
+// stale reports whether the engine's last load report is so old that its host may be frozen or disconnected.
+func (t *target) stale(now time.Time) bool {
+	if t.load.reportedAt.IsZero() {
 		return false
 	}
-	silence, usual := now.Sub(t.load.toldAt), quietAfter
+	age, limit := now.Sub(t.load.reportedAt), staleAfter
 	if t.distance == 0 {
-		usual = quietNear
+		limit = staleAfterNear
 	}
-	return silence > usual || t.load.overdue > 0 && silence > overdueQuiet
+	return age > limit || t.load.overdue > 0 && age > staleAfterOverdue
 }
 
-// nearer tells whether c is to be used before o whatever their loads: engines that are late or slow come after those that are neither.
-func (c candidate) nearer(o candidate) bool {
+// preferredTo reports whether c is to be used before o whatever their loads: engines with overdue requests or a slowdown come last,
+// and of the others the nearest come first.
+func (c candidate) preferredTo(o candidate) bool {
 	if late, otherLate := c.load.overdue > 0, o.load.overdue > 0; late != otherLate {
 		return otherLate
 	}
@@ -130,89 +136,90 @@
 	return c.distance < o.distance
 }
 
-// cost grows with the time to the first event.
+// cost returns a number that grows with the expected time to the first event.
 func (c candidate) cost(now time.Time, r *request) float64 {
-	return float64(c.occupied(now, r))/float64(c.limit(r)) + float64(c.load.reading)/c.readBound()
+	return float64(c.occupied(now, r))/float64(c.maxRequests(r)) + float64(c.load.pendingPromptTokens)/c.maxPendingTokens()
 }
 
-// choice draws some of the nearest upstreams with room: those whose tie is the smallest.
-type choice struct {
-	found found
-	// busy is set when one that could take the request is full.
-	busy  bool
-	drawn [mostChoices]candidate
-	n     int
-	// most is how many are drawn.
-	most int
+// sample is a random sample of the nearest upstreams with capacity: those with the smallest tieBreak.
+type sample struct {
+	availability availability
+	// anyFull is set if an upstream that could accept the request is full.
+	anyFull    bool
+	candidates [maxChoices]candidate
+	size       int
+	// maxSize is the size of the sample at most.
+	maxSize int
 }
 
-// noChoice is a choice of which nothing was considered.
-func (s *State) noChoice() choice { return choice{most: s.Self.Policy.Choices} }
+// newSample returns an empty sample.
+func (s *State) newSample() sample { return sample{maxSize: s.Self.Policy.Choices} }
 
-// consider takes an upstream that could take a request: among those that are drawn from, or as one that is full.
-func (h *choice) consider(in step.Input, t *target, r *request) {
-	if !t.hasRoom(in.Now, r) {
-		h.found, h.busy = max(h.found, full), true
+// consider takes an upstream that could accept a request: into the sample if it has capacity, else as a full one.
+func (s *sample) consider(in step.Input, t *target, r *request) {
+	if !t.hasCapacity(in.Now, r) {
+		s.availability, s.anyFull = max(s.availability, allFull), true
 		return
 	}
-	h.draw(candidate{target: t, tie: mix(t.hash ^ in.Rand)})
+	s.add(candidate{target: t, tieBreak: mix(t.hash ^ in.Rand)})
 }
 
-// draw draws from one more upstream with room.
-func (h *choice) draw(c candidate) {
-	h.found = room
-	if h.n > 0 && h.drawn[0].nearer(c) {
+// add offers one more upstream with capacity to the sample.
+func (s *sample) add(c candidate) {
+	s.availability = available
+	if s.size > 0 && s.candidates[0].preferredTo(c) {
 		return
 	}
-	if h.n > 0 && c.nearer(h.drawn[0]) {
-		h.n = 0
+	if s.size > 0 && c.preferredTo(s.candidates[0]) {
+		s.size = 0
 	}
-	if h.n < h.most {
-		h.drawn[h.n] = c
-		h.n++
+	if s.size < s.maxSize {
+		s.candidates[s.size] = c
+		s.size++
 		return
 	}
 	last := 0
-	for i := range h.drawn[:h.n] {
-		if h.drawn[i].tie > h.drawn[last].tie {
+	for i := range s.candidates[:s.size] {
+		if s.candidates[i].tieBreak > s.candidates[last].tieBreak {
 			last = i
 		}
 	}
-	if c.tie < h.drawn[last].tie {
-		h.drawn[last] = c
+	if c.tieBreak < s.candidates[last].tieBreak {
+		s.candidates[last] = c
 	}
 }
 
-// settled tells whether no upstream at a distance or farther can be chosen any more: a nearer one has room that is neither late nor slow.
-func (h *choice) settled(distance int) bool {
-	return h.found == room && h.drawn[0].distance < distance && h.drawn[0].load.overdue == 0 && !h.drawn[0].slow()
+// settled reports whether no upstream at the distance, or farther, can be chosen: a nearer one has capacity and is neither overdue
+// nor slow.
+func (s *sample) settled(distance int) bool {
+	return s.availability == available && s.candidates[0].distance < distance && s.candidates[0].load.overdue == 0 && !s.candidates[0].slow()
 }
 
-// best is the one of those drawn that will answer soonest.
-func (h *choice) best(now time.Time, r *request) (*catalog.Upstream, found) {
-	if h.found != room {
-		return nil, h.found
+// best returns the upstream of the sample that will answer soonest.
+func (s *sample) best(now time.Time, r *request) (*catalog.Upstream, availability) {
+	if s.availability != available {
+		return nil, s.availability
 	}
-	best := h.drawn[0]
-	for _, c := range h.drawn[1:h.n] {
-		cost, least := c.cost(now, r), best.cost(now, r)
-		if cost < least || cost == least && c.tie < best.tie {
+	best := s.candidates[0]
+	for _, c := range s.candidates[1:s.size] {
+		cost, lowest := c.cost(now, r), best.cost(now, r)
+		if cost < lowest || cost == lowest && c.tieBreak < best.tieBreak {
 			best = c
 		}
 	}
-	return best.Upstream, room
+	return best.Upstream, available
 }
 
-// mix spreads the bits of z, so that numbers that differ in few bits are in no order.
+// mix spreads the bits of z, so that numbers that differ in few bits become unrelated.
 func mix(z uint64) uint64 {
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
 	z = (z ^ (z >> 27)) * 0x94d049bb133111eb
 	return z ^ (z >> 31)
 }
 
-// census says in words why no upstream was found.
-func (s *State) census(now time.Time, r *request) string {
-	var registered, evacuated, draining, avoided, loading, backedOff, empty, limited, fullOnes int
+// describeUpstreams describes, for the log, why no upstream was found.
+func (s *State) describeUpstreams(now time.Time, r *request) string {
+	var registered, evacuated, draining, avoided, loading, backedOff, empty, limited, full int
 	required := s.requiredVersion(now, r.model)
 	for _, t := range s.targetsFor(now, r) {
 		registered++
@@ -221,26 +228,26 @@
 			evacuated++
 		case t.leaving(now):
 			draining++
-		case now.Before(t.load.avoid):
+		case now.Before(t.load.avoidUntil):
 			avoided++
-		case t.loading(now, r):
+		case t.reloading(now, r):
 			loading++
 		case !t.load.backoff.allows(now):
 			backedOff++
 		case !t.usable(now, r, required):
 			empty++
-		case !t.paced(now):
+		case !t.rateAllowed(now):
 			limited++
-		case !t.hasRoom(now, r):
-			fullOnes++
+		case !t.hasCapacity(now, r):
+			full++
 		}
 	}
 	homes := ""
-	if !r.bound.Free() {
-		homes = fmt.Sprintf("of those in its homes (%s): ", r.bound)
+	if !r.homes.Free() {
+		homes = fmt.Sprintf("in its homes (%s): ", r.homes)
 	}
-	return homes + fmt.Sprintf("%d registered, %d evacuated, %d draining, %d avoided after failures, %d loading, %d that sent Retry-After, %d without the weights or tried, %d at their limit, %d full",
-		registered, evacuated, draining, avoided, loading, backedOff, empty, limited, fullOnes)
+	return homes + fmt.Sprintf("%d registered, %d evacuated, %d draining, %d avoided after failures, %d loading, %d that sent Retry-After, %d without the required weights or already tried, %d at their rate limit, %d full",
+		registered, evacuated, draining, avoided, loading, backedOff, empty, limited, full)
 }
 
 func sortedKeys[T any](m map[string]T) []string {
--- a/internal/core/forward/policy.go
+++ b/internal/core/forward/policy.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// Policy holds the figures by which an entry decides under load. The product uses DefaultPolicy; others are for comparison.
+// Policy holds the parameters by which an entry decides under load. DefaultPolicy is used in production; other values are for
+// comparison.
 type Policy struct {
-	// WaitShare is the part of the latency objective that a request waits for room at most. Since the newest goes first, those that are
-	// served have waited little, and the rest is left for the engine's first event.
+	// WaitShare is the part of the latency objective that a request waits for capacity at most. Since the newest request is served
+	// first, served requests have waited little, and the rest of the objective is left for the engine's first event.
 	WaitShare float64
-	// OldestFirst gives room to the request that has waited longest, in place of the newest.
+	// OldestFirst serves the request that has waited longest first, in place of the newest.
 	OldestFirst bool
-	// ReadAhead is how much reading of prompts entries give an engine at once. An engine reads prompts one after the other, so that whoever
-	// comes behind this waits about as long on top of the usual time to the first event.
+	// ReadAhead is how much prompt processing (prefill) the entries queue at an engine at once. An engine processes prompts one
+	// after the other, so a request beyond this waits about that long in addition to the usual time to the first event.
 	ReadAhead time.Duration
-	// KeepFree is how long after a first try had to wait for room a free place is kept for the next one, and not given to a request whose
-	// caller came back, which can only be late. Kept for longer, it has more of those that came back refused again.
+	// KeepFree is how long free capacity is reserved for first tries after one of them had to wait. A request whose caller returned
+	// after a refusal is not given that capacity, since it can only be late. A longer time refuses more of the returning callers
+	// again.
 	KeepFree time.Duration
-	// BlindAtOnce is how many requests of an entry may wait for their first event at engines of which nobody tells, while those that are
-	// told of work at all their places. All entries of the other data centres are blind to an engine; if each sent what it has no place for,
-	// the engine's queue would fill.
+	// BlindAtOnce is how many of an entry's requests may wait for their first event at engines without a load report while an
+	// engine with one is full. No entry in another data centre knows an engine's load: if each sent its excess requests there, the
+	// engine's queue would fill.
 	BlindAtOnce int
-	// Choices is how many of the nearest upstreams are looked at for a request, mostChoices at most; see pick.
+	// Choices is how many of the nearest upstreams are compared for a request, at most maxChoices; see pick.
 	Choices int
-	// BeginShare is the part of the latency objective within which an engine must be expected to begin a request, for it to be sent shortly
-	// before the end of the engine's version.
+	// BeginShare is the part of the latency objective within which an engine is expected to start a request that is sent shortly
+	// before the engine's version expires.
 	BeginShare float64
 }
 
-// DefaultPolicy is the product's.
+// DefaultPolicy returns the production parameters.
 func DefaultPolicy() Policy {
 	return Policy{WaitShare: 0.4, ReadAhead: 90 * time.Millisecond, KeepFree: 100 * time.Millisecond, BlindAtOnce: 3, Choices: 2, BeginShare: 0.5}
 }
--- a/internal/core/forward/quarantine.go
+++ b/internal/core/forward/quarantine.go
@@ -13,31 +13,32 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// downAfter is how long after a request broke its upstream may be found to be down for the request to count as there when it went down, and
-// how long after it was found to be down a break may be read. A request whose connection broke at an upstream that is well is no suspect.
-const downAfter = 1500 * time.Millisecond
+// crashWindow is the longest time between a broken request and the detection that its upstream is down, in either order, for the
+// crash to be attributed to the request. A request whose connection breaks at a healthy upstream is not suspect.
+const crashWindow = 1500 * time.Millisecond
 
-// CrashesTold is what another process knows of requests that bring upstreams down.
+// CrashesTold is the event that another process reported what it knows about requests that crash upstreams.
 type CrashesTold struct{ Reports []quarantine.Report }
 
 // Event marks the type as an event.
 func (CrashesTold) Event() {}
 
-// Suspected tells the shell that a request is held back from now on, since this entry counted the last of the crashes that it takes.
+// Suspected tells the shell that a request is quarantined from now on, because this entry counted the crash that reached the
+// threshold.
 type Suspected struct {
 	Fingerprint uint64
-	// Upstream is the one that went down last.
+	// Upstream is the one that crashed last.
 	Upstream string
 }
 
-// HeldBack tells the shell that a request is held back from now on, as another process told.
+// HeldBack tells the shell that a request is quarantined from now on because another process reported it.
 type HeldBack struct {
 	Fingerprint uint64
-	// Left is for how long.
+	// Left is the remaining time of the quarantine.
 	Left time.Duration
 }
 
-// CrashesDropped tells the shell that crashes under requests were not noted, since there are too many; see quarantine.Table.
+// CrashesDropped tells the shell how many crashes were not recorded because the table is full; see quarantine.Table.
 type CrashesDropped struct{ Count int }
 
 // Effect marks the type as an effect.
@@ -49,38 +50,38 @@
 // Effect marks the type as an effect.
 func (HeldBack) Effect() {}
 
-// broken is a request that broke at an upstream.
-type broken struct {
+// brokenRequest is a request whose attempt broke at an upstream.
+type brokenRequest struct {
 	fingerprint uint64
-	at          time.Time
+	brokeAt     time.Time
 }
 
-// crashesTold takes another process's word on crashes.
-func (s *State) crashesTold(in step.Input, ev CrashesTold) []step.Effect {
+// crashesReported merges another process's report on crashes.
+func (s *State) crashesReported(in step.Input, ev CrashesTold) []step.Effect {
 	var effects []step.Effect
 	for _, fingerprint := range s.Crashes.Merge(in.Now, ev.Reports) {
 		effects = append(effects, HeldBack{Fingerprint: fingerprint, Left: s.Crashes.Held(in.Now, fingerprint)})
-		effects = append(effects, s.stopCopies(in, fingerprint)...)
+		effects = append(effects, s.stopQuarantined(in, fingerprint)...)
 	}
 	return effects
 }
 
-// stopCopies ends what can still be ended of a request that is held back from now on: copies that wait for room are refused, and those that
-// engines have not begun are taken back, before they bring these down. An answer that has begun goes on.
-func (s *State) stopCopies(in step.Input, fingerprint uint64) []step.Effect {
+// stopQuarantined stops the copies of a request that is quarantined from now on, before they crash more upstreams: queued copies
+// are refused, and copies that engines have not started are withdrawn. An answer that has started continues.
+func (s *State) stopQuarantined(in step.Input, fingerprint uint64) []step.Effect {
 	var effects []step.Effect
 	for _, r := range s.copies(fingerprint) {
-		if r.at == (catalog.Life{}) {
-			b, _ := s.heldBackFor(in, r)
-			effects = append(effects, s.giveUpAs(in, r, b)...)
-		} else if r.reading {
-			effects = append(effects, Withdraw{ID: r.id, Number: r.sends})
+		if r.instance == (catalog.Life{}) {
+			b, _ := s.quarantined(in, r)
+			effects = append(effects, s.endRequest(in, r, b)...)
+		} else if r.awaitingFirstEvent {
+			effects = append(effects, Withdraw{ID: r.id, Number: r.attempts})
 		}
 	}
 	return effects
 }
 
-// copies returns the requests in flight with a fingerprint, in the order of their numbers.
+// copies returns the requests in flight with a fingerprint, ordered by ID.
 func (s *State) copies(fingerprint uint64) []*request {
 	var list []*request
 	for _, r := range s.requests {
@@ -92,31 +93,31 @@
 	return list
 }
 
-// heldBackFor tells whether a request must not be sent because of the upstreams that went down under it.
-func (s *State) heldBackFor(in step.Input, r *request) (bar, bool) {
+// quarantined reports whether a request must not be sent because of the upstreams that crashed while running it, and why.
+func (s *State) quarantined(in step.Input, r *request) (rejection, bool) {
 	if left := s.Crashes.Held(in.Now, r.fingerprint); left > 0 {
-		why := fmt.Sprintf("upstreams went down under fingerprint %d; it is held back for %v", r.fingerprint, left)
-		return bar{code: code.HeldBack, why: why, after: left}, true
+		why := fmt.Sprintf("requests with fingerprint %d crashed upstreams; quarantined for another %v", r.fingerprint, left)
+		return rejection{code: code.HeldBack, reason: why, retryAfter: left}, true
 	}
 	if atRisk := s.atRisk(in.Now, r); atRisk >= quarantine.CrashesToHold {
-		why := fmt.Sprintf("%d upstreams went down under fingerprint %d of late, or may have, or have a copy of it", atRisk, r.fingerprint)
-		return bar{code: code.HeldBack, why: why, after: s.retryAfter(in)}, true
+		why := fmt.Sprintf("%d upstreams crashed recently on fingerprint %d, may have crashed, or hold a copy of it", atRisk, r.fingerprint)
+		return rejection{code: code.HeldBack, reason: why, retryAfter: s.retryAfter(in)}, true
 	}
-	return bar{}, false
+	return rejection{}, false
 }
 
-// atRisk counts the lives of upstreams that a request ended or may end: those that were found to be down, each break that is so recent that its
-// upstream may yet be found to be, and those that have a copy of it. An upstream may be back and break again before it is found to have been
-// down, so that each break counts. It is 0 as long as the request broke nowhere. Together they are at most CrashesToHold, so that copies that
-// are sent at once bring down no more than copies that come one after the other.
+// atRisk counts the upstream instances that a request has crashed or may crash: those found down, those of attempts that broke so
+// recently that the upstream may yet be found down, and those that hold a copy of the request. An upstream may restart and break
+// again before it is found to have been down, so each break counts. The result is 0 as long as no attempt of the request broke. The
+// sum is limited to CrashesToHold, so that concurrent copies crash no more upstreams than successive ones.
 func (s *State) atRisk(now time.Time, r *request) int {
 	down := map[uint32]bool{}
 	for _, upstream := range s.Crashes.Crashes(now, r.fingerprint) {
 		down[upstream] = true
 	}
 	count := len(down)
-	for _, b := range recentBreaks(s.broke[r.fingerprint], now) {
-		if !down[lifeKey(b.upstream)] {
+	for _, b := range withoutOldBreaks(s.breaks[r.fingerprint], now) {
+		if !down[instanceKey(b.upstream)] {
 			count++
 		}
 	}
@@ -125,95 +126,96 @@
 	}
 	busy := map[catalog.Life]bool{}
 	for _, other := range s.copies(r.fingerprint) {
-		if other.at != (catalog.Life{}) {
-			busy[other.at] = true
+		if other.instance != (catalog.Life{}) {
+			busy[other.instance] = true
 		}
 	}
 	return count + len(busy)
 }
 
-// breakAt is where and when a request broke.
-type breakAt struct {
+// breakRecord is where and when an attempt broke.
+type breakRecord struct {
 	upstream catalog.Life
-	at       time.Time
+	brokeAt  time.Time
 }
 
-// recentBreaks leaves out what broke too long ago for its upstream to be found down.
-func recentBreaks(list []breakAt, now time.Time) []breakAt {
-	for len(list) > 0 && now.Sub(list[0].at) > downAfter {
+// withoutOldBreaks drops the breaks that are too old for their upstream to be found down.
+func withoutOldBreaks(list []breakRecord, now time.Time) []breakRecord {
+	for len(list) > 0 && now.Sub(list[0].brokeAt) > crashWindow {
 		list = list[1:]
 	}
 	return list
 }
 
-// lifeKey names a life of an upstream between processes.
-func lifeKey(life catalog.Life) uint32 {
+// instanceKey identifies an upstream's instance between processes.
+func instanceKey(life catalog.Life) uint32 {
 	return uint32(step.Score(life.ID, strconv.FormatInt(life.Born, 10)))
 }
 
-// learn notes what the end of a send says of its request and of its upstream. An answer that broke off is none, whatever came of it.
-func (s *State) learn(in step.Input, r *request, ev SendEnded) []step.Effect {
+// trackCrashes updates the crash records of a request and its upstream at the end of an attempt. An answer that broke off does not
+// count as an answer, even if part of it was passed on.
+func (s *State) trackCrashes(in step.Input, r *request, ev SendEnded) []step.Effect {
 	switch ev.Outcome {
 	case Answered:
 		s.Crashes.Answered(in.Now, r.fingerprint)
-		delete(s.broke, r.fingerprint)
+		delete(s.breaks, r.fingerprint)
 	case NotSent:
-		return s.wentDown(in, r.at)
+		return s.foundDown(in, r.instance)
 	case Broken:
-		return s.noteBreak(in, r)
+		return s.recordBreak(in, r)
 	}
 	return nil
 }
 
-func (s *State) noteBreak(in step.Input, r *request) []step.Effect {
+func (s *State) recordBreak(in step.Input, r *request) []step.Effect {
 	if r.fingerprint == 0 {
 		return nil
 	}
-	l := s.load(r.at)
-	if !l.foundDown.Before(r.sentAt) && in.Now.Sub(l.foundDown) <= downAfter {
-		return s.crashed(in, r.fingerprint, r.at)
+	l := s.load(r.instance)
+	if !l.foundDownAt.Before(r.sentAt) && in.Now.Sub(l.foundDownAt) <= crashWindow {
+		return s.recordCrash(in, r.fingerprint, r.instance)
 	}
-	l.broken = append(recent(l.broken, in.Now), broken{fingerprint: r.fingerprint, at: in.Now})
-	s.broke[r.fingerprint] = append(recentBreaks(s.broke[r.fingerprint], in.Now), breakAt{upstream: r.at, at: in.Now})
+	l.brokenRequests = append(withoutOldRequests(l.brokenRequests, in.Now), brokenRequest{fingerprint: r.fingerprint, brokeAt: in.Now})
+	s.breaks[r.fingerprint] = append(withoutOldBreaks(s.breaks[r.fingerprint], in.Now), breakRecord{upstream: r.instance, brokeAt: in.Now})
 	return nil
 }
 
-// recent leaves out what broke too long ago.
-func recent(list []broken, now time.Time) []broken {
-	for len(list) > 0 && now.Sub(list[0].at) > downAfter {
+// withoutOldRequests drops the requests that broke too long ago.
+func withoutOldRequests(list []brokenRequest, now time.Time) []brokenRequest {
+	for len(list) > 0 && now.Sub(list[0].brokeAt) > crashWindow {
 		list = list[1:]
 	}
 	return list
 }
 
-// wentDown counts an upstream that is found to be down against the requests that broke there just before.
-func (s *State) wentDown(in step.Input, upstream catalog.Life) []step.Effect {
+// foundDown attributes the crash of an upstream that was found down to the requests that broke there shortly before.
+func (s *State) foundDown(in step.Input, upstream catalog.Life) []step.Effect {
 	l := s.load(upstream)
-	l.foundDown = in.Now
+	l.foundDownAt = in.Now
 	var effects []step.Effect
-	for _, b := range recent(l.broken, in.Now) {
-		effects = append(effects, s.crashed(in, b.fingerprint, upstream)...)
+	for _, b := range withoutOldRequests(l.brokenRequests, in.Now) {
+		effects = append(effects, s.recordCrash(in, b.fingerprint, upstream)...)
 	}
-	l.broken = nil
+	l.brokenRequests = nil
 	return effects
 }
 
-func (s *State) crashed(in step.Input, fingerprint uint64, upstream catalog.Life) []step.Effect {
-	if !s.Crashes.Crashed(in.Now, fingerprint, lifeKey(upstream), in.Now) {
+func (s *State) recordCrash(in step.Input, fingerprint uint64, upstream catalog.Life) []step.Effect {
+	if !s.Crashes.Crashed(in.Now, fingerprint, instanceKey(upstream), in.Now) {
 		return nil
 	}
 	suspected := Suspected{Fingerprint: fingerprint, Upstream: upstream.ID}
-	return append([]step.Effect{suspected}, s.stopCopies(in, fingerprint)...)
+	return append([]step.Effect{suspected}, s.stopQuarantined(in, fingerprint)...)
 }
 
-// forgetBreaks drops what is too old to count, and tells what could not be noted.
-func (s *State) forgetBreaks(now time.Time) []step.Effect {
+// expireCrashes drops crash records that are too old, and reports how many crashes could not be recorded.
+func (s *State) expireCrashes(now time.Time) []step.Effect {
 	s.Crashes.Expire(now)
-	for fingerprint, list := range s.broke {
-		if list = recentBreaks(list, now); len(list) > 0 {
-			s.broke[fingerprint] = list
+	for fingerprint, list := range s.breaks {
+		if list = withoutOldBreaks(list, now); len(list) > 0 {
+			s.breaks[fingerprint] = list
 		} else {
-			delete(s.broke, fingerprint)
+			delete(s.breaks, fingerprint)
 		}
 	}
 	if n := s.Crashes.TakeDropped(); n > 0 {
@@ -222,10 +224,10 @@
 	return nil
 }
 
-// empties tells whether an engine that held weights now holds none, as after a crash.
-func empties(before, now LoadTold) bool { return holds(before) && !holds(now) }
+// lostWeights reports whether an engine that held weights holds none now, as after a crash.
+func lostWeights(before, now LoadTold) bool { return holdsWeights(before) && !holdsWeights(now) }
 
-func holds(l LoadTold) bool {
+func holdsWeights(l LoadTold) bool {
 	for _, version := range l.Versions {
 		if version > 0 {
 			return true
--- a/internal/core/forward/ratelimit.go
+++ b/internal/core/forward/ratelimit.go
@@ -5,43 +5,45 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// noteLimit takes the limit that an upstream names, or ends the one that it named. Answers may overtake one another, and one that turns a
-// request away may lack the limit: only the answer to a request that ran and was sent after the limit was last heard tells that it has ended.
-func (s *State) noteLimit(in step.Input, p *pace, ev Noticed) {
+// noteRateLimit applies the rate limit that an upstream sets, or ends the limit that it set before. Answers may overtake each
+// other, and an answer that declines a request may lack the limit. A limit therefore ends only with the answer to a request that
+// ran and that was sent after the limit was last received.
+func (s *State) noteRateLimit(in step.Input, p *pacer, ev Noticed) {
 	switch {
 	case ev.Notice.Limited:
-		p.set(in.Now, ev.Notice.RateLimit, s.part(ev.Upstream), in.Rand)
-	case !ev.Notice.Garbled && ev.ran() && ev.Sent.After(p.heard):
-		p.lift()
+		p.setLimit(in.Now, ev.Notice.RateLimit, s.limitShare(ev.Upstream), in.Rand)
+	case !ev.Notice.Garbled && ev.ran() && ev.Sent.After(p.limitAt):
+		p.reset()
 	}
 }
 
-// nearPart is the part of an engine's limit that the entries of its data centre divide, which send it most of its work.
-const nearPart = 0.75
+// nearLimitShare is the share of an engine's limit for the entries of its data centre, which send it most of its requests.
+const nearLimitShare = 0.75
 
-// part is which part of an upstream's limit this entry may use, so that the parts of all entries are the whole. Only the agent beside an engine
-// tells how many entries are near it; an entry that it does not tell takes no more than it would if it were told.
-func (s *State) part(life catalog.Life) float64 {
-	entries := float64(s.entryPeak.value())
+// limitShare returns the share of an upstream's limit that this entry may use; the shares of all entries add up to 1. Only the
+// agent beside an engine reports how many entries are near it. An entry without a report from that agent takes no more than it
+// would with one.
+func (s *State) limitShare(life catalog.Life) float64 {
+	entries := float64(s.recentEntries.value())
 	if entries == 0 {
-		entries = assumedEntries
+		entries = defaultEntries
 	}
 	u := s.Catalog.Upstreams[life.ID]
 	if u == nil || u.Life() != life {
 		return 1 / entries
 	}
 	t := s.target(u)
-	near := float64(t.load.nearPeak.value())
-	if s.greeted != nil {
-		near /= s.nearShare
+	near := float64(t.load.nearEntries.value())
+	if s.heartbeatTargets != nil {
+		near /= s.nearFraction
 	}
 	switch {
-	case t.load.toldAt.IsZero() && t.engine != nil && t.distance > 0:
-		return (1 - nearPart) / entries
+	case t.load.reportedAt.IsZero() && t.engine != nil && t.distance > 0:
+		return (1 - nearLimitShare) / entries
 	case near == 0 || near >= entries:
 		return 1 / entries
 	case t.distance == 0:
-		return nearPart / near
+		return nearLimitShare / near
 	}
-	return (1 - nearPart) / (entries - near)
+	return (1 - nearLimitShare) / (entries - near)
 }
--- a/internal/core/forward/reduce.go
+++ b/internal/core/forward/reduce.go
@@ -10,20 +10,22 @@
 )
 
 const (
-	// defaultTimeout bounds a request whose caller and route say nothing.
-	defaultTimeout = 30 * time.Second
-	// maxSends bounds the sends of one request, those included that upstreams declined.
-	maxSends = 4
-	// firstEventPatience bounds the wait for the first event of a stream that may be sent again. It is three to four times the
-	// objective of the users' streams, and within the two seconds that their callers wait.
-	firstEventPatience = 1500 * time.Millisecond
-	// gapPatience bounds the pause within a stream that may go on elsewhere; three times the users' objective for pauses.
-	gapPatience = 1200 * time.Millisecond
-	// plainPatience is how many latency objectives a plain service has for a request that may be repeated.
-	plainPatience = 2
-	// leastTime is the least time left that is worth a send.
-	leastTime = 60 * time.Millisecond
-	// answerMargin is how long before a caller stops waiting it is answered: the way to it, some milliseconds, and what a busy entry takes.
+	// defaultRequestTimeout applies to a request for which neither its caller nor its route sets a timeout.
+	defaultRequestTimeout = 30 * time.Second
+	// maxAttempts limits the attempts of one request, including those that upstreams declined.
+	maxAttempts = 4
+	// firstEventTimeout is the timeout for the first event of a stream that may be retried. It is three to four times the objective
+	// of the users' streams, and less than the two seconds that their callers wait.
+	firstEventTimeout = 1500 * time.Millisecond
+	// gapTimeout is the timeout between two events of a stream that may be resumed at another upstream. It is three times the
+	// users' objective for gaps.
+	gapTimeout = 1200 * time.Millisecond
+	// plainTimeoutObjectives is the timeout of a plain service for a request that may be retried, in latency objectives.
+	plainTimeoutObjectives = 2
+	// minAttemptTime is the remaining time below which an attempt is not worthwhile.
+	minAttemptTime = 60 * time.Millisecond
+	// answerMargin is how long before a caller's own timeout it is answered. It covers the network, some milliseconds, and the
+	// delay of a busy entry.
 	answerMargin = 150 * time.Millisecond
 )
 
@@ -37,29 +39,29 @@
 	}
 	head := in.Now.Add(-ev.Reading)
 	r := &request{
-		id: ev.ID, host: ev.Host, path: ev.Path, key: ev.Key, fingerprint: ev.Fingerprint, prompt: ev.Prompt, tokens: ev.Prompt + ev.Answer, named: ev.Model,
-		arrived: head, heardAt: head, tried: map[catalog.Life]bool{},
+		id: ev.ID, host: ev.Host, path: ev.Path, key: ev.Key, fingerprint: ev.Fingerprint, prompt: ev.Prompt, tokens: ev.Prompt + ev.Answer, requestedModel: ev.Model,
+		arrived: head, progressAt: head, tried: map[catalog.Life]bool{},
 	}
-	if bar, barred := s.follow(in, r); barred {
-		return refuse(ev.ID, bar.code, bar.why, 0)
+	if reject, rejected := s.applyManifest(in, r); rejected {
+		return refuse(ev.ID, reject.code, reject.reason, 0)
 	}
 	if m.MaxBody > 0 && ev.Size > m.MaxBody {
 		return refuse(ev.ID, code.BodyTooLarge, fmt.Sprintf("%d bytes, at most %d", ev.Size, m.MaxBody), 0)
 	}
-	r.by = head.Add(timeFor(r.route, ev.Budget))
-	if !in.Now.Before(r.by) {
-		return refuse(ev.ID, code.Overloaded, fmt.Sprintf("its time was over when its body was here, after %v", ev.Reading), s.retryAfter(in))
+	r.deadline = head.Add(requestTimeout(r.route, ev.Budget))
+	if !in.Now.Before(r.deadline) {
+		return refuse(ev.ID, code.Overloaded, fmt.Sprintf("the deadline passed while its body was read, which took %v", ev.Reading), s.retryAfter(in))
 	}
-	r.back = s.limits.cameBack(in.Now, r, ev.Budget)
+	r.returning = s.callerTimeouts.returning(in.Now, r, ev.Budget)
 	s.requests[r.id] = r
-	s.budget(r.service).request(in.Now)
-	effects := []step.Effect{Admitted{ID: r.id, Route: r.route, By: r.by}}
-	return append(effects, s.place(in, r)...)
+	s.retryBudget(r.service).addRequest(in.Now)
+	effects := []step.Effect{Admitted{ID: r.id, Route: r.route, By: r.deadline}}
+	return append(effects, s.dispatch(in, r)...)
 }
 
-// timeFor returns how long a request may take: what its caller and its route allow.
-func timeFor(route *catalog.Route, budget time.Duration) time.Duration {
-	limit := defaultTimeout
+// requestTimeout returns the timeout of a request, as limited by its caller and its route.
+func requestTimeout(route *catalog.Route, budget time.Duration) time.Duration {
+	limit := defaultRequestTimeout
 	if route.Timeout > 0 {
 		limit = route.Timeout
 	}
@@ -69,46 +71,46 @@
 	return limit
 }
 
-// place sends a request to an upstream, lets it wait for room, or refuses it.
-func (s *State) place(in step.Input, r *request) []step.Effect {
-	if bar, barred := s.barred(in, r); barred {
-		return s.giveUpAs(in, r, bar)
+// dispatch sends a request to an upstream, queues it until there is capacity, or refuses it.
+func (s *State) dispatch(in step.Input, r *request) []step.Effect {
+	if reject, rejected := s.rejected(in, r); rejected {
+		return s.endRequest(in, r, reject)
 	}
 	u, found := s.pick(in, r)
-	if found == room && r.back && in.Now.Sub(s.waited[r.service]) < s.Self.Policy.KeepFree {
-		return s.giveUp(in, r, code.Overloaded, fmt.Sprintf("the free places of %s are kept for first tries", r.service))
+	if found == available && r.returning && in.Now.Sub(s.lastQueuedAt[r.service]) < s.Self.Policy.KeepFree {
+		return s.giveUp(in, r, code.Overloaded, fmt.Sprintf("the free capacity of %s is reserved for first tries", r.service))
 	}
 	switch found {
-	case room:
+	case available:
 		return s.send(in, r, u)
-	case full:
-		return s.wait(in, r)
+	case allFull:
+		return s.enqueue(in, r)
 	}
-	return s.giveUp(in, r, code.NoUpstream, fmt.Sprintf("no upstream of %s can take it: %s", r.service, s.census(in.Now, r)))
+	return s.giveUp(in, r, code.NoUpstream, fmt.Sprintf("no upstream of %s is usable: %s", r.service, s.describeUpstreams(in.Now, r)))
 }
 
 func (s *State) send(in step.Input, r *request, u *catalog.Upstream) []step.Effect {
-	r.sends++
-	r.at, r.sentAt = u.Life(), in.Now
-	r.tried[r.at] = true
-	s.load(r.at).inFlight++
-	s.load(r.at).allowance--
-	s.load(r.at).reading += r.prompt
-	s.load(r.at).tokens += r.tokens
-	s.load(r.at).pace.use()
-	s.load(r.at).cold.use()
-	s.load(r.at).backoff.use(in.Now)
-	r.reading, r.keptWaiting = true, false
-	r.blind = s.target(u).stranger()
-	if r.blind {
-		s.blindWaiting++
+	r.attempts++
+	r.instance, r.sentAt = u.Life(), in.Now
+	r.tried[r.instance] = true
+	s.load(r.instance).inFlight++
+	s.load(r.instance).remainingShare--
+	s.load(r.instance).pendingPromptTokens += r.prompt
+	s.load(r.instance).tokens += r.tokens
+	s.load(r.instance).limitPacer.used()
+	s.load(r.instance).coldPacer.used()
+	s.load(r.instance).backoff.attempted(in.Now)
+	r.awaitingFirstEvent, r.firstEventLate = true, false
+	r.unreported = s.target(u).unreported()
+	if r.unreported {
+		s.unreportedWaiting++
 	}
 	e := Send{
-		ID: r.id, Number: r.sends, Upstream: u, Homes: r.bound, Priority: r.route.Priority, By: r.by, Resume: r.partial, CameBack: r.back,
+		ID: r.id, Number: r.attempts, Upstream: u, Homes: r.homes, Priority: r.route.Priority, By: r.deadline, Resume: r.partial, CameBack: r.returning,
 	}
 	if required := s.requiredVersion(in.Now, r.model); required > 0 {
-		// An engine compares for equality; one that holds a newer version than required is as good.
-		if held := s.target(u).held(in.Now, r.model); held >= required {
+		// An engine compares versions for equality, so name the version that it holds, which may be newer than the required one.
+		if held := s.target(u).heldVersion(in.Now, r.model); held >= required {
 			e.Version = held
 		}
 	}
@@ -119,7 +121,7 @@
 			e.Priority = *r.account.Priority
 		}
 	}
-	e.Patience, e.GapPatience = r.patience(in.Now)
+	e.Patience, e.GapPatience = r.attemptTimeouts(in.Now)
 	return []step.Effect{e}
 }
 
@@ -128,70 +130,70 @@
 	if r == nil {
 		return nil
 	}
-	effects := s.learn(in, r, ev)
-	s.noteBlind(in.Now, r, ev.Outcome)
+	effects := s.trackCrashes(in, r, ev)
+	s.unreportedEnded(in.Now, r, ev.Outcome)
 	s.release(in, r, ev.Outcome)
 	if ev.Partial {
-		r.partial, r.heardAt = true, in.Now.Add(-ev.Quiet)
+		r.partial, r.progressAt = true, in.Now.Add(-ev.Quiet)
 	}
 	if ev.Outcome.ran() {
-		r.runs++
+		r.possibleRuns++
 	}
-	effects = append(effects, s.next(in, r, ev)...)
+	effects = append(effects, s.afterAttempt(in, r, ev)...)
 	return append(effects, s.serveQueue(in, r.service)...)
 }
 
-// began notes that the prompt of a request has been read.
-func (s *State) began(id uint64) {
-	if r := s.requests[id]; r != nil && r.reading {
-		r.reading = false
-		s.load(r.at).reading -= r.prompt
-		if r.blind {
-			s.blindWaiting--
+// markStarted records that the upstream has processed the prompt of a request.
+func (s *State) markStarted(id uint64) {
+	if r := s.requests[id]; r != nil && r.awaitingFirstEvent {
+		r.awaitingFirstEvent = false
+		s.load(r.instance).pendingPromptTokens -= r.prompt
+		if r.unreported {
+			s.unreportedWaiting--
 		}
 	}
 }
 
-// release takes a request off its upstream.
+// release frees the resources that a request takes at its upstream.
 func (s *State) release(in step.Input, r *request, o Outcome) {
-	if r.at == (catalog.Life{}) {
+	if r.instance == (catalog.Life{}) {
 		return
 	}
-	s.began(r.id)
-	l := s.load(r.at)
+	s.markStarted(r.id)
+	l := s.load(r.instance)
 	l.inFlight--
 	l.tokens -= r.tokens
-	l.allowance++
+	l.remainingShare++
 	if o != Misdirected || r.version == 0 {
-		l.note(in.Now, o) // Otherwise the engine is well, and only its version is another than was thought.
+		l.recordOutcome(in.Now, o) // Otherwise the engine is healthy, and only holds another version than this entry knew.
 	}
-	r.at = catalog.Life{}
+	r.instance = catalog.Life{}
 }
 
-func (s *State) next(in step.Input, r *request, ev SendEnded) []step.Effect {
+func (s *State) afterAttempt(in step.Input, r *request, ev SendEnded) []step.Effect {
 	if ev.Outcome == Answered {
 		delete(s.requests, r.id)
 		return nil
 	}
-	bar, barred := s.barred(in, r)
+	reject, rejected := s.rejected(in, r)
 	switch {
-	case !barred && s.maySendAgain(in, r, ev.Outcome):
-		return s.again(in, r, ev.Outcome)
+	case !rejected && s.mayRetry(in, r, ev.Outcome):
+		return s.retry(in, r, ev.Outcome)
 	case ev.Outcome == ServerFailed && !r.partial:
 		delete(s.requests, r.id)
 		return []step.Effect{Deliver{ID: r.id}}
-	case barred:
-		return s.giveUpAs(in, r, bar)
+	case rejected:
+		return s.endRequest(in, r, reject)
 	}
-	return s.giveUp(in, r, code.RetriesExhausted, fmt.Sprintf("send %d: %s", r.sends, ev.Outcome))
+	return s.giveUp(in, r, code.RetriesExhausted, fmt.Sprintf("attempt %d: %s", r.attempts, ev.Outcome))
 }
 
-// again sends a request once more, to an upstream with room. A request that has begun an answer does not wait.
-func (s *State) again(in step.Input, r *request, o Outcome) []step.Effect {
+// retry sends a request again, to an upstream with capacity. A request with a partial answer is not queued.
+func (s *State) retry(in step.Input, r *request, o Outcome) []step.Effect {
 	u, found := s.pick(in, r)
-	if found == room {
+	if found == available {
 		if o.sent() {
-			s.budget(r.service).repeat(in.Now) // A repeat that finds no room is none.
+			s.retryBudget(r.service).addRetry(in.Now) // A retry for which there is no capacity does not count.
 		}
 		return s.send(in, r, u)
 	}
@@ -199,18 +201,18 @@
 		delete(s.requests, r.id)
 		return []step.Effect{Deliver{ID: r.id}}
 	}
-	return s.giveUp(in, r, code.Overloaded, fmt.Sprintf("send %d: %s, and no other upstream of %s has room", r.sends, o, r.service))
+	return s.giveUp(in, r, code.Overloaded, fmt.Sprintf("attempt %d: %s; no other upstream of %s has capacity", r.attempts, o, r.service))
 }
 
-// maySendAgain tells whether the kind of the request, its limits and the fleet's budget allow one more send.
-func (s *State) maySendAgain(in step.Input, r *request, o Outcome) bool {
-	if r.runs > 0 && !r.route.Repeatable() {
+// mayRetry reports whether the kind of the request, its limits and the fleet's retry budget allow one more attempt.
+func (s *State) mayRetry(in step.Input, r *request, o Outcome) bool {
+	if r.possibleRuns > 0 && !r.route.Repeatable() {
 		return false
 	}
-	if r.runs >= r.route.MaxUpstreams || r.sends >= maxSends || r.by.Sub(in.Now) < leastTime {
+	if r.possibleRuns >= r.route.MaxUpstreams || r.attempts >= maxAttempts || r.deadline.Sub(in.Now) < minAttemptTime {
 		return false
 	}
-	return !o.sent() || s.budget(r.service).allows(in.Now, s.Self.Retries, s.entryPeak.value())
+	return !o.sent() || s.retryBudget(r.service).allows(in.Now, s.Self.Retries, s.recentEntries.value())
 }
 
 func (s *State) timedOut(in step.Input, ev TimedOut) []step.Effect {
@@ -219,35 +221,36 @@
 		return nil
 	}
 	r.partial = r.partial || ev.Partial
-	if r.at != (catalog.Life{}) && !ev.Unsent {
-		r.runs++ // It was with an upstream, which may have run it.
+	if r.instance != (catalog.Life{}) && !ev.Unsent {
+		r.possibleRuns++ // The upstream that it was with may have run it.
 	}
 	s.release(in, r, Withdrawn)
-	effects := s.giveUp(in, r, code.DeadlinePassed, fmt.Sprintf("no answer in %v", r.by.Sub(r.arrived)))
+	effects := s.giveUp(in, r, code.DeadlinePassed, fmt.Sprintf("no answer within %v", r.deadline.Sub(r.arrived)))
 	return append(effects, s.serveQueue(in, r.service)...)
 }
 
-// giveUp ends a request, whose caller may come back; see giveUpAs.
+// giveUp ends a request and lets its caller retry later; see endRequest.
 func (s *State) giveUp(in step.Input, r *request, c code.Code, why string) []step.Effect {
-	return s.giveUpAs(in, r, bar{code: c, why: why, after: s.awayFor(in, r)})
+	return s.endRequest(in, r, rejection{code: c, reason: why, retryAfter: s.retryAfterFor(in, r)})
 }
 
-// giveUpAs ends a request. What it says of the run decides the code: only a request that did not run is refused.
-func (s *State) giveUpAs(in step.Input, r *request, b bar) []step.Effect {
+// endRequest ends a request. The code depends on whether it may have run: a refusal that invites a retry is only for a request that
+// did not run.
+func (s *State) endRequest(in step.Input, r *request, b rejection) []step.Effect {
 	delete(s.requests, r.id)
 	if r.partial {
-		return []step.Effect{Abort{ID: r.id, Why: b.why}}
+		return []step.Effect{Abort{ID: r.id, Why: b.reason}}
 	}
-	if r.runs > 0 {
+	if r.possibleRuns > 0 {
 		if b.code != code.DeadlinePassed {
 			b.code = code.RetriesExhausted
 		}
-		return []step.Effect{Refuse{ID: r.id, Code: b.code, Ran: code.Unknown, Why: b.why, CameBack: r.back}}
+		return []step.Effect{Refuse{ID: r.id, Code: b.code, Ran: code.Unknown, Why: b.reason, CameBack: r.returning}}
 	}
 	if b.code == code.RetriesExhausted || b.code == code.DeadlinePassed {
 		b.code = code.Overloaded
 	}
-	return []step.Effect{Refuse{ID: r.id, Code: b.code, Ran: code.NotRun, Why: b.why, RetryAfter: b.after, CameBack: r.back}}
+	return []step.Effect{Refuse{ID: r.id, Code: b.code, Ran: code.NotRun, Why: b.reason, RetryAfter: b.retryAfter, CameBack: r.returning}}
 }
 
 func (s *State) callerGone(in step.Input, id uint64) []step.Effect {
--- /dev/null
+++ b/internal/core/forward/rejection.go
@@ -0,0 +1,83 @@
+package forward
+
+import (
+	"fmt"
+	"time"
+
+	"samphireweir.example/samphireweir/internal/code"
+	"samphireweir.example/samphireweir/internal/core/catalog"
+	"samphireweir.example/samphireweir/internal/core/residency"
+	"samphireweir.example/samphireweir/internal/core/step"
+)
+
+// rejection is the reason why a request must not be sent.
+type rejection struct {
+	code   code.Code
+	reason string
+	// retryAfter is the delay after which the caller may retry; 0 if a retry is of no use.
+	retryAfter time.Duration
+}
+
+// rejected reports whether a request must not be sent, or not be sent again, and why. It is checked before each attempt: a request
+// may wait for capacity and take several attempts, so the result of an earlier check may be seconds old.
+func (s *State) rejected(in step.Input, r *request) (rejection, bool) {
+	if b, rejected := s.applyManifest(in, r); rejected {
+		return b, true
+	}
+	return s.quarantined(in, r)
+}
+
+// applyManifest looks up a request's route, account and service in the newest manifest. If the operator removed one of them, or
+// made the route non-repeatable, while the request was queued or in flight, that applies to its further attempts.
+func (s *State) applyManifest(in step.Input, r *request) (rejection, bool) {
+	m := s.Catalog.Manifest
+	if r.manifest == m {
+		return rejection{}, false
+	}
+	route := m.Route(r.host, r.path)
+	if route == nil {
+		return rejection{code: code.NoSuchRoute, reason: fmt.Sprintf("no route for %s%s in manifest %d", r.host, r.path, m.Version)}, true
+	}
+	account := m.Account(r.key)
+	if account == nil && m.HasAccounts && !route.Anonymous {
+		return rejection{code: code.UnknownKey, reason: fmt.Sprintf("the key belongs to no client account in manifest %d", m.Version)}, true
+	}
+	if r.possibleRuns > 0 && accountName(account) != accountName(r.account) {
+		return rejection{code: code.UnknownKey, reason: fmt.Sprintf("the key belongs to another client account in manifest %d", m.Version)}, true
+	}
+	bound := residency.Of(route.Homes, accountHomes(account))
+	if bound.Nowhere() {
+		return rejection{code: code.NoCommonHome, reason: fmt.Sprintf("route and client account have no home in common (%s) in manifest %d", bound, m.Version)}, true
+	}
+	r.manifest, r.route, r.account, r.homes = m, route, account, bound
+	if !r.partial && !route.Serves(r.service) { // Only the service that began an answer can resume it.
+		r.service = route.Pick(in.Rand)
+	}
+	r.model = s.modelFor(r)
+	return rejection{}, false
+}
+
+// modelFor returns the model that a request is for: the one that its caller named, or else the only model of its service's engines.
+func (s *State) modelFor(r *request) string {
+	service := r.manifest.Services[r.service]
+	if r.requestedModel != "" || service == nil || service.Engine == nil || len(service.Engine.Models) != 1 {
+		return r.requestedModel
+	}
+	return service.Engine.Models[0]
+}
+
+// accountHomes returns the homes of a client account, or nil for a caller without an account.
+func accountHomes(a *catalog.Account) residency.Regions {
+	if a == nil {
+		return nil
+	}
+	return a.Homes
+}
+
+// accountName returns the name of a client account, or "" for a caller without an account.
+func accountName(a *catalog.Account) string {
+	if a == nil {
+		return ""
+	}
+	return a.Name
+}
--- /dev/null
+++ b/internal/core/forward/retry_after.go
@@ -0,0 +1,82 @@
+package forward
+
+import (
+	"time"
+
+	"samphireweir.example/samphireweir/internal/core/step"
+)
+
+const (
+	// retryAfterMin and retryAfterSpread set the Retry-After delay of a refused caller, drawn from retryAfterMin up to
+	// retryAfterMin + retryAfterSpread. That is one to two times as long as a loaded engine takes for an answer. Callers wait for
+	// at most a third of their remaining time, which is two seconds for the users' streams.
+	retryAfterMin    = 950 * time.Millisecond
+	retryAfterSpread = 900 * time.Millisecond
+	// retryAfterMinOutage replaces retryAfterMin while most upstreams of a service are unusable, for example after engines lost
+	// their weights. Recovery takes seconds, and a caller that returns sooner is refused again. It equals the longest time that
+	// callers of the users' streams wait.
+	retryAfterMinOutage = 2 * time.Second
+)
+
+// retryAfter returns a randomized Retry-After delay, so that refused callers do not return at the same moment.
+func (s *State) retryAfter(in step.Input) time.Duration {
+	return retryAfterMin + time.Duration(in.Rand%uint64(retryAfterSpread))
+}
+
+// retryAfterFor returns the Retry-After delay for a request whose service has no capacity for it.
+func (s *State) retryAfterFor(in step.Input, r *request) time.Duration {
+	after := s.retryAfter(in)
+	if s.outage(in.Now, r) {
+		after += retryAfterMinOutage - retryAfterMin
+	}
+	return max(after, s.shortestBackoff(in.Now, r)+after-retryAfterMin)
+}
+
+// shortestBackoff returns the time until the first upstream of a request's service accepts requests again, provided that every
+// active upstream has requested a backoff. It returns 0 if one has not: that one is usable sooner, or at an unknown time.
+func (s *State) shortestBackoff(now time.Time, r *request) time.Duration {
+	var left time.Duration
+	for _, t := range s.targetsFor(now, r) {
+		if t.inactive(now) {
+			continue
+		}
+		b := &t.load.backoff
+		if !b.active(now) {
+			return 0
+		}
+		if left == 0 || b.remaining(now) < left {
+			left = b.remaining(now)
+		}
+	}
+	return left
+}
+
+// outage reports whether fewer than half of the upstreams of a request's service are usable, whether they are full or not. If at
+// least minReports engines have a load report, only these count, since nothing is known of the others.
+func (s *State) outage(now time.Time, r *request) bool {
+	var all, reported usableCount
+	required := s.requiredVersion(now, r.model)
+	for _, t := range s.targetsFor(now, r) {
+		usable := t.usable(now, r, required) || r.tried[t.Life()] && !now.Before(t.load.avoidUntil)
+		all.add(usable)
+		if t.load.hasReport(now) {
+			reported.add(usable)
+		}
+	}
+	if reported.total >= minReports {
+		return reported.mostlyDown()
+	}
+	return all.mostlyDown()
+}
+
+// usableCount counts upstreams, and how many of them are usable.
+type usableCount struct{ total, usable int }
+
+func (c *usableCount) add(usable bool) {
+	c.total++
+	if usable {
+		c.usable++
+	}
+}
+
+func (c *usableCount) mostlyDown() bool { return 2*c.usable < c.total }
--- /dev/null
+++ b/internal/core/forward/retry_budget.go
@@ -0,0 +1,72 @@
+package forward
+
+import (
+	"time"
+
+	"samphireweir.example/samphireweir/internal/hostconfig"
+)
+
+const (
+	// bucketDuration is the time that one bucket of a retry budget covers; the window of the budget is divided into buckets.
+	bucketDuration = time.Second
+	// budgetSafetyFactor is the part of the allowed retries that entries use. The margin covers the error of up to one bucket at
+	// the edges of the window.
+	budgetSafetyFactor = 0.7
+	// defaultEntries is the assumed number of entries that share the budget until an agent has reported a count.
+	defaultEntries = 8
+)
+
+// retryBudget counts the requests for a service and this entry's retries of them within the window.
+type retryBudget struct {
+	buckets []bucket
+}
+
+type bucket struct {
+	start    time.Time
+	requests int
+	retries  int
+}
+
+func (s *State) retryBudget(service string) *retryBudget {
+	b := s.retryBudgets[service]
+	if b == nil {
+		b = &retryBudget{}
+		s.retryBudgets[service] = b
+	}
+	return b
+}
+
+func (b *retryBudget) current(now time.Time) *bucket {
+	if n := len(b.buckets); n > 0 && now.Sub(b.buckets[n-1].start) < bucketDuration {
+		return &b.buckets[n-1]
+	}
+	b.buckets = append(b.buckets, bucket{start: now})
+	return &b.buckets[len(b.buckets)-1]
+}
+
+func (b *retryBudget) addRequest(now time.Time) { b.current(now).requests++ }
+
+func (b *retryBudget) addRetry(now time.Time) { b.current(now).retries++ }
+
+// allows reports whether one more retry is within this entry's share of the budget.
+func (b *retryBudget) allows(now time.Time, r hostconfig.Retries, entries int) bool {
+	if entries <= 0 {
+		entries = defaultEntries
+	}
+	requests, retries := b.sums(now, r.Window+bucketDuration)
+	allowed := budgetSafetyFactor * (r.Ratio*float64(requests) + r.Extra/float64(entries))
+	return float64(retries+1) <= allowed
+}
+
+func (b *retryBudget) sums(now time.Time, window time.Duration) (requests, retries int) {
+	oldest := 0
+	for oldest < len(b.buckets) && now.Sub(b.buckets[oldest].start) > window {
+		oldest++
+	}
+	b.buckets = b.buckets[oldest:]
+	for _, counts := range b.buckets {
+		requests += counts.requests
+		retries += counts.retries
+	}
+	return requests, retries
+}
--- a/internal/core/forward/target.go
+++ b/internal/core/forward/target.go
@@ -9,49 +9,50 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// target is an upstream as this entry sees it.
+// target is an upstream from this entry's point of view.
 type target struct {
 	*catalog.Upstream
 	load *load
-	// engine is what the manifest says of it; nil for an upstream of a plain service.
+	// engine is what the manifest declares for the engine; nil for an upstream of a plain service.
 	engine *catalog.Engine
-	// region is the one that its data centre is in, empty for a data centre that the settings do not name.
+	// region is the region of its data centre; empty if the settings don't name the data centre.
 	region string
-	// coldRate is what its service says; see catalog.Service.
+	// coldRate is the service's cold rate in requests per second; see catalog.Service.
 	coldRate float64
 	// distance is 0 in this data centre, 1 in this region, 2 elsewhere.
 	distance int
-	// unasked is set when its agent is not asked for its load, because the entry greets too many others.
-	unasked bool
-	// superseded is set when another upstream has its address by now.
+	// noHeartbeat is set if this entry sends its agent no heartbeats, and so gets no load reports, because there are too many
+	// agents.
+	noHeartbeat bool
+	// superseded is set if another upstream has its address now.
 	superseded bool
 	// evacuated is set while the operator evacuates its data centre.
 	evacuated bool
-	// sharers is how many entries may give it work, as far as agents have counted them.
-	sharers int
-	// readAhead is the policy's; see Policy.
-	readAhead time.Duration
-	// hash is the upstream's, for an order that differs from request to request.
+	// entries is how many entries may send it requests, as estimated from load reports.
+	entries int
+	// prefillAhead is Policy.ReadAhead.
+	prefillAhead time.Duration
+	// hash is the upstream's hash, which yields an order that differs between requests.
 	hash uint64
 }
 
-// targets are the upstreams by service, derived from the catalog, the manifest and the greeting. They are made anew when one of these
-// changes: each request looks at all upstreams of its service.
+// targets caches the upstreams by service. They are derived from the catalog, the manifest and the heartbeat targets, and rebuilt
+// when one of these changes: each request examines all upstreams of its service.
 type targets struct {
-	byService map[string][]*target
-	changes   uint64
-	manifest  *catalog.Manifest
-	entries   int
+	byService        map[string][]*target
+	changes          uint64
+	manifest         *catalog.Manifest
+	estimatedEntries int
 }
 
 // targetsOf returns the upstreams of a service, the nearest first.
 func (s *State) targetsOf(now time.Time, service string) []*target {
 	t := &s.targets
-	if t.byService == nil || t.changes != s.Catalog.Changes || t.manifest != s.Catalog.Manifest || t.entries != s.entries {
-		*t = targets{byService: map[string][]*target{}, changes: s.Catalog.Changes, manifest: s.Catalog.Manifest, entries: s.entries}
+	if t.byService == nil || t.changes != s.Catalog.Changes || t.manifest != s.Catalog.Manifest || t.estimatedEntries != s.estimatedEntries {
+		*t = targets{byService: map[string][]*target{}, changes: s.Catalog.Changes, manifest: s.Catalog.Manifest, estimatedEntries: s.estimatedEntries}
 		for _, u := range s.Catalog.Upstreams {
 			made := s.target(u)
-			s.paceCold(now, made)
+			s.setColdPacer(now, made)
 			t.byService[u.Service] = append(t.byService[u.Service], made)
 		}
 		for _, list := range t.byService {
@@ -61,36 +62,37 @@
 	return t.byService[service]
 }
 
-// targetsFor returns the upstreams of a request's service in the regions in which the request may be, the nearest first. Every search for an upstream starts here.
+// targetsFor returns the upstreams of a request's service in the regions in which the request may be, the nearest first. Every
+// search for an upstream must use it.
 func (s *State) targetsFor(now time.Time, r *request) []*target {
 	all := s.targetsOf(now, r.service)
-	if r.bound.Free() {
+	if r.homes.Free() {
 		return all
 	}
 	var allowed []*target
 	for _, t := range all {
-		if r.bound.Allows(t.region) {
+		if r.homes.Allows(t.region) {
 			allowed = append(allowed, t)
 		}
 	}
 	return allowed
 }
 
-// target returns an upstream with what is derived of it.
+// target returns an upstream with the values derived from it.
 func (s *State) target(u *catalog.Upstream) *target {
-	t := &target{Upstream: u, load: s.load(u.Life()), distance: s.distance(u), readAhead: s.Self.Policy.ReadAhead, hash: step.Score(u.ID, "")}
+	t := &target{Upstream: u, load: s.load(u.Life()), distance: s.distance(u), prefillAhead: s.Self.Policy.ReadAhead, hash: step.Score(u.ID, "")}
 	t.region = s.Self.Regions[u.DataCentre]
-	t.sharers = s.entries
+	t.entries = s.estimatedEntries
 	if service := s.service(u); service != nil {
 		t.engine, t.coldRate = service.Engine, service.ColdRate
 	}
 	t.superseded = s.Catalog.Superseded(u)
 	t.evacuated = s.Catalog.Evacuated(u.DataCentre)
-	t.unasked = s.greeted != nil && !s.greeted[u.ID] && t.engine != nil
+	t.noHeartbeat = s.heartbeatTargets != nil && !s.heartbeatTargets[u.ID] && t.engine != nil
 	return t
 }
 
-// service returns what the manifest says of an upstream's service; nil when it says nothing.
+// service returns what the manifest declares for an upstream's service, or nil.
 func (s *State) service(u *catalog.Upstream) *catalog.Service {
 	if s.Catalog.Manifest == nil {
 		return nil
@@ -109,53 +111,54 @@
 	return 2
 }
 
-// stranger tells whether nobody tells this entry of the engine's load.
-func (t *target) stranger() bool { return t.unasked && t.load.toldAt.IsZero() }
+// unreported reports whether this entry has never received a load report for the engine, and sends its agent no heartbeats.
+func (t *target) unreported() bool { return t.noHeartbeat && t.load.reportedAt.IsZero() }
 
-// leaving tells whether the upstream shuts down, as the store says or it says itself, whichever comes first. One that does not say when it
-// started may be another life under the same id after a while, and is tried again.
+// leaving reports whether the upstream is shutting down, according to the store or to itself, whichever says so first. An upstream
+// without a start time may be a new instance under the same ID after a while, so it is tried again.
 func (t *target) leaving(now time.Time) bool {
 	if t.Draining {
 		return true
 	}
-	said := !t.load.leftAt.IsZero()
-	return said && (t.Born > 0 || now.Sub(t.load.leftAt) < wordKept)
+	said := !t.load.leavingAt.IsZero()
+	return said && (t.Born > 0 || now.Sub(t.load.leavingAt) < stateLifetime)
 }
 
-// closed tells whether the upstream gets no new work until further notice.
-func (t *target) closed(now time.Time) bool { return t.evacuated || t.superseded || t.leaving(now) }
+// inactive reports whether the upstream gets no new requests until further notice.
+func (t *target) inactive(now time.Time) bool { return t.evacuated || t.superseded || t.leaving(now) }
 
-// usable tells whether the upstream could take a request, room or no; required is the version that the request must begin on.
+// usable reports whether the upstream could accept a request, disregarding its free capacity. The request must start on the
+// required version or a newer one.
 func (t *target) usable(now time.Time, r *request, required int64) bool {
-	if t.closed(now) || now.Before(t.load.avoid) || !t.load.backoff.allows(now) || len(r.tried) > 0 && r.tried[t.Life()] {
+	if t.inactive(now) || now.Before(t.load.avoidUntil) || !t.load.backoff.allows(now) || len(r.tried) > 0 && r.tried[t.Life()] {
 		return false
 	}
 	if r.model == "" {
 		return true
 	}
-	if !t.holds(r.tokens) {
+	if !t.fitsMemory(r.tokens) {
 		return false
 	}
-	held := t.held(now, r.model)
-	return !t.load.closing(now) && held > 0 && held >= required
+	held := t.heldVersion(now, r.model)
+	return !t.load.notAccepting(now) && held > 0 && held >= required
 }
 
-// loading tells whether an engine takes nothing now and will in a moment: it loads its weights in some 0.4 s. When no other can be used
-// it is worth the wait for room.
-func (t *target) loading(now time.Time, r *request) bool {
-	return r.model != "" && !t.closed(now) && t.load.closing(now)
+// reloading reports whether an engine does not accept requests now but soon will: loading weights takes about 0.4 s. If no other
+// engine can be used, it is worth waiting for.
+func (t *target) reloading(now time.Time, r *request) bool {
+	return r.model != "" && !t.inactive(now) && t.load.notAccepting(now)
 }
 
-// backSoon tells whether an upstream that this entry stays away from takes requests again within a time.
-func (t *target) backSoon(now time.Time, within time.Duration) bool {
+// backoffEndsWithin reports whether an upstream in backoff accepts requests again within a duration.
+func (t *target) backoffEndsWithin(now time.Time, within time.Duration) bool {
 	b := &t.load.backoff
-	return !t.closed(now) && !b.allows(now) && b.left(now) <= within
+	return !t.inactive(now) && !b.allows(now) && b.remaining(now) <= within
 }
 
-// held is the version of a model that an engine holds; its agent knows it sooner than the store.
-func (t *target) held(now time.Time, model string) int64 {
-	if t.load.heard(now) {
-		return t.load.told.Versions[model]
+// heldVersion returns the version of a model that an engine holds. Its agent knows it sooner than the store.
+func (t *target) heldVersion(now time.Time, model string) int64 {
+	if t.load.hasReport(now) {
+		return t.load.report.Versions[model]
 	}
 	return t.Versions[model]
 }
--- /dev/null
+++ b/internal/core/forward/timeouts.go
@@ -0,0 +1,38 @@
+package forward
+
+import (
+	"time"
+
+	"samphireweir.example/samphireweir/internal/core/catalog"
+)
+
+// attemptTimeouts returns the timeouts of an attempt: for the first event or answer, and for the gap between two events; 0 means
+// the request's deadline. While another upstream may still be tried, the timeouts leave enough time for it. On the last attempt the
+// upstream has until the caller would leave, since a later answer reaches nobody. Without that limit, callers of a data centre
+// whose engines hung left after 2.4 s without an answer.
+func (r *request) attemptTimeouts(now time.Time) (first, gap time.Duration) {
+	if r.route.Repeatable() && r.possibleRuns+1 < r.route.MaxUpstreams {
+		first, gap = defaultFirstEventTimeout(r.route), gapTimeout
+	}
+	if r.route.CallerPatience <= 0 {
+		return first, gap
+	}
+	callerTimeout := r.route.CallerPatience - answerMargin
+	remaining := max(minAttemptTime, r.progressAt.Add(callerTimeout).Sub(now))
+	return minTimeout(first, remaining), minTimeout(gap, callerTimeout)
+}
+
+func defaultFirstEventTimeout(route *catalog.Route) time.Duration {
+	if route.Kind == catalog.Streaming {
+		return firstEventTimeout
+	}
+	return plainTimeoutObjectives * route.Objective
+}
+
+// minTimeout returns the shorter of a timeout, where 0 means none, and a duration.
+func minTimeout(timeout, d time.Duration) time.Duration {
+	if timeout == 0 {
+		return d
+	}
+	return min(timeout, d)
+}
--- a/internal/core/forward/version.go
+++ b/internal/core/forward/version.go
@@ -8,41 +8,41 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// withdrawMargin is how long before the end of a version's time entries take back what engines with that version have not begun. It covers
-// what passes until the engine hears of it: a naming is heard up to 0.5 s after its confirmation, when another came just before, a tick
-// is 20 ms, and the way to an engine some milliseconds. Sends of the last VersionMargin insist on the new version, so that what is taken back
-// has had 0.7 s at least.
+// withdrawMargin is how long before a version expires entries withdraw the requests that engines with that version have not
+// started. It covers the delay until the engine is told: an activation is received up to 0.5 s after its confirmation if another
+// one came just before, a tick is 20 ms, and the network takes some milliseconds. Attempts within the last VersionMargin require
+// the new version, so a request that is withdrawn has been with its engine for at least 0.7 s.
 const withdrawMargin = 600 * time.Millisecond
 
-// Withdraw has the shell take a request back from its upstream, which has not begun it: the send ends as Withdrawn. It comes with each tick
-// until then.
+// Withdraw has the shell withdraw a request that its upstream has not started; the attempt ends as Withdrawn. The effect is
+// repeated with each tick until then.
 type Withdraw struct {
 	ID uint64
-	// Number is the send's; see Send.
+	// Number is the number of the attempt; see Send.
 	Number int
 }
 
 // Effect marks the type as an effect.
 func (Withdraw) Effect() {}
 
-// BegunLate tells the shell that an upstream began a request on a version of weights whose time was over.
+// BegunLate tells the shell that an upstream started a request on a version of weights that had expired.
 type BegunLate struct {
 	ID       uint64
 	Upstream string
-	// Version is the one on which the request began, and Successor the one whose naming ended its time.
+	// Version is the version on which the request started, and Successor the one whose activation made it expire.
 	Version   int64
 	Successor int64
-	// Late is how long after that time it began, and Waited how long it had been with the upstream.
+	// Late is how long after the expiry it started, and Waited how long it had been with the upstream.
 	Late   time.Duration
 	Waited time.Duration
-	// Insisted is the version that the send insisted on; 0 for none.
+	// Insisted is the version that the attempt required; 0 for none.
 	Insisted int64
 }
 
 // Effect marks the type as an effect.
 func (BegunLate) Effect() {}
 
-// requiredVersion is the version that a request for a model must begin on from now on; 0 for any.
+// requiredVersion returns the oldest version on which a request for a model may start from now on; 0 for any.
 func (s *State) requiredVersion(now time.Time, model string) int64 {
 	if s.Self.VersionTime <= 0 {
 		return 0
@@ -50,25 +50,26 @@
 	return s.Catalog.RequiredVersion(model, now, s.Self.VersionTime-catalog.VersionMargin)
 }
 
-// lastVersion is the version that a request must begin on when nothing newer has room: it may go to an engine whose version is about to end as long
-// as that is likely to begin it before requests are taken back.
-func (s *State) lastVersion(now time.Time, r *request) int64 {
+// minVersionIfFull returns the oldest version on which a request may start if no engine with a newer one has capacity. The request
+// may go to an engine whose version is about to expire, as long as the engine is likely to start it before such requests are
+// withdrawn.
+func (s *State) minVersionIfFull(now time.Time, r *request) int64 {
 	if s.Self.VersionTime <= 0 {
 		return 0
 	}
 	if !r.route.Repeatable() {
-		return s.requiredVersion(now, r.model) // Taken back, it could not go anywhere else.
+		return s.requiredVersion(now, r.model) // Once withdrawn, the request could not go to another engine.
 	}
 	margin := withdrawMargin + time.Duration(s.Self.Policy.BeginShare*float64(r.route.Objective))
 	return s.Catalog.RequiredVersion(r.model, now, s.Self.VersionTime-min(margin, catalog.VersionMargin))
 }
 
-// hasBegun takes the first event of an answer.
-func (s *State) hasBegun(in step.Input, ev Began) []step.Effect {
-	s.began(ev.ID)
+// started handles the first event of an answer.
+func (s *State) started(in step.Input, ev Began) []step.Effect {
+	s.markStarted(ev.ID)
 	r := s.requests[ev.ID]
 	if r != nil {
-		s.blindBegan(in.Now, r)
+		s.unreportedStarted(in.Now, r)
 	}
 	if r == nil || r.model == "" || ev.Version == 0 || s.Self.VersionTime <= 0 {
 		return nil
@@ -79,33 +80,33 @@
 		return nil
 	}
 	return []step.Effect{BegunLate{
-		ID: r.id, Upstream: r.at.ID, Version: ev.Version, Successor: successor.Version, Late: late, Waited: in.Now.Sub(r.sentAt),
+		ID: r.id, Upstream: r.instance.ID, Version: ev.Version, Successor: successor.Version, Late: late, Waited: in.Now.Sub(r.sentAt),
 		Insisted: r.version,
 	}}
 }
 
-// withdrawUnbegun takes back the requests that their upstreams have not begun and must not begin any more: those that are held back, and those
-// whose engines hold a version that is about to be out of use. An engine begins
-// a request when it comes to it, which may be long after the send when it is full or slow: comparing versions at the send alone had
-// requests begin up to 173 ms after the time, at 1.1 times the engines' capacity.
-func (s *State) withdrawUnbegun(in step.Input) []step.Effect {
+// withdrawUnstarted withdraws the requests that their upstreams have not started and must not start any more: quarantined requests,
+// and those at engines whose version is about to expire. An engine starts a request when its turn comes, which may be long after
+// the attempt was sent if the engine is full or slow. When versions were compared only at that time, requests started up to 173 ms
+// late at 1.1 times the engines' capacity.
+func (s *State) withdrawUnstarted(in step.Input) []step.Effect {
 	var ids []uint64
 	for id, r := range s.requests {
-		if r.reading && (s.outdated(in.Now, r) || s.Crashes.Held(in.Now, r.fingerprint) > 0) {
+		if r.awaitingFirstEvent && (s.mayStartExpired(in.Now, r) || s.Crashes.Held(in.Now, r.fingerprint) > 0) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	var effects []step.Effect
 	for _, id := range ids {
-		effects = append(effects, Withdraw{ID: id, Number: s.requests[id].sends})
+		effects = append(effects, Withdraw{ID: id, Number: s.requests[id].attempts})
 	}
 	return effects
 }
 
-// outdated tells whether the engine that a request is with may begin it on a version whose time is over by then. An engine that took it
-// with a required version holds that one at least.
-func (s *State) outdated(now time.Time, r *request) bool {
+// mayStartExpired reports whether the engine that a request is with may start it on a version that has expired by then. An engine
+// that accepted the request with a required version holds at least that version.
+func (s *State) mayStartExpired(now time.Time, r *request) bool {
 	if s.Self.VersionTime <= 0 || r.model == "" {
 		return false
 	}
@@ -113,6 +114,6 @@
 	if required == 0 || r.version >= required {
 		return false
 	}
-	u := s.Catalog.Upstreams[r.at.ID]
-	return u == nil || u.Life() != r.at || s.target(u).held(now, r.model) < required
+	u := s.Catalog.Upstreams[r.instance.ID]
+	return u == nil || u.Life() != r.instance || s.target(u).heldVersion(now, r.model) < required
 }
