--- a/internal/core/forward/cold.go
+++ b/internal/core/forward/cold.go
@@ -48,8 +48,8 @@
 }
 
 // setColdPacerOf calls setColdPacer for an upstream's instance if it is still the current one.
-func (s *State) setColdPacerOf(now time.Time, life catalog.Life) {
-	if u := s.Catalog.Upstreams[life.ID]; u != nil && u.Life() == life {
+func (s *State) setColdPacerOf(now time.Time, instance catalog.Life) {
+	if u := s.Catalog.Upstreams[instance.ID]; u != nil && u.Life() == instance {
 		s.setColdPacer(now, s.target(u))
 	}
 }
--- a/internal/core/forward/crash_simulation_test.go
+++ b/internal/core/forward/crash_simulation_test.go
@@ -47,10 +47,10 @@
 	engines map[string]*crashEngine
 	names   []string
 	nextID  uint64
-	// crashTimes are the times of the engines' crashes. lateSends are the times of the copies sent by entries that had run for at
+	// crashTimes are the times of the engines' crashes. countedSends are the times of the copies sent by entries that had run for at
 	// least quarantineDelay or from the beginning.
-	crashTimes []time.Duration
-	lateSends  []time.Duration
+	crashTimes   []time.Duration
+	countedSends []time.Duration
 	// singleTry is set if an entry's callers do not send another copy after one has ended.
 	singleTry bool
 }
@@ -71,7 +71,7 @@
 	crashes   *quarantine.Table
 }
 
-func newCrashes(t *testing.T, seed uint64, entries, engines int) *crashSimulation {
+func newCrashSimulation(t *testing.T, seed uint64, entries, engines int) *crashSimulation {
 	c := &crashSimulation{t: t, rng: rand.New(rand.NewPCG(seed, seed)), engines: map[string]*crashEngine{}}
 	for i := range engines {
 		name := fmt.Sprintf("m%d", i)
@@ -184,7 +184,7 @@
 			c.sendHeartbeats(e)
 		case forward.Send:
 			if c.now-e.started >= quarantineDelay || e.started == 0 {
-				c.lateSends = append(c.lateSends, c.now)
+				c.countedSends = append(c.countedSends, c.now)
 			}
 			c.deliver(func() { c.runCopy(e, effect) })
 		case forward.Refuse, forward.Abort:
@@ -260,7 +260,7 @@
 	require.GreaterOrEqual(c.t, len(c.crashTimes), quarantine.CrashesToHold, name)
 	require.LessOrEqual(c.t, len(c.crashTimes), quarantine.CrashesToHold*len(c.entries), name)
 	third := c.crashTimes[quarantine.CrashesToHold-1]
-	for _, at := range c.lateSends {
+	for _, at := range c.countedSends {
 		require.LessOrEqual(c.t, at, third+quarantineDelay, "%s: sent %v after the third crash", name, at-third)
 	}
 	for _, e := range c.entries {
@@ -276,7 +276,7 @@
 	for _, entries := range []int{1, 2, 4, 8} {
 		for _, callers := range []int{1, 3} {
 			for seed := range uint64(seeds) {
-				c := newCrashes(t, seed, entries, engines)
+				c := newCrashSimulation(t, seed, entries, engines)
 				for _, e := range c.entries {
 					for range callers {
 						c.after(time.Second+c.randomDelay(meanRun), func() { c.sendCopy(e) })
@@ -296,7 +296,7 @@
 	const seeds, engines, entries, pause = 6, 60, 12, 500 * time.Millisecond
 	for _, callers := range []int{1, 3} {
 		for seed := range uint64(seeds) {
-			c := newCrashes(t, seed, entries, engines)
+			c := newCrashSimulation(t, seed, entries, engines)
 			next := 0
 			for range callers {
 				c.repeat(pause, func() bool {
@@ -317,7 +317,7 @@
 func TestStartedEntryReceivesQuarantines(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(15) {
-		c := newCrashes(t, seed, 3, 20)
+		c := newCrashSimulation(t, seed, 3, 20)
 		for _, e := range c.entries {
 			c.after(time.Second, func() { c.sendCopy(e) })
 		}
--- a/internal/core/forward/load.go
+++ b/internal/core/forward/load.go
@@ -58,11 +58,11 @@
 	brokenRequests []brokenRequest
 }
 
-func (s *State) load(life catalog.Life) *load {
-	l := s.loads[life]
+func (s *State) load(instance catalog.Life) *load {
+	l := s.loads[instance]
 	if l == nil {
 		l = &load{}
-		s.loads[life] = l
+		s.loads[instance] = l
 	}
 	return l
 }
@@ -176,10 +176,10 @@
 		return
 	}
 	s.forgotAt = now
-	for life, l := range s.loads {
-		u := s.Catalog.Upstreams[life.ID]
-		if (u == nil || u.Born != life.Born) && l.inFlight == 0 && now.Sub(l.reportedAt) > reportLifetime && !l.keepsState(now) {
-			delete(s.loads, life)
+	for instance, l := range s.loads {
+		u := s.Catalog.Upstreams[instance.ID]
+		if (u == nil || u.Born != instance.Born) && l.inFlight == 0 && now.Sub(l.reportedAt) > reportLifetime && !l.keepsState(now) {
+			delete(s.loads, instance)
 		}
 	}
 }
--- a/internal/core/forward/quarantine.go
+++ b/internal/core/forward/quarantine.go
@@ -72,8 +72,8 @@
 	var effects []step.Effect
 	for _, r := range s.copies(fingerprint) {
 		if r.instance == (catalog.Life{}) {
-			b, _ := s.quarantined(in, r)
-			effects = append(effects, s.endRequest(in, r, b)...)
+			reject, _ := s.quarantined(in, r)
+			effects = append(effects, s.endRequest(in, r, reject)...)
 		} else if r.awaitingFirstEvent {
 			effects = append(effects, Withdraw{ID: r.id, Number: r.attempts})
 		}
@@ -148,8 +148,8 @@
 }
 
 // instanceKey identifies an upstream's instance between processes.
-func instanceKey(life catalog.Life) uint32 {
-	return uint32(step.Score(life.ID, strconv.FormatInt(life.Born, 10)))
+func instanceKey(instance catalog.Life) uint32 {
+	return uint32(step.Score(instance.ID, strconv.FormatInt(instance.Born, 10)))
 }
 
 // trackCrashes updates the crash records of a request and its upstream at the end of an attempt. An answer that broke off does not
--- a/internal/core/forward/queue.go
+++ b/internal/core/forward/queue.go
@@ -10,7 +10,7 @@
 )
 
 // enqueue lets a request wait for capacity, or refuses it if it has waited long enough. A request whose caller returned after a
-// refusal does not wait: by the end of its wait, other requests that can be in time would have arrived and lost the capacity to it.
+// refusal does not wait: at the end of its wait it would take capacity from newer requests that can still be in time.
 func (s *State) enqueue(in step.Input, r *request) []step.Effect {
 	if r.queueDeadline.IsZero() {
 		r.queueDeadline = in.Now.Add(s.maxWait(r))
--- a/internal/core/forward/ratelimit.go
+++ b/internal/core/forward/ratelimit.go
@@ -23,13 +23,13 @@
 // limitShare returns the share of an upstream's limit that this entry may use; the shares of all entries add up to 1. Only the
 // agent beside an engine reports how many entries are near it. An entry without a report from that agent takes no more than it
 // would with one.
-func (s *State) limitShare(life catalog.Life) float64 {
+func (s *State) limitShare(instance catalog.Life) float64 {
 	entries := float64(s.recentEntries.value())
 	if entries == 0 {
 		entries = defaultEntries
 	}
-	u := s.Catalog.Upstreams[life.ID]
-	if u == nil || u.Life() != life {
+	u := s.Catalog.Upstreams[instance.ID]
+	if u == nil || u.Life() != instance {
 		return 1 / entries
 	}
 	t := s.target(u)
--- a/internal/core/forward/reduce.go
+++ b/internal/core/forward/reduce.go
@@ -164,8 +164,9 @@
 	l.inFlight--
 	l.tokens -= r.tokens
 	l.remainingShare++
+	// A misdirected attempt that required a version does not count: the engine is healthy, but holds another version.
 	if o != Misdirected || r.version == 0 {
-		l.recordOutcome(in.Now, o) // Otherwise the engine is healthy, and only holds another version than this entry knew.
+		l.recordOutcome(in.Now, o)
 	}
 	r.instance = catalog.Life{}
 }
@@ -236,21 +237,21 @@
 
 // endRequest ends a request. The code depends on whether it may have run: a refusal that invites a retry is only for a request that
 // did not run.
-func (s *State) endRequest(in step.Input, r *request, b rejection) []step.Effect {
+func (s *State) endRequest(in step.Input, r *request, reject rejection) []step.Effect {
 	delete(s.requests, r.id)
 	if r.partial {
-		return []step.Effect{Abort{ID: r.id, Why: b.reason}}
+		return []step.Effect{Abort{ID: r.id, Why: reject.reason}}
 	}
 	if r.possibleRuns > 0 {
-		if b.code != code.DeadlinePassed {
-			b.code = code.RetriesExhausted
+		if reject.code != code.DeadlinePassed {
+			reject.code = code.RetriesExhausted
 		}
-		return []step.Effect{Refuse{ID: r.id, Code: b.code, Ran: code.Unknown, Why: b.reason, CameBack: r.returning}}
+		return []step.Effect{Refuse{ID: r.id, Code: reject.code, Ran: code.Unknown, Why: reject.reason, CameBack: r.returning}}
 	}
-	if b.code == code.RetriesExhausted || b.code == code.DeadlinePassed {
-		b.code = code.Overloaded
+	if reject.code == code.RetriesExhausted || reject.code == code.DeadlinePassed {
+		reject.code = code.Overloaded
 	}
-	return []step.Effect{Refuse{ID: r.id, Code: b.code, Ran: code.NotRun, Why: b.reason, RetryAfter: b.retryAfter, CameBack: r.returning}}
+	return []step.Effect{Refuse{ID: r.id, Code: reject.code, Ran: code.NotRun, Why: reject.reason, RetryAfter: reject.retryAfter, CameBack: r.returning}}
 }
 
 func (s *State) callerGone(in step.Input, id uint64) []step.Effect {
--- a/internal/core/forward/retry_after.go
+++ b/internal/core/forward/retry_after.go
@@ -8,13 +8,13 @@
 
 const (
 	// retryAfterMin and retryAfterSpread set the Retry-After delay of a refused caller, drawn from retryAfterMin up to
-	// retryAfterMin + retryAfterSpread. That is one to two times as long as a loaded engine takes for an answer. Callers wait for
-	// at most a third of their remaining time, which is two seconds for the users' streams.
+	// retryAfterMin + retryAfterSpread. That is one to two times as long as a loaded engine takes for an answer. Before a retry,
+	// callers wait for at most a third of their remaining time, which is two seconds for the users' streams.
 	retryAfterMin    = 950 * time.Millisecond
 	retryAfterSpread = 900 * time.Millisecond
 	// retryAfterMinOutage replaces retryAfterMin while most upstreams of a service are unusable, for example after engines lost
 	// their weights. Recovery takes seconds, and a caller that returns sooner is refused again. It equals the longest time that
-	// callers of the users' streams wait.
+	// callers of the users' streams wait before a retry.
 	retryAfterMinOutage = 2 * time.Second
 )
 
