--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -1,10 +1,12 @@
-// Package quarantine finds requests that bring down the upstreams that run them, and holds them back. A request is known by its
-// fingerprint: its path, caller and body, whatever id it comes under.
+// Package quarantine detects requests that crash the upstreams that run them, and quarantines them. A request is identified by its
+// fingerprint, a hash of its path, its caller and its body, so that a repeated request is recognized under any request ID.
 //
-// Entries see upstreams go down under requests; what each saw is told to all (see Report), so that the crashes are counted over the whole
-// fleet, each upstream's once. A request under which CrashesToHold upstreams went down, with no answer to it in between, is held back for
-// HoldFor at every process that hears of it. No answer lifts that, so that processes agree in whatever order they hear of answers and
-// crashes. It is pure: time comes in with each call.
+// Entries observe which requests were in flight on an upstream when it crashed, and report the crashes to all processes (see Report).
+// Crashes are therefore counted over the whole fleet, and each upstream's crash counts once. A request that crashed CrashesToHold
+// upstreams, without a complete answer in between, is quarantined for HoldFor at every process that receives a report of it. A complete
+// answer does not lift a quarantine; otherwise processes that receive answers and crashes in a different order would disagree.
+//
+// The package is pure: the current time is a parameter of each call.
 package quarantine
 
 import (
@@ -12,38 +14,39 @@
 )
 
 const (
-	// CrashesToHold is how many upstreams must go down under a request, with no answer to it in between, for it to be held back. A request
-	// that is only near such a one can meet two of its crashes.
+	// CrashesToHold is the number of upstreams that must crash under a request, without a complete answer in between, before the request
+	// is quarantined. An innocent request that runs beside a crashing one can be in flight at two of its crashes.
 	CrashesToHold = 3
-	// HoldFor is how long a request is held back. Upstreams are back some seconds after a crash, and callers give up within a few tries.
+	// HoldFor is the duration of a quarantine. Upstreams are back a few seconds after a crash, and callers give up after a few attempts.
 	HoldFor = 30 * time.Second
-	// RememberFor is how long a crash counts.
-	RememberFor = 20 * time.Second
-	// leastTold is the least time that what is told must still last to be taken over. It is more than a datagram's way, so that two
-	// processes don't tell one another of a hold for ever, each a little longer.
-	leastTold = time.Second
-	// maxRecords bounds the requests that are remembered, some 440 bytes each with two crashes.
+	// CrashRetention is how long a crash counts towards CrashesToHold.
+	CrashRetention = 20 * time.Second
+	// minReported is the minimum remaining time of a crash or quarantine that is sent to or accepted from another process. It is longer
+	// than a datagram takes to arrive, so that two processes don't renew each other's quarantine forever, each time a little longer.
+	minReported = time.Second
+	// maxRecords bounds the number of requests that are tracked. A record with two crashes takes about 440 bytes.
 	maxRecords = 4096
 )
 
-// record is what is known of a request.
+// record is what is known of one request.
 type record struct {
-	// crashes are the upstreams that went down under it, by when. One that started again and went down once more counts twice.
+	// crashes maps each upstream instance that crashed under the request to the time of the crash. An upstream that restarted and crashed
+	// again counts twice.
 	crashes map[uint32]time.Time
-	// last is when the newest of them was noted.
-	last time.Time
-	// answered is when the request was answered last, if it was after a crash; crashes before it don't count.
+	// lastUpdate is when the last crash or quarantine was recorded.
+	lastUpdate time.Time
+	// answered is when the request was last answered completely after a crash. Crashes before it don't count.
 	answered time.Time
-	// until ends the time for which it is held back.
-	until time.Time
+	// quarantinedUntil is when the quarantine ends.
+	quarantinedUntil time.Time
 }
 
-// Table is what a process knows of requests that upstreams went down under. It is not safe for concurrent use.
+// Table holds what a process knows of requests that crashed upstreams. It is not safe for concurrent use.
 type Table struct {
 	records map[uint64]*record
-	// turn is where the next Reports begin; see there.
-	turn int
-	// changes counts what was learnt; see Changes.
+	// round counts the calls of Reports and selects the reports that the next call returns; see rotate.
+	round int
+	// changes counts the updates of the table; see Changes.
 	changes uint64
 	dropped int
 }
@@ -51,16 +54,17 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{records: map[uint64]*record{}} }
 
-// Held returns for how long a request is held back from now on; 0 when it is not.
+// Held returns the remaining quarantine of a request; 0 when it is not quarantined.
 func (t *Table) Held(now time.Time, fingerprint uint64) time.Duration {
 	r := t.records[fingerprint]
 	if r == nil {
 		return 0
 	}
-	return max(0, r.until.Sub(now))
+	return max(0, r.quarantinedUntil.Sub(now))
 }
 
-// Crashes returns the upstreams that went down under a request of late, with no answer to it since; nil for none.
+// Crashes returns the upstream instances that crashed under a request within CrashRetention and since its last complete answer; nil for
+// none.
 func (t *Table) Crashes(now time.Time, fingerprint uint64) []uint32 {
 	r := t.records[fingerprint]
 	if r == nil {
@@ -68,15 +72,15 @@
 	}
 	var list []uint32
 	for upstream, at := range r.crashes {
-		if now.Sub(at) <= RememberFor {
+		if now.Sub(at) <= CrashRetention {
 			list = append(list, upstream)
 		}
 	}
 	return list
 }
 
-// Crashed notes that an upstream was found at a moment to have gone down under a request. It reports whether the request is held back now
-// and was not before.
+// Crashed records that an upstream instance was found crashed under a request at the given time. It reports whether this crash starts a
+// quarantine.
 func (t *Table) Crashed(now time.Time, fingerprint uint64, upstream uint32, at time.Time) bool {
 	r := t.record(fingerprint)
 	if r == nil || !at.After(r.answered) {
@@ -86,16 +90,16 @@
 		return false
 	}
 	r.crashes[upstream] = at
-	r.last = now
+	r.lastUpdate = now
 	t.changes++
-	if now.Before(r.until) || len(t.Crashes(now, fingerprint)) < CrashesToHold {
+	if now.Before(r.quarantinedUntil) || len(t.Crashes(now, fingerprint)) < CrashesToHold {
 		return false
 	}
-	r.until = now.Add(HoldFor)
+	r.quarantinedUntil = now.Add(HoldFor)
 	return true
 }
 
-// record returns what is known of a request, or a new record; nil when there are too many.
+// record returns the record of a request and creates it if needed; nil when the table is full.
 func (t *Table) record(fingerprint uint64) *record {
 	r := t.records[fingerprint]
 	if r != nil {
@@ -110,21 +114,22 @@
 	return r
 }
 
-// Hold takes another process's word that a request is held back for a time. It reports whether that is news.
-func (t *Table) Hold(now time.Time, fingerprint uint64, left time.Duration) bool {
-	if left < leastTold || t.Held(now, fingerprint) > 0 {
+// Hold applies a quarantine that another process reported with its remaining time. It reports whether the request was not quarantined
+// before.
+func (t *Table) Hold(now time.Time, fingerprint uint64, remaining time.Duration) bool {
+	if remaining < minReported || t.Held(now, fingerprint) > 0 {
 		return false
 	}
 	r := t.record(fingerprint)
 	if r == nil {
 		return false
 	}
-	r.last, r.until = now, now.Add(min(left, HoldFor))
+	r.lastUpdate, r.quarantinedUntil = now, now.Add(min(remaining, HoldFor))
 	t.changes++
 	return true
 }
 
-// Answered notes that an upstream answered a request whole: the upstreams that went down before did so for another reason.
+// Answered records that an upstream answered a request completely. The request did not cause the crashes before that.
 func (t *Table) Answered(now time.Time, fingerprint uint64) {
 	if r := t.records[fingerprint]; r != nil {
 		r.answered = now
@@ -132,22 +137,24 @@
 	}
 }
 
-// Expire forgets what is too old to count.
+// Expire removes the records whose last update is older than CrashRetention and whose quarantine has ended.
 func (t *Table) Expire(now time.Time) {
 	for fingerprint, r := range t.records {
-		if now.Sub(r.last) > RememberFor && !now.Before(r.until) {
+		if now.Sub(r.lastUpdate) > CrashRetention && !now.Before(r.quarantinedUntil) {
 			delete(t.records, fingerprint)
 		}
 	}
 }
 
-// Empty tells whether nothing is known of any request.
+// Empty reports whether the table has no records.
 func (t *Table) Empty() bool { return len(t.records) == 0 }
 
-// Changes counts what was learnt, so that who was told at a count need not be told again at the same.
+// Changes returns a counter that increases with each recorded crash or quarantine. A peer that received reports at one value needs none
+// until the value changes.
 func (t *Table) Changes() uint64 { return t.changes }
 
-// TakeDropped returns how many crashes were not noted since the last call, since maxRecords requests were remembered.
+// TakeDropped returns how many crashes and quarantines were not recorded since the last call because maxRecords requests are tracked
+// already.
 func (t *Table) TakeDropped() int {
 	n := t.dropped
 	t.dropped = 0
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -10,58 +10,60 @@
 	"samphireweir.example/samphireweir/internal/core/quarantine"
 )
 
-var begin = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// crasher is the fingerprint of a request that crashes upstreams.
 const crasher = 7
 
-// tell hands what one process knows to another one, and returns what that one holds back from now on.
-func tell(now time.Time, from, to *quarantine.Table) []uint64 {
+// sendReports sends the reports of one process to another one, and returns the requests that the receiver quarantines because of them.
+func sendReports(now time.Time, from, to *quarantine.Table) []uint64 {
 	return to.Merge(now, from.Reports(now))
 }
 
-func TestCrashesAreCountedOverTheFleet(t *testing.T) {
+// Without reports between processes, an entry counts only the crashes that it saw itself, and no entry reaches the threshold.
+func TestCrashesAreCountedAcrossProcesses(t *testing.T) {
 	a, b, c := quarantine.NewTable(), quarantine.NewTable(), quarantine.NewTable()
-	require.False(t, a.Crashed(begin, crasher, 1, begin))
-	require.False(t, b.Crashed(begin, crasher, 2, begin))
-	require.Empty(t, tell(begin, a, b))
-	require.Empty(t, tell(begin, a, b), "the same crash counts once")
-	require.False(t, b.Crashed(begin, crasher, 1, begin), "also when two entries saw it")
-	require.Empty(t, tell(begin, b, c))
-	require.True(t, c.Crashed(begin, crasher, 3, begin))
-	require.Equal(t, []uint64{crasher}, tell(begin, c, a))
-	require.Positive(t, a.Held(begin, crasher))
+	require.False(t, a.Crashed(start, crasher, 1, start))
+	require.False(t, b.Crashed(start, crasher, 2, start))
+	require.Empty(t, sendReports(start, a, b))
+	require.Empty(t, sendReports(start, a, b), "a crash counts once although it is reported twice")
+	require.False(t, b.Crashed(start, crasher, 1, start), "a crash counts once although two entries saw it")
+	require.Empty(t, sendReports(start, b, c))
+	require.True(t, c.Crashed(start, crasher, 3, start))
+	require.Equal(t, []uint64{crasher}, sendReports(start, c, a))
+	require.Positive(t, a.Held(start, crasher))
 }
 
-// TestAHoldIsToldForAsLongAsItLasts has a process start at any moment of a hold: it hears of it from any other, and holds the request back
-// until about the same moment. Holds were told of for 10 s and lasted 30.
-func TestAHoldIsToldForAsLongAsItLasts(t *testing.T) {
+// A process that starts at any time during a quarantine learns of it from another process and ends it at the same time. It would run the
+// request if quarantines were reported for a shorter time than they last, such as 10 s of 30 s.
+func TestQuarantineIsReportedUntilItEnds(t *testing.T) {
 	known := quarantine.NewTable()
 	for upstream := range uint32(quarantine.CrashesToHold) {
-		known.Crashed(begin, crasher, upstream, begin)
+		known.Crashed(start, crasher, upstream, start)
 	}
 	for age := time.Duration(0); age < quarantine.HoldFor-time.Second; age += time.Second {
 		started := quarantine.NewTable()
-		require.Equal(t, []uint64{crasher}, tell(begin.Add(age), known, started))
-		require.Equal(t, known.Held(begin.Add(age), crasher), started.Held(begin.Add(age), crasher))
+		require.Equal(t, []uint64{crasher}, sendReports(start.Add(age), known, started))
+		require.Equal(t, known.Held(start.Add(age), crasher), started.Held(start.Add(age), crasher))
 	}
 }
 
-// TestNoWordGoesRoundForEver has three processes tell one another again and again over a slow network: once the hold is over everybody
-// forgets it.
-func TestNoWordGoesRoundForEver(t *testing.T) {
-	const way = 300 * time.Millisecond
+// Three processes sendReports reports over a slow network. A report ages on its way, so processes could renew each other's quarantine
+// forever; all must forget it once it has ended.
+func TestReportsDoNotProlongAQuarantine(t *testing.T) {
+	const latency = 300 * time.Millisecond
 	processes := []*quarantine.Table{quarantine.NewTable(), quarantine.NewTable(), quarantine.NewTable()}
 	for upstream := range uint32(quarantine.CrashesToHold) {
-		processes[0].Crashed(begin, crasher, upstream, begin)
+		processes[0].Crashed(start, crasher, upstream, start)
 	}
-	for now := begin; now.Before(begin.Add(quarantine.HoldFor + 3*time.Second)); now = now.Add(way) {
-		var told [][]quarantine.Report
+	for now := start; now.Before(start.Add(quarantine.HoldFor + 3*time.Second)); now = now.Add(latency) {
+		var sent [][]quarantine.Report
 		for _, p := range processes {
-			told = append(told, p.Reports(now))
+			sent = append(sent, p.Reports(now))
 		}
 		for i, p := range processes {
-			p.Expire(now.Add(way))
-			p.Merge(now.Add(way), told[(i+1)%len(processes)])
+			p.Expire(now.Add(latency))
+			p.Merge(now.Add(latency), sent[(i+1)%len(processes)])
 		}
 	}
 	for _, p := range processes {
@@ -69,39 +71,43 @@
 	}
 }
 
-func TestAnAnswerClearsWhatWasBeforeIt(t *testing.T) {
+// A complete answer shows that the request did not cause the crashes before it. They must not count again when another process reports
+// them later.
+func TestCompleteAnswerClearsEarlierCrashes(t *testing.T) {
 	a, b := quarantine.NewTable(), quarantine.NewTable()
-	b.Crashed(begin, crasher, 1, begin)
-	a.Crashed(begin, crasher, 2, begin)
-	a.Answered(begin.Add(time.Second), crasher)
-	require.Empty(t, a.Crashes(begin.Add(time.Second), crasher))
-	tell(begin.Add(2*time.Second), b, a)
-	require.Empty(t, a.Crashes(begin.Add(2*time.Second), crasher), "nor does an older one count that is told later")
+	b.Crashed(start, crasher, 1, start)
+	a.Crashed(start, crasher, 2, start)
+	a.Answered(start.Add(time.Second), crasher)
+	require.Empty(t, a.Crashes(start.Add(time.Second), crasher))
+	sendReports(start.Add(2*time.Second), b, a)
+	require.Empty(t, a.Crashes(start.Add(2*time.Second), crasher), "a crash before the answer does not count when it is reported later")
 }
 
-func TestNoAnswerLiftsAHold(t *testing.T) {
+// If an answer lifted a quarantine, processes that receive the answer and the crashes in a different order would disagree.
+func TestCompleteAnswerDoesNotLiftAQuarantine(t *testing.T) {
 	table := quarantine.NewTable()
 	for upstream := range uint32(quarantine.CrashesToHold) {
-		table.Crashed(begin, crasher, upstream, begin)
+		table.Crashed(start, crasher, upstream, start)
 	}
-	table.Answered(begin.Add(time.Second), crasher)
-	require.Positive(t, table.Held(begin.Add(2*time.Second), crasher))
-	require.Zero(t, table.Held(begin.Add(quarantine.HoldFor), crasher))
+	table.Answered(start.Add(time.Second), crasher)
+	require.Positive(t, table.Held(start.Add(2*time.Second), crasher))
+	require.Zero(t, table.Held(start.Add(quarantine.HoldFor), crasher))
 }
 
+// A request that is in flight at rare, unrelated crashes must not be quarantined, however many there are.
 func TestOldCrashesDoNotCount(t *testing.T) {
 	table := quarantine.NewTable()
 	for upstream := range uint32(20) {
-		at := begin.Add(time.Duration(upstream) * 11 * time.Second)
+		at := start.Add(time.Duration(upstream) * 11 * time.Second)
 		require.False(t, table.Crashed(at, crasher, upstream, at))
 	}
 }
 
-// TestEverythingIsToldInTurn has far more requests held back and suspected than are told at once: what doesn't fit comes with the next word,
-// and none keeps the others from being told. Of over 32 suspects the rest was dropped.
-func TestEverythingIsToldInTurn(t *testing.T) {
+// There are more quarantined requests and requests with crashes than one call of Reports returns. The rest must follow with later calls.
+// If everything beyond a fixed number such as 32 were dropped, other processes would never learn of it.
+func TestReportsRotateThroughAllRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now, table, other := begin, quarantine.NewTable(), quarantine.NewTable()
+		now, table, other := start, quarantine.NewTable(), quarantine.NewTable()
 		crashes := map[uint64]int{}
 		for fingerprint := range uint64(rapid.IntRange(1, 120).Draw(t, "requests")) {
 			crashes[fingerprint] = rapid.IntRange(2, quarantine.CrashesToHold).Draw(t, "crashes")
@@ -110,7 +116,7 @@
 			}
 		}
 		for range 20 {
-			tell(now, table, other)
+			sendReports(now, table, other)
 		}
 		for fingerprint, n := range crashes {
 			if n == quarantine.CrashesToHold {
@@ -122,13 +128,14 @@
 	})
 }
 
-func TestMemoryIsBoundedAndWhatIsLeftOutIsCounted(t *testing.T) {
+// A flood of distinct requests during crashes must not grow the table without bound, and the operator needs the number of dropped crashes.
+func TestTableIsBoundedAndDroppedCrashesAreCounted(t *testing.T) {
 	table := quarantine.NewTable()
 	for fingerprint := range uint64(5000) {
-		table.Crashed(begin, fingerprint, 1, begin)
+		table.Crashed(start, fingerprint, 1, start)
 	}
 	require.Equal(t, 5000-4096, table.TakeDropped())
 	require.Zero(t, table.TakeDropped())
-	table.Expire(begin.Add(quarantine.RememberFor + time.Second))
+	table.Expire(start.Add(quarantine.CrashRetention + time.Second))
 	require.True(t, table.Empty())
 }
