--- a/internal/core/suspect/suspect.go
+++ b/internal/core/suspect/suspect.go
@@ -1,16 +1,18 @@
-// Package suspect is the reducer for requests that crash upstreams. A request in flight on an upstream when it
-// crashed is a suspect, by its fingerprint. A suspect runs alone; when an upstream crashes under it once more, its
-// fingerprint is quarantined everywhere. A suspect that ends well while alone is cleared.
+// Package suspect is the reducer for requests that crash upstreams. A request that was in flight on an upstream when it
+// crashed becomes a suspect; it is identified by its fingerprint. A suspect runs alone on an upstream. If that upstream
+// crashes too, the fingerprint is quarantined everywhere. A suspect that completes while it runs alone is cleared.
 //
-// Marks are records: they travel with the settings and merge by the higher version. The version is an episode and
-// a rank in it, so no clock decides which mark of an episode wins: suspect < cleared < quarantined < forgotten. An
-// episode's number is above the one before, and at least the time of its first crash, so that it is also above an
-// episode that this process has forgotten. Agents that have not heard of one another's crashes begin an episode each;
-// a conviction wins over all of these, since its number is at least the time at which the quarantine ends. Where clocks
-// differ by more than that, an episode may be numbered above a conviction: a process that holds the conviction keeps it
-// and publishes it anew as part of that episode.
+// The status of a fingerprint is published as a mark, a record that is distributed with the settings; of two versions the
+// higher one wins. The version of a mark is the number of its episode and a rank within the episode: suspect < cleared <
+// quarantined < forgotten. Within an episode the order of the marks therefore depends on no clock.
 //
-// A mark says how long it lasts, and each process counts that from when it heard of it, by its own clock.
+// The number of an episode is higher than that of the episode before, and at least the time of its first crash in
+// milliseconds, so that it is also higher than that of an episode that this process has forgotten. Agents that have not
+// received each other's marks may start separate episodes. A quarantine wins over all of these, because its number is at
+// least the time at which it ends. If clocks differ by more than that, a new episode may have a higher number than a
+// quarantine. A process that holds the quarantine then keeps it and publishes it again as part of the new episode.
+//
+// A mark contains its duration, and each process counts it from when it received the mark, by its own clock.
 package suspect
 
 import (
@@ -25,27 +27,28 @@
 )
 
 const (
-	// Prefix is where marks live among the records: Prefix + fingerprint.
+	// Prefix is the prefix of the record keys of marks; the fingerprint follows.
 	Prefix = "quarantine/"
-	// SuspectFor is how long a fingerprint stays suspect when nothing more is heard of it.
+	// SuspectFor is how long a fingerprint stays suspect without further crashes.
 	SuspectFor = 10 * time.Minute
-	// QuarantineFor is how long a quarantine lasts.
+	// QuarantineFor is the duration of a quarantine.
 	QuarantineFor = 30 * time.Minute
-	// ForgetAfter is how long a mark is kept after it expired. It is longer than processes may differ in when they hear of a
-	// mark, so that none holds one in force that another one has forgotten.
+	// ForgetAfter is how long an expired mark is kept. It is longer than the difference between the times at which processes
+	// receive a mark, so that no process deletes a mark that is still in force at another one.
 	ForgetAfter = time.Hour
-	// isolationShare is the part of a service's upstreams that may be kept for suspects: one in so many.
+	// isolationShare limits the upstreams of a service that are preferred for suspects: one in isolationShare.
 	isolationShare = 4
-	// spreadFrom is the number of upstreams from which suspects are spread over several; fewer keep one for them.
-	spreadFrom = 16
-	// spreadScore is the least score of an upstream that suspects are spread over: one in eight has it.
-	spreadScore = math.MaxUint64 / 8 * 7
+	// minSpreadUpstreams is the number of upstreams of a service from which suspects are spread over several upstreams.
+	// With fewer, all suspects prefer the same one.
+	minSpreadUpstreams = 16
+	// minSpreadScore is the minimum rendezvous score of an upstream that suspects are spread over: one in eight has it.
+	minSpreadScore = math.MaxUint64 / 8 * 7
 )
 
-// Verdict is what is held of a fingerprint.
+// Verdict is the status of a fingerprint.
 type Verdict int
 
-// The verdicts, from good to bad.
+// The verdicts, by severity.
 const (
 	Clear Verdict = iota
 	Suspect
@@ -60,15 +63,17 @@
 	rankForgotten   = 4
 )
 
-// Mark is the value of a record.
+// Mark is the value of a mark's record.
 type Mark struct {
-	// ForMS is how long the mark lasts, in milliseconds from when it is heard of.
+	// ForMS is how long the mark is in force, in milliseconds from when a process receives it.
 	ForMS int64 `json:"for_ms"`
 }
 
+// mark is a mark as this process received it.
 type mark struct {
 	version record.Version
-	until   time.Time
+	// expiry is when the mark expires, by this process's clock.
+	expiry time.Time
 }
 
 // State holds the marks by fingerprint.
@@ -79,8 +84,8 @@
 // NewState returns a state without marks.
 func NewState() *State { return &State{marks: map[string]mark{}} }
 
-// Changed takes in the marks among changed records. It returns the convictions to publish anew: those in force here that an
-// episode of a process that had not heard of them is numbered above.
+// Changed applies the marks among changed records. It returns the quarantines to publish again: those in force here whose
+// number is lower than that of an episode that another process started without knowing of the quarantine.
 func (s *State) Changed(now time.Time, records []record.Record) []record.Record {
 	var renewed []record.Record
 	for _, r := range records {
@@ -94,33 +99,33 @@
 			continue
 		}
 		if s.Look(now, fingerprint) == Quarantined && r.Version.Minor != rankQuarantined {
-			renewed = append(renewed, s.renewed(now, fingerprint, r.Version.Major))
+			renewed = append(renewed, s.renewedQuarantine(now, fingerprint, r.Version.Major))
 			continue
 		}
-		s.heard(now, fingerprint, r.Version, now.Add(time.Duration(m.ForMS)*time.Millisecond))
+		s.apply(now, fingerprint, r.Version, now.Add(time.Duration(m.ForMS)*time.Millisecond))
 	}
 	return renewed
 }
 
-// heard keeps a mark. A conviction that is told once more is not cut short.
-func (s *State) heard(now time.Time, fingerprint string, version record.Version, until time.Time) {
-	known := s.marks[fingerprint].until
-	if s.Look(now, fingerprint) == Quarantined && known.After(until) {
-		until = known
+// apply stores a mark. It does not shorten a quarantine that is in force.
+func (s *State) apply(now time.Time, fingerprint string, version record.Version, expiry time.Time) {
+	current := s.marks[fingerprint].expiry
+	if s.Look(now, fingerprint) == Quarantined && current.After(expiry) {
+		expiry = current
 	}
-	s.marks[fingerprint] = mark{version: version, until: until}
+	s.marks[fingerprint] = mark{version: version, expiry: expiry}
 }
 
-// renewed is the conviction in force as part of a later episode. It lasts as long as it still does here.
-func (s *State) renewed(now time.Time, fingerprint string, episode uint64) record.Record {
+// renewedQuarantine returns the quarantine in force as part of a later episode. It lasts for the time that remains here.
+func (s *State) renewedQuarantine(now time.Time, fingerprint string, episode uint64) record.Record {
 	version := record.Version{Major: episode, Minor: rankQuarantined}
 	return newRecord(fingerprint, version, s.Remaining(now, fingerprint))
 }
 
-// Look returns what is held of a fingerprint now.
+// Look returns the status of a fingerprint.
 func (s *State) Look(now time.Time, fingerprint string) Verdict {
 	m, ok := s.marks[fingerprint]
-	if !ok || !now.Before(m.until) {
+	if !ok || !now.Before(m.expiry) {
 		return Clear
 	}
 	switch m.version.Minor {
@@ -132,13 +137,14 @@
 	return Clear
 }
 
-// Remaining returns how long the mark of a fingerprint lasts.
+// Remaining returns how long the mark of a fingerprint is still in force; 0 when it has none.
 func (s *State) Remaining(now time.Time, fingerprint string) time.Duration {
-	return max(0, s.marks[fingerprint].until.Sub(now))
+	return max(0, s.marks[fingerprint].expiry.Sub(now))
 }
 
-// Crashed returns the mark to publish after an upstream crashed under the fingerprint. A crash in company makes a
-// suspect of every request there; only a crash alone can convict, and only one that was a suspect already.
+// Crashed returns the mark to publish after an upstream crashed with the request in flight; false when there is none. A
+// request that is no suspect yet becomes one. A suspect is quarantined only if it was the only request on the upstream
+// (alone), because a crash with other requests in flight does not show which of them caused it.
 func (s *State) Crashed(now time.Time, fingerprint string, alone bool) (record.Record, bool) {
 	if fingerprint == "" {
 		return record.Record{}, false
@@ -150,26 +156,27 @@
 		if !alone {
 			return record.Record{}, false
 		}
-		return s.convicted(now, fingerprint), true
+		return s.quarantine(now, fingerprint), true
 	}
 	episode := max(s.marks[fingerprint].version.Major+1, uint64(now.UnixMilli()))
 	version := record.Version{Major: episode, Minor: rankSuspect}
 	return newRecord(fingerprint, version, SuspectFor), true
 }
 
-// convicted returns the mark of a quarantine. Copies that ran before the suspect was heard of may crash upstreams after
-// the conviction, and their agents begin later episodes; numbered by its end, the quarantine stands against them.
-func (s *State) convicted(now time.Time, fingerprint string) record.Record {
+// quarantine returns the mark of a quarantine. Copies of the request that started before their agents received the suspect
+// mark may still crash upstreams, and these agents then start later episodes. The quarantine is numbered by the time at
+// which it ends, so that it wins over them.
+func (s *State) quarantine(now time.Time, fingerprint string) record.Record {
 	number := max(s.marks[fingerprint].version.Major, uint64(now.Add(QuarantineFor).UnixMilli()))
 	return newRecord(fingerprint, record.Version{Major: number, Minor: rankQuarantined}, QuarantineFor)
 }
 
-// Expired returns the deletions to publish of marks that expired ForgetAfter ago: without them each fingerprint
-// that ever crashed an upstream would stay in every process.
+// Expired returns the deletions to publish of marks that expired at least ForgetAfter ago. Without them each fingerprint
+// that ever crashed an upstream would stay in the memory of every process.
 func (s *State) Expired(now time.Time) []record.Record {
 	var old []record.Record
 	for fingerprint, m := range s.marks {
-		if now.Sub(m.until) < ForgetAfter {
+		if now.Sub(m.expiry) < ForgetAfter {
 			continue
 		}
 		version := record.Version{Major: m.version.Major, Minor: rankForgotten}
@@ -179,7 +186,7 @@
 	return old
 }
 
-// Cleared returns the mark to publish after a suspect ended well while it ran alone.
+// Cleared returns the mark to publish after a suspect completed while it ran alone; false when the request is no suspect.
 func (s *State) Cleared(now time.Time, fingerprint string) (record.Record, bool) {
 	if s.Look(now, fingerprint) != Suspect {
 		return record.Record{}, false
@@ -188,23 +195,24 @@
 	return newRecord(fingerprint, version, 0), true
 }
 
-func newRecord(fingerprint string, version record.Version, lasts time.Duration) record.Record {
-	value, err := json.Marshal(Mark{ForMS: lasts.Milliseconds()})
+func newRecord(fingerprint string, version record.Version, duration time.Duration) record.Record {
+	value, err := json.Marshal(Mark{ForMS: duration.Milliseconds()})
 	if err != nil {
 		return record.Record{} // A struct of one integer always encodes.
 	}
 	return record.Record{Key: Prefix + fingerprint, Version: version, Value: value}
 }
 
-// Isolation orders a service's upstreams for a suspect, the best first. All entries get the same order, so that two of
-// them send copies of one suspect to the same agent, which runs one at a time and refuses the second copy once the first
-// one is convicted. That holds also while some of them have not heard yet that an upstream crashed: one that is missing
-// does not change the order of the others. Suspects keep to a part of the service's upstreams while these last.
+// Isolation orders a service's upstreams for a suspect, the preferred one first. All entries compute the same order, so
+// that two entries send copies of one suspect to the same agent, which runs one copy at a time and refuses the second one
+// if the first one leads to a quarantine. An upstream that is missing from the list does not change the order of the
+// others, so entries that have not learned of a crash yet agree as well. Suspects prefer a fixed part of the service's
+// upstreams, so that they crash only these while some of them remain.
 func Isolation(service, fingerprint string, upstreams []string) []string {
 	key := "isolation/" + service
 	ranked := step.Rank(key, upstreams)
 	n := 0
-	for len(ranked) >= spreadFrom && n < len(ranked)/isolationShare && step.Score(key, ranked[n]) >= spreadScore {
+	for len(ranked) >= minSpreadUpstreams && n < len(ranked)/isolationShare && step.Score(key, ranked[n]) >= minSpreadScore {
 		n++
 	}
 	ordered := step.Rank(fingerprint, ranked[:n])
--- a/internal/core/suspect/suspect_test.go
+++ b/internal/core/suspect/suspect_test.go
@@ -15,6 +15,7 @@
 
 var now = time.Unix(1_000_000, 0)
 
+// crash applies the mark of a crash, which it expects, and returns it.
 func crash(t *testing.T, s *State, alone bool) record.Record {
 	t.Helper()
 	r, ok := s.Crashed(now, f, alone)
@@ -23,18 +24,21 @@
 	return r
 }
 
-func TestTwoCrashesConvictOnlyWhenTheSecondWasAlone(t *testing.T) {
+// A crash with several requests in flight does not show which of them caused it. A suspect that only shares crashes must
+// not be quarantined.
+func TestSecondCrashQuarantinesOnlyARequestThatRanAlone(t *testing.T) {
 	s := NewState()
 	crash(t, s, false)
 	assert.Equal(t, Suspect, s.Look(now, f))
 	_, more := s.Crashed(now, f, false)
-	assert.False(t, more, "a second crash in company proves nothing")
+	assert.False(t, more, "a second crash with other requests in flight must not start a quarantine")
 	crash(t, s, true)
 	assert.Equal(t, Quarantined, s.Look(now, f))
 	assert.Equal(t, QuarantineFor, s.Remaining(now, f))
 }
 
-func TestSuspectIsClearedByAGoodEndAlone(t *testing.T) {
+// An innocent request that was in flight at a crash must not stay a suspect for the whole of SuspectFor.
+func TestSuspectThatCompletesAloneIsCleared(t *testing.T) {
 	s := NewState()
 	crash(t, s, false)
 	r, ok := s.Cleared(now, f)
@@ -42,9 +46,10 @@
 	s.Changed(now, []record.Record{r})
 	assert.Equal(t, Clear, s.Look(now, f))
 	crash(t, s, true)
-	assert.Equal(t, Suspect, s.Look(now, f), "a new episode begins")
+	assert.Equal(t, Suspect, s.Look(now, f), "a crash after the clearing starts a new episode")
 }
 
+// A mark that never expired would isolate or refuse its request forever.
 func TestMarksExpire(t *testing.T) {
 	s := NewState()
 	crash(t, s, false)
@@ -54,62 +59,67 @@
 	assert.Equal(t, Clear, s.Look(now.Add(QuarantineFor), f))
 }
 
-// TestConvictionWinsOverClearing: whichever arrives first, a conviction stands against a clearing of the same episode.
-func TestConvictionWinsOverClearing(t *testing.T) {
+// Two copies of a suspect may end differently at the same time. The quarantine must win over the clearing, in whichever
+// order a process receives the two marks.
+func TestQuarantineWinsOverClearing(t *testing.T) {
 	s := NewState()
 	crash(t, s, false)
 	cleared, _ := s.Cleared(now, f)
-	convicted, _ := s.Crashed(now, f, true)
-	assert.True(t, cleared.Version.Less(convicted.Version))
+	quarantined, _ := s.Crashed(now, f, true)
+	assert.True(t, cleared.Version.Less(quarantined.Version))
 }
 
-// TestConvictionWinsOverLaterFirstCrashes: an agent that has not heard of the suspect loses its upstream to a copy after
-// another agent convicted the request. Its mark does not take the quarantine back, in whichever order the two arrive; once the
-// quarantine has ended, a first crash begins anew.
-func TestConvictionWinsOverLaterFirstCrashes(t *testing.T) {
+// A copy of the request crashes the upstream of an agent that has not received the suspect mark, after another agent
+// quarantined the request. The new suspect mark must not replace the quarantine, in whichever order the two arrive. After
+// the quarantine has ended, a crash starts a new episode.
+func TestQuarantineWinsOverLaterEpisodes(t *testing.T) {
 	s := NewState()
 	crash(t, s, false)
-	conviction := crash(t, s, true)
+	quarantine := crash(t, s, true)
 	for _, later := range []time.Duration{0, time.Millisecond, 20 * time.Millisecond, time.Minute, QuarantineFor - time.Millisecond} {
 		first, ok := NewState().Crashed(now.Add(later), f, false)
 		require.True(t, ok)
-		assert.True(t, first.Version.Less(conviction.Version), "first crash heard of after %v", later)
+		assert.True(t, first.Version.Less(quarantine.Version), "first crash %v after the quarantine started", later)
 	}
-	anew, ok := s.Crashed(now.Add(QuarantineFor), f, false)
+	next, ok := s.Crashed(now.Add(QuarantineFor), f, false)
 	require.True(t, ok)
-	assert.True(t, conviction.Version.Less(anew.Version))
+	assert.True(t, quarantine.Version.Less(next.Version))
 	unheard, ok := NewState().Crashed(now.Add(QuarantineFor+time.Millisecond), f, false)
 	require.True(t, ok)
-	assert.True(t, conviction.Version.Less(unheard.Version), "nor does an old conviction hide a new suspect")
+	assert.True(t, quarantine.Version.Less(unheard.Version), "an ended quarantine must not hide a new suspect, even at a process that never received the quarantine")
 }
 
-// TestConvictionOfAnEpisodeOfAFastClock: the number of a conviction is never below that of the episode that it ends.
-func TestConvictionOfAnEpisodeOfAFastClock(t *testing.T) {
+// A process whose clock is ahead starts an episode with a number above the end of the quarantine. The quarantine of that
+// episode must still have the higher version, or the suspect mark would replace it.
+func TestQuarantineWinsOverAnEpisodeOfAFastClock(t *testing.T) {
 	s := NewState()
 	first, ok := s.Crashed(now.Add(2*QuarantineFor), f, false)
 	require.True(t, ok)
 	s.Changed(now, []record.Record{first})
-	conviction := crash(t, s, true)
-	assert.True(t, first.Version.Less(conviction.Version))
+	quarantine := crash(t, s, true)
+	assert.True(t, first.Version.Less(quarantine.Version))
 	assert.Equal(t, Quarantined, s.Look(now, f))
 }
 
-func TestQuarantineIsNotConvictedAgain(t *testing.T) {
+// Further crashes during a quarantine must not prolong it, and a request without a fingerprint must get no mark.
+func TestCrashDuringQuarantinePublishesNothing(t *testing.T) {
 	s := NewState()
 	crash(t, s, true)
 	crash(t, s, true)
 	_, more := s.Crashed(now, f, true)
 	assert.False(t, more)
-	_, unnamed := s.Crashed(now, "", true)
-	assert.False(t, unnamed)
+	_, withoutFingerprint := s.Crashed(now, "", true)
+	assert.False(t, withoutFingerprint)
 }
 
-func TestUnreadableMarkIsNone(t *testing.T) {
+// A mark whose value is no valid JSON must not quarantine a request.
+func TestMalformedMarkIsIgnored(t *testing.T) {
 	s := NewState()
 	s.Changed(now, []record.Record{{Key: Prefix + f, Value: []byte("{"), Version: record.Version{Major: 1, Minor: 3}}})
 	assert.Equal(t, Clear, s.Look(now, f))
 }
 
+// names returns the names of n upstreams, in order and reversed.
 func names(n int) (upstreams, reversed []string) {
 	for i := range n {
 		upstreams = append(upstreams, fmt.Sprint("u", i))
@@ -118,10 +128,10 @@
 	return upstreams, reversed
 }
 
-// TestIsolationKeepsToAPart: all suspects of a service run on a quarter of its upstreams at most while these last, and
-// each entry gets the same order whatever order it lists the upstreams in.
-func TestIsolationKeepsToAPart(t *testing.T) {
-	for n, most := range map[int]int{1: 1, 3: 1, 12: 1, 16: 4, 40: 10, 400: 100} {
+// If suspects ran on any upstream, they could crash all of a service. At most a quarter of the upstreams is preferred for
+// them, and the order doesn't depend on the order in which an entry lists the upstreams.
+func TestIsolationPrefersAPartOfTheUpstreams(t *testing.T) {
+	for n, maxPreferred := range map[int]int{1: 1, 3: 1, 12: 1, 16: 4, 40: 10, 400: 100} {
 		upstreams, reversed := names(n)
 		first := map[string]bool{}
 		for i := range 100 {
@@ -130,60 +140,59 @@
 			require.Equal(t, order, Isolation("t/s", fmt.Sprint(i), reversed))
 			first[order[0]] = true
 		}
-		assert.LessOrEqual(t, len(first), most, "of %d", n)
+		assert.LessOrEqual(t, len(first), maxPreferred, "of %d", n)
 		if n >= 400 {
-			assert.Greater(t, len(first), n/16, "suspects of a large service wait less for one another")
+			assert.Greater(t, len(first), n/16, "a large service spreads its suspects over several upstreams, which run one each")
 		}
 	}
 	assert.Empty(t, Isolation("t/s", "x", nil))
 }
 
-// TestIsolationIsTheSameWhateverIsMissing: an entry that knows already that some upstreams crashed and one that does not
-// agree on the order of the others; else each sends its copy of a suspect elsewhere, and one more upstream is lost.
-func TestIsolationIsTheSameWhateverIsMissing(t *testing.T) {
+// An entry that knows that some upstreams crashed and one that doesn't know yet must agree on the order of the others.
+// Otherwise each sends its copy of a suspect to a different upstream, and one more upstream crashes.
+func TestIsolationOrderIgnoresMissingUpstreams(t *testing.T) {
 	for _, n := range []int{3, 10, 15, 100} {
 		upstreams, _ := names(n)
 		for i := range 200 {
 			order := Isolation("t/s", fmt.Sprint(i), upstreams)
-			gone := map[string]bool{fmt.Sprint("u", i%n): true, fmt.Sprint("u", i*7%n): true, order[0]: true}
-			var left, want []string
+			missing := map[string]bool{fmt.Sprint("u", i%n): true, fmt.Sprint("u", i*7%n): true, order[0]: true}
+			var remaining, want []string
 			for _, u := range upstreams {
-				if !gone[u] {
-					left = append(left, u)
+				if !missing[u] {
+					remaining = append(remaining, u)
 				}
 			}
 			for _, u := range order {
-				if !gone[u] {
+				if !missing[u] {
 					want = append(want, u)
 				}
 			}
-			require.Equal(t, want, append([]string(nil), Isolation("t/s", fmt.Sprint(i), left)...), "of %d without %v", n, gone)
+			require.Equal(t, want, append([]string(nil), Isolation("t/s", fmt.Sprint(i), remaining)...), "of %d without %v", n, missing)
 		}
 	}
 }
 
-// TestExpiredMarksAreForgotten deletes a mark long after it expired, and not before; a crash after that makes a mark
-// that is newer than the deletion, wherever the deletion is still held.
-func TestExpiredMarksAreForgotten(t *testing.T) {
+// Marks are deleted ForgetAfter after they expired, so that they don't accumulate. The mark of a later crash must have a
+// higher version than the deletion; otherwise processes that still hold the deletion would ignore it.
+func TestExpiredMarksAreDeleted(t *testing.T) {
 	s := NewState()
 	crash(t, s, false)
-	convicted := crash(t, s, true)
+	quarantined := crash(t, s, true)
 	expiry := now.Add(QuarantineFor)
 	require.Empty(t, s.Expired(expiry.Add(ForgetAfter-time.Second)))
 	deletions := s.Expired(expiry.Add(ForgetAfter))
 	require.Len(t, deletions, 1)
-	require.True(t, convicted.Version.Less(deletions[0].Version), "the deletion wins over the mark")
+	require.True(t, quarantined.Version.Less(deletions[0].Version), "the deletion wins over the mark")
 	s.Changed(now, deletions)
-	require.Empty(t, s.Expired(expiry.Add(2*ForgetAfter)), "nothing is kept")
-	again, ok := s.Crashed(expiry.Add(ForgetAfter), f, false)
+	require.Empty(t, s.Expired(expiry.Add(2*ForgetAfter)), "no mark is left to delete")
+	next, ok := s.Crashed(expiry.Add(ForgetAfter), f, false)
 	require.True(t, ok)
-	require.True(t, deletions[0].Version.Less(again.Version), "a new episode wins over the deletion")
+	require.True(t, deletions[0].Version.Less(next.Version), "a new episode wins over the deletion")
 }
 
-// TestAConvictionStandsAgainstAnEpisodeNumberedAboveIt: a process whose clock is an hour ahead begins an episode that is numbered above a
-// conviction of which it has not heard. Who holds the conviction keeps it, as long as it lasts and no longer, and tells it as part of that
-// episode, so that it wins wherever the two meet.
-func TestAConvictionStandsAgainstAnEpisodeNumberedAboveIt(t *testing.T) {
+// A process whose clock is an hour ahead starts an episode with a number above that of a quarantine that it has not received. A process
+// that holds the quarantine must keep it for the remaining time and publish it as part of that episode, so that it wins everywhere.
+func TestQuarantineIsRenewedInAnEpisodeWithAHigherNumber(t *testing.T) {
 	s := NewState()
 	crash(t, s, false)
 	crash(t, s, true)
@@ -192,26 +201,27 @@
 	require.True(t, ok)
 	ahead.Changed(now.Add(time.Hour), []record.Record{later})
 
-	passed := time.Minute
-	renewed := s.Changed(now.Add(passed), []record.Record{later})
+	elapsed := time.Minute
+	renewed := s.Changed(now.Add(elapsed), []record.Record{later})
 	require.Len(t, renewed, 1)
-	assert.Equal(t, Quarantined, s.Look(now.Add(passed), f))
+	assert.Equal(t, Quarantined, s.Look(now.Add(elapsed), f))
 	assert.True(t, later.Version.Less(renewed[0].Version))
-	assert.Empty(t, s.Changed(now.Add(passed), renewed), "the own mark is not told again and again")
-	assert.Equal(t, QuarantineFor-passed, s.Remaining(now.Add(passed), f))
+	assert.Empty(t, s.Changed(now.Add(elapsed), renewed), "the renewed mark itself must not be published again")
+	assert.Equal(t, QuarantineFor-elapsed, s.Remaining(now.Add(elapsed), f))
 
-	ahead.Changed(now.Add(time.Hour+passed), renewed)
-	assert.Equal(t, Quarantined, ahead.Look(now.Add(time.Hour+passed), f))
-	assert.Equal(t, Clear, ahead.Look(now.Add(time.Hour+QuarantineFor), f), "it does not start anew")
+	ahead.Changed(now.Add(time.Hour+elapsed), renewed)
+	assert.Equal(t, Quarantined, ahead.Look(now.Add(time.Hour+elapsed), f))
+	assert.Equal(t, Clear, ahead.Look(now.Add(time.Hour+QuarantineFor), f), "the renewed quarantine must not start its full duration again")
 }
 
-// TestAMarkLastsFromWhenItIsHeardOf: a process whose clock is ahead by more than a mark lasts keeps it as long as the others.
-func TestAMarkLastsFromWhenItIsHeardOf(t *testing.T) {
+// A process whose clock is ahead by more than the duration of a mark must keep it as long as the others. With an absolute expiry time the
+// mark would be expired on receipt.
+func TestMarkDurationCountsFromReceipt(t *testing.T) {
 	s, ahead := NewState(), NewState()
 	crash(t, s, false)
-	conviction := crash(t, s, true)
-	there := now.Add(2 * QuarantineFor)
-	ahead.Changed(there, []record.Record{conviction})
-	assert.Equal(t, Quarantined, ahead.Look(there.Add(QuarantineFor-time.Second), f))
-	assert.Equal(t, Clear, ahead.Look(there.Add(QuarantineFor), f))
+	quarantine := crash(t, s, true)
+	receivedAt := now.Add(2 * QuarantineFor)
+	ahead.Changed(receivedAt, []record.Record{quarantine})
+	assert.Equal(t, Quarantined, ahead.Look(receivedAt.Add(QuarantineFor-time.Second), f))
+	assert.Equal(t, Clear, ahead.Look(receivedAt.Add(QuarantineFor), f))
 }
