--- a/internal/core/intake/intake.go
+++ b/internal/core/intake/intake.go
@@ -1,5 +1,5 @@
-// Package intake holds the rules for what callers may send: sizes, headers that belong to the system, paths of
-// engines that only the system may call, and how slowly a body may come.
+// Package intake holds the rules for requests from callers: size limits, headers that are reserved for the system, paths
+// of engines that only the system may call, and the minimum rate of a body.
 package intake
 
 import (
@@ -13,23 +13,24 @@
 )
 
 const (
-	// MaxTarget bounds a request's path and query, in bytes.
+	// MaxTarget bounds a request's path and query together, in bytes.
 	MaxTarget = 8 << 10
 	// MaxField bounds one header field, name and value, in bytes.
 	MaxField = 8 << 10
 	// MaxFields bounds the number of header fields.
 	MaxFields = 100
-	// MaxHeader bounds all header fields together, in bytes: less than what the system's processes take from one
-	// another, so that what a caller sends never makes a message between them too large.
+	// MaxHeader bounds all header fields together, in bytes. It is below the limit between the system's own processes,
+	// so that a caller's header plus the system's header fields never exceeds that limit.
 	MaxHeader = 32 << 10
 )
 
-// Check tells what of a request's head is over a limit or malformed; nil when nothing is.
+// Check checks the path, the query and the header of a request. It returns an error that names the part that exceeds a
+// limit or is malformed, or nil.
 func Check(u *url.URL, h http.Header) *code.Error {
 	if n := len(u.EscapedPath()) + len(u.RawQuery); n > MaxTarget {
 		return code.Errorf(code.TargetTooLong, "path", "%d bytes with the query, at most %d", n, MaxTarget)
 	}
-	if dotted(u.Path) {
+	if hasDotSegment(u.Path) {
 		return code.Errorf(code.BadPath, "path", "want no . or .. as a segment")
 	}
 	return checkHeader(h)
@@ -41,7 +42,7 @@
 		for _, v := range values {
 			n := len(name) + len(v)
 			if n > MaxField {
-				return code.Errorf(code.BadHeader, short(name), "%d bytes, at most %d", n, MaxField)
+				return code.Errorf(code.BadHeader, truncateName(name), "%d bytes, at most %d", n, MaxField)
 			}
 			fields++
 			total += n
@@ -56,12 +57,13 @@
 	return nil
 }
 
-// maxShown is how much of a long name a refusal repeats, in bytes.
-const maxShown = 64
+// maxShownName bounds the part of a header field's name that an error repeats, in bytes.
+const maxShownName = 64
 
-func short(name string) string { return name[:min(len(name), maxShown)] }
+func truncateName(name string) string { return name[:min(len(name), maxShownName)] }
 
-func dotted(p string) bool {
+// hasDotSegment reports whether a path has a segment . or .., which an upstream may resolve to another path.
+func hasDotSegment(p string) bool {
 	for _, segment := range strings.Split(p, "/") {
 		if segment == "." || segment == ".." {
 			return true
@@ -70,13 +72,14 @@
 	return false
 }
 
-// systemPrefix begins the names of headers between the system's processes.
+// systemPrefix is the prefix of the header fields that the system's processes send each other.
 const systemPrefix = "Samphireweir-"
 
-// systemHeaders carry the system's orders to engines, and what engines say of themselves.
+// systemHeaders are the header fields of the system's orders to engines and of the state that engines report.
 var systemHeaders = []string{"Weights-Digest", "Fencing-Number", "Load-Generation", "Order-Id", "Boot-Id", "Attempt", "Request-Id"}
 
-// Strip removes from a caller's header what only the system may say, and what the caller's Connection field names.
+// Strip removes from a caller's header the fields that are reserved for the system and the hop-by-hop fields that its
+// Connection field lists.
 func Strip(h http.Header) {
 	for _, field := range h.Values("Connection") {
 		for _, name := range strings.Split(field, ",") {
@@ -93,12 +96,12 @@
 	}
 }
 
-// systemPaths are the paths of an engine that only the system may call: orders, state, events, and what is done to
-// any request whatever its caller.
+// systemPaths are the paths of an engine that only the system may call: orders, state, events, administration, and
+// operations on requests of any caller. They include all paths below them.
 var systemPaths = []string{"/orders", "/state", "/events", "/admin", "/v1/kv", "/v1/cancel"}
 
-// ForSystem tells whether only the system may call this path, as decoded, of an upstream of this kind. Spellings that
-// a lenient upstream may take for the same path count as the same.
+// ForSystem reports whether only the system may call a path of an upstream of the given kind. upstreamPath is decoded.
+// Variants in case, slashes, backslashes and dot segments count as the same path, since a lenient upstream may accept them.
 func ForSystem(kind setting.Kind, upstreamPath string) bool {
 	if kind != setting.Engine {
 		return false
--- a/internal/core/intake/intake_test.go
+++ b/internal/core/intake/intake_test.go
@@ -14,6 +14,7 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
+// header returns a header with a number of fields whose values have the given length.
 func header(fields, bytes int) http.Header {
 	h := http.Header{}
 	for range fields {
@@ -22,8 +23,9 @@
 	return h
 }
 
-// TestCheck names what is over a limit.
-func TestCheck(t *testing.T) {
+// Requests over a limit, or with a path that an upstream may resolve to another one, must be refused with the right code.
+// Names that merely contain dots, and escaped slashes, must pass.
+func TestCheckRefusesOversizedOrMalformedRequests(t *testing.T) {
 	for _, c := range []struct {
 		target string
 		header http.Header
@@ -52,8 +54,9 @@
 	}
 }
 
-// TestStrip takes away the system's headers and those of one connection, and leaves the caller's own.
-func TestStrip(t *testing.T) {
+// A caller that could set the system's headers could impersonate a process of the system or forge an order. Strip
+// must remove them, as well as hop-by-hop fields, and keep the caller's own fields.
+func TestStripRemovesSystemAndHopByHopHeaders(t *testing.T) {
 	h := http.Header{}
 	for _, name := range []string{
 		"samphireweir-run", "Samphireweir-Authorization", "Samphireweir-From", "Weights-Digest", "Fencing-Number",
@@ -70,8 +73,9 @@
 	require.Equal(t, "own", h.Get("X-Own"))
 }
 
-// TestForSystem keeps every spelling of an engine's orders from callers, and nothing of plain services.
-func TestForSystem(t *testing.T) {
+// A caller must not reach an engine's orders through another spelling of the path. Plain services have no such paths, so
+// all their paths are open to callers.
+func TestForSystemRecognizesAllSpellingsOfAPath(t *testing.T) {
 	for _, p := range []string{"/orders/load", "//orders//role", "/Orders/load", "/orders", "/state", "/events", "/v1/kv", "/v1/cancel", "/admin/faults", "/\\orders/load", "/x/../state"} {
 		require.True(t, intake.ForSystem(setting.Engine, p), p)
 		require.False(t, intake.ForSystem(setting.Plain, p), p)
@@ -81,12 +85,13 @@
 	}
 }
 
-// TestPace cuts a body that drips and none that keeps coming.
-func TestPace(t *testing.T) {
+// A body that sends single bytes at long intervals would hold a request open without end. A long body that keeps up the
+// minimum rate must not be cut.
+func TestPaceRefusesSlowBodiesOnly(t *testing.T) {
 	drip := intake.Pace{Bytes: 10, Waited: 20 * time.Second}
 	require.False(t, drip.TooSlow())
 	drip.Waited = 31 * time.Second
 	require.True(t, drip.TooSlow())
 	steady := intake.Pace{Bytes: 3600 * 1000, Waited: time.Hour}
-	require.Equal(t, intake.Silence, steady.Patience(), "only silence bounds it")
+	require.Equal(t, intake.Silence, steady.Patience(), "a steady body is bounded only by Silence")
 }
--- a/internal/core/intake/pace.go
+++ b/internal/core/intake/pace.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	// Silence bounds the wait for the next bytes of a body.
+	// Silence is the maximum wait for the next bytes of a body.
 	Silence = 30 * time.Second
-	// Grace is how long a body may be waited for at any rate.
+	// Grace is the total time spent waiting for a body during which no minimum rate applies.
 	Grace = 30 * time.Second
-	// MinRate is the rate, in bytes a second, that a body must keep after Grace on the average.
+	// MinRate is the minimum average rate of a body after Grace, in bytes per second.
 	MinRate = 256
 )
 
-// Pace follows the arrival of one body. It bounds what a caller can hold open by sending a byte now and then; it
-// bounds no answer, and no body that keeps coming. Only the time spent waiting for the sender counts, so that an
-// upstream that takes a body slowly is not held against the caller.
+// Pace measures the arrival of one request body. It prevents a caller from holding a request open by sending single bytes
+// at long intervals. It doesn't limit the total duration of a body that keeps arriving, or of an answer. Only the time
+// spent waiting for the caller counts, so that the caller isn't penalized for an upstream that reads the body slowly.
 type Pace struct {
-	// Waited is the time spent waiting for bytes.
+	// Waited is the time spent waiting for bytes of the body.
 	Waited time.Duration
-	// Bytes counts what has come.
+	// Bytes is the number of bytes received.
 	Bytes int64
 }
 
-// Patience is how long the next bytes may be waited for; 0 or less says that the body is too slow.
+// Patience returns the timeout for the next bytes. A value of 0 or less means that the body is too slow.
 func (p Pace) Patience() time.Duration {
-	earned := Grace + time.Duration(p.Bytes)*time.Second/MinRate
-	return min(Silence, earned-p.Waited)
+	allowed := Grace + time.Duration(p.Bytes)*time.Second/MinRate
+	return min(Silence, allowed-p.Waited)
 }
 
-// TooSlow tells whether the body has fallen behind what it must keep.
+// TooSlow reports whether the body has fallen below its minimum rate.
 func (p Pace) TooSlow() bool { return p.Patience() <= 0 }
