--- a/internal/core/watch/watch.go
+++ b/internal/core/watch/watch.go
@@ -1,9 +1,10 @@
-// Package watch is the reducer that decides which processes read the platform, and when a process is ready.
+// Package watch is the reducer that decides which processes read the platform and when, and when a process is ready.
 //
-// In each place the first processes in rendezvous order watch the settings and read the list of hosts; all others
-// hear from them. How long ago the platform was last read rides on each exchange between processes, so a process
-// sees that the watchers have gone silent by the age that reaches it, and takes over in the order of its rank.
-// The rank also spaces the tries while the platform is down: their rate grows with the logarithm of the fleet.
+// In each data centre the first processes in rendezvous order are the watchers: they watch the settings and read the host
+// list. All others receive both from their peers. Each exchange between processes carries the age of the last successful
+// reading of the platform. If that age grows too high, the watchers have failed, and the next process in rank takes over.
+// The rank also spaces the attempts while the platform is down, so that their rate grows only with the logarithm of the
+// number of processes.
 package watch
 
 import (
@@ -13,42 +14,43 @@
 )
 
 const (
-	// PerPlace is how many processes of a place watch while all is well.
+	// PerPlace is the number of watchers of a data centre in normal operation.
 	PerPlace = 2
-	// Wait is how long one watch waits for news.
+	// Wait is how long one watch call waits for changes.
 	Wait = 3 * time.Second
-	// Silence is the age at which the next in rank takes the watchers for dead.
+	// Silence is the age of the last reading from which the watchers count as failed and the next process in rank takes over.
 	Silence = 9 * time.Second
-	// RankPause is how much longer each further rank waits.
+	// RankPause is the additional wait per rank after a failed reading. Half of it per rank is added to Silence.
 	RankPause = time.Second
-	// FirstRetry and LastRetry bound the wait after a failed reading, for the first ranks.
-	FirstRetry = 500 * time.Millisecond
-	LastRetry  = 4 * time.Second
-	// LastRankWait bounds the wait by rank of a process that has no settings yet.
-	LastRankWait = 10 * time.Second
-	// HostsInterval is the shortest time between two readings of the host list by one process.
+	// InitialRetry and LastRetry are the minimum and maximum wait after a failed reading, for ranks whose wait by RankPause is
+	// shorter.
+	InitialRetry = 500 * time.Millisecond
+	LastRetry    = 4 * time.Second
+	// MaxRankWait bounds the wait by rank of a process that has no settings yet.
+	MaxRankWait = 10 * time.Second
+	// HostsInterval is the minimum time between two readings of the host list by one process.
 	HostsInterval = 2 * time.Second
-	// UnlistedInterval is that of a new process that is not on the list yet.
+	// UnlistedInterval is the time between two readings by a new process that is not on the host list yet.
 	UnlistedInterval = 500 * time.Millisecond
-	// HostsBytesPerSecond is what a watcher may spend on reading the host list.
+	// HostsBytesPerSecond is the average rate, in bytes per second, at which a watcher may read the host list.
 	HostsBytesPerSecond = 2500
-	// listedBytes is about what one host takes in the list.
+	// listedBytes is the approximate size of one host in the host list, in bytes.
 	listedBytes = 90
-	// PeersToHear is from how many peers a process must have the whole state before it is ready without the platform.
+	// PeersToHear is the number of peers whose whole state a process must have merged to become ready without the platform.
 	PeersToHear = 3
-	// Patience is how long it waits for that many, when at least one was heard.
-	Patience = 5 * time.Second
-	// BlindPatience is how long a new entry waits to hear what the engines do.
-	BlindPatience = 3 * time.Second
-	// PlatformFirst is how long a new process waits for the platform before its peers' word is enough.
-	PlatformFirst = 2 * time.Second
+	// PeersTimeout is how long a process waits for that many peers once it has merged the state of one.
+	PeersTimeout = 5 * time.Second
+	// EngineStateTimeout is how long a new entry waits to receive the state of the engines.
+	EngineStateTimeout = 3 * time.Second
+	// PlatformTimeout is how long a new process waits for the platform before the state of its peers is sufficient.
+	PlatformTimeout = 2 * time.Second
 )
 
-// ReadFailed says that a reading of the settings failed. Gone tells that the platform keeps no changes back to
-// the revision that was asked for.
+// ReadFailed is the event of a failed reading of the settings. Gone is set when the platform no longer keeps the changes since
+// the requested revision.
 type ReadFailed struct{ Gone bool }
 
-// HostsFailed says that a reading of the host list failed.
+// HostsFailed is the event of a failed reading of the host list.
 type HostsFailed struct{}
 
 // Event marks the type as an event.
@@ -57,16 +59,18 @@
 // Event marks the type as an event.
 func (HostsFailed) Event() {}
 
-// List reads all settings.
+// List is the effect that reads all settings.
 type List struct{}
 
-// Watch waits for changes of settings after a revision.
+// Watch is the effect that waits for changes of settings.
 type Watch struct {
+	// After is the revision after which changes are returned.
 	After uint64
-	Wait  time.Duration
+	// Wait is the maximum wait for a change; 0 returns at once.
+	Wait time.Duration
 }
 
-// ReadHosts reads the list of hosts.
+// ReadHosts is the effect that reads the host list.
 type ReadHosts struct{}
 
 // Effect marks the type as an effect.
@@ -78,77 +82,80 @@
 // Effect marks the type as an effect.
 func (ReadHosts) Effect() {}
 
-// View is what the decision needs of the rest of the state.
+// View is the part of the process's other state that the decisions depend on.
 type View struct {
-	// Rank is this process's place in its place's rendezvous order, from 0.
+	// Rank is this process's position in the rendezvous order of its data centre, from 0.
 	Rank int
-	// Hosts is how many processes are listed, this one not counted; Listed tells whether this one is.
+	// Hosts is the number of listed processes without this one. Listed is set when this process is listed.
 	Hosts  int
 	Listed bool
-	// Seasoned, Floor and Fresh are those of the records.
+	// Seasoned is set once every setting up to revision Floor is known. Fresh is when the platform was last at Floor.
 	Seasoned bool
 	Floor    uint64
 	Fresh    time.Time
-	// Heard is from how many peers the whole state was merged.
+	// Heard is the number of peers whose whole state was merged.
 	Heard int
-	// Blind is set while an entry does not know yet what the engines do.
+	// Blind is set while an entry has not received the state of the engines yet.
 	Blind bool
 }
 
-// State is what a process remembers of its readings.
+// State holds what a process knows of its readings of the platform.
 type State struct {
-	// Ready is set once the settings are known well enough to take work.
+	// Ready is set once the process knows enough of the settings to accept requests.
 	Ready bool
-	// Reads is set once this process itself has read the platform.
+	// Reads is set once this process itself has read the settings from the platform.
 	Reads bool
 
 	started   time.Time
 	firstPeer time.Time
-	// seasonedAt is when the settings were first known.
-	seasonedAt time.Time
-	busy       bool
-	gone       bool
-	failed     bool
-	failures   int
-	notBefore  time.Time
-	hostsBusy  bool
-	hostsRead  bool
-	nextHosts  time.Time
+	// settingsAt is when the settings were first known.
+	settingsAt time.Time
+	// reading is set while a reading of the settings is in flight.
+	reading bool
+	// compacted is set when the platform no longer keeps the changes since the requested revision.
+	compacted bool
+	failed    bool
+	failures  int
+	nextRead  time.Time
+	// readingHosts is set while a reading of the host list is in flight, hostsKnown after the first success.
+	readingHosts  bool
+	hostsKnown    bool
+	nextHostsRead time.Time
 }
 
-// Succeeded takes in a reading of the settings.
+// Succeeded records a successful reading of the settings.
 func (s *State) Succeeded() {
 	s.Reads = true
-	s.busy, s.gone, s.failed = false, false, false
+	s.reading, s.compacted, s.failed = false, false, false
 	s.failures = 0
-	s.notBefore = time.Time{}
+	s.nextRead = time.Time{}
 }
 
-// Failed takes in a failed reading.
+// Failed records a failed reading of the settings and sets the time of the next attempt.
 func (s *State) Failed(in step.Input, ev ReadFailed, v View) {
-	s.busy = false
+	s.reading = false
 	if ev.Gone {
-		s.gone = true
-		s.notBefore = in.Now.Add(FirstRetry)
+		s.compacted = true
+		s.nextRead = in.Now.Add(InitialRetry)
 		return
 	}
 	s.failed = true
 	s.failures++
-	wait := min(FirstRetry<<min(s.failures-1, 8), LastRetry)
+	wait := min(InitialRetry<<min(s.failures-1, 8), LastRetry)
 	rankWait := time.Duration(v.Rank) * RankPause
 	if !v.Seasoned {
-		rankWait = min(rankWait, LastRankWait)
+		rankWait = min(rankWait, MaxRankWait)
 	}
 	wait = max(wait, rankWait)
-	// A part of the wait is random, so that a fleet that lost the platform at once does not ask in step.
+	// Jitter of up to a quarter of the wait keeps processes that lost the platform at the same time from retrying together.
 	wait += time.Duration(in.Rand % uint64(wait/4+1))
-	s.notBefore = in.Now.Add(wait)
+	s.nextRead = in.Now.Add(wait)
 }
 
-// HostsRead takes in a reading of the host list, or its failure.
+// HostsRead records a reading of the host list; ok is false when it failed.
 func (s *State) HostsRead(in step.Input, ok bool, v View) {
-	s.hostsBusy = false
-	s.hostsRead = s.hostsRead || ok
+	s.readingHosts = false
+	s.hostsKnown = s.hostsKnown || ok
 	wait := HostsInterval
 	switch {
 	case ok && !v.Listed && v.Hosts > 0:
@@ -156,67 +163,69 @@
 	case ok:
 		wait = max(wait, time.Duration(v.Hosts)*listedBytes*time.Second/HostsBytesPerSecond)
 	}
-	s.nextHosts = in.Now.Add(wait + time.Duration(in.Rand%uint64(wait/4)))
+	s.nextHostsRead = in.Now.Add(wait + time.Duration(in.Rand%uint64(wait/4)))
 }
 
-// Tick decides what to read now.
+// Tick returns the readings to start now.
 func (s *State) Tick(in step.Input, v View) []step.Effect {
 	if s.started.IsZero() {
 		s.started = in.Now
 	}
 	var effects []step.Effect
-	if s.readsHosts(in.Now, v) {
-		s.hostsBusy = true
+	if s.shouldReadHosts(in.Now, v) {
+		s.readingHosts = true
 		effects = append(effects, ReadHosts{})
 	}
-	if s.busy || in.Now.Before(s.notBefore) || !s.onDuty(in.Now, v) {
+	if s.reading || in.Now.Before(s.nextRead) || !s.shouldRead(in.Now, v) {
 		return effects
 	}
-	s.busy = true
+	s.reading = true
 	return append(effects, s.read(v))
 }
 
-// read picks the cheapest reading that brings all news.
+// read returns the cheapest reading that returns all changes.
 func (s *State) read(v View) step.Effect {
-	if !v.Seasoned || s.gone {
+	if !v.Seasoned || s.compacted {
 		return List{}
 	}
 	if s.failed || !s.Reads {
-		// After a failure, and the first time, the answer is wanted at once, with or without news.
+		// The first reading, and one after a failure, must return at once even without changes: it shows that the platform answers.
 		return Watch{After: v.Floor}
 	}
 	return Watch{After: v.Floor, Wait: Wait}
 }
 
-// onDuty tells whether this process should read the platform now.
-func (s *State) onDuty(now time.Time, v View) bool {
+// shouldRead reports whether this process should read the settings from the platform now.
+func (s *State) shouldRead(now time.Time, v View) bool {
 	if !v.Seasoned {
-		// Peers have FirstPause to bring the state, which spares the platform a whole listing.
-		return v.Hosts == 0 && s.hostsRead || now.Sub(s.started) >= FirstPause
+		// Peers have ListDelay to send the state, which saves the platform the listing of all settings.
+		return v.Hosts == 0 && s.hostsKnown || now.Sub(s.started) >= ListDelay
 	}
-	return !s.Reads && !s.Ready || s.watcher(now, v)
+	return !s.Reads && !s.Ready || s.isWatcher(now, v)
 }
 
-// FirstPause is how long a new process tries its peers before it lists the settings itself.
-const FirstPause = 300 * time.Millisecond
+// ListDelay is how long a new process waits for its peers' state before it lists the settings itself.
+const ListDelay = 300 * time.Millisecond
 
-// watcher tells whether this process is one that watches: one of the first, or the next in rank after silence.
-func (s *State) watcher(now time.Time, v View) bool {
+// isWatcher reports whether this process is a watcher: one of the first in rank, or the next in rank after the watchers
+// failed.
+func (s *State) isWatcher(now time.Time, v View) bool {
 	if v.Rank < PerPlace {
 		return true
 	}
 	return now.Sub(v.Fresh) > Silence+time.Duration(v.Rank-PerPlace+1)*RankPause/2
 }
 
-func (s *State) readsHosts(now time.Time, v View) bool {
-	if s.hostsBusy || now.Before(s.nextHosts) {
+// shouldReadHosts reports whether this process should read the host list now.
+func (s *State) shouldReadHosts(now time.Time, v View) bool {
+	if s.readingHosts || now.Before(s.nextHostsRead) {
 		return false
 	}
-	// A process that is not listed yet looks again, so that it can tell the others at once when it is.
-	return !s.hostsRead || v.Hosts == 0 || !v.Listed || s.watcher(now, v)
+	// A process that is not listed yet reads again, so that it can inform its peers as soon as it is.
+	return !s.hostsKnown || v.Hosts == 0 || !v.Listed || s.isWatcher(now, v)
 }
 
-// BecomesReady tells whether the process can take work from now on.
+// BecomesReady reports whether the process becomes ready to accept requests with this call.
 func (s *State) BecomesReady(now time.Time, v View) bool {
 	if s.Ready || !v.Seasoned {
 		return false
@@ -224,22 +233,23 @@
 	if v.Heard > 0 && s.firstPeer.IsZero() {
 		s.firstPeer = now
 	}
-	if s.seasonedAt.IsZero() {
-		s.seasonedAt = now
+	if s.settingsAt.IsZero() {
+		s.settingsAt = now
 	}
-	if v.Blind && now.Sub(s.seasonedAt) < BlindPatience {
+	if v.Blind && now.Sub(s.settingsAt) < EngineStateTimeout {
 		return false
 	}
 	s.Ready = s.Reads || s.enoughPeers(now, v)
 	return s.Ready
 }
 
+// enoughPeers reports whether the state of the peers is sufficient to become ready without the platform.
 func (s *State) enoughPeers(now time.Time, v View) bool {
-	if !s.failed && now.Sub(s.started) < PlatformFirst {
+	if !s.failed && now.Sub(s.started) < PlatformTimeout {
 		return false
 	}
 	if v.Heard >= PeersToHear {
 		return true
 	}
-	return v.Heard > 0 && now.Sub(s.firstPeer) >= Patience
+	return v.Heard > 0 && now.Sub(s.firstPeer) >= PeersTimeout
 }
