--- a/internal/core/step/rendezvous.go
+++ b/internal/core/step/rendezvous.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is the rendezvous weight of a member for a key: each key orders the members in its own way, and a
-// member that comes or goes moves only the keys that it wins.
+// Score returns the weight of a member for a key in rendezvous hashing. Each key yields its own order of the members. A
+// member that is added or removed changes the first member only for those keys for which it has the highest weight.
 func Score(key, member string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -17,7 +17,7 @@
 	return d.Sum64()
 }
 
-// Rank returns the members ordered by their rendezvous weight for key, the highest first.
+// Rank returns the members ordered by their Score for key, the highest first.
 func Rank(key string, members []string) []string {
 	ranked := make([]string, len(members))
 	copy(ranked, members)
@@ -35,7 +35,7 @@
 	return ranked
 }
 
-// Position returns the place of member in key's rendezvous order over members, or -1 when it is not one of them.
+// Position returns the index of member in Rank(key, members), or -1 when it is not one of them.
 func Position(key, member string, members []string) int {
 	own := Score(key, member)
 	found := false
--- a/internal/core/step/step.go
+++ b/internal/core/step/step.go
@@ -1,29 +1,29 @@
-// Package step holds the types that every reducer of the core shares: what goes in (an Input with one Event)
-// and what comes out (Effects, as data).
+// Package step holds the types that all reducers of the core share: their input (an Input with one Event) and their output
+// (Effects, as data). The shell is the code around the reducers that feeds them inputs and carries out their effects.
 //
-// A reducer is pure: it reads no clock, does no I/O and draws no random number. Time and randomness come with
-// the Input, so that a run can be replayed from its inputs.
+// A reducer is pure: it reads no clock, does no I/O and draws no random numbers. Time and randomness are part of the Input,
+// so that a run can be replayed from its inputs.
 package step
 
 import "time"
 
-// Event is something that happened: a message, an answer, the passing of time.
+// Event is something that happened, such as a received message, an answer or a tick of the clock.
 type Event interface{ Event() }
 
-// Effect is something the shell must carry out. Its outcome comes back as an Event.
+// Effect is an action that the shell must carry out. Its outcome is returned as an Event.
 type Effect interface{ Effect() }
 
-// Input is one event together with the time and the randomness that the reducer may use.
+// Input is one event together with the time and the random number that the reducer may use.
 type Input struct {
-	// Now is the shell's clock with its monotonic reading; differences are immune to clock steps.
+	// Now is the shell's clock with its monotonic reading, so that differences are not affected by clock steps.
 	Now time.Time
 	// Rand is a random number that the shell drew for this input alone.
 	Rand uint64
-	// Event is what happened.
+	// Event is the event to handle.
 	Event Event
 }
 
-// Tick says that time has passed. The shell sends one every TickInterval.
+// Tick is the event that the shell sends every TickInterval.
 type Tick struct{}
 
 // Event marks Tick as an event.
