--- a/internal/core/rollout/decide.go
+++ b/internal/core/rollout/decide.go
@@ -5,37 +5,38 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// decide gives the order that an engine needs, when it may be given now.
+// decide returns the effects that an engine needs now: an order, the cancellation of one, or a change of service.
 func (s *State) decide(in step.Input, u *Upstream, complete func(string) bool) []step.Effect {
 	if s.Incarnation.Superseded {
-		return s.yield(u)
+		return s.stopSuperseded(u)
 	}
 	if u.order != nil {
-		return s.watchOrder(in, u)
+		return s.checkOrder(in, u)
 	}
 	if u.Phase == member.Idle && !u.draining {
 		if effects := s.adopt(in, u); effects != nil {
 			return effects
 		}
 	}
-	if u.draining && (u.target.Digest == "" || u.satisfied() || !s.holdsSlot(u, in.Now)) {
+	if u.draining && (u.target.Digest == "" || u.atTarget() || !s.holdsSlot(u, in.Now)) {
 		u.resume()
 	}
-	if u.Phase == member.Serving && (u.target.Digest == "" || u.satisfied()) {
+	if u.Phase == member.Serving && (u.target.Digest == "" || u.atTarget()) {
 		s.slotsOf(u).Done(u.Name)
 	}
 	if s.releasing || u.target.Digest == "" || !u.fresh || u.Phase == member.Down {
 		return nil
 	}
-	if u.Phase == member.Serving && u.satisfied() {
-		return s.announce(in, u)
+	if u.Phase == member.Serving && u.atTarget() {
+		return s.announceNumber(in, u)
 	}
-	return s.change(in, u, complete)
+	return s.approachTarget(in, u, complete)
 }
 
-// yield stops what a superseded agent does: its engines are another's.
-func (s *State) yield(u *Upstream) []step.Effect {
-	effects := u.leave(ReasonSuperseded)
+// stopSuperseded stops the orders of a superseded agent and takes its engines out of service, because another agent controls
+// them now.
+func (s *State) stopSuperseded(u *Upstream) []step.Effect {
+	effects := u.takeOut(ReasonSuperseded)
 	u.Phase = member.Down
 	if u.order != nil {
 		effects = append(effects, u.cancelOrder()...)
@@ -43,23 +44,23 @@
 	return effects
 }
 
-// watchOrder cancels an order that is no longer wanted or may no longer go on.
-func (s *State) watchOrder(in step.Input, u *Upstream) []step.Effect {
+// checkOrder cancels an order that is no longer wanted or no longer permitted.
+func (s *State) checkOrder(in step.Input, u *Upstream) []step.Effect {
 	o := u.order
-	s.renew = s.renew || u.target.IgnoresFencing
-	unwanted := o.load != "" && o.load != u.target.Digest
+	s.renewLease = s.renewLease || u.target.IgnoresFencing
+	unwanted := o.digest != "" && o.digest != u.target.Digest
 	if unwanted || s.releasing || !s.MayOrder(u.Name, in.Now) {
 		return u.cancelOrder()
 	}
 	return nil
 }
 
-// satisfied tells whether the pinned weights and the role are those asked for.
-func (u *Upstream) satisfied() bool {
+// atTarget reports whether the pinned weights and the role are those of the target.
+func (u *Upstream) atTarget() bool {
 	return u.Digest == u.target.Digest && u.inRole(u.Role)
 }
 
-// resume takes a draining engine back into service; it still holds its pinned weights.
+// resume returns a draining engine, which still holds its pinned weights, to service.
 func (u *Upstream) resume() {
 	if !u.draining {
 		return
@@ -69,43 +70,44 @@
 	u.Phase = member.Serving
 }
 
-// announce tells an engine that checks fencing numbers the present incarnation, by an order that changes nothing.
-func (s *State) announce(in step.Input, u *Upstream) []step.Effect {
-	if !s.needsAnnounce(u) || in.Now.Before(u.notAgain) {
+// announceNumber sends an engine that checks fencing numbers the number of the present incarnation, with an order that changes
+// nothing else. From then on the engine refuses the orders of former agents.
+func (s *State) announceNumber(in step.Input, u *Upstream) []step.Effect {
+	if !s.needsAnnounce(u) || in.Now.Before(u.nextOrderAt) {
 		return nil
 	}
 	o := s.newOrder(in, u)
-	o.announce = true
-	o.role = u.seen.Role
+	o.announceOnly = true
+	o.role = u.observed.Role
 	return []step.Effect{SetRole{Upstream: u.Name, URL: u.URL, Order: o.serial, Role: o.role, Fencing: o.fencing}}
 }
 
 func (s *State) needsAnnounce(u *Upstream) bool {
-	return s.Incarnation.Held() && !u.target.IgnoresFencing && u.announced != s.Incarnation.Number
+	return s.Incarnation.Held() && !u.target.IgnoresFencing && u.announcedNumber != s.Incarnation.Number
 }
 
-// change brings an engine to its target: drain, then the role, then the weights.
-func (s *State) change(in step.Input, u *Upstream, complete func(string) bool) []step.Effect {
-	s.renew = s.renew || (u.target.IgnoresFencing && s.Incarnation.Clear(in.Now))
-	if !s.MayOrder(u.Name, in.Now) || in.Now.Before(u.notAgain) {
+// approachTarget brings an engine to its target: it drains the engine, then orders the role, then the weights.
+func (s *State) approachTarget(in step.Input, u *Upstream, complete func(string) bool) []step.Effect {
+	s.renewLease = s.renewLease || (u.target.IgnoresFencing && s.Incarnation.Clear(in.Now))
+	if !s.MayOrder(u.Name, in.Now) || in.Now.Before(u.nextOrderAt) {
 		u.resume()
 		return nil
 	}
-	if u.Phase == member.Idle && !u.draining && u.seen.whole() && u.target.accepts(u.seen.Digest) {
-		return s.announce(in, u) // It is adopted once the engine has obeyed.
+	if u.Phase == member.Idle && !u.draining && u.observed.loaded() && u.target.accepts(u.observed.Digest) {
+		return s.announceNumber(in, u) // The engine is adopted once it has obeyed this order.
 	}
-	needsLoad := u.seen.Digest != u.target.Digest || u.seen.Loading
+	needsLoad := u.observed.Digest != u.target.Digest || u.observed.Loading
 	if needsLoad && !complete(u.target.Digest) {
-		s.stay(u)
+		s.keepServing(u)
 		return nil
 	}
-	if !s.mayLeave(in, u) {
+	if !s.mayTakeOut(in, u) {
 		return nil
 	}
 	if effects, drained := s.drain(in, u); !drained {
 		return effects
 	}
-	if !u.inRole(u.seen.Role) {
+	if !u.inRole(u.observed.Role) {
 		return s.orderRole(in, u)
 	}
 	if needsLoad {
@@ -114,17 +116,17 @@
 	return nil
 }
 
-// stay keeps an engine in service that can't be brought to its target yet; it holds no slot meanwhile.
-func (s *State) stay(u *Upstream) {
+// keepServing keeps an engine in service that can't be brought to its target yet, and gives back its slot meanwhile.
+func (s *State) keepServing(u *Upstream) {
 	u.resume()
 	if u.pinned() {
 		s.slotsOf(u).Done(u.Name)
 	}
 }
 
-// mayLeave tells whether an engine may go away. One that serves needs a slot; one that serves nothing needs none,
-// and keeps the slot that it left under.
-func (s *State) mayLeave(in step.Input, u *Upstream) bool {
+// mayTakeOut reports whether an engine may be taken out of service. An engine in service needs a slot for that. One that is
+// out of service already needs none, and keeps the slot under which it was taken out.
+func (s *State) mayTakeOut(in step.Input, u *Upstream) bool {
 	slots := s.slotsOf(u)
 	if !u.pinned() {
 		slots.Keep(u.Name, in.Now)
@@ -134,32 +136,33 @@
 	return s.holdsSlot(u, in.Now)
 }
 
-// drain gives an engine no new work and waits for the requests in flight: they end under the weights they began
-// with. It never cuts one; a run's own deadline bounds the wait.
+// drain stops new requests to an engine and waits for the requests in flight, so that they end under the weights with which
+// they started. It never aborts a request; the wait is bounded by the requests' own deadlines.
 func (s *State) drain(in step.Input, u *Upstream) (effects []step.Effect, drained bool) {
 	if u.Phase == member.Serving {
 		u.Phase = member.Idle
 		u.draining = true
-		u.drainedSince = in.Now
+		u.drainStartedAt = in.Now
 	}
 	if u.running == 0 {
 		return nil, true
 	}
-	if u.Overdue || in.Now.Sub(u.drainedSince) < s.timing.Drain {
+	if u.Overdue || in.Now.Sub(u.drainStartedAt) < s.timing.Drain {
 		return nil, false
 	}
 	u.Overdue = true
 	return []step.Effect{DrainOverdue{Upstream: u.Name, Running: u.running}}, false
 }
 
+// newOrder records a new order as in flight and returns it.
 func (s *State) newOrder(in step.Input, u *Upstream) *order {
 	s.serial++
-	u.order = &order{serial: s.serial, fencing: s.Incarnation.Number, bootID: u.seen.BootID, since: in.Now}
+	u.order = &order{serial: s.serial, fencing: s.Incarnation.Number, bootID: u.observed.BootID, startedAt: in.Now}
 	return u.order
 }
 
-// begin marks an engine as away; its old pin is void from here on.
-func (u *Upstream) begin() {
+// voidPin marks an engine as loading and removes its pin, since an order changes the engine from now on.
+func (u *Upstream) voidPin() {
 	u.Phase = member.Loading
 	u.draining = false
 	u.Overdue = false
@@ -170,17 +173,17 @@
 func (s *State) orderRole(in step.Input, u *Upstream) []step.Effect {
 	o := s.newOrder(in, u)
 	o.role = u.target.Role
-	u.begin()
+	u.voidPin()
 	return []step.Effect{SetRole{Upstream: u.Name, URL: u.URL, Order: o.serial, Role: o.role, Fencing: o.fencing}}
 }
 
 func (s *State) orderLoad(in step.Input, u *Upstream) []step.Effect {
 	o := s.newOrder(in, u)
-	s.loads++
-	o.load = u.target.Digest
-	o.generation = o.fencing<<generationBits + s.loads
-	u.begin()
+	s.loadCount++
+	o.digest = u.target.Digest
+	o.generation = o.fencing<<generationBits + s.loadCount
+	u.voidPin()
 	return []step.Effect{Load{
-		Upstream: u.Name, URL: u.URL, Order: o.serial, Digest: o.load, Generation: o.generation, Fencing: o.fencing,
+		Upstream: u.Name, URL: u.URL, Order: o.serial, Digest: o.digest, Generation: o.generation, Fencing: o.fencing,
 	}}
 }
--- a/internal/core/rollout/messages.go
+++ b/internal/core/rollout/messages.go
@@ -11,43 +11,44 @@
 	rollout()
 }
 
-// Begin is an agent's first event: from now on it may give orders. Holder must be unique among all processes.
+// Begin is an agent's first event. From then on the agent may take the incarnation of its host and give orders.
 type Begin struct {
-	Host   string
+	Host string
+	// Holder identifies the agent process; it must be unique among all processes.
 	Holder string
 	Timing Timing
 }
 
-// ReleaseAsked says that the agent stops: no order follows, and its incarnation is given back.
+// ReleaseAsked is the event that the agent shuts down. No order follows, and the incarnation is released.
 type ReleaseAsked struct{}
 
-// StateRead says what an engine answered to a reading.
+// StateRead is the event of an engine's answer to ReadState.
 type StateRead struct {
 	Upstream string
 	Serial   uint64
 	Reading  Reading
 }
 
-// StateFailed says that a reading had no answer.
+// StateFailed is the event of a ReadState without an answer.
 type StateFailed struct {
 	Upstream string
 	Serial   uint64
 }
 
-// Outcome says what is known of an order when its call ended.
+// Outcome is the result of an order's call, as far as it is known when the call ends.
 type Outcome int
 
-// The outcomes. None is taken as proof: the engine is read back after each.
+// The outcomes. None of them is relied on: the engine's state is read again after each.
 const (
-	// OrderDone says that the engine answered that it obeyed.
+	// OrderDone means that the engine answered that it obeyed the order.
 	OrderDone Outcome = iota
-	// OrderRefused says that the engine has obeyed a higher number.
+	// OrderRefused means that the engine has already obeyed an order with a higher fencing number.
 	OrderRefused
-	// OrderFailed says that the order failed or its answer was lost.
+	// OrderFailed means that the order failed or that its answer was lost.
 	OrderFailed
 )
 
-// OrderEnded says that the call of an order is over.
+// OrderEnded is the event that the call of an order has ended.
 type OrderEnded struct {
 	Upstream string
 	Order    uint64
@@ -76,30 +77,35 @@
 func (StateFailed) rollout()  {}
 func (OrderEnded) rollout()   {}
 
-// Doubted says that a request's connection to an upstream failed: its state is to be read at once.
+// Doubted is the event that a request's connection to an upstream failed, so the upstream's state must be read at once.
 type Doubted struct{ Upstream string }
 
 // Event marks the type as an event.
 func (Doubted) Event() {}
 
-// ReadState reads an engine's state.
+// ReadState is the effect that reads an engine's state.
 type ReadState struct {
 	Upstream string
 	URL      string
-	Serial   uint64
+	// Serial is returned in the StateRead or StateFailed that answers this effect.
+	Serial uint64
 }
 
-// Load orders an engine to load a version.
+// Load is the effect that orders an engine to load a version.
 type Load struct {
-	Upstream   string
-	URL        string
-	Order      uint64
-	Digest     string
+	Upstream string
+	URL      string
+	// Order is the serial number of the order.
+	Order uint64
+	// Digest identifies the version.
+	Digest string
+	// Generation is the number that the engine reports for this load, unique among the loads of the host.
 	Generation uint64
-	Fencing    uint64
+	// Fencing is the fencing number of the order.
+	Fencing uint64
 }
 
-// SetRole orders an engine to take a role.
+// SetRole is the effect that orders an engine to take a role.
 type SetRole struct {
 	Upstream string
 	URL      string
@@ -108,41 +114,43 @@
 	Fencing  uint64
 }
 
-// CancelOrder stops the call of an order at once.
+// CancelOrder is the effect that aborts the call of an order at once.
 type CancelOrder struct {
 	Upstream string
 	Order    uint64
 }
 
-// OutOfService tells the shell that an engine no longer shows the weights its requests run under: they are withheld.
+// OutOfService is the effect that reports an engine that no longer shows the weights under which its requests run. With
+// ReasonChanged the shell withholds their answers.
 type OutOfService struct {
 	Upstream string
 	Why      Reason
 }
 
-// Reason says why an engine went out of service.
+// Reason is the reason why an engine went out of service, as it is logged.
 type Reason string
 
 // The reasons.
 const (
-	ReasonChanged    Reason = "its weights or its boot id changed"
-	ReasonSilent     Reason = "it does not answer"
-	ReasonSuperseded Reason = "another agent gives this host's orders"
+	ReasonChanged    Reason = "the engine's weights or boot ID changed"
+	ReasonSilent     Reason = "the engine does not answer"
+	ReasonSuperseded Reason = "another agent has taken over this host"
 )
 
-// InService tells the shell that an engine serves a version.
+// InService is the effect that reports that an engine serves a version.
 type InService struct {
 	Upstream   string
 	Digest     string
 	Generation uint64
-	// Adopted says that the engine held the version before this agent gave any order.
+	// Adopted is set when the engine held the version before this agent gave any order.
 	Adopted bool
 }
 
-// DrainOverdue tells the shell that requests in flight keep an engine longer than a drain should take.
+// DrainOverdue is the effect that reports a drain that has taken longer than Timing.Drain.
 type DrainOverdue struct {
 	Upstream string
-	Running  int
+	// Running is the number of requests in flight.
+	Running int
 }
 
 // Effect marks the type as an effect.
--- a/internal/core/rollout/model_test.go
+++ b/internal/core/rollout/model_test.go
@@ -13,30 +13,34 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// played is one engine.
-type played struct {
-	ignores bool
+// engine is a simulated engine.
+type engine struct {
+	ignoresFencing bool
+	// reading is the state that the engine reports.
 	reading Reading
-	boots   int
+	// boots counts the restarts.
+	boots int
 	// epoch counts the changes of its weights.
 	epoch int
-	// loading is the call whose body it reads.
+	// loading is the Load call whose body the engine reads; nil for none.
 	loading *call
 }
 
-func (p *played) drop() {
-	p.epoch++
-	p.reading.Digest = ""
-	p.reading.Generation = 0
-	p.loading = nil
-	p.reading.Loading = false
+// dropWeights discards the weights and ends a load.
+func (eng *engine) dropWeights() {
+	eng.epoch++
+	eng.reading.Digest = ""
+	eng.reading.Generation = 0
+	eng.loading = nil
+	eng.reading.Loading = false
 }
 
-func (p *played) obeys(fencing uint64) bool {
-	if !p.ignores && fencing < p.reading.Fencing {
+// accepts reports whether the engine obeys an order with a fencing number, and records the number if so.
+func (eng *engine) accepts(fencing uint64) bool {
+	if !eng.ignoresFencing && fencing < eng.reading.Fencing {
 		return false
 	}
-	p.reading.Fencing = fencing
+	eng.reading.Fencing = fencing
 	return true
 }
 
@@ -46,67 +50,70 @@
 	value   []byte
 }
 
-// call is one effect on its way, with its answer once it arrived.
+// call is an effect in flight, with its answer once it was delivered.
 type call struct {
 	agent     *agent
 	effect    step.Effect
-	arrived   bool
+	delivered bool
 	cancelled bool
 	answer    step.Event
 }
 
-// agent is one process of a host; a replaced one goes on as a zombie.
+// agent is an agent process of a host. An agent that was replaced keeps running, as a zombie that doesn't know of its successor.
 type agent struct {
 	host     int
 	state    *State
 	target   Target
 	complete map[string]bool
-	running  []pinned
+	running  []pinnedRun
 }
 
-// pinned is a request that runs under the weights that the engine had at its start.
-type pinned struct {
+// pinnedRun is a request that is pinned to the weights that its engine had when the request started.
+type pinnedRun struct {
 	digest, boot string
 	generation   uint64
 	epoch        int
 }
 
-// model is a platform, two hosts with an engine each, and all agents that ever ran on them.
+// model simulates a platform, two hosts with one engine each, and all agents that ever ran on these hosts.
 type model struct {
-	t           *rapid.T
-	now         time.Time
-	revision    uint64
-	objects     map[string]*object
-	engines     []*played
-	agents      []*agent
-	calls       []*call
+	t        *rapid.T
+	now      time.Time
+	revision uint64
+	objects  map[string]*object
+	engines  []*engine
+	agents   []*agent
+	calls    []*call
+	// generations holds the generations that were used, by host.
 	generations map[string]bool
-	served      int
+	// countedAnswers counts the requests whose answers were passed on.
+	countedAnswers int
 }
 
 func newModel(t *rapid.T) *model {
 	m := &model{t: t, now: time.Unix(1000, 0), objects: map[string]*object{}, generations: map[string]bool{}}
-	ignores := rapid.Bool().Draw(t, "ignores fencing")
+	ignoresFencing := rapid.Bool().Draw(t, "ignores fencing")
 	for i := range 2 {
-		m.engines = append(m.engines, &played{ignores: ignores, reading: Reading{BootID: "b0", Role: setting.RoleBoth}})
-		m.start(i)
+		m.engines = append(m.engines, &engine{ignoresFencing: ignoresFencing, reading: Reading{BootID: "b0", Role: setting.RoleBoth}})
+		m.startAgent(i)
 	}
 	return m
 }
 
 const engineName = "e1"
 
-func (m *model) start(host int) {
+// startAgent starts a new agent on a host; earlier agents of the host keep running.
+func (m *model) startAgent(host int) {
 	u := Upstream{Upstream: member.Upstream{Name: engineName, Team: "t", Service: "s", Kind: setting.Engine}}
 	a := &agent{host: host, state: NewState([]Upstream{u}), complete: map[string]bool{"v1": true}}
-	a.target = Target{Digest: "v1", Role: setting.RoleBoth, MaxUnavailable: 1, IgnoresFencing: m.engines[host].ignores}
+	a.target = Target{Digest: "v1", Role: setting.RoleBoth, MaxUnavailable: 1, IgnoresFencing: m.engines[host].ignoresFencing}
 	m.agents = append(m.agents, a)
 	m.reduce(a, Begin{Host: fmt.Sprint("host-", host), Holder: fmt.Sprint("p", len(m.agents))})
 }
 
-// owner is the agent of a host that was not superseded; of several that don't know yet, the one with the highest
-// number.
-func (m *model) owner(host int) *agent {
+// activeAgent returns the agent of a host that was not superseded. If several agents have not learned that they were, it returns
+// the one with the highest incarnation number.
+func (m *model) activeAgent(host int) *agent {
 	var found *agent
 	for _, a := range m.agents {
 		if a.host != host || a.state.Incarnation.Superseded {
@@ -119,8 +126,8 @@
 	return found
 }
 
-// each calls f with all agents of a host: settings and chunks reach those that were replaced too.
-func (m *model) each(host int, f func(*agent)) {
+// forEachAgent calls f with all agents of a host, because settings and chunks reach the replaced ones too.
+func (m *model) forEachAgent(host int, f func(*agent)) {
 	for _, a := range m.agents {
 		if a.host == host {
 			f(a)
@@ -128,6 +135,7 @@
 	}
 }
 
+// reduce passes an event to an agent and starts the calls of its effects.
 func (m *model) reduce(a *agent, ev step.Event) {
 	a.target.Accepted = map[string]bool{}
 	for _, other := range m.agents {
@@ -138,24 +146,25 @@
 	a.state.SetTarget(engineName, a.target)
 	_, effects := a.state.Reduce(step.Input{Now: m.now, Rand: m.revision, Event: ev}, func(d string) bool { return a.complete[d] })
 	for _, e := range effects {
-		m.emit(a, e)
+		m.startCall(a, e)
 	}
 }
 
-// emit checks an effect when it is emitted and puts it on its way.
-func (m *model) emit(a *agent, e step.Effect) {
+// startCall checks an effect of an agent and puts it in flight. A load must be of the wanted and complete version, on a drained
+// engine, under an incarnation, with a generation that was never used on the host.
+func (m *model) startCall(a *agent, e step.Effect) {
 	switch e := e.(type) {
 	case Load:
 		key := fmt.Sprint(a.host, "/", e.Generation)
 		switch {
 		case e.Digest != a.target.Digest:
-			m.t.Fatalf("load of %s, wanted is %s", e.Digest, a.target.Digest)
+			m.t.Fatalf("load of version %s, but the target is %s", e.Digest, a.target.Digest)
 		case !a.complete[e.Digest]:
 			m.t.Fatalf("load of an incomplete version")
 		case len(a.running) > 0:
-			m.t.Fatalf("load under %d requests", len(a.running))
+			m.t.Fatalf("load while %d requests are in flight", len(a.running))
 		case e.Fencing == 0 || m.generations[key]:
-			m.t.Fatalf("generation %d stands twice, or no incarnation", e.Generation)
+			m.t.Fatalf("generation %d is used twice or has no incarnation", e.Generation)
 		}
 		m.generations[key] = true
 	case CancelOrder:
@@ -168,6 +177,7 @@
 	m.calls = append(m.calls, &call{agent: a, effect: e})
 }
 
+// cancel cancels the call of an agent's order.
 func (m *model) cancel(a *agent, serial uint64) {
 	for _, c := range m.calls {
 		load, isLoad := c.effect.(Load)
@@ -178,74 +188,77 @@
 	}
 }
 
-// arrive lets a call reach its engine or the platform. An order goes out only while its agent permits it.
-func (m *model) arrive(c *call) {
-	if c.arrived {
+// deliver delivers a call to its engine or the platform. The second delivery of a load completes its body. An order takes effect
+// only while its agent permits it.
+func (m *model) deliver(c *call) {
+	if c.delivered {
 		m.finishLoad(c)
 		return
 	}
-	c.arrived = true
-	p := m.engines[c.agent.host]
+	c.delivered = true
+	eng := m.engines[c.agent.host]
 	switch e := c.effect.(type) {
 	case ReadState:
-		c.answer = StateRead{Upstream: engineName, Serial: e.Serial, Reading: p.reading}
+		c.answer = StateRead{Upstream: engineName, Serial: e.Serial, Reading: eng.reading}
 	case SetRole:
 		c.answer = OrderEnded{Upstream: engineName, Order: e.Order, Outcome: OrderFailed}
 		if m.permits(c) {
-			c.answer = OrderEnded{Upstream: engineName, Order: e.Order, Outcome: m.setRole(p, e)}
+			c.answer = OrderEnded{Upstream: engineName, Order: e.Order, Outcome: m.setRole(eng, e)}
 		}
 	case Load:
-		m.beginLoad(c, p, e)
+		m.startLoad(c, eng, e)
 	default:
-		c.answer = m.platform(e)
+		c.answer = m.callPlatform(e)
 	}
 }
 
+// permits reports whether the agent of an order still permits it.
 func (m *model) permits(c *call) bool {
 	return !c.cancelled && c.agent.state.MayOrder(engineName, m.now)
 }
 
-func (m *model) setRole(p *played, e SetRole) Outcome {
-	if !p.obeys(e.Fencing) {
+func (m *model) setRole(eng *engine, e SetRole) Outcome {
+	if !eng.accepts(e.Fencing) {
 		return OrderRefused
 	}
-	p.reading.Role = e.Role
+	eng.reading.Role = e.Role
 	return OrderDone
 }
 
-// beginLoad lets an engine drop its weights and begin to read.
-func (m *model) beginLoad(c *call, p *played, e Load) {
+// startLoad has an engine discard its weights and start to read the body of a load.
+func (m *model) startLoad(c *call, eng *engine, e Load) {
 	c.answer = OrderEnded{Upstream: engineName, Order: e.Order, Outcome: OrderFailed}
 	if !m.permits(c) {
 		return
 	}
-	if !p.obeys(e.Fencing) {
+	if !eng.accepts(e.Fencing) {
 		c.answer = OrderEnded{Upstream: engineName, Order: e.Order, Outcome: OrderRefused}
 		return
 	}
-	p.drop()
-	p.reading.Loading = true
-	p.loading = c
+	eng.dropWeights()
+	eng.reading.Loading = true
+	eng.loading = c
 }
 
-// finishLoad gives an engine the rest of a body, if the order may go on; else it is cut.
+// finishLoad delivers the rest of a load's body if the order is still permitted; otherwise it ends the load.
 func (m *model) finishLoad(c *call) {
-	p := m.engines[c.agent.host]
+	eng := m.engines[c.agent.host]
 	e, isLoad := c.effect.(Load)
-	if !isLoad || p.loading != c {
+	if !isLoad || eng.loading != c {
 		return
 	}
 	permitted := m.permits(c)
-	p.drop()
+	eng.dropWeights()
 	if !permitted {
 		return
 	}
-	p.reading.Digest = e.Digest
-	p.reading.Generation = e.Generation
+	eng.reading.Digest = e.Digest
+	eng.reading.Generation = e.Generation
 	c.answer = OrderEnded{Upstream: engineName, Order: e.Order, Outcome: OrderDone}
 }
 
-func (m *model) platform(e step.Effect) step.Event {
+// callPlatform carries out a call to the platform and returns its answer.
+func (m *model) callPlatform(e step.Effect) step.Event {
 	switch e := e.(type) {
 	case incarnation.Read:
 		o := m.object(e.Key)
@@ -263,6 +276,7 @@
 	return nil
 }
 
+// object returns an object of the platform; one with version 0 when there is none.
 func (m *model) object(key string) *object {
 	if m.objects[key] == nil {
 		m.objects[key] = &object{}
@@ -270,6 +284,7 @@
 	return m.objects[key]
 }
 
+// write writes an object if its version is ifVersion; otherwise it returns the present object and a conflict.
 func (m *model) write(key string, ifVersion uint64, value []byte) (o *object, conflict bool) {
 	o = m.object(key)
 	if o.version != ifVersion {
@@ -281,16 +296,16 @@
 	return o, false
 }
 
-// answer ends a call and brings its agent the answer, or a failure when it is lost.
-func (m *model) answer(i int, lost bool) {
+// endCall ends a call and passes its answer to the agent, or a failure when the answer is lost.
+func (m *model) endCall(i int, lost bool) {
 	c := m.calls[i]
-	if !c.arrived && !lost {
-		m.arrive(c)
+	if !c.delivered && !lost {
+		m.deliver(c)
 	}
 	m.calls = append(m.calls[:i:i], m.calls[i+1:]...)
-	p := m.engines[c.agent.host]
-	if p.loading == c {
-		p.drop() // The connection ended before the body was whole.
+	eng := m.engines[c.agent.host]
+	if eng.loading == c {
+		eng.dropWeights() // The connection ended before the body was complete.
 	}
 	ev := c.answer
 	switch e := c.effect.(type) {
--- a/internal/core/rollout/observe.go
+++ b/internal/core/rollout/observe.go
@@ -8,87 +8,88 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// read reads an engine's state when that is due.
-func (s *State) read(in step.Input, u *Upstream) []step.Effect {
-	if u.reading != 0 || in.Now.Before(u.nextRead) {
+// startRead starts a reading of an engine's state when one is due.
+func (s *State) startRead(in step.Input, u *Upstream) []step.Effect {
+	if u.readInFlight != 0 || in.Now.Before(u.nextReadAt) {
 		return nil
 	}
 	s.serial++
-	u.reading = s.serial
+	u.readInFlight = s.serial
 	return []step.Effect{ReadState{Upstream: u.Name, URL: u.URL, Serial: s.serial}}
 }
 
-// readBack makes all readings that are on their way too old, and the next one due at once.
-func (s *State) readBack(in step.Input, u *Upstream) {
+// requireNewReading makes the next reading due at once. The result of a reading that is in flight will be ignored, since it may
+// show the state from before an order ended.
+func (s *State) requireNewReading(in step.Input, u *Upstream) {
 	s.serial++
-	u.barrier = s.serial
+	u.minSerial = s.serial
 	u.fresh = false
-	u.nextRead = in.Now
+	u.nextReadAt = in.Now
 }
 
 func (s *State) stateRead(in step.Input, ev StateRead) []step.Effect {
 	u := s.Upstreams[ev.Upstream]
-	if u == nil || u.reading != ev.Serial {
+	if u == nil || u.readInFlight != ev.Serial {
 		return nil
 	}
-	u.reading = 0
-	u.unread = 0
-	if ev.Serial < u.barrier {
-		return nil // It may have been taken before the last order ended; the next one is due already.
+	u.readInFlight = 0
+	u.failedReads = 0
+	if ev.Serial < u.minSerial {
+		return nil // The reading may be from before the last order ended; the next one is due already.
 	}
-	u.nextRead = in.Now.Add(s.timing.Poll)
-	u.seen = ev.Reading
+	u.nextReadAt = in.Now.Add(s.timing.Poll)
+	u.observed = ev.Reading
 	u.fresh = true
 	if s.Incarnation.Held() && ev.Reading.Fencing > s.Incarnation.Number {
 		s.Incarnation.Doubt()
 	}
-	if u.order != nil && !u.order.announce {
+	if u.order != nil && !u.order.announceOnly {
 		return s.observeOrder(in, u)
 	}
 	return s.observe(in, u)
 }
 
-// observe compares a reading with the pin, and takes the engine into service or out of it.
+// observe compares a reading with the pin, and takes the engine into service or out of service accordingly.
 func (s *State) observe(in step.Input, u *Upstream) []step.Effect {
 	if u.Phase == member.Down {
 		u.Phase = member.Idle
 	}
 	if u.pinned() {
-		if u.matches() {
-			u.Role = u.seen.Role
+		if u.matchesPin() {
+			u.Role = u.observed.Role
 			return nil
 		}
-		return append(u.leave(ReasonChanged), s.adopt(in, u)...)
+		return append(u.takeOut(ReasonChanged), s.adopt(in, u)...)
 	}
 	return s.adopt(in, u)
 }
 
-// pinned tells whether requests run, or may still run, under the engine's present weights.
+// pinned reports whether requests run, or may still run, under the engine's present weights.
 func (u *Upstream) pinned() bool { return u.Phase == member.Serving || u.draining }
 
-// matches tells whether the last reading shows the weights that requests are pinned to.
-func (u *Upstream) matches() bool {
-	r := u.seen
-	return r.whole() && r.Digest == u.Digest && r.Generation == u.Generation && r.BootID == u.BootID
+// matchesPin reports whether the last reading shows the weights that requests are pinned to.
+func (u *Upstream) matchesPin() bool {
+	r := u.observed
+	return r.loaded() && r.Digest == u.Digest && r.Generation == u.Generation && r.BootID == u.BootID
 }
 
-// leave takes an engine out of service at once.
-func (u *Upstream) leave(why Reason) []step.Effect {
-	was := u.pinned()
+// takeOut takes an engine out of service at once.
+func (u *Upstream) takeOut(why Reason) []step.Effect {
+	wasPinned := u.pinned()
 	u.Phase = member.Idle
 	u.Digest = ""
 	u.BootID = ""
 	u.draining = false
-	if !was {
+	if !wasPinned {
 		return nil
 	}
 	return []step.Effect{OutOfService{Upstream: u.Name, Why: why}}
 }
 
-// adopt takes an engine into service that holds a version of its service completely.
+// adopt takes an engine into service that holds a complete and accepted version of its service.
 func (s *State) adopt(in step.Input, u *Upstream) []step.Effect {
-	r := u.seen
-	if !u.fresh || !r.whole() || u.Phase != member.Idle || !u.target.accepts(r.Digest) || !s.mayAdopt(in.Now, u) {
+	r := u.observed
+	if !u.fresh || !r.loaded() || u.Phase != member.Idle || !u.target.accepts(r.Digest) || !s.mayAdopt(in.Now, u) {
 		return nil
 	}
 	u.Phase = member.Serving
@@ -96,15 +97,15 @@
 	u.Generation = r.Generation
 	u.BootID = r.BootID
 	u.Role = r.Role
-	u.refusals = 0
+	u.failedOrders = 0
 	adopted := !s.Incarnation.Held() || r.Generation>>generationBits != s.Incarnation.Number
 	return []step.Effect{InService{Upstream: u.Name, Digest: r.Digest, Generation: r.Generation, Adopted: adopted}}
 }
 
-// mayAdopt tells whether what an engine holds may be served. An engine that checks fencing numbers is first told
-// this agent's number, so that no former agent's order can follow. Without a number, as in an outage of the
-// platform, it serves all the same: a request is checked against the engine's state when it ends. An engine that
-// ignores numbers serves only once no former agent's order can be on its way.
+// mayAdopt reports whether an engine may serve the version that it holds. An engine that checks fencing numbers is first sent
+// this agent's number, so that it refuses later orders of a former agent. If the agent has no number, as in an outage of the
+// platform, the engine serves nevertheless, because each request is checked against the engine's state when it ends. An
+// engine that ignores fencing numbers serves only once no order of a former agent can be in flight.
 func (s *State) mayAdopt(now time.Time, u *Upstream) bool {
 	if s.Incarnation.Superseded {
 		return false
@@ -112,25 +113,27 @@
 	if u.target.IgnoresFencing {
 		return s.Incarnation.Clear(now)
 	}
-	return !s.Incarnation.Held() || u.announced == s.Incarnation.Number
+	return !s.Incarnation.Held() || u.announcedNumber == s.Incarnation.Number
 }
 
-// observeOrder settles an order by what the engine shows, whether or not its answer comes.
+// observeOrder ends an order by the state that the engine shows, without waiting for the order's answer: when it took effect,
+// when the engine restarted, or when the engine doesn't load and shows no effect within Timing.Silent.
 func (s *State) observeOrder(in step.Input, u *Upstream) []step.Effect {
 	o := u.order
-	r := u.seen
+	r := u.observed
 	if o.cancelled {
 		return nil
 	}
-	tookEffect := o.load != "" && r.whole() && r.Digest == o.load && r.Generation == o.generation
+	tookEffect := o.digest != "" && r.loaded() && r.Digest == o.digest && r.Generation == o.generation
 	restarted := r.BootID != o.bootID
-	lost := !r.Loading && in.Now.Sub(o.since) >= s.timing.Silent
+	lost := !r.Loading && in.Now.Sub(o.startedAt) >= s.timing.Silent
 	if tookEffect || restarted || lost {
 		return u.cancelOrder()
 	}
 	return nil
 }
 
+// cancelOrder aborts the call of the order in flight; it has no effect the second time.
 func (u *Upstream) cancelOrder() []step.Effect {
 	if u.order.cancelled {
 		return nil
@@ -139,20 +142,21 @@
 	return []step.Effect{CancelOrder{Upstream: u.Name, Order: u.order.serial}}
 }
 
+// stateFailed records a failed reading. After downAfter of them in a row the engine counts as down.
 func (s *State) stateFailed(in step.Input, ev StateFailed) []step.Effect {
 	u := s.Upstreams[ev.Upstream]
-	if u == nil || u.reading != ev.Serial {
+	if u == nil || u.readInFlight != ev.Serial {
 		return nil
 	}
-	u.reading = 0
-	u.unread++
-	u.nextRead = in.Now.Add(s.timing.Poll)
-	if u.unread < downAfter {
+	u.readInFlight = 0
+	u.failedReads++
+	u.nextReadAt = in.Now.Add(s.timing.Poll)
+	if u.failedReads < downAfter {
 		return nil
 	}
-	u.nextRead = in.Now.Add(backoff(s.timing.Poll, u.unread-downAfter, s.timing.MaxPoll))
+	u.nextReadAt = in.Now.Add(backoff(s.timing.Poll, u.failedReads-downAfter, s.timing.MaxPoll))
 	u.fresh = false
-	effects := u.leave(ReasonSilent)
+	effects := u.takeOut(ReasonSilent)
 	u.Phase = member.Down
 	if u.order != nil {
 		effects = append(effects, u.cancelOrder()...)
@@ -160,7 +164,7 @@
 	return effects
 }
 
-// orderEnded takes in that the call of an order is over; what came of it is read back.
+// orderEnded records that the call of an order has ended. A new reading of the engine's state then shows its result.
 func (s *State) orderEnded(in step.Input, ev OrderEnded) {
 	u := s.Upstreams[ev.Upstream]
 	if u == nil || u.order == nil || u.order.serial != ev.Order {
@@ -168,41 +172,41 @@
 	}
 	o := u.order
 	u.order = nil
-	s.readBack(in, u)
+	s.requireNewReading(in, u)
 	if u.Phase == member.Loading {
 		u.Phase = member.Idle
 	}
 	switch {
 	case ev.Outcome == OrderDone:
-		u.announced = o.fencing
+		u.announcedNumber = o.fencing
 	case ev.Outcome == OrderRefused:
-		s.raise = true
+		s.raiseNumber = true
 		s.Incarnation.Doubt()
-		s.holdOrders(in, u)
+		s.delayNextOrder(in, u)
 	case !o.cancelled:
-		s.holdOrders(in, u)
+		s.delayNextOrder(in, u)
 	}
 }
 
-// holdOrders keeps the next order back after a failure.
-func (s *State) holdOrders(in step.Input, u *Upstream) {
-	u.notAgain = in.Now.Add(backoff(s.timing.Retry, u.refusals, s.timing.MaxRetry))
-	u.refusals++
+// delayNextOrder delays the next order after a failed one, with exponential backoff.
+func (s *State) delayNextOrder(in step.Input, u *Upstream) {
+	u.nextOrderAt = in.Now.Add(backoff(s.timing.Retry, u.failedOrders, s.timing.MaxRetry))
+	u.failedOrders++
 }
 
-// backoff doubles first n times, up to most.
-func backoff(first time.Duration, n int, most time.Duration) time.Duration {
-	d := first
+// backoff returns initial doubled n times, but at most maxDelay.
+func backoff(initial time.Duration, n int, maxDelay time.Duration) time.Duration {
+	d := initial
 	for range n {
 		d *= 2
-		if d >= most {
-			return most
+		if d >= maxDelay {
+			return maxDelay
 		}
 	}
-	return min(d, most)
+	return min(d, maxDelay)
 }
 
-// inRole tells whether the engine's role is the one asked for; none asked for means any.
+// inRole reports whether role is the target's role. A target without a role accepts any.
 func (u *Upstream) inRole(role setting.Role) bool {
 	return u.target.Role == "" || role == u.target.Role
 }
--- a/internal/core/rollout/orders_test.go
+++ b/internal/core/rollout/orders_test.go
@@ -23,16 +23,17 @@
 	os.Exit(m.Run())
 }
 
-// startRun starts a request on an agent's engine, when that serves.
+// startRun starts a request on an agent's engine if the engine serves.
 func (m *model) startRun(a *agent) {
 	u := a.state.Started(engineName)
 	if u == nil {
 		return
 	}
-	a.running = append(a.running, pinned{u.Digest, u.BootID, u.Generation, m.engines[a.host].epoch})
+	a.running = append(a.running, pinnedRun{u.Digest, u.BootID, u.Generation, m.engines[a.host].epoch})
 }
 
-// endRun ends a request. Its answer counts when the engine shows the pin: then its weights must not have changed.
+// endRun ends a request. Its answer is passed on if the engine still shows the request's pin. The weights must not have changed
+// in that case.
 func (m *model) endRun(a *agent) {
 	if len(a.running) == 0 {
 		return
@@ -40,28 +41,30 @@
 	run := a.running[0]
 	a.running = a.running[1:]
 	a.state.Finished(engineName)
-	p := m.engines[a.host]
-	r := p.reading
-	shows := r.whole() && r.Digest == run.digest && r.Generation == run.generation && r.BootID == run.boot
-	began := run.epoch == p.epoch
-	if shows && !began {
-		m.t.Fatalf("an answer counts whose engine changed its weights meanwhile")
+	eng := m.engines[a.host]
+	r := eng.reading
+	matchesPin := r.loaded() && r.Digest == run.digest && r.Generation == run.generation && r.BootID == run.boot
+	sameWeights := run.epoch == eng.epoch
+	if matchesPin && !sameWeights {
+		m.t.Fatalf("an answer counts although the engine changed its weights during the request")
 	}
-	if shows {
-		m.served++
+	if matchesPin {
+		m.countedAnswers++
 	}
 }
 
-func (m *model) crash(host int) {
-	p := m.engines[host]
-	p.boots++
-	p.drop()
-	p.reading.BootID = fmt.Sprint("b", p.boots)
-	p.reading.Role = setting.RoleBoth
+// restartEngine restarts an engine, which then has no weights and the default role.
+func (m *model) restartEngine(host int) {
+	eng := m.engines[host]
+	eng.boots++
+	eng.dropWeights()
+	eng.reading.BootID = fmt.Sprint("b", eng.boots)
+	eng.reading.Role = setting.RoleBoth
 }
 
-// settle lets all go well from here on and expects each host to serve its target.
-func (m *model) settle() {
+// converge runs the model without further failures until each host serves its target, and fails if that takes more than 3000
+// ticks of 100 ms.
+func (m *model) converge() {
 	m.now = m.now.Add(time.Minute)
 	for range 3000 {
 		m.now = m.now.Add(100 * time.Millisecond)
@@ -72,24 +75,25 @@
 			}
 		}
 		for len(m.calls) > 0 {
-			m.arrive(m.calls[0])
-			m.arrive(m.calls[0])
-			m.answer(0, false)
+			m.deliver(m.calls[0])
+			m.deliver(m.calls[0])
+			m.endCall(0, false)
 		}
-		if m.allServe() {
+		if m.allServeTarget() {
 			return
 		}
 	}
 	for host := range m.engines {
-		u := m.owner(host).state.Upstreams[engineName]
-		m.t.Logf("host %d: phase %s digest %s target %+v seen %+v", host, u.Phase, u.Digest, u.target, u.seen)
+		u := m.activeAgent(host).state.Upstreams[engineName]
+		m.t.Logf("host %d: phase %s digest %s target %+v seen %+v", host, u.Phase, u.Digest, u.target, u.observed)
 	}
-	m.t.Fatalf("a live host does not end with the right version")
+	m.t.Fatalf("a host does not serve its target after failures have ended")
 }
 
-func (m *model) allServe() bool {
+// allServeTarget reports whether each host serves the version and role of its target.
+func (m *model) allServeTarget() bool {
 	for host := range m.engines {
-		a := m.owner(host)
+		a := m.activeAgent(host)
 		u := a.state.Upstreams[engineName]
 		if u.Phase != member.Serving || u.Digest != a.target.Digest || u.Role != a.target.Role {
 			return false
@@ -98,9 +102,11 @@
 	return true
 }
 
-// TestOrders runs agents, their zombies and their engines against each other with every failure at every step.
-func TestOrders(t *testing.T) {
-	served := 0
+// TestAnswersMatchTheirPinsAndHostsConverge runs agents, replaced agents that keep running, engines and the platform in random
+// order, with lost answers, restarts and changes of the target at every step. It guards against answers from weights that changed
+// during the request, loads on an engine with requests in flight, reused generations, and hosts that never reach their target.
+func TestAnswersMatchTheirPinsAndHostsConverge(t *testing.T) {
+	countedAnswers := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		host := func(t *rapid.T) int { return rapid.IntRange(0, 1).Draw(t, "host") }
@@ -119,10 +125,10 @@
 				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"tick":      onAgent(func(a *agent) { m.reduce(a, step.Tick{}) }),
-			"arrive":    onCall(func(i int) { m.arrive(m.calls[i]) }),
-			"answer":    onCall(func(i int) { m.answer(i, false) }),
-			"answer 2":  onCall(func(i int) { m.answer(i, false) }),
-			"lose":      onCall(func(i int) { m.answer(i, true) }),
+			"arrive":    onCall(func(i int) { m.deliver(m.calls[i]) }),
+			"answer":    onCall(func(i int) { m.endCall(i, false) }),
+			"answer 2":  onCall(func(i int) { m.endCall(i, false) }),
+			"lose":      onCall(func(i int) { m.endCall(i, true) }),
 			"start run": onAgent(m.startRun),
 			"end run":   onAgent(m.endRun),
 			"go on": func(t *rapid.T) {
@@ -132,41 +138,41 @@
 						m.reduce(a, step.Tick{})
 					}
 					for n := len(m.calls); n > 0; n-- {
-						m.arrive(m.calls[0])
-						m.arrive(m.calls[0])
-						m.answer(0, false)
+						m.deliver(m.calls[0])
+						m.deliver(m.calls[0])
+						m.endCall(0, false)
 					}
 				}
 			},
 			"rare": func(t *rapid.T) {
 				switch h := host(t); rapid.IntRange(0, 3).Draw(t, "what") {
 				case 0:
-					m.crash(h)
+					m.restartEngine(h)
 				case 1:
-					m.start(h)
+					m.startAgent(h)
 				}
 			},
 			"apply": func(t *rapid.T) {
 				version := rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "version")
 				role := rapid.SampledFrom([]setting.Role{setting.RoleBoth, setting.RoleDecode}).Draw(t, "role")
-				m.each(host(t), func(a *agent) {
+				m.forEachAgent(host(t), func(a *agent) {
 					a.target.Digest = version
 					a.target.Role = role
 				})
 			},
 			"complete": func(t *rapid.T) {
 				version := rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "version")
-				m.each(host(t), func(a *agent) { a.complete[version] = true })
+				m.forEachAgent(host(t), func(a *agent) { a.complete[version] = true })
 			},
 		})
 		for h := range m.engines {
-			m.each(h, func(a *agent) { a.complete[a.target.Digest] = true })
+			m.forEachAgent(h, func(a *agent) { a.complete[a.target.Digest] = true })
 		}
-		m.settle()
-		served += m.served
+		m.converge()
+		countedAnswers += m.countedAnswers
 	})
-	if served == 0 {
-		t.Fatal("no request was served in any run")
+	if countedAnswers == 0 {
+		t.Fatal("no answer was counted in any run")
 	}
-	t.Logf("%d answers counted", served)
+	t.Logf("%d answers counted", countedAnswers)
 }
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -1,8 +1,9 @@
-// Package rollout is the reducer that brings this host's engines to the version and role that the settings ask for:
-// it reads each engine's state, takes over what the engine holds already, drains an engine before an order, orders
-// it to load from a complete verified set, and lets it serve once a reading shows that the order took effect.
+// Package rollout is the reducer that brings this host's engines to the version and role that the settings require. It reads
+// each engine's state, adopts a version that the engine holds already, drains an engine before an order, orders it to load a
+// version whose chunks are complete and verified on this host, and lets it serve once a reading shows that the order took effect.
 //
-// No decision rests on the answer to an order: a lost, repeated or late one is settled by reading the engine back.
+// No decision depends on the answer to an order. A lost, repeated or late answer has no effect, because the engine's state is
+// read after each order.
 package rollout
 
 import (
@@ -15,26 +16,26 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// Timing holds the times of orders; zero fields take the defaults.
+// Timing holds the intervals and timeouts of readings and orders. Zero fields take the defaults.
 type Timing struct {
 	// Poll is the time between two readings of an engine's state.
 	Poll time.Duration
-	// MaxPoll is the longest time between two readings of an engine that does not answer.
+	// MaxPoll is the maximum time between two readings of an engine that does not answer.
 	MaxPoll time.Duration
 	// Retry is the wait after a failed order; it doubles with each failure up to MaxRetry.
 	Retry    time.Duration
 	MaxRetry time.Duration
-	// Silent is how long an order may show no effect in the engine's state before it counts as lost.
+	// Silent is the time after which an order counts as lost if the engine's state shows no effect of it.
 	Silent time.Duration
-	// Drain is how long requests in flight may take before the operators are told.
+	// Drain is how long a drain may take before it is reported as overdue.
 	Drain time.Duration
-	// Incarnation holds the times of the incarnation and its lease.
+	// Incarnation holds the timing of the incarnation and its lease.
 	Incarnation incarnation.Timing
-	// Slots holds the times of the slots.
+	// Slots holds the timing of the slots.
 	Slots slot.Timing
 }
 
-// The default times.
+// The defaults of Timing.
 const (
 	DefaultPoll     = 500 * time.Millisecond
 	DefaultMaxPoll  = 8 * time.Second
@@ -44,10 +45,11 @@
 	DefaultDrain    = 30 * time.Second
 )
 
-// downAfter is how many readings in a row must fail before an engine counts as down.
+// downAfter is the number of consecutive failed readings after which an engine counts as down.
 const downAfter = 3
 
-// generationBits is how many loads have numbers of their own under one incarnation.
+// generationBits is the number of low bits of a generation that count the loads under one incarnation. The bits above them
+// are the incarnation's number.
 const generationBits = 20
 
 func (t Timing) withDefaults() Timing {
@@ -66,111 +68,120 @@
 	return t
 }
 
-// Target is what the settings ask of an upstream.
+// Target is the state that the settings require of an upstream.
 type Target struct {
-	// Digest is the version that the engine should hold; empty when none is asked for.
+	// Digest identifies the version that the engine should hold; empty when the settings require none.
 	Digest string
-	Role   setting.Role
-	// IgnoresFencing says that the engine obeys orders with old fencing numbers.
+	// Role is the role that the engine should have; empty for any.
+	Role setting.Role
+	// IgnoresFencing is set when the engine obeys orders with old fencing numbers.
 	IgnoresFencing bool
-	// MaxUnavailable bounds the engines of the service that a rollout takes away at once.
+	// MaxUnavailable bounds the engines of the service that a rollout takes out of service at the same time.
 	MaxUnavailable int
-	// Rank is the engine's turn among those of its service that serve another version, from 0.
+	// Rank is the engine's position, from 0, in the rollout order of the engines of its service that serve another version.
 	Rank int
-	// Accepted are the versions beside Digest that engines of the service serve now, in the middle of a rollout.
+	// Accepted holds the versions besides Digest that engines of the service serve now, during a rollout.
 	Accepted map[string]bool
 }
 
-// accepts tells whether requests of the service may be served from a version.
+// accepts reports whether requests of the service may be served from a version.
 func (t Target) accepts(digest string) bool {
 	return digest != "" && (digest == t.Digest || t.Accepted[digest])
 }
 
-// Reading is what an engine says of itself.
+// Reading is the state that an engine reports.
 type Reading struct {
-	BootID     string
-	Digest     string
+	// BootID identifies the instance of the engine.
+	BootID string
+	// Digest identifies the version that the engine holds; empty for none.
+	Digest string
+	// Generation is the number of the load of that version.
 	Generation uint64
-	Fencing    uint64
-	Loading    bool
-	Role       setting.Role
+	// Fencing is the fencing number of the last order that the engine obeyed.
+	Fencing uint64
+	// Loading is set while the engine loads a version.
+	Loading bool
+	// Role is the engine's present role.
+	Role setting.Role
 }
 
-// whole tells whether the engine holds a version completely.
-func (r Reading) whole() bool { return r.Digest != "" && !r.Loading }
+// loaded reports whether the engine holds a complete version.
+func (r Reading) loaded() bool { return r.Digest != "" && !r.Loading }
 
-// Upstream is one engine or plain service beside this agent. Digest, Generation and BootID are the pin: a request
-// runs only while the engine shows all three.
+// Upstream is an engine or plain service on this agent's host. Digest, Generation and BootID are the pin: a request runs only
+// while the engine's state shows all three.
 type Upstream struct {
 	member.Upstream
 	// URL is the upstream's base address.
 	URL string
-	// BootID is the run of the engine that holds the weights.
+	// BootID identifies the engine instance that holds the weights.
 	BootID string
-	// Overdue is set when a drain takes longer than it should.
+	// Overdue is set when a drain takes longer than Timing.Drain.
 	Overdue bool
 
 	target Target
-	// running counts the requests with the upstream.
+	// running counts the requests in flight on the upstream.
 	running int
-	// seen is the last reading; fresh is set when it is newer than the last order.
-	seen  Reading
-	fresh bool
-	// reading is the serial of the reading in flight; 0 for none. Readings before barrier are too old to use.
-	reading  uint64
-	barrier  uint64
-	nextRead time.Time
-	// unread counts the readings in a row that failed.
-	unread int
-	order  *order
-	// draining is set while requests end before an order; the engine still holds its pinned weights.
-	draining     bool
-	drainedSince time.Time
-	// announced is the incarnation that the engine is known to have obeyed.
-	announced uint64
-	notAgain  time.Time
-	// refusals counts the orders in a row that failed.
-	refusals int
+	// observed is the last reading. fresh is set when it is newer than the last order.
+	observed Reading
+	fresh    bool
+	// readInFlight is the serial of the reading in flight; 0 for none. Readings with a serial below minSerial are too old to use.
+	readInFlight uint64
+	minSerial    uint64
+	nextReadAt   time.Time
+	// failedReads counts the consecutive failed readings.
+	failedReads int
+	// order is the order in flight; nil for none.
+	order *order
+	// draining is set while requests end before an order. The engine still holds its pinned weights then.
+	draining       bool
+	drainStartedAt time.Time
+	// announcedNumber is the number of the incarnation that the engine is known to have obeyed.
+	announcedNumber uint64
+	nextOrderAt     time.Time
+	// failedOrders counts the consecutive failed orders.
+	failedOrders int
 }
 
-// order is one order on its way.
+// order is an order in flight.
 type order struct {
 	serial uint64
-	// load is empty for a role order.
-	load       string
+	// digest is the version to load; empty for a role order.
+	digest     string
 	generation uint64
 	role       setting.Role
-	// announce marks an order that changes nothing but the fencing number that the engine has seen.
-	announce  bool
-	fencing   uint64
-	bootID    string
-	since     time.Time
-	cancelled bool
+	// announceOnly is set for an order that changes only the fencing number that the engine has seen.
+	announceOnly bool
+	fencing      uint64
+	bootID       string
+	startedAt    time.Time
+	cancelled    bool
 }
 
 // State holds the upstreams by name.
 type State struct {
 	Upstreams map[string]*Upstream
-	// Order lists the names in the order of the process's settings.
+	// Order lists the upstreams' names in the order of the process's settings.
 	Order []string
 	// Incarnation is nil before Begin.
 	Incarnation *incarnation.State
-	// Slots has the slots of each engine's service, by the key of their object.
+	// Slots holds the slots of each engine's service, by the key of their object.
 	Slots map[string]*slot.Service
 
 	timing Timing
 	// serial numbers the readings and orders.
 	serial uint64
-	// loads counts the loads under the present incarnation.
-	loads uint64
-	// raise is set when an engine refused an order as old.
-	raise bool
-	// renew is set when orders to engines that ignore fencing numbers are wanted or on their way.
-	renew     bool
-	releasing bool
+	// loadCount counts the loads under the present incarnation.
+	loadCount uint64
+	// raiseNumber is set when an engine refused an order because of its fencing number; a higher number is needed.
+	raiseNumber bool
+	// renewLease is set when orders to engines that ignore fencing numbers are needed or in flight.
+	renewLease bool
+	releasing  bool
 }
 
-// NewState returns the state of a fresh agent: nothing is known of its engines, so none serves.
+// NewState returns the initial state of an agent. It knows nothing of its engines, so none of them serves; plain services serve
+// from the start.
 func NewState(upstreams []Upstream) *State {
 	s := &State{Upstreams: map[string]*Upstream{}, timing: Timing{}.withDefaults()}
 	for _, u := range upstreams {
@@ -184,17 +195,17 @@
 	return s
 }
 
-// SetTarget tells what the settings ask of an upstream.
+// SetTarget sets the state that the settings require of an upstream.
 func (s *State) SetTarget(name string, t Target) {
 	if u := s.Upstreams[name]; u != nil {
 		u.target = t
 	}
 }
 
-// Target returns what the settings ask of the upstream.
+// Target returns the state that the settings require of the upstream.
 func (u *Upstream) Target() Target { return u.target }
 
-// Started counts a request in; it returns the upstream, or nil when it can't take one.
+// Started counts a new request in flight and returns its upstream, or nil when the upstream can't accept requests.
 func (s *State) Started(name string) *Upstream {
 	u := s.Upstreams[name]
 	if u == nil || u.Phase != member.Serving {
@@ -204,21 +215,21 @@
 	return u
 }
 
-// Finished counts a request out.
+// Finished records that a request is no longer in flight.
 func (s *State) Finished(name string) {
 	if u := s.Upstreams[name]; u != nil {
 		u.running--
 	}
 }
 
-// MayOrder tells whether an order to the upstream may go on at now; the shell asks between the pieces of an order.
+// MayOrder reports whether an order to the upstream may start or continue now. The shell checks it between the chunks of an order.
 func (s *State) MayOrder(name string, now time.Time) bool {
 	u := s.Upstreams[name]
 	return u != nil && s.Incarnation != nil && s.Incarnation.MayOrder(now, u.target.IgnoresFencing)
 }
 
-// Reduce handles one input. complete tells whether every chunk of a version is here. It reports whether what this
-// host advertises changed.
+// Reduce handles one input and returns the effects for the shell. complete reports whether all chunks of a version are on this
+// host. changed reports whether the state that this host advertises changed.
 func (s *State) Reduce(in step.Input, complete func(digest string) bool) (changed bool, effects []step.Effect) {
 	before := s.advertised()
 	effects = s.handle(in)
@@ -229,6 +240,7 @@
 	return changed, effects
 }
 
+// advertised returns a copy of the advertised state of all upstreams.
 func (s *State) advertised() []member.Upstream {
 	list := make([]member.Upstream, 0, len(s.Order))
 	for _, name := range s.Order {
@@ -242,7 +254,7 @@
 	case Begin:
 		s.timing = ev.Timing.withDefaults()
 		s.Incarnation = incarnation.NewState(ev.Host, ev.Holder, ev.Timing.Incarnation)
-		s.beginSlots(ev)
+		s.createSlots(ev)
 	case ReleaseAsked:
 		s.releasing = true
 	case incarnation.Event:
@@ -250,12 +262,12 @@
 			return s.Incarnation.Reduce(in)
 		}
 	case slot.Present:
-		s.slotsHeard(in, ev.Key)
+		s.reduceSlots(in, ev.Key)
 	case slot.Failed:
-		s.slotsHeard(in, ev.Key)
+		s.reduceSlots(in, ev.Key)
 	case Doubted:
 		if u := s.Upstreams[ev.Upstream]; u != nil {
-			u.nextRead = in.Now
+			u.nextReadAt = in.Now
 		}
 	case StateRead:
 		return s.stateRead(in, ev)
@@ -267,39 +279,39 @@
 	return nil
 }
 
-// advance starts what can start now.
+// advance starts all readings, orders and platform calls that are due.
 func (s *State) advance(in step.Input, complete func(string) bool) []step.Effect {
 	if s.Incarnation == nil {
 		return nil
 	}
 	var effects []step.Effect
-	s.renew = false
+	s.renewLease = false
 	for _, name := range s.Order {
 		u := s.Upstreams[name]
 		if u.Kind != setting.Engine {
 			continue
 		}
-		effects = append(effects, s.read(in, u)...)
+		effects = append(effects, s.startRead(in, u)...)
 		effects = append(effects, s.decide(in, u, complete)...)
 	}
 	effects = append(effects, s.advanceSlots(in)...)
-	return append(effects, s.hold(in)...)
+	return append(effects, s.advanceIncarnation(in)...)
 }
 
-// hold takes, renews or gives back the incarnation.
-func (s *State) hold(in step.Input) []step.Effect {
-	if s.releasing && !s.ordering() {
+// advanceIncarnation acquires, renews or releases the incarnation.
+func (s *State) advanceIncarnation(in step.Input) []step.Effect {
+	if s.releasing && !s.orderInFlight() {
 		s.Incarnation.Release()
 	}
-	if s.raise && s.Incarnation.Settled() {
-		s.raise = false
+	if s.raiseNumber && s.Incarnation.Settled() {
+		s.raiseNumber = false
 		return s.Incarnation.Raise(in.Now)
 	}
-	return s.Incarnation.Advance(in.Now, s.renew)
+	return s.Incarnation.Advance(in.Now, s.renewLease)
 }
 
-// ordering tells whether an order is on its way.
-func (s *State) ordering() bool {
+// orderInFlight reports whether an order is in flight.
+func (s *State) orderInFlight() bool {
 	for _, u := range s.Upstreams {
 		if u.order != nil {
 			return true
--- a/internal/core/rollout/slots.go
+++ b/internal/core/rollout/slots.go
@@ -8,7 +8,8 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-func (s *State) beginSlots(ev Begin) {
+// createSlots creates the slots of the services of this host's engines.
+func (s *State) createSlots(ev Begin) {
 	s.Slots = map[string]*slot.Service{}
 	for _, name := range s.Order {
 		u := s.Upstreams[name]
@@ -20,19 +21,20 @@
 
 func (s *State) slotsOf(u *Upstream) *slot.Service { return s.Slots[slot.Key(u.Team, u.Service)] }
 
-func (s *State) slotsHeard(in step.Input, key string) {
+// reduceSlots passes an event about a slot object to its service.
+func (s *State) reduceSlots(in step.Input, key string) {
 	if service := s.Slots[key]; service != nil {
 		service.Reduce(in)
 	}
 }
 
-// holdsSlot tells whether the engine may go away, or stay away, under a slot.
+// holdsSlot reports whether the engine holds a valid slot, which permits it to be out of service.
 func (s *State) holdsSlot(u *Upstream, now time.Time) bool {
 	return s.slotsOf(u).Valid(u.Name, s.Incarnation.Number, now)
 }
 
-// advanceSlots makes the calls for slots that are due. A superseded agent makes none: its successor keeps or gives
-// back what it held.
+// advanceSlots makes the calls for slots that are due. A superseded agent makes none, because its successor keeps or releases
+// the slots that it held.
 func (s *State) advanceSlots(in step.Input) []step.Effect {
 	if !s.Incarnation.Held() {
 		return nil
--- a/internal/core/suspect/suspect_test.go
+++ b/internal/core/suspect/suspect_test.go
@@ -86,7 +86,7 @@
 	assert.True(t, quarantine.Version.Less(next.Version))
 	unheard, ok := NewState().Crashed(now.Add(QuarantineFor+time.Millisecond), f, false)
 	require.True(t, ok)
-	assert.True(t, quarantine.Version.Less(unheard.Version), "an ended quarantine must not hide a new suspect, even at a process that never received the quarantine")
+	assert.True(t, quarantine.Version.Less(unheard.Version), "an ended quarantine must not hide a new suspect mark")
 }
 
 // A process whose clock is ahead starts an episode with a number above the end of the quarantine. The quarantine of that
