--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Three processes sendReports reports over a slow network. A report ages on its way, so processes could renew each other's quarantine
+// Three processes exchange reports over a slow network. A report ages on its way, so processes could renew each other's quarantine
 // forever; all must forget it once it has ended.
 func TestReportsDoNotProlongAQuarantine(t *testing.T) {
 	const latency = 300 * time.Millisecond
