--- a/internal/core/leaving.go
+++ b/internal/core/leaving.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		listed++
-		if h.Heard() {
+		if h.AdvertComplete() {
 			heard++
 		}
 	}
--- a/internal/core/member/index.go
+++ b/internal/core/member/index.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// serviceName names a service.
+// serviceName identifies a service.
 type serviceName struct{ team, service string }
 
-// index lists the serving upstreams of each service, kept up to date host by host, so that a request pays neither for
-// the hosts of other services nor for a sort. A list that was handed out is never changed: a change makes a new one.
+// index holds the serving upstreams of each service. It is updated host by host, so that routing a request needs
+// neither a scan over the hosts of other services nor a sort. A list that was returned to a caller is never modified:
+// an update creates a new one.
 type index struct {
 	// lists are sorted by address and name.
 	lists map[serviceName][]Candidate
-	// byHost are the candidates that each host has in the lists.
+	// byHost holds the candidates of each host, by its address.
 	byHost map[string][]Candidate
-	// suspects are the hosts that local evidence speaks against, with the time when it expires.
+	// suspects are the hosts that local evidence marks as unreachable, with the time at which that expires.
 	suspects map[string]time.Time
-	// filtered are the lists without the suspects, until the first of these expires.
+	// filtered caches the lists without suspects. It is valid until filteredUntil, when the first suspect expires.
 	filtered      map[serviceName][]Candidate
 	filteredUntil time.Time
 }
@@ -29,21 +30,21 @@
 	}
 }
 
-// put makes list what a host offers.
-func (x *index) put(address string, list []Candidate) {
+// setHost replaces the candidates of a host.
+func (x *index) setHost(address string, list []Candidate) {
 	old := x.byHost[address]
 	if sameCandidates(old, list) {
 		return
 	}
-	touched := map[serviceName]bool{}
+	affected := map[serviceName]bool{}
 	for _, c := range old {
-		touched[nameOf(c)] = true
+		affected[serviceOf(c)] = true
 	}
 	for _, c := range list {
-		touched[nameOf(c)] = true
+		affected[serviceOf(c)] = true
 	}
-	for name := range touched {
-		x.lists[name] = replaced(x.lists[name], address, ofService(list, name))
+	for name := range affected {
+		x.lists[name] = replaceHost(x.lists[name], address, filterService(list, name))
 		delete(x.filtered, name)
 		if len(x.lists[name]) == 0 {
 			delete(x.lists, name)
@@ -55,12 +56,12 @@
 	}
 }
 
-func nameOf(c Candidate) serviceName { return serviceName{c.Upstream.Team, c.Upstream.Service} }
+func serviceOf(c Candidate) serviceName { return serviceName{c.Upstream.Team, c.Upstream.Service} }
 
-func ofService(list []Candidate, name serviceName) []Candidate {
+func filterService(list []Candidate, name serviceName) []Candidate {
 	var found []Candidate
 	for _, c := range list {
-		if nameOf(c) == name {
+		if serviceOf(c) == name {
 			found = append(found, c)
 		}
 	}
@@ -79,21 +80,21 @@
 	return true
 }
 
-// replaced returns a copy of list in which the candidates of address are those of now.
-func replaced(list []Candidate, address string, now []Candidate) []Candidate {
+// replaceHost returns a copy of list in which replacement takes the place of the candidates of address.
+func replaceHost(list []Candidate, address string, replacement []Candidate) []Candidate {
 	from := sort.Search(len(list), func(i int) bool { return list[i].Address >= address })
 	to := from
 	for to < len(list) && list[to].Address == address {
 		to++
 	}
-	out := make([]Candidate, 0, len(list)-(to-from)+len(now))
+	out := make([]Candidate, 0, len(list)-(to-from)+len(replacement))
 	out = append(out, list[:from]...)
-	out = append(out, now...)
+	out = append(out, replacement...)
 	return append(out, list[to:]...)
 }
 
-// suspect notes evidence against a host until a time; a zero time takes it back.
-func (x *index) suspect(address string, until time.Time) {
+// setSuspect marks a host as suspect until the given time. A zero time removes the mark.
+func (x *index) setSuspect(address string, until time.Time) {
 	if until.IsZero() {
 		if _, known := x.suspects[address]; !known {
 			return
@@ -102,30 +103,30 @@
 	} else {
 		x.suspects[address] = until
 	}
-	x.forgetFiltered()
+	x.resetFiltered()
 }
 
-func (x *index) forgetFiltered() {
+func (x *index) resetFiltered() {
 	x.filtered = map[serviceName][]Candidate{}
 	x.filteredUntil = time.Time{}
 }
 
-// candidates returns the list of a service without the suspects; when it has none but suspects, all of them. Evidence
-// against every host of a service speaks against this process or its network, and a host that can't be reached costs
-// a request a try, while a list without hosts refuses it.
+// candidates returns the candidates of a service without the suspect hosts. If every host is suspect, it returns all
+// of them: the fault is then probably in this process or its network. Trying an unreachable host costs a request one
+// attempt, but an empty list would reject the request.
 func (x *index) candidates(now time.Time, name serviceName) []Candidate {
 	if len(x.suspects) == 0 {
 		return x.lists[name]
 	}
 	if !now.Before(x.filteredUntil) {
-		x.expire(now)
+		x.expireSuspects(now)
 	}
 	list, known := x.filtered[name]
 	if known {
 		return list
 	}
 	for _, c := range x.lists[name] {
-		if _, bad := x.suspects[c.Address]; !bad {
+		if _, suspect := x.suspects[c.Address]; !suspect {
 			list = append(list, c)
 		}
 	}
@@ -136,8 +137,8 @@
 	return list
 }
 
-func (x *index) expire(now time.Time) {
-	x.forgetFiltered()
+func (x *index) expireSuspects(now time.Time) {
+	x.resetFiltered()
 	for address, until := range x.suspects {
 		if !now.Before(until) {
 			delete(x.suspects, address)
@@ -149,8 +150,9 @@
 	}
 }
 
-// offers lists what a host's advertisement offers to requests, sorted by name.
-func (h *Host) offers(address string) []Candidate {
+// candidates lists the serving upstreams in the host's advertisement, sorted by name. It is empty if the host is not
+// listed or is shutting down.
+func (h *Host) candidates(address string) []Candidate {
 	if h.Advert == nil || h.Listed.Address == "" || h.Listed.State == Leaving || h.Advert.Leaving {
 		return nil
 	}
@@ -164,5 +166,5 @@
 	return list
 }
 
-// Heard tells whether the host's own word is here in full: what it offers and what that does now.
-func (h *Host) Heard() bool { return h.fixed != nil && h.phase != nil }
+// AdvertComplete reports whether both parts of the host's advertisement were received: the fixed part and the phases.
+func (h *Host) AdvertComplete() bool { return h.fixed != nil && h.phases != nil }
--- a/internal/core/member/list.go
+++ b/internal/core/member/list.go
@@ -11,9 +11,10 @@
 	"samphireweir.example/samphireweir/internal/core/record"
 )
 
-// ListChanges turns a reading of the host list into records: one for each line that differs from what the records
-// say, with the next higher version. Whoever reads the list corrects what is wrong; the list needs no version of
-// its own, and two readers who saw the same agree on the record.
+// ListChanges compares the platform's host list with the known records. It returns a record with the next higher
+// version for each host whose line differs, and a tombstone for each host that is no longer listed. Any process that
+// reads the list can correct the records. The list needs no version of its own: two processes that read the same list
+// produce the same records.
 func ListChanges(known map[string]record.Record, hosts []Listed) []record.Record {
 	var changes []record.Record
 	present := make(map[string]bool, len(hosts))
@@ -25,36 +26,38 @@
 			continue
 		}
 		old := known[key]
-		if says(old, l) {
+		if matches(old, l) {
 			continue
 		}
-		changes = append(changes, record.Record{Key: key, Version: next(old, value), Value: value})
+		changes = append(changes, record.Record{Key: key, Version: nextVersion(old, value), Value: value})
 	}
 	for key, r := range known {
 		if strings.HasPrefix(key, ListPrefix) && !r.Deleted && !present[key] {
-			changes = append(changes, record.Record{Key: key, Version: next(r, nil), Deleted: true})
+			changes = append(changes, record.Record{Key: key, Version: nextVersion(r, nil), Deleted: true})
 		}
 	}
 	sort.Slice(changes, func(i, j int) bool { return changes[i].Key < changes[j].Key })
 	return changes
 }
 
-// says tells whether a record already is a line. The values are compared by their fields, since the codec between
-// processes may write them in another order.
-func says(r record.Record, l Listed) bool {
+// matches reports whether a record holds the given line of the host list. It compares the decoded fields, because the
+// codec between processes may write them in another order.
+func matches(r record.Record, l Listed) bool {
 	var known Listed
 	return !r.Deleted && json.Unmarshal(r.Value, &known) == nil && known == l
 }
 
-// next is the version after old's; the hash of the value breaks the tie between two readers.
-func next(old record.Record, value []byte) record.Version {
+// nextVersion returns the version that follows that of old. The hash of the new value breaks the tie between two
+// processes that read different lists.
+func nextVersion(old record.Record, value []byte) record.Version {
 	return record.Version{Major: old.Version.Major + 1, Minor: xxhash.Sum64(value)}
 }
 
-// Departed returns the tombstones of what a host said, for when it is listed no more. Every process works out the
-// same ones. A host that comes back under the same address advertises with a higher version.
-func Departed(known map[string]record.Record, changed []record.Record) []record.Record {
-	var gone []record.Record
+// DepartedTombstones returns tombstones for the advertisement, phases and demand of each host that the changed records
+// remove from the host list. Every process computes the same tombstones. A host that returns under the same address
+// advertises with a higher version.
+func DepartedTombstones(known map[string]record.Record, changed []record.Record) []record.Record {
+	var tombstones []record.Record
 	for _, r := range changed {
 		address, found := strings.CutPrefix(r.Key, ListPrefix)
 		if !found || !r.Deleted {
@@ -65,21 +68,23 @@
 			if !held || old.Deleted {
 				continue
 			}
-			old.Version.Minor = lastMinor
-			gone = append(gone, record.Record{Key: old.Key, Version: old.Version, Deleted: true})
+			old.Version.Minor = maxMinor
+			tombstones = append(tombstones, record.Record{Key: old.Key, Version: old.Version, Deleted: true})
 		}
 	}
-	return gone
+	return tombstones
 }
 
-// lastMinor is above every sequence number of an incarnation.
-const lastMinor = ^uint64(0)
+// maxMinor is higher than every sequence number that a host uses within an incarnation.
+const maxMinor = ^uint64(0)
 
-// OrphanKeep is how long what a host says is kept when the host is not listed: the list lags for new hosts.
-const OrphanKeep = 10 * time.Minute
+// OrphanRetention is how long the records of an unlisted host are kept. The platform's list lags, so a new host may
+// advertise before it is listed.
+const OrphanRetention = 10 * time.Minute
 
-// Orphans returns the tombstones of what hosts said that have not been listed for OrphanKeep.
-func (s *State) Orphans(now time.Time, known map[string]record.Record) []record.Record {
+// OrphanTombstones returns tombstones for the records of hosts that have been unlisted for OrphanRetention, and drops
+// these hosts.
+func (s *State) OrphanTombstones(now time.Time, known map[string]record.Record) []record.Record {
 	var unlisted []record.Record
 	for address, h := range s.Hosts {
 		if h.Listed.Address != "" || address == s.Self {
@@ -89,19 +94,19 @@
 		if h.unlistedSince.IsZero() {
 			h.unlistedSince = now
 		}
-		if now.Sub(h.unlistedSince) >= OrphanKeep {
+		if now.Sub(h.unlistedSince) >= OrphanRetention {
 			unlisted = append(unlisted, record.Record{Key: ListPrefix + address, Deleted: true})
 			delete(s.Hosts, address)
 		}
 	}
-	return Departed(known, unlisted)
+	return DepartedTombstones(known, unlisted)
 }
 
-func (s *State) listedChanged(r record.Record) {
+func (s *State) applyListed(r record.Record) {
 	address := strings.TrimPrefix(r.Key, ListPrefix)
 	if r.Deleted {
 		delete(s.Hosts, address)
-		s.index.put(address, nil)
+		s.index.setHost(address, nil)
 		return
 	}
 	var l Listed
@@ -110,11 +115,11 @@
 	}
 	h := s.host(address)
 	h.Listed = l
-	s.index.put(address, h.offers(address))
+	s.index.setHost(address, h.candidates(address))
 }
 
-// relist brings the list of peers up to date.
-func (s *State) relist() {
+// updatePeers recomputes what depends on which hosts are listed: the peers and this process's rank.
+func (s *State) updatePeers() {
 	s.addresses = s.addresses[:0]
 	for address, h := range s.Hosts {
 		if h.Listed.Address != "" && address != s.Self {
@@ -122,11 +127,11 @@
 		}
 	}
 	sort.Strings(s.addresses)
-	s.peers = s.neighbours()
+	s.peers = s.rankedPeers()
 	s.rank = s.ownRank()
 }
 
-func (s *State) advertChanged(r record.Record) {
+func (s *State) applyAdvert(r record.Record) {
 	address := strings.TrimPrefix(r.Key, AdvertPrefix)
 	a := parseAdvert(r, address)
 	if a == nil && s.Hosts[address] == nil {
@@ -134,18 +139,18 @@
 	}
 	h := s.host(address)
 	h.fixed = a
-	s.combine(address, h)
+	s.mergeAdvert(address, h)
 }
 
-func (s *State) phaseChanged(r record.Record) {
+func (s *State) applyPhases(r record.Record) {
 	address := strings.TrimPrefix(r.Key, record.PhasePrefix)
 	p := parsePhases(r)
 	if p == nil && s.Hosts[address] == nil {
 		return
 	}
 	h := s.host(address)
-	h.phase = p
-	s.combine(address, h)
+	h.phases = p
+	s.mergeAdvert(address, h)
 }
 
 func parseAdvert(r record.Record, address string) *Advert {
@@ -157,21 +162,21 @@
 	return a
 }
 
-// combine lays what a host does now over what it offers.
-func (s *State) combine(address string, h *Host) {
+// mergeAdvert rebuilds a host's Advert from its fixed part and its phases.
+func (s *State) mergeAdvert(address string, h *Host) {
 	h.Advert = nil
 	if h.fixed != nil {
-		both := *h.fixed
-		both.Upstreams = append([]Upstream(nil), h.fixed.Upstreams...)
-		if h.phase != nil {
-			h.phase.overlay(&both)
+		merged := *h.fixed
+		merged.Upstreams = append([]Upstream(nil), h.fixed.Upstreams...)
+		if h.phases != nil {
+			h.phases.applyTo(&merged)
 		}
-		h.Advert = &both
+		h.Advert = &merged
 	}
-	s.index.put(address, h.offers(address))
+	s.index.setHost(address, h.candidates(address))
 }
 
-// Fixed returns the part of an advertisement that stays.
+// Fixed returns the part of an advertisement that does not change while the agent's process runs.
 func (a Advert) Fixed() Advert {
 	a.Leaving = false
 	a.Weights = nil
--- a/internal/core/member/list_test.go
+++ b/internal/core/member/list_test.go
@@ -10,8 +10,10 @@
 	"samphireweir.example/samphireweir/internal/core/record"
 )
 
-// TestListThatDidNotChangeMakesNoRecords has the values in another order of fields, as the control codec leaves them.
-func TestListThatDidNotChangeMakesNoRecords(t *testing.T) {
+// TestUnchangedHostListProducesNoRecords guards against new versions of records whose host list line did not change.
+// The control codec writes the fields of a value in another order, so a comparison of the encoded bytes would find a
+// difference at every read of the list.
+func TestUnchangedHostListProducesNoRecords(t *testing.T) {
 	host := member.Listed{Address: "10.0.0.1:7070", Role: member.Agent, Place: "perth-a", Region: "west", State: "live"}
 	first := member.ListChanges(nil, []member.Listed{host})
 	require.Len(t, first, 1)
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -1,5 +1,6 @@
-// Package member is the reducer for which hosts exist, what runs on them and whether they can take work. The
-// platform's list of hosts lags; the hosts' own advertisements and local evidence overlay it.
+// Package member is the reducer for cluster membership: which hosts exist, which upstreams they run and whether they
+// accept requests. It combines the platform's host list, which lags, with the advertisements of the hosts and with the
+// outcome of this process's own calls to them.
 package member
 
 import (
@@ -13,19 +14,20 @@
 )
 
 const (
-	// AdvertPrefix is where hosts' advertisements live among the records: what a host offers for its whole life.
+	// AdvertPrefix is the key prefix of the records with the fixed part of the hosts' advertisements (see
+	// Advert.Fixed).
 	AdvertPrefix = "advert/"
-	// ListPrefix is where the lines of the host list live among the records.
+	// ListPrefix is the key prefix of the records with the lines of the host list.
 	ListPrefix = "host/"
 )
 
-// SuspectFor is how long a refused dial keeps a host out of use before it is tried again.
-const SuspectFor = 2 * time.Second
+// SuspectDuration is how long a failed call keeps a host out of use before it is tried again.
+const SuspectDuration = 2 * time.Second
 
-// Role tells the processes of the system apart.
+// Role is the kind of a process.
 type Role string
 
-// The roles.
+// The roles of processes.
 const (
 	Entry Role = "entry"
 	Agent Role = "agent"
@@ -40,10 +42,10 @@
 	State   string `json:"state"`
 }
 
-// Leaving is the listed state of a host that takes no new work.
+// Leaving is the listed state of a host that is shutting down and accepts no new requests.
 const Leaving = "leaving"
 
-// Phase is what an upstream does now.
+// Phase is the current state of an upstream.
 type Phase string
 
 // The phases of an upstream.
@@ -54,7 +56,7 @@
 	Down    Phase = "down"
 )
 
-// Upstream is one engine or plain service beside an agent.
+// Upstream is an engine or a plain service on the host of an agent.
 type Upstream struct {
 	Name       string       `json:"name"`
 	Team       string       `json:"team"`
@@ -63,11 +65,11 @@
 	Phase      Phase        `json:"phase"`
 	Digest     string       `json:"digest,omitempty"`
 	Generation uint64       `json:"generation,omitempty"`
-	// Role is the part of a request's work that an engine does.
+	// Role says whether an engine does the prefill or the decoding of a request, or both.
 	Role setting.Role `json:"role,omitempty"`
 }
 
-// Advert is what an agent says of its host.
+// Advert is an agent's advertisement of its host and of the upstreams on it.
 type Advert struct {
 	Host    string `json:"host"`
 	Address string `json:"address"`
@@ -75,44 +77,46 @@
 	Region  string `json:"region"`
 	Role    Role   `json:"role"`
 	Leaving bool   `json:"leaving,omitempty"`
-	// Incarnation is the life of the agent; a message for another life is refused.
+	// Incarnation identifies the agent's instance. A message for another instance is rejected.
 	Incarnation uint64     `json:"incarnation,omitempty"`
 	Upstreams   []Upstream `json:"upstreams,omitempty"`
-	// Weights tells of the versions that the host can't fetch; how far it is with the others it tells when asked.
+	// Weights lists the versions that the host fails to fetch. The progress of the others is reported on request only.
 	Weights []weights.Summary `json:"weights,omitempty"`
 }
 
-// Host is what is known of one host.
+// Host is the known state of one host.
 type Host struct {
 	Listed
-	// Advert is the host's own word; nil before it was heard.
+	// Advert is the host's advertisement, nil until its fixed part is received.
 	Advert *Advert
-	// SuspectUntil is when local evidence against the host expires.
+	// SuspectUntil is when the host stops being suspect after a failed call. A successful call resets it to zero.
 	SuspectUntil time.Time
-	// quietUntil is until when this process does not choose the host for exchanges; failures counts the calls in a
-	// row that failed.
-	quietUntil time.Time
-	failures   int
-	// fixed is what the host offers for its whole life, phase what it does now; Advert is both together.
-	fixed *Advert
-	phase *Phases
-	// unlistedSince is set while the host is heard of and not listed.
+	// skipUntil is the end of the backoff in which this process does not choose the host for exchanges. failures
+	// counts the consecutive failed calls.
+	skipUntil time.Time
+	failures  int
+	// fixed and phases are the two parts of the advertisement, as received. Advert combines them.
+	fixed  *Advert
+	phases *Phases
+	// unlistedSince is set while the host is known from its advertisement but not listed.
 	unlistedSince time.Time
 }
 
-// State holds the hosts by the address of their process.
+// State holds the known hosts.
 type State struct {
-	// Self is this process's own address.
+	// Self is the address of this process.
 	Self string
-	// Place is this process's own.
+	// Place is the data centre of this process.
 	Place string
-	// Hosts by address; only listed hosts are peers, an advertisement of an unlisted one is kept for when it is.
+	// Hosts holds the hosts by the address of their process. Only listed hosts are peers. The advertisement of an
+	// unlisted host is kept until the host is listed, see OrphanRetention.
 	Hosts map[string]*Host
-	// addresses is the sorted list of listed peers without this process.
+	// addresses is the sorted list of the listed processes without this one.
 	addresses []string
 	index     index
-	peers     record.Peers
-	rank      int
+	// peers are the exchange peers, see rankedPeers.
+	peers record.Peers
+	rank  int
 }
 
 // NewState returns a state without hosts.
@@ -120,13 +124,13 @@
 	return &State{Self: self, Hosts: map[string]*Host{}, index: newIndex()}
 }
 
-// ListRead says that the platform's list was read.
+// ListRead is the event that the platform's host list was read.
 type ListRead struct{ Hosts []Listed }
 
-// DialFailed says that a host could not be reached, or did not answer.
+// DialFailed is the event that a host could not be reached or did not answer.
 type DialFailed struct{ Address string }
 
-// DialWorked says that a host answered.
+// DialWorked is the event that a host answered.
 type DialWorked struct{ Address string }
 
 // Event marks the type as an event.
@@ -143,13 +147,13 @@
 	switch ev := in.Event.(type) {
 	case DialFailed:
 		if h := s.Hosts[ev.Address]; h != nil {
-			h.failed(in.Now)
-			s.index.suspect(ev.Address, h.SuspectUntil)
+			h.recordFailure(in.Now)
+			s.index.setSuspect(ev.Address, h.SuspectUntil)
 		}
 	case DialWorked:
 		if h := s.Hosts[ev.Address]; h != nil {
-			h.worked()
-			s.index.suspect(ev.Address, h.SuspectUntil)
+			h.recordSuccess()
+			s.index.setSuspect(ev.Address, h.SuspectUntil)
 		}
 	}
 }
@@ -163,25 +167,25 @@
 	return h
 }
 
-// Changed takes in the lines of the host list and the advertisements among changed records. It reports whether
-// anything about the hosts changed.
-func (s *State) Changed(records []record.Record) bool {
+// ApplyRecords applies the changed records that hold host list lines, advertisements or phases. It reports whether there
+// were any.
+func (s *State) ApplyRecords(records []record.Record) bool {
 	changed, listed := false, false
 	for _, r := range records {
 		switch {
 		case strings.HasPrefix(r.Key, ListPrefix):
-			s.listedChanged(r)
+			s.applyListed(r)
 			changed, listed = true, true
 		case strings.HasPrefix(r.Key, AdvertPrefix):
-			s.advertChanged(r)
+			s.applyAdvert(r)
 			changed = true
 		case strings.HasPrefix(r.Key, record.PhasePrefix):
-			s.phaseChanged(r)
+			s.applyPhases(r)
 			changed = true
 		}
 	}
 	if listed {
-		s.relist()
+		s.updatePeers()
 	}
 	return changed
 }
@@ -189,18 +193,18 @@
 // Peers returns the addresses of the listed processes other than this one, sorted.
 func (s *State) Peers() []string { return s.addresses }
 
-// Candidate is an upstream that a request may go to.
+// Candidate is an upstream that a request may be sent to.
 type Candidate struct {
 	Address  string
 	Place    string
 	Region   string
 	Upstream Upstream
-	// Incarnation is the life of the agent that advertised the upstream.
+	// Incarnation identifies the instance of the agent that advertised the upstream.
 	Incarnation uint64
 }
 
-// Candidates returns the upstreams of a service that can take work now, in a stable order. The caller must not
-// change the list; as long as nothing changes, it is the same one.
+// Candidates returns the upstreams of a service that can take requests now, sorted by address and name. The caller must
+// not modify the returned slice: calls share it until the state changes.
 func (s *State) Candidates(now time.Time, team, service string) []Candidate {
 	return s.index.candidates(now, serviceName{team, service})
 }
--- a/internal/core/member/peers.go
+++ b/internal/core/member/peers.go
@@ -9,45 +9,46 @@
 )
 
 const (
-	// NearInPlace and NearElsewhere are how many fixed neighbours a process has in its place and outside. A fixed
-	// set bounds the connections; a random graph of this degree stays connected when a third of it fails.
-	NearInPlace   = 4
-	NearElsewhere = 4
-	// EntryNeighbours is how many entries a process sends dynamic records to.
-	EntryNeighbours = 6
-	// maxQuiet bounds how long a host that does not answer is left out of the exchanges.
-	maxQuiet = 30 * time.Second
+	// PeersInPlace and PeersElsewhere are the numbers of fixed exchange peers of a process inside and outside its data
+	// centre. A fixed set bounds the number of connections. A random graph of this degree stays connected when a third
+	// of the processes fail.
+	PeersInPlace   = 4
+	PeersElsewhere = 4
+	// EntryPeers is the number of entries that a process sends dynamic records to.
+	EntryPeers = 6
+	// maxSkip is the maximum backoff in which a host that does not answer is left out of the exchanges.
+	maxSkip = 30 * time.Second
 )
 
-// failed notes that a call to the host failed.
-func (h *Host) failed(now time.Time) {
-	h.SuspectUntil = now.Add(SuspectFor)
+// recordFailure makes the host suspect after a failed call and doubles its backoff.
+func (h *Host) recordFailure(now time.Time) {
+	h.SuspectUntil = now.Add(SuspectDuration)
 	h.failures++
-	h.quietUntil = now.Add(min(SuspectFor<<min(h.failures-1, 8), maxQuiet))
+	h.skipUntil = now.Add(min(SuspectDuration<<min(h.failures-1, 8), maxSkip))
 }
 
-// worked notes that the host answered.
-func (h *Host) worked() {
+// recordSuccess resets the failure state of a host that answered.
+func (h *Host) recordSuccess() {
 	h.SuspectUntil = time.Time{}
-	h.quietUntil = time.Time{}
+	h.skipUntil = time.Time{}
 	h.failures = 0
 }
 
-// Neighbours returns the processes to exchange records with. Near and Entries are without those that have just
-// failed to answer.
-func (s *State) Neighbours(now time.Time) record.Peers {
+// ExchangePeers returns the processes to exchange records with. Near and Entries omit processes that are in backoff
+// after a failed call, unless all of them are. All holds every listed process.
+func (s *State) ExchangePeers(now time.Time) record.Peers {
 	return record.Peers{
-		Near:    s.answering(now, s.peers.Near, NearInPlace+NearElsewhere),
-		Entries: s.answering(now, s.peers.Entries, EntryNeighbours),
+		Near:    s.responsive(now, s.peers.Near, PeersInPlace+PeersElsewhere),
+		Entries: s.responsive(now, s.peers.Entries, EntryPeers),
 		All:     s.addresses,
 	}
 }
 
-// answering returns the first of list that are not quiet; all of them when every one is.
-func (s *State) answering(now time.Time, list []string, limit int) []string {
+// responsive returns up to limit addresses of list that are not in backoff. If all are, it returns the first ones.
+func (s *State) responsive(now time.Time, list []string, limit int) []string {
 	found := make([]string, 0, min(limit, len(list)))
 	for _, address := range list {
-		if len(found) < limit && !now.Before(s.Hosts[address].quietUntil) {
+		if len(found) < limit && !now.Before(s.Hosts[address].skipUntil) {
 			found = append(found, address)
 		}
 	}
@@ -57,8 +58,9 @@
 	return found
 }
 
-// neighbours works out the candidates for neighbours: twice as many as are used, so that some may be quiet.
-func (s *State) neighbours() record.Peers {
+// rankedPeers returns the possible exchange peers in rendezvous order. There are twice as many as are used at a time, so
+// that some of them may be in backoff.
+func (s *State) rankedPeers() record.Peers {
 	var place, elsewhere, entries []string
 	for _, address := range s.addresses {
 		h := s.Hosts[address]
@@ -71,15 +73,17 @@
 			entries = append(entries, address)
 		}
 	}
-	near := interleave(first(s.Self, place, 2*NearInPlace), first(s.Self, elsewhere, 2*NearElsewhere))
-	return record.Peers{Near: near, Entries: first(s.Self, entries, 2*EntryNeighbours)}
+	near := interleave(topRanked(s.Self, place, 2*PeersInPlace), topRanked(s.Self, elsewhere, 2*PeersElsewhere))
+	return record.Peers{Near: near, Entries: topRanked(s.Self, entries, 2*EntryPeers)}
 }
 
-func first(key string, members []string, n int) []string {
+// topRanked returns the first n members in the rendezvous order of key.
+func topRanked(key string, members []string, n int) []string {
 	ranked := step.Rank(key, members)
 	return ranked[:min(n, len(ranked))]
 }
 
+// interleave returns the elements of a and b in turn.
 func interleave(a, b []string) []string {
 	var out []string
 	for i := range max(len(a), len(b)) {
@@ -93,7 +97,7 @@
 	return out
 }
 
-// Rank returns this process's place in the rendezvous order of its place, from 0.
+// Rank returns the position of this process in the rendezvous order of its data centre, from 0.
 func (s *State) Rank() int { return s.rank }
 
 func (s *State) ownRank() int {
@@ -106,32 +110,32 @@
 	return step.Position("watch/"+s.Place, s.Self, members)
 }
 
-// Unreachable lists the peers that this process has found not to answer, sorted.
+// Unreachable lists the peers that did not answer this process and are in backoff, sorted.
 func (s *State) Unreachable(now time.Time) []string {
 	var list []string
 	for _, address := range s.addresses {
-		if now.Before(s.Hosts[address].quietUntil) {
+		if now.Before(s.Hosts[address].skipUntil) {
 			list = append(list, address)
 		}
 	}
 	return list
 }
 
-// Listed tells whether this process is on the list.
+// Listed reports whether this process is on the host list.
 func (s *State) Listed() bool {
 	own := s.Hosts[s.Self]
 	return own != nil && own.Listed.Address != ""
 }
 
-// Unheard tells whether there are listed agents of which it is not known what they do.
-func (s *State) Unheard() bool {
+// HasUnreportedAgents reports whether the phases of any listed agent were not received yet.
+func (s *State) HasUnreportedAgents() bool {
 	for _, address := range s.addresses {
-		if h := s.Hosts[address]; h.Role == Agent && h.State != Leaving && h.phase == nil {
+		if h := s.Hosts[address]; h.Role == Agent && h.State != Leaving && h.phases == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// SendsTo tells whether an address is one of the entries that this process sends dynamic records to.
-func (s *State) SendsTo(address string) bool { return slices.Contains(s.peers.Entries, address) }
+// IsEntryPeer reports whether an address is one of the entries that this process may send dynamic records to.
+func (s *State) IsEntryPeer(address string) bool { return slices.Contains(s.peers.Entries, address) }
--- a/internal/core/member/phase.go
+++ b/internal/core/member/phase.go
@@ -14,69 +14,74 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// Phases is the part of an advertisement that changes often, in a small form: it goes to every entry at each change.
-// It has no name that the fixed part has, and each digest once, whole: what entries tell others of a version (see
-// core.Served, and an answer that another engine goes on with) must be exact.
+// Phases is the part of an advertisement that changes often, in a compact encoding: each change is sent to every entry.
+// It repeats no name from the fixed part and holds each digest only once. Digests are not shortened, because entries
+// need the exact version: they report it to agents (see core.State.Served) and compare it when another engine
+// continues a broken response.
 type Phases struct {
-	// Offer is the hash of the fixed part's upstreams, whose order Upstreams follows. A reader that has another fixed
-	// part (of an earlier life, say) must not apply it.
+	// Offer is the hash of the upstreams in the fixed part. Upstreams follows their order, so a receiver that holds
+	// another fixed part (for example of an earlier instance) must not apply the phases.
 	Offer string `json:"o"`
-	// Upstreams has one word for each upstream: the letter of its phase; the number of its digest, if any; the
-	// generation in base 36, if any; the letter of its role, if any; with dots between.
+	// Upstreams holds one word for each upstream, separated by spaces. The fields of a word are separated by dots:
+	// the letter of the phase, the index of the digest in Digests, the generation in base 36 and the letter of the
+	// role. All but the first may be empty.
 	Upstreams string `json:"u,omitempty"`
-	// Digests are numbered by their position; see packDigest.
+	// Digests holds the digests that Upstreams refers to by index, encoded by packDigest.
 	Digests []string          `json:"d,omitempty"`
 	Leaving bool              `json:"l,omitempty"`
 	Weights []weights.Summary `json:"w,omitempty"`
 }
 
 const (
-	phaseBase = 36
-	noField   = ""
-	// literal begins a digest that is not the hex of packedBytes bytes.
-	literal     = "="
-	packedBytes = 32
+	// generationBase is the numeric base of generations and hashes.
+	generationBase = 36
+	emptyField     = ""
+	// literalPrefix marks a digest that is not the lower-case hex of digestBytes bytes and is stored unchanged.
+	literalPrefix = "="
+	digestBytes   = 32
 )
 
 var (
-	phaseLetters = map[Phase]string{Idle: "i", Loading: "l", Serving: "s", Down: "d"}
-	roleLetters  = map[setting.Role]string{setting.RolePrefill: "p", setting.RoleDecode: "d", setting.RoleBoth: "b"}
-	phaseOf      = inverse(phaseLetters)
-	roleOf       = inverse(roleLetters)
+	phaseLetters  = map[Phase]string{Idle: "i", Loading: "l", Serving: "s", Down: "d"}
+	roleLetters   = map[setting.Role]string{setting.RolePrefill: "p", setting.RoleDecode: "d", setting.RoleBoth: "b"}
+	phaseByLetter = inverse(phaseLetters)
+	roleByLetter  = inverse(roleLetters)
 )
 
 func inverse[K comparable](letters map[K]string) map[string]K {
-	of := make(map[string]K, len(letters))
+	byLetter := make(map[string]K, len(letters))
 	for k, letter := range letters {
-		of[letter] = k
+		byLetter[letter] = k
 	}
-	return of
+	return byLetter
 }
 
-// Phases returns the part of an advertisement that changes often.
+// Phases returns the part of an advertisement that changes often, encoded.
 func (a Advert) Phases() Phases {
 	p := Phases{Offer: offerHash(a.Upstreams), Leaving: a.Leaving, Weights: a.Weights}
 	words := make([]string, len(a.Upstreams))
 	for i, u := range a.Upstreams {
-		words[i] = p.word(u)
+		words[i] = p.encode(u)
 	}
 	p.Upstreams = strings.Join(words, " ")
 	return p
 }
 
-func (p *Phases) word(u Upstream) string {
-	digest, generation := noField, noField
+// encode returns the word for an upstream and adds its digest to Digests.
+func (p *Phases) encode(u Upstream) string {
+	digest, generation := emptyField, emptyField
 	if u.Digest != "" {
-		digest = strconv.Itoa(p.number(packDigest(u.Digest)))
+		digest = strconv.Itoa(p.digestIndex(packDigest(u.Digest)))
 	}
 	if u.Generation != 0 {
-		generation = strconv.FormatUint(u.Generation, phaseBase)
+		generation = strconv.FormatUint(u.Generation, generationBase)
 	}
 	word := strings.Join([]string{phaseLetters[u.Phase], digest, generation, roleLetters[u.Role]}, ".")
 	return strings.TrimRight(word, ".")
 }
 
-func (p *Phases) number(digest string) int {
+// digestIndex returns the index of an encoded digest in Digests, and adds it if it is new.
+func (p *Phases) digestIndex(digest string) int {
 	for i, known := range p.Digests {
 		if known == digest {
 			return i
@@ -86,19 +91,21 @@
 	return len(p.Digests) - 1
 }
 
-// Routing describes as much of an advertisement as requests depend on.
+// Routing returns a string of those parts of an advertisement that the routing of requests depends on. Two
+// advertisements with equal strings are routed alike.
 func (a Advert) Routing() string {
 	words := []string{strconv.FormatBool(a.Leaving)}
 	for _, u := range a.Upstreams {
 		if u.Phase == Serving {
-			words = append(words, u.Name, u.Digest, strconv.FormatUint(u.Generation, phaseBase), string(u.Role))
+			words = append(words, u.Name, u.Digest, strconv.FormatUint(u.Generation, generationBase), string(u.Role))
 		}
 	}
 	return strings.Join(words, " ")
 }
 
-// overlay lays the phases over what a host offers. It does nothing when they are of another offer.
-func (p *Phases) overlay(a *Advert) {
+// applyTo fills the phases into an advertisement. If they belong to another fixed part, it leaves the upstreams
+// unchanged and sets only Leaving and Weights.
+func (p *Phases) applyTo(a *Advert) {
 	a.Leaving = p.Leaving
 	a.Weights = p.Weights
 	words := strings.Split(p.Upstreams, " ")
@@ -106,32 +113,34 @@
 		return
 	}
 	for i, word := range words {
-		p.read(&a.Upstreams[i], word)
+		p.decode(&a.Upstreams[i], word)
 	}
 }
 
-// read fills in what a word says of an upstream. A word that makes no sense leaves it without a phase, so that
-// nothing is sent there.
-func (p *Phases) read(u *Upstream, word string) {
-	fields := append(strings.Split(word, "."), noField, noField, noField)
-	phase := phaseOf[fields[0]]
+// decode fills in an upstream from its word. A malformed word leaves the upstream without a phase, so that no request
+// is sent to it.
+func (p *Phases) decode(u *Upstream, word string) {
+	fields := append(strings.Split(word, "."), emptyField, emptyField, emptyField)
+	phase := phaseByLetter[fields[0]]
 	digest, known := p.digest(fields[1])
 	generation, err := parseGeneration(fields[2])
 	if phase == "" || !known || err != nil {
 		return
 	}
-	u.Phase, u.Digest, u.Generation, u.Role = phase, digest, generation, roleOf[fields[3]]
+	u.Phase, u.Digest, u.Generation, u.Role = phase, digest, generation, roleByLetter[fields[3]]
 }
 
 func parseGeneration(field string) (uint64, error) {
-	if field == noField {
+	if field == emptyField {
 		return 0, nil
 	}
-	return strconv.ParseUint(field, phaseBase, 64)
+	return strconv.ParseUint(field, generationBase, 64)
 }
 
+// digest returns the digest that a field of a word refers to. An empty field stands for no digest; known is false if
+// the field is malformed.
 func (p *Phases) digest(field string) (digest string, known bool) {
-	if field == noField {
+	if field == emptyField {
 		return "", true
 	}
 	n, err := strconv.Atoi(field)
@@ -141,33 +150,34 @@
 	return unpackDigest(p.Digests[n])
 }
 
-// packDigest writes the hex of a digest as base64, and anything else as it is.
+// packDigest encodes a digest in lower-case hex as base64, and marks any other digest with literalPrefix.
 func packDigest(digest string) string {
 	raw, err := hex.DecodeString(digest)
-	if err != nil || len(raw) != packedBytes || hex.EncodeToString(raw) != digest {
-		return literal + digest
+	if err != nil || len(raw) != digestBytes || hex.EncodeToString(raw) != digest {
+		return literalPrefix + digest
 	}
 	return base64.RawURLEncoding.EncodeToString(raw)
 }
 
 func unpackDigest(packed string) (digest string, known bool) {
-	if rest, found := strings.CutPrefix(packed, literal); found {
+	if rest, found := strings.CutPrefix(packed, literalPrefix); found {
 		return rest, true
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(packed)
-	if err != nil || len(raw) != packedBytes {
+	if err != nil || len(raw) != digestBytes {
 		return "", false
 	}
 	return hex.EncodeToString(raw), true
 }
 
-// offerHash is short: it tells the few offers of one host apart.
+// offerHash returns a hash of the upstreams that a host offers. 32 bits suffice: it only has to distinguish the few
+// fixed parts that one host has advertised.
 func offerHash(list []Upstream) string {
 	d := xxhash.New()
 	for _, u := range list {
 		_, _ = d.WriteString(u.Name + "\x00" + u.Team + "\x00" + u.Service + "\x00" + string(u.Kind) + "\x00")
 	}
-	return strconv.FormatUint(d.Sum64()>>32, phaseBase)
+	return strconv.FormatUint(d.Sum64()>>32, generationBase)
 }
 
 func parsePhases(r record.Record) *Phases {
--- a/internal/core/member/phase_test.go
+++ b/internal/core/member/phase_test.go
@@ -25,31 +25,33 @@
 	}
 }
 
-// heard gives what a process knows of a host after its records came.
-func heard(t require.TestingT, fixed, phases any) *member.Advert {
+// receive returns the advertisement that a process holds of a host after it has received both parts.
+func receive(t require.TestingT, fixed, phases any) *member.Advert {
 	s := member.NewState("10.0.1.1:1")
 	for prefix, part := range map[string]any{member.AdvertPrefix: fixed, record.PhasePrefix: phases} {
 		value, err := json.Marshal(part)
 		require.NoError(t, err)
-		s.Changed([]record.Record{{Key: prefix + "a:1", Version: record.Version{Major: 1}, Value: value}})
+		s.ApplyRecords([]record.Record{{Key: prefix + "a:1", Version: record.Version{Major: 1}, Value: value}})
 	}
 	return s.Hosts["a:1"].Advert
 }
 
-// TestPhasesComeBackWhole: what an entry reads is what the agent said, to the last digit of the digest.
-func TestPhasesComeBackWhole(t *testing.T) {
+// TestPhasesRoundTrip checks that an entry decodes exactly what the agent encoded, including the full digest. Entries
+// compare digests to choose the engine that continues a response, so a shortened one could mix two versions.
+func TestPhasesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := member.Advert{Host: "h", Address: "a:1", Role: member.Agent, Incarnation: 7, Leaving: rapid.Bool().Draw(t, "leaving")}
 		for i := range rapid.IntRange(0, 5).Draw(t, "upstreams") {
 			a.Upstreams = append(a.Upstreams, drawUpstream(t, fmt.Sprintf("engine-%d", i)))
 		}
-		require.Equal(t, a, *heard(t, a.Fixed(), a.Phases()))
+		require.Equal(t, a, *receive(t, a.Fixed(), a.Phases()))
 	})
 }
 
-// TestPhasesOfAnotherOfferAreNotApplied: the fixed part of a new life may come after its phases. Applied by position
-// they would make an engine of one service take another's requests.
-func TestPhasesOfAnotherOfferAreNotApplied(t *testing.T) {
+// TestPhasesAreOnlyAppliedToTheirFixedPart guards against phases that are applied to the wrong upstreams. After a
+// restart, an agent's new phases may arrive before its new fixed part. Phases are assigned by position, so an engine of
+// one service could get the requests of another.
+func TestPhasesAreOnlyAppliedToTheirFixedPart(t *testing.T) {
 	offer := func(services ...string) member.Advert {
 		a := member.Advert{Host: "h", Address: "a:1"}
 		for _, service := range services {
@@ -57,28 +59,30 @@
 		}
 		return a
 	}
-	before, now := offer("summary", "lookup"), offer("lookup", "summary")
-	for _, u := range heard(t, before.Fixed(), now.Phases()).Upstreams {
+	previous, current := offer("summary", "lookup"), offer("lookup", "summary")
+	for _, u := range receive(t, previous.Fixed(), current.Phases()).Upstreams {
 		require.Empty(t, u.Phase)
 	}
-	require.Equal(t, member.Serving, heard(t, now.Fixed(), now.Phases()).Upstreams[0].Phase)
+	require.Equal(t, member.Serving, receive(t, current.Fixed(), current.Phases()).Upstreams[0].Phase)
 }
 
-// TestPhasesThatMakeNoSenseServeNothing: a damaged or foreign record must not take requests, nor stop the process.
-func TestPhasesThatMakeNoSenseServeNothing(t *testing.T) {
+// TestMalformedPhasesMakeNoUpstreamServe checks that a corrupted or foreign record neither makes an upstream a candidate
+// for requests nor crashes the process.
+func TestMalformedPhasesMakeNoUpstreamServe(t *testing.T) {
 	a := member.Advert{Host: "h", Address: "a:1", Upstreams: []member.Upstream{{Name: "e", Service: "s", Phase: member.Serving, Digest: "d1"}}}
 	for _, words := range []string{"", "s s", "x", "s.1", "s.-1", "s.x", "s.0.!", ".", "s.0.zzzzzzzzzzzzzzzzzzz"} {
 		p := a.Phases()
 		p.Upstreams = words
-		require.Empty(t, heard(t, a.Fixed(), p).Upstreams[0].Phase, words)
+		require.Empty(t, receive(t, a.Fixed(), p).Upstreams[0].Phase, words)
 	}
 	p := a.Phases()
 	p.Digests = []string{"short"}
-	require.Empty(t, heard(t, a.Fixed(), p).Upstreams[0].Phase)
+	require.Empty(t, receive(t, a.Fixed(), p).Upstreams[0].Phase)
 }
 
-// TestPhasesAreSmall bounds a record's value for four engines that serve one version.
-func TestPhasesAreSmall(t *testing.T) {
+// TestPhasesFitIn150Bytes limits the encoded phases of four engines that serve one version to 150 bytes. Each change of
+// them is sent to every entry.
+func TestPhasesFitIn150Bytes(t *testing.T) {
 	a := member.Advert{Host: "h", Address: "a:1"}
 	for i := range 4 {
 		a.Upstreams = append(a.Upstreams, member.Upstream{
--- a/internal/core/member/suspect_test.go
+++ b/internal/core/member/suspect_test.go
@@ -13,8 +13,8 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// serving returns a state with so many agents that serve one service.
-func serving(t *testing.T, agents int) (s *member.State, addresses []string) {
+// newServingState returns a state with the given number of agents that serve one service, and their addresses.
+func newServingState(t *testing.T, agents int) (s *member.State, addresses []string) {
 	t.Helper()
 	s = member.NewState("10.0.1.1:1")
 	var records []record.Record
@@ -30,30 +30,31 @@
 		up := member.Upstream{Name: "e", Team: "karrakin", Service: "summary", Phase: member.Serving}
 		put(member.AdvertPrefix+address, member.Advert{Address: address, Upstreams: []member.Upstream{up}})
 	}
-	s.Changed(records)
+	s.ApplyRecords(records)
 	return s, addresses
 }
 
-// TestSuspectsAreUsedWhenThereIsNothingElse: a host that can't be reached is left out while others are there. When the
-// evidence speaks against all of them they are used none the less, as one that was held up finds all others silent.
-func TestSuspectsAreUsedWhenThereIsNothingElse(t *testing.T) {
-	s, addresses := serving(t, 3)
+// TestSuspectHostsAreUsedOnlyIfAllAreSuspect checks that an unreachable host gets no requests while other hosts are
+// reachable, but that all hosts are used when all are suspect. A process that was stalled for a while finds every other
+// host silent; it must not reject all requests because of that.
+func TestSuspectHostsAreUsedOnlyIfAllAreSuspect(t *testing.T) {
+	s, addresses := newServingState(t, 3)
 	now := time.Unix(1000, 0)
-	of := func(now time.Time) []string {
+	candidateAddresses := func(now time.Time) []string {
 		var found []string
 		for _, c := range s.Candidates(now, "karrakin", "summary") {
 			found = append(found, c.Address)
 		}
 		return found
 	}
-	require.Equal(t, addresses, of(now))
+	require.Equal(t, addresses, candidateAddresses(now))
 	for i, address := range addresses[:2] {
 		s.Reduce(step.Input{Now: now, Event: member.DialFailed{Address: address}})
-		require.Equal(t, addresses[i+1:], of(now))
+		require.Equal(t, addresses[i+1:], candidateAddresses(now))
 	}
 	s.Reduce(step.Input{Now: now, Event: member.DialFailed{Address: addresses[2]}})
-	require.Equal(t, addresses, of(now), "all are suspect")
+	require.Equal(t, addresses, candidateAddresses(now), "all are suspect")
 	s.Reduce(step.Input{Now: now, Event: member.DialWorked{Address: addresses[0]}})
-	require.Equal(t, addresses[:1], of(now), "one is known to answer")
-	require.Equal(t, addresses, of(now.Add(member.SuspectFor)))
+	require.Equal(t, addresses[:1], candidateAddresses(now), "one is known to answer")
+	require.Equal(t, addresses, candidateAddresses(now.Add(member.SuspectDuration)))
 }
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -48,7 +48,7 @@
 // blind tells whether this is an entry that has not heard yet what the engines of the listed hosts do. It hears from
 // another entry, or from the agents themselves.
 func (s *State) blind() bool {
-	return s.Self.Role == member.Entry && !s.Ready && !s.Records.HeardDynamic && s.Members.Unheard()
+	return s.Self.Role == member.Entry && !s.Ready && !s.Records.HeardDynamic && s.Members.HasUnreportedAgents()
 }
 
 // readPlatform decides on a tick what to read, and whether the process has become ready.
@@ -69,7 +69,7 @@
 		return nil
 	}
 	s.nextTidy = in.Now.Add(tidyInterval)
-	old := s.Members.Orphans(in.Now, s.Records.Records)
+	old := s.Members.OrphanTombstones(in.Now, s.Records.Records)
 	return s.publish(in, append(old, s.Suspects.Expired(in.Now)...))
 }
 
@@ -83,7 +83,7 @@
 func (s *State) reduceRecords(in step.Input) []step.Effect {
 	var peers record.Peers
 	if _, ticks := in.Event.(step.Tick); ticks {
-		peers = s.Members.Neighbours(in.Now)
+		peers = s.Members.ExchangePeers(in.Now)
 	}
 	changed, effects := s.Records.Reduce(in, peers)
 	return append(effects, s.changed(in, changed)...)
@@ -95,7 +95,7 @@
 		return nil
 	}
 	var effects []step.Effect
-	if s.Members.Changed(changed) {
+	if s.Members.ApplyRecords(changed) {
 		s.noteEntries()
 		effects = s.noteListed(in)
 	}
@@ -106,7 +106,7 @@
 	}
 	s.hearDemand(changed)
 	effects = append(effects, s.settingsChanged(changed)...)
-	effects = append(effects, s.publish(in, member.Departed(s.Records.Records, changed))...)
+	effects = append(effects, s.publish(in, member.DepartedTombstones(s.Records.Records, changed))...)
 	effects = append(effects, s.noteListed(in)...)
 	return append(effects, s.defend(in, changed)...)
 }
@@ -116,7 +116,7 @@
 	for _, r := range changed {
 		for _, prefix := range []string{member.ListPrefix, member.AdvertPrefix} {
 			address, found := strings.CutPrefix(r.Key, prefix)
-			if found && !r.Deleted && s.Members.SendsTo(address) {
+			if found && !r.Deleted && s.Members.IsEntryPeer(address) {
 				s.Records.TellOwn(address)
 			}
 		}
--- a/internal/core/served.go
+++ b/internal/core/served.go
@@ -54,7 +54,7 @@
 	if s.Self.Role != member.Agent || in.Now.Before(s.nextServed) {
 		return nil
 	}
-	entries := s.Members.Neighbours(in.Now).Entries
+	entries := s.Members.ExchangePeers(in.Now).Entries
 	if len(entries) == 0 {
 		return nil
 	}
