--- a/internal/core/member/peers.go
+++ b/internal/core/member/peers.go
@@ -127,7 +127,7 @@
 	return own != nil && own.Listed.Address != ""
 }
 
-// HasUnreportedAgents reports whether the phases of any listed agent were not received yet.
+// HasUnreportedAgents reports whether there is a listed agent, not shutting down, whose phases were not received yet.
 func (s *State) HasUnreportedAgents() bool {
 	for _, address := range s.addresses {
 		if h := s.Hosts[address]; h.Role == Agent && h.State != Leaving && h.phases == nil {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -114,12 +114,12 @@
 func (s *State) problems(st fleet.Status) []fleet.Problem {
 	var list []fleet.Problem
 	add := func(what, next string) { list = append(list, fleet.Problem{What: what, Next: next}) }
-	silent := time.Duration(st.Process.PlatformSilentMS) * time.Millisecond
+	silence := time.Duration(st.Process.PlatformSilentMS) * time.Millisecond
 	switch {
 	case !s.Ready:
 		add("this process is not ready: it has not got the settings", "check the object API and the host list; it needs either the platform or its peers")
-	case silent > 2*watch.Silence:
-		add(fmt.Sprintf("no news of the object API for %v", silent.Round(time.Second)), "check the object API; settings in force stay, changes wait")
+	case silence > 2*watch.Silence:
+		add(fmt.Sprintf("no news of the object API for %v", silence.Round(time.Second)), "check the object API; settings in force stay, changes wait")
 	}
 	if n := len(st.Process.Unreachable); n > 0 {
 		add(fmt.Sprintf("%d processes don't answer this one: %s", n, strings.Join(st.Process.Unreachable[:min(n, 5)], ", ")),
