--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -17,108 +17,113 @@
 )
 
 const (
-	// eventStream is the media type of event streams.
-	eventStream = "text/event-stream"
-	// commentInterval is how long an event stream may be silent before a comment shows that it is not dead.
-	commentInterval = 3 * time.Second
-	// maxHeldEvent bounds the bytes of an event that are held until it is whole.
-	maxHeldEvent = 64 << 10
-	// headerResumeOffset is the caller's own wish to skip tokens.
+	// eventStreamType is the media type of event streams.
+	eventStreamType = "text/event-stream"
+	// keepaliveInterval is how long an event stream may be silent before a comment is sent to keep it alive.
+	keepaliveInterval = 3 * time.Second
+	// maxBufferedEventBytes bounds how much of an incomplete event is buffered. A larger event is forwarded in parts.
+	maxBufferedEventBytes = 64 << 10
+	// headerResumeOffset is the header with the number of tokens that the caller wants to skip.
 	headerResumeOffset = "Resume-Offset"
 )
 
-// answer is what the caller has of its answer.
+// answer is the state of the answer that is forwarded to the caller. A new run of the request on another engine may
+// continue it.
 type answer struct {
 	started bool
-	// matched says that the present run's head was matched with the request.
-	matched bool
-	status  int
-	// stream says that it is an event stream, of which only whole events are passed on.
-	stream bool
-	header http.Header
-	// received counts the bytes of the present run's answer, and sum hashes them.
-	received int64
-	sum      *xxhash.Digest
-	// length is the length of the whole body that the head names; -1 when it names none.
-	length int64
-	// held is the start of an event that is not whole yet, or the last bytes of an answer whose head names its length:
-	// a caller that has them takes the answer for whole, so they wait for the end.
-	held []byte
-	// tokens counts the events passed on that carry a token.
+	// headMatched is set once the head of the current run's answer was checked against the request.
+	headMatched bool
+	status      int
+	// isEventStream is set for an event stream, of which only complete events are forwarded.
+	isEventStream bool
+	header        http.Header
+	// receivedBytes is the number of bytes received of the current run's answer; checksum is their hash.
+	receivedBytes int64
+	checksum      *xxhash.Digest
+	// contentLength is the length of the body in bytes according to the head, or -1 if the head has none.
+	contentLength int64
+	// buffered holds the start of an incomplete event, or the last bytes of an answer with a known length. A caller
+	// that has all bytes of such an answer takes it as complete, so they are held back until the checksum was
+	// compared.
+	buffered []byte
+	// tokens is the number of forwarded events that carry a token.
 	tokens int
-	// ended says that the named event that ends an engine's stream was passed on.
-	ended bool
-	// broken says that a part of an event was passed on, because it was too large to hold.
-	broken bool
-	// resumed says that the present connection is not the first.
-	resumed bool
-	wrote   time.Time
+	// endEventForwarded is set once the named event that ends an engine's stream was forwarded.
+	endEventForwarded bool
+	// partialEventForwarded is set once a part of an event was forwarded, because the event was too large to buffer.
+	partialEventForwarded bool
+	// resuming is set from the reconnect of a resumed answer until the first data arrives.
+	resuming  bool
+	lastWrite time.Time
 }
 
-// restart forgets what the present run brought but did not pass on; the next run's answer begins at its start.
-func (a *answer) restart() {
-	a.received = 0
-	a.sum = xxhash.New()
-	a.held = nil
+// startRun discards what was received of the current run and not forwarded. The answer of the next run begins at its
+// start.
+func (a *answer) startRun() {
+	a.receivedBytes = 0
+	a.checksum = xxhash.New()
+	a.buffered = nil
 }
 
-// continuable tells whether another engine can go on with the answer.
+// continuable reports whether another engine can continue the answer.
 func (a *answer) continuable() bool {
-	return a.stream && a.header.Get(engine.HeaderDigest) != ""
+	return a.isEventStream && a.header.Get(engine.HeaderDigest) != ""
 }
 
-// offset is the first token that a further engine shall make.
-func (a *answer) offset(r *http.Request) int {
-	own, err := strconv.Atoi(r.Header.Get(headerResumeOffset))
-	if err != nil || own < 0 {
-		own = 0
+// nextToken returns the index of the first token that another engine has to generate.
+func (a *answer) nextToken(r *http.Request) int {
+	requested, err := strconv.Atoi(r.Header.Get(headerResumeOffset))
+	if err != nil || requested < 0 {
+		requested = 0
 	}
-	return own + a.tokens
+	return requested + a.tokens
 }
 
-// take counts bytes of the run's answer in and returns what may be passed on.
-func (a *answer) take(p []byte) []byte {
-	a.received += int64(len(p))
-	_, _ = a.sum.Write(p)
-	if !a.stream {
-		return a.takePlain(p)
+// receive adds p to the answer's checksum and returns the bytes that may be forwarded now.
+func (a *answer) receive(p []byte) []byte {
+	a.receivedBytes += int64(len(p))
+	_, _ = a.checksum.Write(p)
+	if !a.isEventStream {
+		return a.receivePlain(p)
 	}
-	a.held = append(a.held, p...)
-	whole := a.wholeEvents()
-	if whole == 0 && len(a.held) > maxHeldEvent {
-		a.broken = true
-		whole = len(a.held)
+	a.buffered = append(a.buffered, p...)
+	complete := a.completeEventBytes()
+	if complete == 0 && len(a.buffered) > maxBufferedEventBytes {
+		a.partialEventForwarded = true
+		complete = len(a.buffered)
 	}
-	ready := a.held[:whole:whole]
-	a.held = append([]byte(nil), a.held[whole:]...)
+	ready := a.buffered[:complete:complete]
+	a.buffered = append([]byte(nil), a.buffered[complete:]...)
 	return ready
 }
 
-func (a *answer) takePlain(p []byte) []byte {
-	if a.length < 0 || a.received < a.length {
+// receivePlain returns p, or buffers it if it contains the last byte of an answer with a known length.
+func (a *answer) receivePlain(p []byte) []byte {
+	if a.contentLength < 0 || a.receivedBytes < a.contentLength {
 		return p
 	}
-	a.held = append(a.held, p...)
+	a.buffered = append(a.buffered, p...)
 	return nil
 }
 
-// wholeEvents counts the events that are whole, and returns their length in bytes.
-func (a *answer) wholeEvents() int {
+// completeEventBytes counts the complete events in the buffer and returns their total length in bytes.
+func (a *answer) completeEventBytes() int {
 	at := 0
 	for {
-		end := bytes.Index(a.held[at:], []byte("\n\n"))
+		end := bytes.Index(a.buffered[at:], []byte("\n\n"))
 		if end < 0 {
 			return at
 		}
-		a.count(a.held[at : at+end])
+		a.countEvent(a.buffered[at : at+end])
 		at += end + 2
 	}
 }
 
-func (a *answer) count(event []byte) {
-	named := bytes.HasPrefix(event, []byte("event:")) || bytes.Contains(event, []byte("\nevent:"))
-	if named {
-		a.ended = true
+// countEvent records whether an event carries a token or, as every named event does, ends the stream.
+func (a *answer) countEvent(event []byte) {
+	hasName := bytes.HasPrefix(event, []byte("event:")) || bytes.Contains(event, []byte("\nevent:"))
+	if hasName {
+		a.endEventForwarded = true
 		return
 	}
 	if bytes.HasPrefix(event, []byte("data:")) || bytes.Contains(event, []byte("\ndata:")) {
@@ -126,16 +131,16 @@
 	}
 }
 
-// begin starts the answer with its head.
-func (c *call) begin(h frame.Head) {
+// writeHead starts the answer to the caller.
+func (c *call) writeHead(h frame.Head) {
 	a := &c.answer
 	a.started = true
 	a.header = h.Header
 	a.status = h.Status
-	a.length = length(h.Header)
-	a.restart()
+	a.contentLength = contentLength(h.Header)
+	a.startRun()
 	kind, _, err := mime.ParseMediaType(h.Header.Get("Content-Type"))
-	a.stream = err == nil && kind == eventStream
+	a.isEventStream = err == nil && kind == eventStreamType
 	for k, v := range h.Header {
 		c.w.Header()[k] = v
 	}
@@ -143,7 +148,8 @@
 	c.w.WriteHeader(h.Status)
 }
 
-func length(h http.Header) int64 {
+// contentLength returns the value of the Content-Length header, or -1 if it is missing or invalid.
+func contentLength(h http.Header) int64 {
 	n, err := strconv.ParseInt(h.Get("Content-Length"), 10, 64)
 	if err != nil {
 		return -1
@@ -151,46 +157,48 @@
 	return n
 }
 
-// sameAnswer tells whether the head of another run fits the answer that was begun.
-func (a *answer) sameAnswer(h frame.Head) bool {
+// matchesHead reports whether the head of another run fits the answer that was started.
+func (a *answer) matchesHead(h frame.Head) bool {
 	return h.Status == a.status && h.Header.Get(engine.HeaderDigest) == a.header.Get(engine.HeaderDigest) &&
 		h.Header.Get("Content-Type") == a.header.Get("Content-Type")
 }
 
-// write passes bytes on to the caller; it does not wait for ever for one that takes nothing.
+// write sends bytes to the caller. It fails if the caller does not accept them within callerIOTimeout.
 func (c *call) write(p []byte) error {
 	control := http.NewResponseController(c.w)
-	_ = control.SetWriteDeadline(time.Now().Add(callerSilence))
+	_ = control.SetWriteDeadline(time.Now().Add(callerIOTimeout))
 	if len(p) > 0 {
 		if _, err := c.w.Write(p); err != nil {
 			return err
 		}
-		c.answer.wrote = time.Now()
+		c.answer.lastWrite = time.Now()
 	}
 	return control.Flush()
 }
 
-// comment shows the caller of an event stream that the answer is waited for.
-func (c *call) comment() error {
+// writeKeepalive sends a comment on an event stream that was silent for keepaliveInterval, so that the caller does
+// not time out.
+func (c *call) writeKeepalive() error {
 	a := &c.answer
-	if !a.stream || a.broken || time.Since(a.wrote) < commentInterval {
+	if !a.isEventStream || a.partialEventForwarded || time.Since(a.lastWrite) < keepaliveInterval {
 		return nil
 	}
 	return c.write([]byte(": waiting\n\n"))
 }
 
-// abort ends an answer that is not whole, so that the caller can't take it for one that is: an event stream gets
-// an error event, and no answer gets a clean end of its connection.
-func (e *Entry) abort(c *call, eff request.Abort) {
-	if c.answer.stream && !c.answer.broken {
-		_ = c.write(errorEvent(c.problem(eff.Code, eff.Ran, eff.Code.Describe().Help)))
+// abortAnswer ends an incomplete answer in a way that the caller can't mistake for a complete one. An event stream
+// gets an error event, and the connection never ends cleanly.
+func (e *Entry) abortAnswer(c *call, eff request.Abort) {
+	if c.answer.isEventStream && !c.answer.partialEventForwarded {
+		_ = c.write(errorEvent(c.newProblem(eff.Code, eff.Ran, eff.Code.Describe().Help)))
 	}
 	if !c.r.ProtoAtLeast(1, 1) {
-		reset(c.w)
+		resetConnection(c.w)
 	}
 	panic(http.ErrAbortHandler)
 }
 
+// errorEvent returns an event that carries a problem.
 func errorEvent(p Problem) []byte {
 	data, err := json.Marshal(p)
 	if err != nil {
@@ -199,8 +207,9 @@
 	return append(append([]byte("event: error\ndata: "), data...), '\n', '\n')
 }
 
-// reset ends an HTTP/1.0 connection, whose close is the end of the answer, in a way that no caller takes for one.
-func reset(w http.ResponseWriter) {
+// resetConnection resets the connection of an HTTP/1.0 caller. An orderly close would mark the end of a complete
+// answer.
+func resetConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -211,11 +220,12 @@
 	_ = conn.Close()
 }
 
-func (c *call) problem(why code.Code, ran code.Ran, detail string) Problem {
-	entry := why.Describe()
-	status := entry.Status
+// newProblem returns the problem document of a code.
+func (c *call) newProblem(reason code.Code, ran code.Ran, detail string) Problem {
+	description := reason.Describe()
+	status := description.Status
 	if status == 0 {
 		status = http.StatusInternalServerError
 	}
-	return Problem{Title: entry.Name, Status: status, Code: why, Detail: detail, Ran: ran, Request: c.id}
+	return Problem{Title: description.Name, Status: status, Code: reason, Detail: detail, Ran: ran, Request: c.id}
 }
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -20,40 +20,41 @@
 )
 
 const (
-	// fenceTimeout bounds the asking whether a try that was given up on had started.
+	// fenceTimeout bounds a call that fences an attempt off and reads whether the attempt started.
 	fenceTimeout = 2 * time.Second
-	// settleSlack is how long after the caller's deadline the entry waits for the agent's word on it.
-	settleSlack = 300 * time.Millisecond
-	// maxRejoins bounds how often a try whose connection failed before its answer is asked for again. A call that
-	// can't run twice is worth more of it than one that can go elsewhere.
-	maxRejoins     = 1
-	maxRejoinsOnce = 3
-	// rejoinWait is the wait before the second asking; it doubles.
-	rejoinWait = 100 * time.Millisecond
+	// deadlineGrace is how long after the caller's deadline the entry waits for the agent's report on the attempt.
+	deadlineGrace = 300 * time.Millisecond
+	// maxReconnects bounds how often the entry reconnects for an attempt whose connection failed before its answer.
+	// At-most-once calls get more reconnects, because they can't be sent to another upstream.
+	maxReconnects           = 1
+	maxReconnectsAtMostOnce = 3
+	// initialReconnectDelay is the delay before the second reconnect; it doubles for each further one. The first is
+	// made at once.
+	initialReconnectDelay = 100 * time.Millisecond
 )
 
-// progress is what became of a connection to an agent.
+// progress is the state of an answer that is being forwarded.
 type progress int
 
 const (
-	// going: there is more to come.
-	going progress = iota
-	// settled: the core was told, and says what comes next.
-	settled
-	// over: the whole answer was passed on, or its caller has gone.
-	over
-	// cut: the connection failed; the core was not told.
-	cut
+	// progressOpen means that more frames are expected.
+	progressOpen progress = iota
+	// progressReported means that the outcome was reported to the core, which decides what comes next.
+	progressReported
+	// progressDone means that the complete answer was forwarded, or that its caller disconnected.
+	progressDone
+	// progressDisconnected means that the connection failed and that this was not reported to the core.
+	progressDisconnected
 )
 
-// attempt sends the request to an upstream and passes its answer on. It reports whether the request is over.
-func (e *Entry) attempt(c *call, eff request.Send) bool {
-	ctx, cancel := context.WithDeadline(c.r.Context(), c.until.Add(settleSlack))
+// runAttempt sends the request to an upstream and forwards the answer. It reports whether the request is finished.
+func (e *Entry) runAttempt(c *call, eff request.Send) bool {
+	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline.Add(deadlineGrace))
 	defer cancel()
 	periodic.Sleep(ctx, eff.Wait)
 	reader, ok := c.body.reader()
 	if !ok {
-		e.attemptFailed(c, eff.Try, &frame.Fail{Code: code.RetriesExhausted, Ran: code.NotRun})
+		e.reportFailure(c, eff.Try, &frame.Fail{Code: code.RetriesExhausted, Ran: code.NotRun})
 		return false
 	}
 	header := frame.EndToEnd(c.r.Header)
@@ -64,81 +65,85 @@
 	env := e.envelope(c, eff.Try)
 	env.Target = c.target
 	env.Cache = eff.Cache
-	c.answer.matched = false
+	c.answer.headMatched = false
 	if eff.Continue {
-		c.answer.restart()
-		env.ResumeTokens = c.answer.offset(c.r)
+		c.answer.startRun()
+		env.ResumeTokens = c.answer.nextToken(c.r)
 	}
 	length := c.r.ContentLength
-	if c.body.whole {
-		length = int64(len(c.body.kept))
+	if c.body.complete {
+		length = int64(len(c.body.buffered))
 	}
-	s, err := e.open(ctx, agentCall{
-		address: eff.Target.Address, path: frame.RunPath, env: env, header: header, body: reader, length: length,
+	s, err := e.openStream(ctx, agentCall{
+		address: eff.Target.Address, path: frame.RunPath, env: env, header: header, body: reader, contentLength: length,
 	})
-	return e.follow(ctx, c, eff.Try, s, err)
+	return e.receiveAnswer(ctx, c, eff.Try, s, err)
 }
 
-// follow passes an answer on, and asks for it over new connections while nothing of it is here.
-func (e *Entry) follow(ctx context.Context, c *call, t request.Try, s *stream, err error) bool {
-	for rejoins := 0; ; rejoins++ {
+// receiveAnswer forwards an answer. It reconnects, up to a limit, as long as nothing of the answer was received. It
+// reports whether the request is finished.
+func (e *Entry) receiveAnswer(ctx context.Context, c *call, t request.Try, s *stream, err error) bool {
+	for reconnects := 0; ; reconnects++ {
 		if err == nil {
 			var p progress
-			p, err = e.passOn(c, s, t)
+			p, err = e.forwardAnswer(c, s, t)
 			s.close()
-			if p != cut {
-				return p == over
+			if p != progressDisconnected {
+				return p == progressDone
 			}
 		}
 		if c.r.Context().Err() != nil {
-			e.giveUp(c, t)
+			e.cancelAttempt(c, t)
 			return true
 		}
-		if errors.Is(err, errNotConnected) && rejoins == 0 {
+		if errors.Is(err, errNotConnected) && reconnects == 0 {
 			e.Loop.Step(member.DialFailed{Address: t.Target.Address})
-			e.attemptFailed(c, t, &frame.Fail{Code: code.UpstreamSilent, Ran: code.NotRun})
+			e.reportFailure(c, t, &frame.Fail{Code: code.UpstreamSilent, Ran: code.NotRun})
 			return false
 		}
 		logevent.Warn(e.Log, logevent.AttemptFailed).Str("request", c.id).Str("upstream", t.Target.Upstream.Name).Err(err).Msg("attempt failed")
 		if ctx.Err() != nil {
-			e.attemptFailed(c, t, &frame.Fail{Code: code.DeadlinePassed, Ran: e.fence(c, t)})
+			e.reportFailure(c, t, &frame.Fail{Code: code.DeadlinePassed, Ran: e.fence(c, t)})
 			return false
 		}
-		if rejoins == rejoinsOf(t) {
-			e.giveUp(c, t)
+		if reconnects == maxReconnectsOf(t) {
+			e.cancelAttempt(c, t)
 			e.Loop.Step(member.DialFailed{Address: t.Target.Address})
-			e.attemptFailed(c, t, &frame.Fail{Code: code.UpstreamSilent, Ran: code.Unknown})
+			e.reportFailure(c, t, &frame.Fail{Code: code.UpstreamSilent, Ran: code.Unknown})
 			return false
 		}
-		if rejoins == 0 {
-			e.agents.CloseIdleConnections()
+		if reconnects == 0 {
+			e.agentClient.CloseIdleConnections()
 		} else {
-			periodic.Sleep(ctx, rejoinWait<<(rejoins-1))
+			periodic.Sleep(ctx, initialReconnectDelay<<(reconnects-1))
 		}
-		s, err = e.rejoin(ctx, c, t)
+		s, err = e.reconnect(ctx, c, t)
 	}
 }
 
-func rejoinsOf(t request.Try) int {
+// maxReconnectsOf returns the maximum number of reconnects for an attempt.
+func maxReconnectsOf(t request.Try) int {
 	if t.AtMostOnce {
-		return maxRejoinsOnce
+		return maxReconnectsAtMostOnce
 	}
-	return maxRejoins
+	return maxReconnects
 }
 
-// rejoin asks the agent for the same try over a new connection. An agent that does not know it fences it.
-func (e *Entry) rejoin(ctx context.Context, c *call, t request.Try) (*stream, error) {
+// reconnect requests the answer of the same attempt over a new connection. An agent that does not know the attempt
+// fences it off.
+func (e *Entry) reconnect(ctx context.Context, c *call, t request.Try) (*stream, error) {
 	env := e.envelope(c, t)
-	env.Offset = c.answer.received
-	return e.open(ctx, agentCall{address: t.Target.Address, path: frame.ResumePath, env: env, header: http.Header{}, fresh: true})
+	env.Offset = c.answer.receivedBytes
+	return e.openStream(ctx, agentCall{address: t.Target.Address, path: frame.ResumePath, env: env, header: http.Header{}, unpooled: true})
 }
 
+// envelope returns the envelope that describes an attempt to its agent.
 func (e *Entry) envelope(c *call, t request.Try) frame.Envelope {
 	env := frame.Envelope{
 		Request: c.id, Attempt: t.Attempt, Upstream: t.Target.Upstream.Name,
-		Incarnation: t.Target.Incarnation, Entry: e.life, Sequence: t.Sequence,
+		Incarnation: t.Target.Incarnation, Entry: e.instance, Sequence: t.Sequence,
 		Fingerprint: c.fingerprint, Alone: t.Alone, Digest: t.Digest, Once: t.AtMostOnce,
-		DeadlineMS: max(1, time.Until(c.until).Milliseconds()),
+		DeadlineMS: max(1, time.Until(c.deadline).Milliseconds()),
 		Revision:   e.Revision(setting.Key(t.Target.Upstream.Team, t.Target.Upstream.Service)), From: e.Address(),
 	}
 	if t.Alone {
@@ -151,17 +156,17 @@
 	return env
 }
 
-// giveUp cancels a try whose caller has gone.
-func (e *Entry) giveUp(c *call, t request.Try) {
+// cancelAttempt fences an attempt off in the background, after its caller disconnected or its agent did not answer.
+func (e *Entry) cancelAttempt(c *call, t request.Try) {
 	go e.fence(c, t)
 }
 
-// fence tells the agent that the try was given up on, and returns what is true of it.
+// fence asks the agent to fence an attempt off and returns whether the attempt ran.
 func (e *Entry) fence(c *call, t request.Try) code.Ran {
 	ctx, cancel := context.WithTimeout(context.Background(), fenceTimeout)
 	defer cancel()
-	s, err := e.open(ctx, agentCall{
-		address: t.Target.Address, path: frame.FencePath, env: e.envelope(c, t), header: http.Header{}, fresh: true,
+	s, err := e.openStream(ctx, agentCall{
+		address: t.Target.Address, path: frame.FencePath, env: e.envelope(c, t), header: http.Header{}, unpooled: true,
 	})
 	if err != nil {
 		return code.Unknown
@@ -175,7 +180,7 @@
 		if kind == frame.TypeBeat {
 			continue
 		}
-		f, ok := c.ownFail(t, kind, payload)
+		f, ok := c.parseFailure(t, kind, payload)
 		if !ok {
 			return code.Unknown
 		}
@@ -183,8 +188,8 @@
 	}
 }
 
-// ownFail reads a failure and checks that it is this try's.
-func (c *call) ownFail(t request.Try, kind frame.Type, payload []byte) (*frame.Fail, bool) {
+// parseFailure decodes a failure frame. ok is false if it is malformed or belongs to another request or attempt.
+func (c *call) parseFailure(t request.Try, kind frame.Type, payload []byte) (*frame.Fail, bool) {
 	f := &frame.Fail{}
 	if kind != frame.TypeFail || json.Unmarshal(payload, f) != nil {
 		return nil, false
@@ -192,41 +197,42 @@
 	return f, f.Request == c.id && f.Attempt == t.Attempt
 }
 
-func (e *Entry) attemptFailed(c *call, t request.Try, f *frame.Fail) {
+// reportFailure reports a failed attempt to the core, with what the agent sent about it.
+func (e *Entry) reportFailure(c *call, t request.Try, f *frame.Fail) {
 	if f.Mark != nil {
 		e.Loop.Step(record.Received{From: t.Target.Address, Records: []record.Record{*f.Mark}})
 	}
 	if f.Code == code.AgentRestarted {
-		// Nothing goes to the old life's address until the new one is heard of.
+		// Send nothing to the former instance's address until the new instance is known.
 		e.Loop.Step(member.DialFailed{Address: t.Target.Address})
 	}
 	if c.answer.started {
-		e.Loop.Step(request.AnswerFailed{ID: c.id, Attempt: t.Attempt, Code: f.Code, Ran: f.Ran, Final: c.answer.broken})
+		e.Loop.Step(request.AnswerFailed{ID: c.id, Attempt: t.Attempt, Code: f.Code, Ran: f.Ran, Final: c.answer.partialEventForwarded})
 		return
 	}
 	e.Loop.Step(request.AttemptFailed{ID: c.id, Attempt: t.Attempt, Code: f.Code, Ran: f.Ran, Report: f.Load})
 }
 
-// resume continues an answer over a new connection from the byte where it broke.
-func (e *Entry) resume(c *call, eff request.Resume) bool {
-	ctx, cancel := context.WithDeadline(c.r.Context(), c.until.Add(settleSlack))
+// resumeAnswer continues an answer over a new connection, from the byte at which it was interrupted.
+func (e *Entry) resumeAnswer(c *call, eff request.Resume) bool {
+	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline.Add(deadlineGrace))
 	defer cancel()
 	periodic.Sleep(ctx, eff.Wait)
 	if c.r.Context().Err() != nil {
-		e.giveUp(c, eff.Try)
+		e.cancelAttempt(c, eff.Try)
 		return true
 	}
-	c.answer.resumed = true
-	s, err := e.rejoin(ctx, c, eff.Try)
+	c.answer.resuming = true
+	s, err := e.reconnect(ctx, c, eff.Try)
 	if err != nil {
 		e.Loop.Step(request.AnswerBroke{ID: c.id, Attempt: eff.Attempt})
 		return false
 	}
 	defer s.close()
-	logevent.Info(e.Log, logevent.StreamResumed).Str("request", c.id).Int64("offset", c.answer.received).Msg("stream resumed")
-	p, _ := e.passOn(c, s, eff.Try)
-	if p == cut {
+	logevent.Info(e.Log, logevent.StreamResumed).Str("request", c.id).Int64("offset", c.answer.receivedBytes).Msg("stream resumed")
+	p, _ := e.forwardAnswer(c, s, eff.Try)
+	if p == progressDisconnected {
 		e.Loop.Step(request.AnswerBroke{ID: c.id, Attempt: eff.Attempt})
 	}
-	return p == over
+	return p == progressDone
 }
--- a/internal/entry/basic_test.go
+++ b/internal/entry/basic_test.go
@@ -6,18 +6,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestWholeAnswersThroughAgents(t *testing.T) {
+// TestAnswersAreForwardedComplete checks answers of each kind without faults.
+func TestAnswersAreForwardedComplete(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 2)
-	questions := map[string]question{
-		"stream": generate("a stream", 20, true),
-		"whole":  generate("in one piece", 20, false),
-		"book":   book("k1", "a booking"),
-		"lookup": lookup("/status?vendor=1"),
+	fleet := newTestFleet(t, 1, 2)
+	requests := map[string]testRequest{
+		"stream": generateRequest("a stream", 20, true),
+		"whole":  generateRequest("in one piece", 20, false),
+		"book":   bookingRequest("k1", "a booking"),
+		"lookup": lookupRequest("/status?vendor=1"),
 	}
-	outcomes := r.askAll(questions)
+	outcomes := fleet.sendAll(requests)
 	for name, o := range outcomes {
-		assert.True(t, o.whole, "%s: %v", name, o)
+		assert.True(t, o.complete, "%s: %v", name, o)
 	}
-	r.check(outcomes, questions)
+	fleet.checkOutcomes(outcomes, requests)
 }
--- a/internal/entry/batch_test.go
+++ b/internal/entry/batch_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-// atOnce is how many fleets of all batches run at once. They wait more than they work, so this is not the number of
-// cores.
-const atOnce = 40
+// maxConcurrentFleets bounds the number of fleets of all batches that run at the same time. It may exceed the number
+// of cores, because fleets mostly wait.
+const maxConcurrentFleets = 40
 
-var room = make(chan struct{}, atOnce)
+// fleetSlots is a semaphore with a slot for each concurrent fleet.
+var fleetSlots = make(chan struct{}, maxConcurrentFleets)
 
-// batch runs subtests at the same time, however few cores there are.
+// batch runs subtests concurrently, regardless of GOMAXPROCS (unlike t.Parallel).
 type batch struct {
 	t     *testing.T
 	tests sync.WaitGroup
@@ -21,8 +22,8 @@
 
 func (b *batch) run(name string, test func(*testing.T)) {
 	b.tests.Go(func() {
-		room <- struct{}{}
-		defer func() { <-room }()
+		fleetSlots <- struct{}{}
+		defer func() { <-fleetSlots }()
 		b.t.Run(name, test)
 	})
 }
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -16,91 +16,95 @@
 )
 
 const (
-	// replayBytes is how much of a body is kept, so that a request can be tried again and has a fingerprint.
-	replayBytes = 256 << 10
-	// callerSilence bounds the wait for a caller to send or take some bytes.
-	callerSilence = 30 * time.Second
-	// fingerprintBytes is the length of a fingerprint before it is written in hex.
+	// maxReplayBytes is how much of a body is buffered. A request whose body fits can be sent again. The buffered
+	// part is included in the fingerprint.
+	maxReplayBytes = 256 << 10
+	// callerIOTimeout bounds each read from a caller and each write to it.
+	callerIOTimeout = 30 * time.Second
+	// fingerprintBytes is the length of a fingerprint in bytes, before hex encoding.
 	fingerprintBytes = 16
 )
 
-// errBodyTooLarge ends a body that goes over the entry's limit.
-var errBodyTooLarge = errors.New("the body is over the limit")
+// errBodyTooLarge is returned when a body exceeds the entry's limit.
+var errBodyTooLarge = errors.New("reading the body: it exceeds the limit")
 
-// body is a caller's body: its first replayBytes are kept, the rest is read on as it is sent.
+// body is a caller's body. Its first maxReplayBytes are buffered; the rest is read while it is sent.
 type body struct {
-	kept []byte
-	// whole says that kept is all of it.
-	whole bool
-	rest  io.Reader
-	spent bool
+	buffered []byte
+	// complete is set if the entire body is buffered.
+	complete     bool
+	rest         io.Reader
+	restConsumed bool
 }
 
-// readBody reads what is kept of the body, and so learns the request's fingerprint and whether it can be sent twice.
+// readBody buffers the start of the body. It sets the request's fingerprint and whether the request can be sent
+// again.
 func (e *Entry) readBody(c *call, ev *request.Received) *code.Error {
-	src := &callerReader{call: c, left: e.config.MaxBody}
-	defer src.clear()
-	kept, err := io.ReadAll(io.LimitReader(src, replayBytes+1))
+	source := &callerReader{call: c, remaining: e.config.MaxBody}
+	defer source.clearDeadline()
+	buffered, err := io.ReadAll(io.LimitReader(source, maxReplayBytes+1))
 	if errors.Is(err, errBodyTooLarge) {
 		return code.Errorf(code.BodyTooLarge, "body", "more than %d bytes", e.config.MaxBody)
 	}
-	var slow *code.Error
-	if errors.As(err, &slow) {
-		return slow
+	var refusal *code.Error
+	if errors.As(err, &refusal) {
+		return refusal
 	}
 	if err != nil {
 		return code.Errorf(code.CallerGone, "body", "it did not come whole: %v", err)
 	}
-	c.body = &body{kept: kept, whole: len(kept) <= replayBytes, rest: src}
+	c.body = &body{buffered: buffered, complete: len(buffered) <= maxReplayBytes, rest: source}
 	c.fingerprint = fingerprint(c.r, ev.Team+"/"+ev.Service, c.target, c.body)
 	ev.Fingerprint = c.fingerprint
-	ev.Replayable = c.body.whole
+	ev.Replayable = c.body.complete
 	return nil
 }
 
-// fingerprint names a request by what it is: two requests with one fingerprint do the same to an upstream. Of a body
-// beyond the bound only the part within it counts, and the length that the caller gave.
+// fingerprint returns an identifier of the request's content. Requests with equal fingerprints are assumed to have
+// the same effect on an upstream. Of a body beyond maxReplayBytes it covers only the buffered part and the
+// Content-Length.
 func fingerprint(r *http.Request, service, target string, b *body) string {
 	h := sha256.New()
 	_, _ = fmt.Fprintf(h, "%s\n%s\n%s\n%d\n", service, r.Method, target, r.ContentLength)
-	_, _ = h.Write(b.kept)
+	_, _ = h.Write(b.buffered)
 	return hex.EncodeToString(h.Sum(nil)[:fingerprintBytes])
 }
 
-// reader returns the body from its start; ok is false when its start was sent and is no longer kept.
+// reader returns the body from its start. ok is false if the unbuffered part was already read for an earlier attempt.
 func (b *body) reader() (r io.Reader, ok bool) {
-	if b.whole {
-		return bytes.NewReader(b.kept), true
+	if b.complete {
+		return bytes.NewReader(b.buffered), true
 	}
-	if b.spent {
+	if b.restConsumed {
 		return nil, false
 	}
-	b.spent = true
-	return io.MultiReader(bytes.NewReader(b.kept), b.rest), true
+	b.restConsumed = true
+	return io.MultiReader(bytes.NewReader(b.buffered), b.rest), true
 }
 
-// callerReader reads a caller's body up to a limit, and does not wait for a silent caller for ever.
+// callerReader reads a caller's body up to a limit. A read that takes longer than callerIOTimeout fails.
 type callerReader struct {
-	call *call
-	left int64
+	call      *call
+	remaining int64
 }
 
-// Read reads from the caller.
+// Read reads from the caller's body. It returns errBodyTooLarge beyond the limit.
 func (c *callerReader) Read(p []byte) (int, error) {
 	control := http.NewResponseController(c.call.w)
-	_ = control.SetReadDeadline(time.Now().Add(callerSilence))
+	_ = control.SetReadDeadline(time.Now().Add(callerIOTimeout))
 	n, err := c.call.r.Body.Read(p)
 	if err != nil {
-		c.clear()
+		c.clearDeadline()
 	}
-	c.left -= int64(n)
-	if c.left < 0 {
+	c.remaining -= int64(n)
+	if c.remaining < 0 {
 		return 0, errBodyTooLarge
 	}
 	return n, err
 }
 
-// clear lifts the deadline: the server itself reads on, to see whether the caller goes away.
-func (c *callerReader) clear() {
+// clearDeadline removes the read deadline, because the server keeps reading in the background to detect a caller that
+// disconnects.
+func (c *callerReader) clearDeadline() {
 	_ = http.NewResponseController(c.call.w).SetReadDeadline(time.Time{})
 }
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -10,78 +10,82 @@
 	"samphireweir.example/samphireweir/internal/core/request"
 )
 
-// HeaderReplay marks an answer that was kept from an earlier run of the same idempotency key.
-const HeaderReplay = "Idempotent-Replay"
+// HeaderIdempotentReplay is the header that marks a stored answer of an earlier run with the same idempotency key.
+const HeaderIdempotentReplay = "Idempotent-Replay"
 
-// heldClaim is the granted claim of one call. Its methods do nothing on nil, so that calls without a claim need
-// not be told apart.
-type heldClaim struct {
+// grantedClaim is the granted claim of one call. Its methods do nothing on a nil receiver, so that callers need not
+// handle calls without a claim separately.
+type grantedClaim struct {
 	claim    claim.Claim
-	recorder *answerRecorder
-	// sent is set when the call was handed to an agent for the first time.
+	recorder *responseRecorder
+	// sent is set once the call was handed to an agent.
 	sent bool
-	// whole is set when the whole answer was passed on.
-	whole bool
-	// ran is the statement of the refusal, if there was one.
+	// complete is set once the complete answer was forwarded.
+	complete bool
+	// ran is the run status that the caller was given with a refusal. It is empty if the call was not refused.
 	ran code.Ran
 }
 
-func (h *heldClaim) send() {
-	if h != nil {
-		h.sent = true
+func (g *grantedClaim) markSent() {
+	if g != nil {
+		g.sent = true
 	}
 }
 
-func (h *heldClaim) complete() {
-	if h != nil {
-		h.whole = true
+func (g *grantedClaim) markComplete() {
+	if g != nil {
+		g.complete = true
 	}
 }
 
-func (h *heldClaim) refused(ran code.Ran) {
-	if h != nil {
-		h.ran = ran
+func (g *grantedClaim) recordRefusal(ran code.Ran) {
+	if g != nil {
+		g.ran = ran
 	}
 }
 
-// claim carries out request.Claim. It reports whether the request is over, because a kept answer was replayed.
-func (e *Entry) claim(c *call) bool {
-	key := c.r.Header.Get(HeaderKey)
+// claimKey carries out request.Claim. It reports whether the request is finished, either because a stored answer was
+// replayed or because the caller disconnected.
+func (e *Entry) claimKey(c *call) bool {
+	key := c.r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
-		// Nobody can repeat a call without a key, and this entry does not: it needs no record.
+		// A call without a key can't be repeated by its caller and is not retried by this entry, so it needs no
+		// record.
 		e.Loop.Step(request.ClaimSettled{ID: c.id, Outcome: request.ClaimGranted})
 		return false
 	}
-	wanted := e.wantedClaim(c, key)
-	a := e.claims.Make(c.r.Context(), wanted)
+	proposed := e.newClaim(c, key)
+	a := e.claims.Make(c.r.Context(), proposed)
 	switch {
 	case a.Verdict == claim.Granted:
-		c.hold(wanted)
+		c.startRecording(proposed)
 		if c.r.Context().Err() != nil {
-			return true // The caller is gone and nothing was sent: the claim is given back.
+			return true // The caller disconnected and nothing was sent: the claim is released.
 		}
 		e.Loop.Step(request.ClaimSettled{ID: c.id, Outcome: request.ClaimGranted})
 	case a.Verdict == claim.Replayed && a.Kept != nil:
-		replay(c, a.Kept)
+		replayAnswer(c, a.Kept)
 		return true
 	default:
-		e.claimRefused(c, a)
+		e.rejectClaim(c, a)
 	}
 	return false
 }
 
-func (e *Entry) wantedClaim(c *call, key string) claim.Claim {
+// newClaim returns the claim of the call with the given idempotency key.
+func (e *Entry) newClaim(c *call, key string) claim.Claim {
 	team, service, _, _ := splitPath(c.r.URL.Path)
 	return claim.Claim{
 		Key:         claim.HashKey(team, service, key),
 		Request:     c.id,
-		Fingerprint: claim.Fingerprint(c.r.Method, c.target, c.r.ContentLength, c.body.kept),
+		Fingerprint: claim.Fingerprint(c.r.Method, c.target, c.r.ContentLength, c.body.buffered),
 		KeyTime:     claim.Time(key),
-		RunFor:      time.Until(c.until).Milliseconds(),
+		RunFor:      time.Until(c.deadline).Milliseconds(),
 	}
 }
 
-func (e *Entry) claimRefused(c *call, a claims.Answer) {
+// rejectClaim reports a refused claim to the core.
+func (e *Entry) rejectClaim(c *call, a claims.Answer) {
 	refusal, ok := a.Verdict.Refusal()
 	if !ok {
 		refusal, _ = claim.Unsure.Refusal()
@@ -92,76 +96,77 @@
 	})
 }
 
-// hold records from now on what the caller is answered.
-func (c *call) hold(granted claim.Claim) {
-	recorder := &answerRecorder{ResponseWriter: c.w}
+// startRecording stores the granted claim and records from now on what the caller receives.
+func (c *call) startRecording(granted claim.Claim) {
+	recorder := &responseRecorder{ResponseWriter: c.w}
 	c.w = recorder
-	c.claimed = &heldClaim{claim: granted, recorder: recorder}
+	c.claim = &grantedClaim{claim: granted, recorder: recorder}
 }
 
-// settleClaim records how the call ended, when it is over at this entry, also by a panic that aborts the answer.
-func (e *Entry) settleClaim(c *call) {
-	h := c.claimed
-	if h == nil {
+// recordSettlement records how a call with a claim ended. It is deferred, so it also runs if the answer is aborted by
+// a panic.
+func (e *Entry) recordSettlement(c *call) {
+	granted := c.claim
+	if granted == nil {
 		return
 	}
-	t := claim.Settlement{
-		Key: h.claim.Key, Request: h.claim.Request, KeyTime: h.claim.KeyTime,
-		Status: claim.Ending(h.sent, h.whole, h.ran),
+	settlement := claim.Settlement{
+		Key: granted.claim.Key, Request: granted.claim.Request, KeyTime: granted.claim.KeyTime,
+		Status: claim.Ending(granted.sent, granted.complete, granted.ran),
 	}
-	if h.whole {
-		t.Answer = h.recorder.answer()
+	if granted.complete {
+		settlement.Answer = granted.recorder.storedResponse()
 	}
-	e.claims.Settle(t)
+	e.claims.Settle(settlement)
 }
 
-// replay answers with a kept answer.
-func replay(c *call, kept *claim.Answer) {
+// replayAnswer sends a stored answer to the caller.
+func replayAnswer(c *call, stored *claim.Answer) {
 	header := c.w.Header()
-	for name, values := range kept.Header {
+	for name, values := range stored.Header {
 		header[name] = values
 	}
-	header.Set(HeaderReplay, "true")
+	header.Set(HeaderIdempotentReplay, "true")
 	header.Set(HeaderRequestID, c.id)
-	c.w.WriteHeader(kept.Status)
-	_, _ = c.w.Write(kept.Body)
+	c.w.WriteHeader(stored.Status)
+	_, _ = c.w.Write(stored.Body)
 }
 
-// answerRecorder keeps a copy of an answer that is small enough to be kept.
-type answerRecorder struct {
+// responseRecorder copies a response that is forwarded to the caller, unless it is too large to be stored.
+type responseRecorder struct {
 	http.ResponseWriter
-	status int
-	header http.Header
-	body   []byte
-	over   bool
+	status   int
+	header   http.Header
+	body     []byte
+	tooLarge bool
 }
 
-// WriteHeader notes the head of the answer.
-func (a *answerRecorder) WriteHeader(status int) {
-	a.status = status
-	a.header = a.Header().Clone()
-	a.ResponseWriter.WriteHeader(status)
+// WriteHeader records the status and header and forwards them.
+func (r *responseRecorder) WriteHeader(status int) {
+	r.status = status
+	r.header = r.Header().Clone()
+	r.ResponseWriter.WriteHeader(status)
 }
 
-// Write notes the bytes until they are too many.
-func (a *answerRecorder) Write(p []byte) (int, error) {
-	a.over = a.over || len(a.body)+len(p) > claim.MaxAnswer
-	if a.over {
-		a.body = nil
+// Write forwards p, and records it unless the body exceeds claim.MaxAnswer.
+func (r *responseRecorder) Write(p []byte) (int, error) {
+	r.tooLarge = r.tooLarge || len(r.body)+len(p) > claim.MaxAnswer
+	if r.tooLarge {
+		r.body = nil
 	} else {
-		a.body = append(a.body, p...)
+		r.body = append(r.body, p...)
 	}
-	return a.ResponseWriter.Write(p)
+	return r.ResponseWriter.Write(p)
 }
 
-// Unwrap gives http.ResponseController the writer underneath.
-func (a *answerRecorder) Unwrap() http.ResponseWriter { return a.ResponseWriter }
+// Unwrap returns the underlying writer, for http.ResponseController.
+func (r *responseRecorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
-// answer returns the answer to be kept, or nil when it is too large.
-func (a *answerRecorder) answer() *claim.Answer {
-	kept := &claim.Answer{Status: a.status, Header: a.header, Body: a.body}
-	if a.over || a.status == 0 || !kept.Keepable() {
+// storedResponse returns the response to be stored, or nil if it is too large.
+func (r *responseRecorder) storedResponse() *claim.Answer {
+	stored := &claim.Answer{Status: r.status, Header: r.header, Body: r.body}
+	if r.tooLarge || r.status == 0 || !stored.Keepable() {
 		return nil
 	}
-	return kept
+	return stored
 }
--- a/internal/entry/claimpeers.go
+++ b/internal/entry/claim_peers.go
@@ -10,19 +10,19 @@
 	"samphireweir.example/samphireweir/internal/core/member"
 )
 
-// entriesKeptFor is how long the list of entries is used before it is made again.
-const entriesKeptFor = 100 * time.Millisecond
+// entryListTTL is how long a cached list of entries is used.
+const entryListTTL = 100 * time.Millisecond
 
-// claimPeers lets the claims find and call the other entries.
+// claimPeers lets the claims service find and call the other entries.
 type claimPeers struct {
 	entry *Entry
 
-	mu    sync.Mutex
-	list  []string
-	until time.Time
+	mu      sync.Mutex
+	entries []string
+	expires time.Time
 }
 
-// newClaims makes the service of claims and answers other entries' calls to it.
+// newClaims returns the claims service and registers its handlers for calls of other entries.
 func (e *Entry) newClaims() *claims.Service {
 	s := claims.New(claims.Config{
 		Self: e.Address(), Objects: e.Objects, Peers: &claimPeers{entry: e}, Log: e.Log, Claims: e.config.Claims,
@@ -31,31 +31,32 @@
 	return s
 }
 
-// Entries returns the live entries, this one included.
+// Entries returns the addresses of the live entries, including this one.
 func (p *claimPeers) Entries() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if now.Before(p.until) {
-		return p.list
+	if now.Before(p.expires) {
+		return p.entries
 	}
-	p.entry.Loop.View(func(s *core.State) { p.list = s.Entries(now) })
-	p.until = now.Add(entriesKeptFor)
-	return p.list
+	p.entry.Loop.View(func(s *core.State) { p.entries = s.Entries(now) })
+	p.expires = now.Add(entryListTTL)
+	return p.entries
 }
 
-// Call calls an entry; one that does not answer is passed over for a while.
+// Call calls a method of an entry. An entry whose call fails is suspected for a while.
 func (p *claimPeers) Call(ctx context.Context, address, method string, params, answer any) error {
 	err := p.entry.Pool.Call(ctx, address, method, params, answer)
 	if err != nil {
 		p.entry.Loop.Step(member.DialFailed{Address: address})
-		p.forget()
+		p.invalidate()
 	}
 	return err
 }
 
-func (p *claimPeers) forget() {
+// invalidate makes the next call of Entries read the list again.
+func (p *claimPeers) invalidate() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.until = time.Time{}
+	p.expires = time.Time{}
 }
--- a/internal/entry/claim_test.go
+++ b/internal/entry/claim_test.go
@@ -21,38 +21,38 @@
 	"samphireweir.example/samphireweir/internal/standin/plain"
 )
 
-// told is what a caller of an at-most-once call was told.
-type told struct {
+// bookingAnswer is the answer that a caller of an at-most-once call received.
+type bookingAnswer struct {
 	status  int
 	header  http.Header
 	body    string
 	problem Problem
 }
 
-// book sends a non-idempotent call with a key, or with none, through an entry.
-func (r *rig) book(entry int, key, path, body string) told {
-	url := "http://" + r.entries[entry].callers.Addr().String() + "/karrakin/portal" + path
+// sendBooking sends a non-idempotent call through an entry. The key may be empty.
+func (f *testFleet) sendBooking(entry int, key, path, body string) bookingAnswer {
+	url := "http://" + f.entries[entry].callerListener.Addr().String() + "/karrakin/portal" + path
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
-	require.NoError(r.t, err)
+	require.NoError(f.t, err)
 	if key != "" {
-		req.Header.Set(HeaderKey, key)
+		req.Header.Set(HeaderIdempotencyKey, key)
 	}
 	resp, err := http.DefaultClient.Do(req)
-	require.NoError(r.t, err)
+	require.NoError(f.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
-	require.NoError(r.t, err)
-	t := told{status: resp.StatusCode, header: resp.Header, body: string(raw)}
+	require.NoError(f.t, err)
+	t := bookingAnswer{status: resp.StatusCode, header: resp.Header, body: string(raw)}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "application/problem") {
-		require.NoError(r.t, json.Unmarshal(raw, &t.problem))
+		require.NoError(f.t, json.Unmarshal(raw, &t.problem))
 	}
 	return t
 }
 
-// runsByKey counts the runs of each key in the plain services' own log.
-func (r *rig) runsByKey() map[string]int {
+// runsByKey returns the number of runs of each key in the plain services' log.
+func (f *testFleet) runsByKey() map[string]int {
 	counts := map[string]int{}
-	for _, runs := range r.plainRuns() {
+	for _, runs := range f.plainRuns() {
 		for _, run := range runs {
 			counts[run.IdempotencyKey]++
 		}
@@ -62,8 +62,8 @@
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// keyFrom returns a key that carries the time t.
-func keyFrom(t time.Time) string {
+// keyWithTime returns a UUIDv7 key with the timestamp t.
+func keyWithTime(t time.Time) string {
 	id := uuid.Must(uuid.NewV7())
 	ms := t.UnixMilli()
 	for b := range 6 {
@@ -72,159 +72,163 @@
 	return id.String()
 }
 
-func requireTold(t *testing.T, got told, want code.Code, ran code.Ran) {
+func requireRefusal(t *testing.T, got bookingAnswer, want code.Code, ran code.Ran) {
 	t.Helper()
 	require.Equal(t, want, got.problem.Code, "%+v", got)
 	require.Equal(t, ran, got.problem.Ran)
 	require.Equal(t, want.Describe().Status, got.status)
 }
 
-func requireComeBack(t *testing.T, got told) {
+func requireRetryAfter(t *testing.T, got bookingAnswer) {
 	t.Helper()
 	seconds, err := strconv.Atoi(got.header.Get("Retry-After"))
 	require.NoError(t, err)
 	require.Positive(t, seconds)
 }
 
-// TestRepeatedKeyGetsTheKeptAnswer: whichever entry gets the repeat, the caller gets the first run's answer.
-func TestRepeatedKeyGetsTheKeptAnswer(t *testing.T) {
+// TestRepeatedKeyReplaysStoredAnswer guards against a second run, or another answer, when a key is repeated through
+// any entry. The caller must receive the first run's answer.
+func TestRepeatedKeyReplaysStoredAnswer(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 3, 2)
+	fleet := newTestFleet(t, 3, 2)
 	for _, key := range []string{newKey(), "a-key-without-a-time"} {
-		first := r.book(0, key, "/book?n=1", "panel 7")
+		first := fleet.sendBooking(0, key, "/book?n=1", "panel 7")
 		require.Equal(t, http.StatusOK, first.status)
-		require.Empty(t, first.header.Get(HeaderReplay))
-		for entry := range r.entries {
-			var again told
-			r.await("the answer is kept", func() bool {
-				again = r.book(entry, key, "/book?n=1", "panel 7")
+		require.Empty(t, first.header.Get(HeaderIdempotentReplay))
+		for entry := range fleet.entries {
+			var again bookingAnswer
+			fleet.eventually("the answer is stored", func() bool {
+				again = fleet.sendBooking(entry, key, "/book?n=1", "panel 7")
 				return again.problem.Code != code.StillRunning
 			})
 			require.Equal(t, first.status, again.status)
 			require.Equal(t, first.body, again.body)
-			require.Equal(t, "true", again.header.Get(HeaderReplay))
+			require.Equal(t, "true", again.header.Get(HeaderIdempotentReplay))
 			require.Equal(t, first.header.Get("Content-Type"), again.header.Get("Content-Type"))
 		}
-		require.Equal(t, 1, r.runsByKey()[key])
+		require.Equal(t, 1, fleet.runsByKey()[key])
 	}
 }
 
-// TestKeyOfAnotherRequest: a key that came with another path, query or body is refused as not run.
-func TestKeyOfAnotherRequest(t *testing.T) {
+// TestKeyReuseForAnotherRequestIsRefused guards against replaying an answer to a different request. A key that was
+// used with another path, query or body is refused as not run.
+func TestKeyReuseForAnotherRequestIsRefused(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 2, 1)
+	fleet := newTestFleet(t, 2, 1)
 	key := newKey()
-	require.Equal(t, http.StatusOK, r.book(0, key, "/book", "panel 7").status)
-	requireTold(t, r.book(1, key, "/book", "panel 8"), code.KeyReused, code.NotRun)
-	requireTold(t, r.book(0, key, "/cancel", "panel 7"), code.KeyReused, code.NotRun)
-	requireTold(t, r.book(1, key, "/book?n=2", "panel 7"), code.KeyReused, code.NotRun)
-	require.Equal(t, 1, r.runsByKey()[key])
+	require.Equal(t, http.StatusOK, fleet.sendBooking(0, key, "/book", "panel 7").status)
+	requireRefusal(t, fleet.sendBooking(1, key, "/book", "panel 8"), code.KeyReused, code.NotRun)
+	requireRefusal(t, fleet.sendBooking(0, key, "/cancel", "panel 7"), code.KeyReused, code.NotRun)
+	requireRefusal(t, fleet.sendBooking(1, key, "/book?n=2", "panel 7"), code.KeyReused, code.NotRun)
+	require.Equal(t, 1, fleet.runsByKey()[key])
 }
 
-// TestRepeatWhileRunning: a repeat during the first run is told so at once, with Retry-After, and later gets the answer.
-func TestRepeatWhileRunning(t *testing.T) {
+// TestRepeatDuringRunIsRefusedThenReplayed repeats a key while its first run is in progress. The repeat must not wait
+// or run: it is refused immediately with Retry-After, and receives the stored answer later.
+func TestRepeatDuringRunIsRefusedThenReplayed(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 2, 1)
-	r.fault(r.plains, `{"*":{"slow_factor":500}}`)
+	fleet := newTestFleet(t, 2, 1)
+	fleet.setFaults(fleet.plainServer, `{"*":{"slow_factor":500}}`)
 	key := newKey()
-	done := make(chan told, 1)
-	go func() { done <- r.book(0, key, "/book", "panel 7") }()
-	var again told
-	r.await("the repeat is told", func() bool {
-		again = r.book(1, key, "/book", "panel 7")
+	done := make(chan bookingAnswer, 1)
+	go func() { done <- fleet.sendBooking(0, key, "/book", "panel 7") }()
+	var again bookingAnswer
+	fleet.eventually("the repeat is refused as still running, or answered", func() bool {
+		again = fleet.sendBooking(1, key, "/book", "panel 7")
 		return again.problem.Code != code.ClaimUnavailable
 	})
 	if again.status != http.StatusOK {
-		requireTold(t, again, code.StillRunning, code.Unknown)
-		requireComeBack(t, again)
+		requireRefusal(t, again, code.StillRunning, code.Unknown)
+		requireRetryAfter(t, again)
 	}
 	first := <-done
-	r.await("the kept answer", func() bool {
-		again = r.book(1, key, "/book", "panel 7")
+	fleet.eventually("the stored answer is replayed", func() bool {
+		again = fleet.sendBooking(1, key, "/book", "panel 7")
 		return again.status == http.StatusOK
 	})
 	if first.status == http.StatusOK {
 		require.Equal(t, first.body, again.body)
 	}
-	require.Equal(t, 1, r.runsByKey()[key])
+	require.Equal(t, 1, fleet.runsByKey()[key])
 }
 
-// TestKeysOutOfTime: a key from before the retention, or from the future, is refused; the call is not run.
-func TestKeysOutOfTime(t *testing.T) {
+// TestKeysOutsideRetentionAreRefused guards against a second run of a key whose record may already be deleted. A key
+// with a time before the retention period, or in the future, is refused and not run.
+func TestKeysOutsideRetentionAreRefused(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 1)
-	old := keyFrom(time.Now().Add(-claim.DefaultRetention - time.Hour))
-	ahead := keyFrom(time.Now().Add(claim.MaxAhead + time.Hour))
-	first := r.book(0, newKey(), "/book", "")
+	fleet := newTestFleet(t, 1, 1)
+	tooOld := keyWithTime(time.Now().Add(-claim.DefaultRetention - time.Hour))
+	inFuture := keyWithTime(time.Now().Add(claim.MaxAhead + time.Hour))
+	first := fleet.sendBooking(0, newKey(), "/book", "")
 	require.Equal(t, http.StatusOK, first.status, "%+v", first)
-	var got told
-	r.await("the horizon stands", func() bool {
-		got = r.book(0, old, "/book", "")
+	var got bookingAnswer
+	fleet.eventually("the retention horizon is known", func() bool {
+		got = fleet.sendBooking(0, tooOld, "/book", "")
 		return got.problem.Code == code.KeyTooOld
 	})
-	requireTold(t, got, code.KeyTooOld, code.Unknown)
-	requireTold(t, r.book(0, ahead, "/book", ""), code.KeyAhead, code.NotRun)
-	require.Zero(t, r.runsByKey()[ahead])
-	require.Zero(t, r.runsByKey()[old])
+	requireRefusal(t, got, code.KeyTooOld, code.Unknown)
+	requireRefusal(t, fleet.sendBooking(0, inFuture, "/book", ""), code.KeyAhead, code.NotRun)
+	require.Zero(t, fleet.runsByKey()[inFuture])
+	require.Zero(t, fleet.runsByKey()[tooOld])
 }
 
-// TestOutageStopsOnlyKeyedCalls: in an outage of the platform a keyed call is refused at once as not run, and all other
-// requests go on; afterwards the same key runs.
-func TestOutageStopsOnlyKeyedCalls(t *testing.T) {
+// TestPlatformOutageRefusesOnlyKeyedCalls guards against a platform outage that affects more than keyed calls. Keyed
+// calls are refused immediately as not run, all other requests are served, and the same key runs after the outage.
+func TestPlatformOutageRefusesOnlyKeyedCalls(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 2, 1)
-	r.fault(r.objects, `{"outage":true}`)
+	fleet := newTestFleet(t, 2, 1)
+	fleet.setFaults(fleet.objectAPI, `{"outage":true}`)
 	key := newKey()
-	for entry := range r.entries {
-		got := r.book(entry, key, "/book", "panel 7")
-		requireTold(t, got, code.ClaimUnavailable, code.NotRun)
-		requireComeBack(t, got)
+	for entry := range fleet.entries {
+		got := fleet.sendBooking(entry, key, "/book", "panel 7")
+		requireRefusal(t, got, code.ClaimUnavailable, code.NotRun)
+		requireRetryAfter(t, got)
 	}
-	require.Zero(t, r.runsByKey()[key])
-	require.Equal(t, http.StatusOK, r.book(0, "", "/book", "without a key").status)
-	require.Equal(t, http.StatusOK, r.ask(t.Context(), 1, lookup("/vendor")).status)
-	r.fault(r.objects, `{"outage":false}`)
-	r.await("the key runs", func() bool { return r.book(1, key, "/book", "panel 7").status == http.StatusOK })
-	require.Equal(t, 1, r.runsByKey()[key])
+	require.Zero(t, fleet.runsByKey()[key])
+	require.Equal(t, http.StatusOK, fleet.sendBooking(0, "", "/book", "without a key").status)
+	require.Equal(t, http.StatusOK, fleet.send(t.Context(), 1, lookupRequest("/vendor")).status)
+	fleet.setFaults(fleet.objectAPI, `{"outage":false}`)
+	fleet.eventually("the key runs after the outage", func() bool { return fleet.sendBooking(1, key, "/book", "panel 7").status == http.StatusOK })
+	require.Equal(t, 1, fleet.runsByKey()[key])
 }
 
-// TestLostAnswerOfTheRun: the upstream runs and its answer is lost. With a body or without, with a key or without, the
-// call is not run again, and a repeat of the key is told that the outcome is unknown.
-func TestLostAnswerOfTheRun(t *testing.T) {
+// TestCallWithLostAnswerIsNotRepeated has the upstream run a call and drop its answer. The call must not run again,
+// with or without a body or key. A repeat of the key is refused with an unknown outcome.
+func TestCallWithLostAnswerIsNotRepeated(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 2, 2)
+	fleet := newTestFleet(t, 2, 2)
 	for _, body := range []string{"panel 7", ""} {
 		for _, key := range []string{newKey(), ""} {
-			// A warm connection to each upstream: only on one of these does net/http repeat a call by itself.
+			// Open a connection to each upstream: net/http repeats calls by itself only on a reused connection.
 			for range 4 {
-				require.Equal(t, http.StatusOK, r.book(0, "", "/warm", "").status)
+				require.Equal(t, http.StatusOK, fleet.sendBooking(0, "", "/warm", "").status)
 			}
-			before := r.runsOf("/lost")
-			r.fault(r.plains, `{"*":{"drop_answer":1}}`)
-			got := r.book(0, key, "/lost", body)
-			r.fault(r.plains, `{"*":{"drop_answer":0}}`)
+			before := fleet.runsByPath("/lost")
+			fleet.setFaults(fleet.plainServer, `{"*":{"drop_answer":1}}`)
+			got := fleet.sendBooking(0, key, "/lost", body)
+			fleet.setFaults(fleet.plainServer, `{"*":{"drop_answer":0}}`)
 			require.Equal(t, code.Unknown, got.problem.Ran, "%+v", got)
-			require.Equal(t, before+1, r.runsOf("/lost"))
+			require.Equal(t, before+1, fleet.runsByPath("/lost"))
 			if key == "" {
 				continue
 			}
-			var again told
-			r.await("the outcome is recorded", func() bool {
-				again = r.book(1, key, "/lost", body)
+			var again bookingAnswer
+			fleet.eventually("the outcome is recorded", func() bool {
+				again = fleet.sendBooking(1, key, "/lost", body)
 				return again.problem.Code != code.StillRunning
 			})
-			requireTold(t, again, code.OutcomeUnknown, code.Unknown)
-			require.Equal(t, before+1, r.runsOf("/lost"))
+			requireRefusal(t, again, code.OutcomeUnknown, code.Unknown)
+			require.Equal(t, before+1, fleet.runsByPath("/lost"))
 		}
 	}
 }
 
-// runsOf counts the runs of calls whose path ends so.
-func (r *rig) runsOf(path string) int {
+// runsByPath returns the number of runs of calls whose path ends with path.
+func (f *testFleet) runsByPath(path string) int {
 	n := 0
-	for line := range bytes.Lines(r.get(r.plains + "/admin/log")) {
+	for line := range bytes.Lines(f.get(f.plainServer + "/admin/log")) {
 		var e plain.RunEntry
-		require.NoError(r.t, json.Unmarshal(line, &e))
+		require.NoError(f.t, json.Unmarshal(line, &e))
 		if strings.HasSuffix(e.Path, path) {
 			n++
 		}
@@ -232,32 +236,32 @@
 	return n
 }
 
-// TestCallsWithoutAKeyAreNotWritten: they need no record, and none is made.
-func TestCallsWithoutAKeyAreNotWritten(t *testing.T) {
+// TestCallsWithoutKeyLeaveNoRecord guards against writing claims to the platform for calls that can't be repeated.
+func TestCallsWithoutKeyLeaveNoRecord(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 1)
+	fleet := newTestFleet(t, 1, 1)
 	for range 5 {
-		require.Equal(t, http.StatusOK, r.book(0, "", "/book", "x").status)
+		require.Equal(t, http.StatusOK, fleet.sendBooking(0, "", "/book", "x").status)
 	}
-	require.Equal(t, 5, r.runsOf("/book"))
-	require.NotContains(t, string(r.get(r.objects+"/v1/list?prefix=claims/")), `"key":"claims/`)
+	require.Equal(t, 5, fleet.runsByPath("/book"))
+	require.NotContains(t, string(fleet.get(fleet.objectAPI+"/v1/list?prefix=claims/")), `"key":"claims/`)
 }
 
-// TestSameKeyThroughAllEntriesAtOnce: callers that send one key everywhere at once, and again until it is answered, get one run
-// and one answer.
-func TestSameKeyThroughAllEntriesAtOnce(t *testing.T) {
+// TestConcurrentUseOfOneKeyRunsOnce has callers send each key through all entries at once and repeat it until it is
+// answered. Each key must run once, and all its callers must receive the same answer.
+func TestConcurrentUseOfOneKeyRunsOnce(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 3, 2)
+	fleet := newTestFleet(t, 3, 2)
 	const keys = 40
 	answers := make([][]string, keys)
 	var mu sync.Mutex
-	var work sync.WaitGroup
+	var senders sync.WaitGroup
 	for k := range keys {
 		key := newKey()
-		for entry := range r.entries {
-			work.Go(func() {
+		for entry := range fleet.entries {
+			senders.Go(func() {
 				for range 100 {
-					got := r.book(entry, key, "/book", fmt.Sprint(k))
+					got := fleet.sendBooking(entry, key, "/book", fmt.Sprint(k))
 					if got.status == http.StatusOK {
 						mu.Lock()
 						answers[k] = append(answers[k], got.body)
@@ -269,53 +273,54 @@
 			})
 		}
 	}
-	work.Wait()
+	senders.Wait()
 	for k, got := range answers {
-		require.Len(t, got, len(r.entries), "key %d", k)
+		require.Len(t, got, len(fleet.entries), "key %d", k)
 		for _, body := range got {
 			require.Equal(t, got[0], body)
 		}
 	}
-	for key, n := range r.runsByKey() {
+	for key, n := range fleet.runsByKey() {
 		require.Equal(t, 1, n, key)
 	}
 }
 
-// TestCallerGoneWhileClaiming: the caller leaves before its call is sent; its key is given back, and a resend runs.
-func TestCallerGoneWhileClaiming(t *testing.T) {
+// TestDisconnectDuringClaimReleasesKey guards against a key that stays claimed although its call was never sent. The
+// caller disconnects during the claim; a later request with the key must run.
+func TestDisconnectDuringClaimReleasesKey(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 2, 1)
-	r.fault(r.objects, `{"delay_ms":300}`)
+	fleet := newTestFleet(t, 2, 1)
+	fleet.setFaults(fleet.objectAPI, `{"delay_ms":300}`)
 	key := newKey()
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	gone := r.ask(ctx, 0, question{service: "portal", method: http.MethodPost, path: "/book", body: "panel 7", key: key})
-	require.Error(t, gone.err)
-	r.fault(r.objects, `{"delay_ms":0}`)
-	var got told
-	r.await("the key is free", func() bool {
-		got = r.book(1, key, "/book", "panel 7")
-		return got.status == http.StatusOK
+	disconnected := fleet.send(ctx, 0, testRequest{service: "portal", method: http.MethodPost, path: "/book", body: "panel 7", key: key})
+	require.Error(t, disconnected.err)
+	fleet.setFaults(fleet.objectAPI, `{"delay_ms":0}`)
+	var resent bookingAnswer
+	fleet.eventually("the key is released", func() bool {
+		resent = fleet.sendBooking(1, key, "/book", "panel 7")
+		return resent.status == http.StatusOK
 	})
-	require.Empty(t, got.header.Get(HeaderReplay))
-	require.Equal(t, 1, r.runsByKey()[key])
+	require.Empty(t, resent.header.Get(HeaderIdempotentReplay))
+	require.Equal(t, 1, fleet.runsByKey()[key])
 }
 
-// TestLargeAnswerIsNotKept: an answer above the bound is passed on, and not kept.
-func TestLargeAnswerIsNotKept(t *testing.T) {
+// TestOversizedAnswerIsNotStored guards against storing an answer above claim.MaxAnswer. It is forwarded only.
+func TestOversizedAnswerIsNotStored(t *testing.T) {
 	t.Parallel()
-	kept := &answerRecorder{ResponseWriter: &discard{header: http.Header{}}}
-	kept.WriteHeader(http.StatusOK)
-	_, err := kept.Write(make([]byte, claim.MaxAnswer))
+	recorder := &responseRecorder{ResponseWriter: &discardWriter{header: http.Header{}}}
+	recorder.WriteHeader(http.StatusOK)
+	_, err := recorder.Write(make([]byte, claim.MaxAnswer))
 	require.NoError(t, err)
-	require.NotNil(t, kept.answer())
-	_, err = kept.Write([]byte{1})
+	require.NotNil(t, recorder.storedResponse())
+	_, err = recorder.Write([]byte{1})
 	require.NoError(t, err)
-	require.Nil(t, kept.answer())
+	require.Nil(t, recorder.storedResponse())
 }
 
-type discard struct{ header http.Header }
+type discardWriter struct{ header http.Header }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d *discard) WriteHeader(int)             {}
+func (d *discardWriter) Header() http.Header         { return d.header }
+func (d *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardWriter) WriteHeader(int)             {}
--- a/internal/entry/config.go
+++ b/internal/entry/config.go
@@ -1,5 +1,5 @@
-// Package entry is the process that callers reach, behind the platform's balancer: it reads a request's head,
-// lets the core decide, and passes the answer on as it comes.
+// Package entry implements the process that accepts callers' requests behind the platform's balancer. It reads a
+// request's head, has the core decide where the request goes, and streams the answer to the caller.
 package entry
 
 import (
@@ -20,24 +20,25 @@
 	defaultSettle   = 5 * time.Second
 )
 
-// Config is an entry's process settings.
+// Config holds the process settings of an entry.
 type Config struct {
 	node.Config
-	// CallersListen is where the balancer sends callers.
+	// CallersListen is the address (IP:PORT) on which the entry accepts callers from the balancer.
 	CallersListen string
-	// Deadline is for requests that name none.
+	// Deadline applies to requests without a Deadline-Ms header.
 	Deadline time.Duration
-	// MaxBody bounds a caller's body, in bytes.
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64
-	// Routing is the policy that chooses upstreams; others than the default are for experiments.
+	// Routing is the policy for choosing upstreams. Policies other than the default are for experiments.
 	Routing string
-	// Settle is how long an entry that stops still takes requests, while the balancer notices that it isn't ready.
+	// Settle is how long an entry that shuts down keeps accepting requests after it reports itself as not ready. It
+	// must exceed the interval of the balancer's readiness check.
 	Settle time.Duration
-	// Claims sets the bounds of at-most-once calls.
+	// Claims holds the settings of at-most-once calls.
 	Claims claim.Config
 }
 
-// Flags declares the flags of c on fs.
+// Flags registers the flags of c on fs.
 func (c *Config) Flags(fs *flag.FlagSet) {
 	c.Config.Flags(fs)
 	fs.StringVar(&c.CallersListen, "callers-listen", "127.0.0.1:0", "address for callers, IP:PORT")
@@ -49,7 +50,7 @@
 	fs.DurationVar(&c.Claims.UntimedRetention, "claim-untimed-retention", claim.DefaultUntimedRetention, "how long a run of another idempotency key is remembered; alike in all entries")
 }
 
-// Check tells the first setting that is missing or bad.
+// Check returns an error for the first setting that is missing or invalid.
 func (c *Config) Check() error {
 	c.Role = member.Entry
 	if err := c.Config.Check(); err != nil {
@@ -79,6 +80,7 @@
 	return nil
 }
 
+// checkListener checks that the callers' address is valid and differs from the other listeners' addresses.
 func (c *Config) checkListener() error {
 	if err := config.CheckListen("callers-listen", c.CallersListen); err != nil {
 		return err
--- a/internal/entry/crash_test.go
+++ b/internal/entry/crash_test.go
@@ -20,20 +20,22 @@
 	"samphireweir.example/samphireweir/internal/frame"
 )
 
-const poison = "poison"
+// crashPrompt makes the engines of newCrashingTestFleet crash.
+const crashPrompt = "poison"
 
-// newPoisonedRig starts a fleet whose engines crash on a prompt with the poison, and stay away for the whole test.
-func newPoisonedRig(t *testing.T, entries, agents int) *rig {
+// newCrashingTestFleet starts a fleet whose engines crash on prompts that contain crashPrompt. They don't restart
+// during the test.
+func newCrashingTestFleet(t *testing.T, entries, agents int) *testFleet {
 	t.Helper()
-	r := newRig(t, entries, agents)
-	r.fault(r.engines, `{"*":{"crash_on":"`+poison+`","restart_ms":600000}}`)
-	return r
+	fleet := newTestFleet(t, entries, agents)
+	fleet.setFaults(fleet.engineServer, `{"*":{"crash_on":"`+crashPrompt+`","restart_ms":600000}}`)
+	return fleet
 }
 
-// crashedEngines names the engines that crashed under a request.
-func (r *rig) crashedEngines() map[string]bool {
+// crashedEngines returns the names of the engines that crashed during a request.
+func (f *testFleet) crashedEngines() map[string]bool {
 	engines := map[string]bool{}
-	for _, runs := range r.engineRuns() {
+	for _, runs := range f.engineRuns() {
 		for _, run := range runs {
 			if run.Outcome == "crashed" {
 				engines[run.Engine] = true
@@ -43,176 +45,181 @@
 	return engines
 }
 
+// TestCrashingRequestIsQuarantinedAfterTwoUpstreams guards against a request that crashes one upstream after the
+// other by retries. After two crashes it is refused, while other requests are served.
 func TestCrashingRequestIsQuarantinedAfterTwoUpstreams(t *testing.T) {
 	t.Parallel()
-	r := newPoisonedRig(t, 1, 6)
-	o := r.ask(context.Background(), 0, generate(poison, 10, true))
-	assert.True(t, o.refusedAs(code.Quarantined, code.Unknown), "%v", o)
-	assert.Len(t, r.crashedEngines(), 2)
-	again := r.ask(context.Background(), 0, generate(poison, 10, true))
-	assert.True(t, again.refusedAs(code.Quarantined, code.NotRun), "%v", again)
-	assert.Empty(t, r.engineRuns()[again.id], "refused without a try")
-	assert.Len(t, r.crashedEngines(), 2)
-	other := r.ask(context.Background(), 0, generate("harmless", 10, true))
-	assert.True(t, other.whole, "%v", other)
+	fleet := newCrashingTestFleet(t, 1, 6)
+	o := fleet.send(context.Background(), 0, generateRequest(crashPrompt, 10, true))
+	assert.True(t, o.isRefusal(code.Quarantined, code.Unknown), "%v", o)
+	assert.Len(t, fleet.crashedEngines(), 2)
+	again := fleet.send(context.Background(), 0, generateRequest(crashPrompt, 10, true))
+	assert.True(t, again.isRefusal(code.Quarantined, code.NotRun), "%v", again)
+	assert.Empty(t, fleet.engineRuns()[again.id], "refused without an attempt")
+	assert.Len(t, fleet.crashedEngines(), 2)
+	other := fleet.send(context.Background(), 0, generateRequest("harmless", 10, true))
+	assert.True(t, other.complete, "%v", other)
 }
 
-// TestCrashingRequestResentThroughEntries has a caller that sends the request to the next entry as soon as it has
-// its refusal: no entry loses an upstream more to it.
-func TestCrashingRequestResentThroughEntries(t *testing.T) {
+// TestResentCrashingRequestCrashesAtMostTwoUpstreams has a caller send the request to the next entry as soon as it is
+// refused. The quarantine must be known there, so that no further upstream crashes.
+func TestResentCrashingRequestCrashesAtMostTwoUpstreams(t *testing.T) {
 	t.Parallel()
-	r := newPoisonedRig(t, 3, 8)
+	fleet := newCrashingTestFleet(t, 3, 8)
 	for i := range 6 {
-		o := r.ask(context.Background(), i%3, generate(poison, 10, true))
+		o := fleet.send(context.Background(), i%3, generateRequest(crashPrompt, 10, true))
 		require.NotNil(t, o.problem, "%v", o)
 		assert.Equal(t, code.Quarantined, o.problem.Code, "%v", o)
 	}
-	assert.LessOrEqual(t, len(r.crashedEngines()), 2)
+	assert.LessOrEqual(t, len(fleet.crashedEngines()), 2)
 }
 
-// TestCrashingRequestSentThroughEntriesAtOnce has copies that start before any process knows: each may take down
-// one upstream, and the one retry alone one more.
-func TestCrashingRequestSentThroughEntriesAtOnce(t *testing.T) {
+// TestConcurrentCrashingRequestsAreBoundedByEntries sends copies of the request through all entries before any
+// process knows that it crashes upstreams. Each copy may crash one upstream, and the single exclusive retry one more.
+func TestConcurrentCrashingRequestsAreBoundedByEntries(t *testing.T) {
 	t.Parallel()
 	const entries = 3
-	r := newPoisonedRig(t, entries, 10)
-	var all sync.WaitGroup
+	fleet := newCrashingTestFleet(t, entries, 10)
+	var senders sync.WaitGroup
 	for i := range entries {
-		all.Go(func() {
+		senders.Go(func() {
 			for range 3 {
-				r.ask(context.Background(), i, generate(poison, 10, true))
+				fleet.send(context.Background(), i, generateRequest(crashPrompt, 10, true))
 			}
 		})
 	}
-	all.Wait()
-	assert.LessOrEqual(t, len(r.crashedEngines()), entries+1)
+	senders.Wait()
+	assert.LessOrEqual(t, len(fleet.crashedEngines()), entries+1)
 }
 
-// TestInnocentNeighboursOfACrash: every request that was in flight on the upstream that crashed gets its answer.
-func TestInnocentNeighboursOfACrash(t *testing.T) {
+// TestCrashDoesNotFailOtherRequestsInFlight guards against requests that fail or are quarantined because they were in
+// flight on an upstream that another request crashed.
+func TestCrashDoesNotFailOtherRequestsInFlight(t *testing.T) {
 	t.Parallel()
-	r := newPoisonedRig(t, 1, 4)
-	questions := map[string]question{}
+	fleet := newCrashingTestFleet(t, 1, 4)
+	requests := map[string]testRequest{}
 	for i := range 16 {
-		q := generate(fmt.Sprintf("neighbour %d", i), 100, i%2 == 0)
-		q.deadline = time.Minute // One after the other they run alone, half a second each at the engine's pace.
-		questions[fmt.Sprint("neighbour ", i)] = q
+		q := generateRequest(fmt.Sprintf("neighbour %d", i), 100, i%2 == 0)
+		q.deadline = time.Minute // They are retried exclusively, one after the other; each takes 0.5 s at the engine's speed.
+		requests[fmt.Sprint("neighbour ", i)] = q
 	}
-	r.later(100*time.Millisecond, func() {
-		r.ask(context.Background(), 0, generate(poison, 10, false))
+	fleet.afterDelay(100*time.Millisecond, func() {
+		fleet.send(context.Background(), 0, generateRequest(crashPrompt, 10, false))
 	})
-	outcomes := r.askAll(questions)
+	outcomes := fleet.sendAll(requests)
 	for name, o := range outcomes {
-		assert.True(t, o.whole, "%s: %v", name, o)
+		assert.True(t, o.complete, "%s: %v", name, o)
 	}
-	r.check(outcomes, questions)
-	assert.NotEmpty(t, r.crashedEngines())
-	for name, q := range questions {
-		fingerprint := r.fingerprintOf(q)
-		r.entries[0].Loop.View(func(s *core.State) {
+	fleet.checkOutcomes(outcomes, requests)
+	assert.NotEmpty(t, fleet.crashedEngines())
+	for name, q := range requests {
+		fingerprint := fleet.fingerprintOf(q)
+		fleet.entries[0].Loop.View(func(s *core.State) {
 			assert.NotEqual(t, suspect.Quarantined, s.Suspects.Look(time.Now(), fingerprint), name)
 		})
 	}
 }
 
-// fingerprintOf returns the fingerprint that entries give a question to an engine.
-func (r *rig) fingerprintOf(q question) string {
+// fingerprintOf returns the fingerprint that entries compute for a request to an engine.
+func (f *testFleet) fingerprintOf(q testRequest) string {
 	req := newRequest(context.Background(), "http://entry", q)
-	return fingerprint(req, "karrakin/"+q.service, q.path, &body{kept: []byte(q.body)})
+	return fingerprint(req, "karrakin/"+q.service, q.path, &body{buffered: []byte(q.body)})
 }
 
-// TestCutConnectionIsNoCrash: a connection that fails while the engine lives makes no suspect.
-func TestCutConnectionIsNoCrash(t *testing.T) {
+// TestConnectionFailureIsNotCountedAsCrash guards against requests that are suspected because a connection to a
+// running engine failed.
+func TestConnectionFailureIsNotCountedAsCrash(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 2)
-	q := generate("cut", 50, true)
+	fleet := newTestFleet(t, 1, 2)
+	q := generateRequest("cut", 50, true)
 	var once sync.Once
-	q.watch = func(tokens int) {
+	q.onToken = func(tokens int) {
 		if tokens >= 5 {
 			once.Do(func() {
-				for _, w := range r.toEngine {
-					w.cut()
+				for _, proxy := range fleet.engineProxies {
+					proxy.resetAll()
 				}
 			})
 		}
 	}
-	o := r.ask(context.Background(), 0, q)
-	assert.True(t, o.whole, "%v", o)
-	for _, a := range r.agents {
+	o := fleet.send(context.Background(), 0, q)
+	assert.True(t, o.complete, "%v", o)
+	for _, a := range fleet.agents {
 		a.Loop.View(func(s *core.State) {
-			assert.Equal(t, suspect.Clear, s.Suspects.Look(time.Now(), r.fingerprintOf(q)))
+			assert.Equal(t, suspect.Clear, s.Suspects.Look(time.Now(), fleet.fingerprintOf(q)))
 		})
 	}
 }
 
-// convicted returns the mark of a request that is known to bring upstreams down.
-func convicted(t *testing.T, fingerprint string) record.Record {
+// quarantineMark returns the record that marks a request as crashing upstreams.
+func quarantineMark(t *testing.T, fingerprint string) record.Record {
 	t.Helper()
-	marks := suspect.NewState()
-	first, ok := marks.Crashed(time.Now(), fingerprint, false)
+	suspects := suspect.NewState()
+	first, ok := suspects.Crashed(time.Now(), fingerprint, false)
 	require.True(t, ok)
-	marks.Changed(time.Now(), []record.Record{first})
-	mark, ok := marks.Crashed(time.Now(), fingerprint, true)
+	suspects.Changed(time.Now(), []record.Record{first})
+	mark, ok := suspects.Crashed(time.Now(), fingerprint, true)
 	require.True(t, ok)
 	return mark
 }
 
-// holdsBack tells whether an entry holds a request back.
-func (r *rig) holdsBack(entry int, fingerprint string) bool {
+// isQuarantined reports whether an entry quarantines a request.
+func (f *testFleet) isQuarantined(entry int, fingerprint string) bool {
 	verdict := suspect.Clear
-	r.entries[entry].Loop.View(func(s *core.State) { verdict = s.Suspects.Look(time.Now(), fingerprint) })
+	f.entries[entry].Loop.View(func(s *core.State) { verdict = s.Suspects.Look(time.Now(), fingerprint) })
 	return verdict == suspect.Quarantined
 }
 
-// TestAnAgentsRefusalTellsTheEntryOfTheMark has the agents learn that a request brings upstreams down while it is on its way to one of them:
-// no further agent is asked. The agents hear of it once the entry has sent the request. Before, they heard first, and on a loaded machine
-// the mark reached the entry by itself, among the records that processes tell one another, before the request did: it was refused without
-// a send, as it should be, and the test failed (0 first sends).
-func TestAnAgentsRefusalTellsTheEntryOfTheMark(t *testing.T) {
+// TestAgentRefusesQuarantinedRequestInFlight has the agents receive a quarantine while the request is on its way to
+// one of them. The agent's refusal must carry the mark to the entry, so that the request is not sent to another
+// agent. The agents receive the mark only after the entry has sent the request: otherwise the mark could reach the
+// entry first, in an exchange of records, and the entry would refuse the request without an attempt.
+func TestAgentRefusesQuarantinedRequestInFlight(t *testing.T) {
 	t.Parallel()
-	r := newPoisonedRig(t, 1, 6)
-	q := generate(poison, 10, true)
-	sends := r.entries[0].Telemetry.Metrics.Attempts
-	for _, w := range r.toAgent {
-		w.freeze(true)
+	fleet := newCrashingTestFleet(t, 1, 6)
+	q := generateRequest(crashPrompt, 10, true)
+	attempts := fleet.entries[0].Telemetry.Metrics.Attempts
+	for _, proxy := range fleet.agentProxies {
+		proxy.freeze(true)
 	}
-	asked := make(chan outcome, 1)
-	go func() { asked <- r.ask(context.Background(), 0, q) }()
-	r.await("the request is sent", func() bool { return sends.Value("karrakin", q.service, "first") == 1 })
-	for _, a := range r.agents {
-		a.Loop.Step(record.Received{Records: []record.Record{convicted(t, r.fingerprintOf(q))}})
+	outcomes := make(chan outcome, 1)
+	go func() { outcomes <- fleet.send(context.Background(), 0, q) }()
+	fleet.eventually("the entry sent the request", func() bool { return attempts.Value("karrakin", q.service, "first") == 1 })
+	for _, a := range fleet.agents {
+		a.Loop.Step(record.Received{Records: []record.Record{quarantineMark(t, fleet.fingerprintOf(q))}})
 	}
-	for _, w := range r.toAgent {
-		w.freeze(false)
+	for _, proxy := range fleet.agentProxies {
+		proxy.freeze(false)
 	}
-	o := <-asked
-	assert.True(t, o.refusedAs(code.Quarantined, code.NotRun), "%v", o)
-	assert.Empty(t, r.crashedEngines())
-	assert.EqualValues(t, 1, sends.Value("karrakin", q.service, "first"))
-	assert.Zero(t, sends.Value("karrakin", q.service, "retry"))
+	o := <-outcomes
+	assert.True(t, o.isRefusal(code.Quarantined, code.NotRun), "%v", o)
+	assert.Empty(t, fleet.crashedEngines())
+	assert.EqualValues(t, 1, attempts.Value("karrakin", q.service, "first"))
+	assert.Zero(t, attempts.Value("karrakin", q.service, "retry"))
 }
 
-// TestARequestThatTheEntryHoldsBackIsNotSent is the other order: the mark comes first, by whatever way.
-func TestARequestThatTheEntryHoldsBackIsNotSent(t *testing.T) {
+// TestEntryDoesNotSendQuarantinedRequest covers the opposite order: the entry receives the mark before the request.
+func TestEntryDoesNotSendQuarantinedRequest(t *testing.T) {
 	t.Parallel()
-	r := newPoisonedRig(t, 1, 2)
-	q := generate(poison, 10, true)
-	r.agents[0].Loop.Step(record.Received{Records: []record.Record{convicted(t, r.fingerprintOf(q))}})
-	r.await("the entry has heard", func() bool { return r.holdsBack(0, r.fingerprintOf(q)) })
-	o := r.ask(context.Background(), 0, q)
-	assert.True(t, o.refusedAs(code.Quarantined, code.NotRun), "%v", o)
-	assert.Zero(t, r.entries[0].Telemetry.Metrics.Attempts.Value("karrakin", q.service, "first"))
+	fleet := newCrashingTestFleet(t, 1, 2)
+	q := generateRequest(crashPrompt, 10, true)
+	fleet.agents[0].Loop.Step(record.Received{Records: []record.Record{quarantineMark(t, fleet.fingerprintOf(q))}})
+	fleet.eventually("the entry received the mark", func() bool { return fleet.isQuarantined(0, fleet.fingerprintOf(q)) })
+	o := fleet.send(context.Background(), 0, q)
+	assert.True(t, o.isRefusal(code.Quarantined, code.NotRun), "%v", o)
+	assert.Zero(t, fleet.entries[0].Telemetry.Metrics.Attempts.Value("karrakin", q.service, "first"))
 }
 
-// TestARefusalCarriesTheMark reads an agent's refusal off the wire, and has an entry take one with a mark that it can't have from elsewhere.
-func TestARefusalCarriesTheMark(t *testing.T) {
+// TestAgentRefusalCarriesQuarantineMark checks that an agent's refusal contains the mark, and that an entry adopts a
+// mark that it can't have received in any other way.
+func TestAgentRefusalCarriesQuarantineMark(t *testing.T) {
 	t.Parallel()
-	r := newPoisonedRig(t, 1, 1)
-	e, q := r.entries[0], generate(poison, 10, true)
-	r.agents[0].Loop.Step(record.Received{Records: []record.Record{convicted(t, r.fingerprintOf(q))}})
-	env := frame.Envelope{Request: "r", Attempt: 1, Upstream: "summary", Entry: e.life, Sequence: 1, Fingerprint: r.fingerprintOf(q), DeadlineMS: 10000}
-	r.agents[0].Loop.View(func(s *core.State) { env.Incarnation = s.Self.Incarnation })
-	s, err := e.open(context.Background(), agentCall{address: r.toAgent[0].address(), path: frame.RunPath, env: env, header: http.Header{}, fresh: true})
+	fleet := newCrashingTestFleet(t, 1, 1)
+	e, q := fleet.entries[0], generateRequest(crashPrompt, 10, true)
+	fleet.agents[0].Loop.Step(record.Received{Records: []record.Record{quarantineMark(t, fleet.fingerprintOf(q))}})
+	env := frame.Envelope{Request: "r", Attempt: 1, Upstream: "summary", Entry: e.instance, Sequence: 1, Fingerprint: fleet.fingerprintOf(q), DeadlineMS: 10000}
+	fleet.agents[0].Loop.View(func(s *core.State) { env.Incarnation = s.Self.Incarnation })
+	s, err := e.openStream(context.Background(), agentCall{address: fleet.agentProxies[0].address(), path: frame.RunPath, env: env, header: http.Header{}, unpooled: true})
 	require.NoError(t, err)
 	defer s.close()
 	kind, payload, err := s.next()
@@ -226,8 +233,8 @@
 	require.Equal(t, code.Quarantined, refusal.Code)
 	require.NotNil(t, refusal.Mark)
 
-	const unheard = "a request that no agent knows"
-	mark := convicted(t, unheard)
-	e.attemptFailed(&call{id: "r"}, request.Try{ID: "r", Attempt: 1}, &frame.Fail{Code: code.Quarantined, Ran: code.NotRun, Mark: &mark})
-	require.True(t, r.holdsBack(0, unheard))
+	const unknown = "a request that no agent knows"
+	mark := quarantineMark(t, unknown)
+	e.reportFailure(&call{id: "r"}, request.Try{ID: "r", Attempt: 1}, &frame.Fail{Code: code.Quarantined, Ran: code.NotRun, Mark: &mark})
+	require.True(t, fleet.isQuarantined(0, unknown))
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -20,25 +20,26 @@
 	"samphireweir.example/samphireweir/internal/node"
 )
 
-// mailboxSize is more than the effects that one request can have outstanding.
-const mailboxSize = 16
+// effectBuffer is the capacity of a request's effect channel. It exceeds the number of effects that one request can
+// have outstanding, so that the loop does not block.
+const effectBuffer = 16
 
-// Entry is the process.
+// Entry is the process that callers send their requests to.
 type Entry struct {
 	*node.Process
-	config  Config
-	callers net.Listener
-	// mailboxes maps a request's id to the channel of its effects.
-	mailboxes sync.Map
-	claims    *claims.Service
-	// agents and freshAgents call agents; the latter makes a new connection for each call.
-	agents      *http.Client
-	freshAgents *http.Client
-	// life names this life of the entry in what it sends.
-	life string
+	config         Config
+	callerListener net.Listener
+	// effectChannels maps the id of each request in flight to the channel on which it receives its effects.
+	effectChannels sync.Map
+	claims         *claims.Service
+	// agentClient and unpooledAgentClient call agents. The latter opens a new connection for each call.
+	agentClient         *http.Client
+	unpooledAgentClient *http.Client
+	// instance identifies this instance of the entry in calls to agents: its address and its incarnation.
+	instance string
 }
 
-// New makes an entry from checked settings.
+// New returns an entry that listens for callers and peers. The config must have passed Check.
 func New(c Config, log zerolog.Logger) (*Entry, error) {
 	p, err := node.NewProcess(c.Config, log, nil)
 	if err != nil {
@@ -46,48 +47,49 @@
 	}
 	l, err := net.Listen("tcp", c.CallersListen)
 	if err != nil {
-		return nil, code.Errorf(code.BadProcess, "-callers-listen", "can't listen: %v", err)
+		return nil, code.Errorf(code.BadProcess, "-callers-listen", "listening for callers: %v", err)
 	}
-	e := &Entry{Process: p, config: c, callers: l}
+	e := &Entry{Process: p, config: c, callerListener: l}
 	e.claims = e.newClaims()
-	e.agents, e.freshAgents = newAgentClient(p.Client, true), newAgentClient(p.Client, false)
-	e.instrument()
-	p.Loop.View(func(s *core.State) { e.life = s.Self.Address + "/" + strconv.FormatUint(s.Self.Incarnation, 10) })
-	p.Loop.SetCarrier(e.carry)
+	e.agentClient, e.unpooledAgentClient = newAgentClient(p.Client, true), newAgentClient(p.Client, false)
+	e.traceAgentCalls()
+	p.Loop.View(func(s *core.State) { e.instance = s.Self.Address + "/" + strconv.FormatUint(s.Self.Incarnation, 10) })
+	p.Loop.SetCarrier(e.dispatchEffect)
 	p.Loop.View(func(s *core.State) { s.Requests.Routing.Self.Policy = routing.Policy(c.Routing) })
 	return e, nil
 }
 
-// CallersAddress is where callers reach this entry.
-func (e *Entry) CallersAddress() string { return e.callers.Addr().String() }
+// CallersAddress returns the address, host and port, on which the entry accepts callers.
+func (e *Entry) CallersAddress() string { return e.callerListener.Addr().String() }
 
-// Run serves until ctx ends, then shuts down gracefully within grace.
+// Run serves until ctx ends. It then stops accepting requests and gives those in flight up to grace to finish.
 func (e *Entry) Run(ctx context.Context, grace time.Duration) {
-	live, cancel := context.WithCancel(context.Background())
+	processCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	e.Process.Run(live, map[string]string{"callers": e.callers.Addr().String()})
-	e.Serve(node.NumberRefusals(e.callers), e.callersHandler())
+	e.Process.Run(processCtx, map[string]string{"callers": e.callerListener.Addr().String()})
+	e.Serve(node.NumberRefusals(e.callerListener), e.callerHandler())
 	<-ctx.Done()
 	logevent.Info(e.Log, logevent.StopAsked).Msg("stop asked")
-	e.settle()
+	e.awaitBalancer()
 	e.Stopping()
-	closing, done := context.WithTimeout(context.Background(), grace)
-	defer done()
-	e.drain(closing)
-	e.claims.Wait(closing)
-	e.Close(closing)
-	e.agents.CloseIdleConnections()
+	shutdownCtx, cancelShutdown := context.WithTimeout(context.Background(), grace)
+	defer cancelShutdown()
+	e.awaitRequests(shutdownCtx)
+	e.claims.Wait(shutdownCtx)
+	e.Close(shutdownCtx)
+	e.agentClient.CloseIdleConnections()
 	logevent.Info(e.Log, logevent.Stopped).Int("open", e.inFlight()).Msg("stopped")
 }
 
-// settle shows the entry as not ready and goes on serving until the balancer has noticed, so that no caller meets a
-// refusal because of a planned stop.
-func (e *Entry) settle() {
+// awaitBalancer reports the entry as not ready and keeps serving for Config.Settle. The balancer removes it
+// meanwhile, so a planned shutdown refuses no caller.
+func (e *Entry) awaitBalancer() {
 	e.NotReady()
 	time.Sleep(e.config.Settle)
 }
 
-func (e *Entry) drain(ctx context.Context) {
+// awaitRequests blocks until no request is in flight or ctx ends.
+func (e *Entry) awaitRequests(ctx context.Context) {
 	for ctx.Err() == nil && e.inFlight() > 0 {
 		time.Sleep(step.TickInterval)
 	}
@@ -99,7 +101,8 @@
 	return n
 }
 
-func (e *Entry) carry(eff step.Effect) {
+// dispatchEffect carries out an effect of the loop, or passes it to the request that it is addressed to.
+func (e *Entry) dispatchEffect(eff step.Effect) {
 	if e.Carry(eff) {
 		return
 	}
@@ -107,7 +110,7 @@
 	if !ok {
 		return
 	}
-	if box, found := e.mailboxes.Load(addressed.RequestID()); found {
-		box.(chan step.Effect) <- eff
+	if effects, found := e.effectChannels.Load(addressed.RequestID()); found {
+		effects.(chan step.Effect) <- eff
 	}
 }
--- a/internal/entry/handle.go
+++ b/internal/entry/handle.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// HeaderRequestID names a request in every answer.
+	// HeaderRequestID is the header with the request's id. Every answer has it.
 	HeaderRequestID = "Request-Id"
-	// HeaderKey carries a caller's idempotency key.
-	HeaderKey = "Idempotency-Key"
-	// HeaderDeadline carries the milliseconds that the caller will wait.
+	// HeaderIdempotencyKey is the header with a caller's idempotency key.
+	HeaderIdempotencyKey = "Idempotency-Key"
+	// HeaderDeadline is the header with the caller's deadline, in milliseconds from now.
 	HeaderDeadline = "Deadline-Ms"
-	// maxKey bounds an idempotency key, in bytes.
-	maxKey = 255
+	// maxKeyBytes is the maximum length of an idempotency key in bytes.
+	maxKeyBytes = 255
 )
 
 // Problem is the body of a refusal (application/problem+json).
@@ -42,33 +42,34 @@
 
 // call is one caller's request at this entry.
 type call struct {
-	id      string
-	w       http.ResponseWriter
-	r       *http.Request
-	target  string
-	body    *body
-	box     chan step.Effect
-	until   time.Time
-	answer  answer
-	setting *setting.Setting
-	// fingerprint names what the request is, whoever sends it.
+	id       string
+	w        http.ResponseWriter
+	r        *http.Request
+	target   string
+	body     *body
+	effects  chan step.Effect
+	deadline time.Time
+	answer   answer
+	setting  *setting.Setting
+	// fingerprint identifies the request by its content, independent of the caller.
 	fingerprint string
-	// report is the load that the end of the answer told.
-	report *routing.Report
-	// claimed is the claim of a call that runs at most once; nil for others.
-	claimed *heldClaim
+	// loadReport is the upstream's load report from the end of the answer.
+	loadReport *routing.Report
+	// claim is the granted claim of an at-most-once call. It is nil for other calls and for calls without an
+	// idempotency key.
+	claim *grantedClaim
 }
 
-// handle serves one caller's request from its head to its end.
+// handle serves one request from its head to the end of its answer.
 func (e *Entry) handle(w http.ResponseWriter, r *http.Request) {
-	c := &call{id: uuid.NewString(), w: w, r: r, box: make(chan step.Effect, mailboxSize)}
+	c := &call{id: uuid.NewString(), w: w, r: r, effects: make(chan step.Effect, effectBuffer)}
 	w.Header().Set(HeaderRequestID, c.id)
 	if e.Leaving() {
-		// The connection ends with this answer. Idle ones are left alone: to close one while its next request is on
-		// the way would cut that.
+		// Close this connection after the answer. Idle connections stay open: closing one would lose a request that
+		// is already on its way.
 		w.Header().Set("Connection", "close")
 	}
-	received, refusal := e.read(c)
+	received, refusal := e.readHead(c)
 	if refusal != nil {
 		e.refuse(c, request.Refuse{ID: c.id, Code: refusal.Code, Ran: code.NotRun}, refusal.Error())
 		return
@@ -79,20 +80,20 @@
 		e.refuse(c, request.Refuse{ID: c.id, Code: refusal.Code, Ran: code.NotRun}, refusal.Error())
 		return
 	}
-	if received.Terms, refusal = e.terms(c, c.setting); refusal != nil {
+	if received.Terms, refusal = e.requestTerms(c, c.setting); refusal != nil {
 		e.refuse(c, request.Refuse{ID: c.id, Code: refusal.Code, Ran: code.NotRun}, refusal.Error())
 		return
 	}
-	e.mailboxes.Store(c.id, c.box)
-	defer e.mailboxes.Delete(c.id)
-	defer func() { e.Loop.Step(request.Ended{ID: c.id, Report: c.report}) }()
-	defer e.settleClaim(c)
+	e.effectChannels.Store(c.id, c.effects)
+	defer e.effectChannels.Delete(c.id)
+	defer func() { e.Loop.Step(request.Ended{ID: c.id, Report: c.loadReport}) }()
+	defer e.recordSettlement(c)
 	e.Loop.Step(received)
-	e.serve(c)
+	e.processEffects(c)
 }
 
-// read checks the head of a request.
-func (e *Entry) read(c *call) (request.Received, *code.Error) {
+// readHead validates the head of a request.
+func (e *Entry) readHead(c *call) (request.Received, *code.Error) {
 	ev := request.Received{ID: c.id}
 	team, service, rest, ok := splitPath(c.r.URL.Path)
 	if !ok {
@@ -103,15 +104,15 @@
 	if c.r.URL.RawQuery != "" {
 		c.target += "?" + c.r.URL.RawQuery
 	}
-	limit, refusal := e.deadline(c.r)
+	timeout, refusal := e.requestTimeout(c.r)
 	if refusal != nil {
 		return ev, refusal
 	}
-	ev.Deadline = time.Now().Add(limit)
-	c.until = ev.Deadline
-	ev.Key = c.r.Header.Get(HeaderKey)
-	if len(ev.Key) > maxKey {
-		return ev, code.Errorf(code.BadHeader, HeaderKey, "%d bytes, at most %d", len(ev.Key), maxKey)
+	ev.Deadline = time.Now().Add(timeout)
+	c.deadline = ev.Deadline
+	ev.Key = c.r.Header.Get(HeaderIdempotencyKey)
+	if len(ev.Key) > maxKeyBytes {
+		return ev, code.Errorf(code.BadHeader, HeaderIdempotencyKey, "%d bytes, at most %d", len(ev.Key), maxKeyBytes)
 	}
 	if c.r.ContentLength > e.config.MaxBody {
 		return ev, code.Errorf(code.BodyTooLarge, "body", "%d bytes, at most %d", c.r.ContentLength, e.config.MaxBody)
@@ -119,12 +120,12 @@
 	return e.readSetting(c, ev, rest)
 }
 
-// readSetting fills in what the service's setting says of the call.
+// readSetting completes ev from the service's setting.
 func (e *Entry) readSetting(c *call, ev request.Received, path string) (request.Received, *code.Error) {
-	var in core.InForce
+	var inForce core.InForce
 	known, ready := false, false
 	e.Loop.View(func(s *core.State) {
-		in, known = s.Settings[setting.Key(ev.Team, ev.Service)]
+		inForce, known = s.Settings[setting.Key(ev.Team, ev.Service)]
 		ready = s.Ready
 	})
 	if !ready {
@@ -133,16 +134,17 @@
 	if !known {
 		return ev, code.Errorf(code.NoSuchService, "path", "no setting for %s/%s", ev.Team, ev.Service)
 	}
-	ev.AtMostOnce = in.Setting.RunsAtMostOnce(c.r.Method, path)
+	ev.AtMostOnce = inForce.Setting.RunsAtMostOnce(c.r.Method, path)
 	if ev.AtMostOnce && ev.Key == "" {
-		ev.Key = c.id // Without a key of the caller's, this one request runs at most once.
+		ev.Key = c.id // Without a caller's key, only this request is limited to one run.
 	}
 	ev.Key = ev.Team + "/" + ev.Service + "/" + ev.Key
-	c.setting = in.Setting
+	c.setting = inForce.Setting
 	return ev, nil
 }
 
-func (e *Entry) deadline(r *http.Request) (time.Duration, *code.Error) {
+// requestTimeout returns how long the caller waits: its Deadline-Ms, or the configured default.
+func (e *Entry) requestTimeout(r *http.Request) (time.Duration, *code.Error) {
 	text := r.Header.Get(HeaderDeadline)
 	if text == "" {
 		return e.config.Deadline, nil
@@ -154,7 +156,7 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// splitPath splits /team/service/rest; rest begins with a slash.
+// splitPath splits a path of the form /TEAM/SERVICE/REST. The returned rest begins with a slash.
 func splitPath(path string) (team, service, rest string, ok bool) {
 	parts := strings.SplitN(path, "/", 4)
 	if len(parts) < 3 || parts[0] != "" || !setting.ValidName(parts[1]) || !setting.ValidName(parts[2]) {
@@ -167,43 +169,43 @@
 	return parts[1], parts[2], rest, true
 }
 
-// serve carries out the request's effects until it is over.
-func (e *Entry) serve(c *call) {
+// processEffects carries out the request's effects until the request is finished or its caller disconnects.
+func (e *Entry) processEffects(c *call) {
 	for {
 		select {
 		case <-c.r.Context().Done():
 			return
-		case eff := <-c.box:
-			if e.serveEffect(c, eff) {
+		case eff := <-c.effects:
+			if e.processEffect(c, eff) {
 				return
 			}
 		}
 	}
 }
 
-// serveEffect reports whether the request is over.
-func (e *Entry) serveEffect(c *call, eff step.Effect) bool {
+// processEffect carries out one effect. It reports whether the request is finished.
+func (e *Entry) processEffect(c *call, eff step.Effect) bool {
 	switch eff := eff.(type) {
 	case request.Claim:
-		return e.claim(c)
+		return e.claimKey(c)
 	case request.Send:
-		c.claimed.send()
-		return e.attempt(c, eff)
+		c.claim.markSent()
+		return e.runAttempt(c, eff)
 	case request.Resume:
-		return e.resume(c, eff)
+		return e.resumeAnswer(c, eff)
 	case request.Refuse:
 		e.refuse(c, eff, eff.Code.Describe().Help)
 		return true
 	case request.Abort:
-		e.abort(c, eff)
+		e.abortAnswer(c, eff)
 	}
 	return false
 }
 
-// refuse answers with a problem, at once.
+// refuse answers the request with a problem document.
 func (e *Entry) refuse(c *call, refusal request.Refuse, detail string) {
-	c.claimed.refused(refusal.Ran)
-	p := c.problem(refusal.Code, refusal.Ran, detail)
+	c.claim.recordRefusal(refusal.Ran)
+	p := c.newProblem(refusal.Code, refusal.Ran, detail)
 	logevent.Info(e.Log, logevent.RequestRefused).Str("request", c.id).Int("code", int(refusal.Code)).Str("ran", string(refusal.Ran)).Msg("request refused")
 	h := c.w.Header()
 	h.Set("Content-Type", "application/problem+json")
--- a/internal/entry/instrument.go
+++ b/internal/entry/instrument.go
@@ -8,19 +8,20 @@
 	"samphireweir.example/samphireweir/internal/telemetry"
 )
 
-// callersHandler is what serves callers: the handler of requests within its rules and its measurement.
-func (e *Entry) callersHandler() http.Handler {
-	return e.Telemetry.Requests(e.knowsService, e.Telemetry.Traces.EntryServer(e.intake(http.HandlerFunc(e.handle))))
+// callerHandler returns the HTTP handler for callers, with request validation, metrics and tracing.
+func (e *Entry) callerHandler() http.Handler {
+	return e.Telemetry.Requests(e.hasService, e.Telemetry.Traces.EntryServer(e.intakeMiddleware(http.HandlerFunc(e.handle))))
 }
 
-func (e *Entry) knowsService(team, service string) bool {
+// hasService reports whether there is a setting for the service.
+func (e *Entry) hasService(team, service string) bool {
 	known := false
 	e.Loop.View(func(s *core.State) { _, known = s.Settings[setting.Key(team, service)] })
 	return known
 }
 
-// instrument traces the calls to agents.
-func (e *Entry) instrument() {
-	e.Telemetry.Traces.Client(e.agents, telemetry.NamePeerCall)
-	e.Telemetry.Traces.Client(e.freshAgents, telemetry.NamePeerCall)
+// traceAgentCalls adds tracing to the clients that call agents.
+func (e *Entry) traceAgentCalls() {
+	e.Telemetry.Traces.Client(e.agentClient, telemetry.NamePeerCall)
+	e.Telemetry.Traces.Client(e.unpooledAgentClient, telemetry.NamePeerCall)
 }
--- a/internal/entry/intake.go
+++ b/internal/entry/intake.go
@@ -12,8 +12,8 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// intake refuses what callers may not send, and takes away what only the system may say.
-func (e *Entry) intake(next http.Handler) http.Handler {
+// intakeMiddleware refuses requests that callers must not send and removes headers that only this system may set.
+func (e *Entry) intakeMiddleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		refusal := intake.Check(r.URL, r.Header)
 		if refusal == nil {
@@ -30,16 +30,16 @@
 	})
 }
 
-// checkPath refuses the paths of engines that only the system may call.
+// checkPath refuses paths of engines that only this system may call.
 func (e *Entry) checkPath(path string) *code.Error {
 	team, service, rest, ok := splitPath(path)
 	if !ok || !intake.ForSystem(setting.Engine, rest) {
 		return nil
 	}
-	kind := setting.Engine // Until the settings are read, or for a service without one, the strict rule holds.
+	kind := setting.Engine // The strict rule applies until the service's setting is known.
 	e.Loop.View(func(s *core.State) {
-		if in, known := s.Settings[setting.Key(team, service)]; known {
-			kind = in.Setting.Kind
+		if inForce, known := s.Settings[setting.Key(team, service)]; known {
+			kind = inForce.Setting.Kind
 		}
 	})
 	if !intake.ForSystem(kind, rest) {
--- a/internal/entry/network_test.go
+++ b/internal/entry/network_test.go
@@ -19,127 +19,131 @@
 	"samphireweir.example/samphireweir/internal/core"
 )
 
-// TestSilentIdleConnections: connections that were kept for further calls have gone silent; new ones work. No request
-// pays with its deadline.
-func TestSilentIdleConnections(t *testing.T) {
+// TestSilentPooledConnectionsAreReplaced guards against requests that spend their deadline on dead pooled
+// connections. All pooled connections have gone silent; new ones work.
+func TestSilentPooledConnectionsAreReplaced(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 2)
-	warm := map[string]question{}
+	fleet := newTestFleet(t, 1, 2)
+	warm := map[string]testRequest{}
 	for i := range 24 {
-		warm[fmt.Sprint(i)] = lookup(fmt.Sprint("/warm/", i))
+		warm[fmt.Sprint(i)] = lookupRequest(fmt.Sprint("/warm/", i))
 	}
-	r.fault(r.plains, `{"*":{"slow_factor":20}}`)
-	r.askAll(warm)
-	for _, wires := range [][]*wire{r.toAgent, r.toPlain} {
-		for _, w := range wires {
-			w.silence(true, true)
+	fleet.setFaults(fleet.plainServer, `{"*":{"slow_factor":20}}`)
+	fleet.sendAll(warm)
+	for _, proxies := range [][]*faultProxy{fleet.agentProxies, fleet.plainProxies} {
+		for _, proxy := range proxies {
+			proxy.dropBytes(true, true)
 		}
 	}
-	questions := mixed(4)
-	outcomes := r.askAll(questions)
+	requests := mixedRequests(4)
+	outcomes := fleet.sendAll(requests)
 	for name, o := range outcomes {
-		assert.True(t, o.whole, "%s: %v", name, o)
+		assert.True(t, o.complete, "%s: %v", name, o)
 	}
-	r.check(outcomes, questions)
+	fleet.checkOutcomes(outcomes, requests)
 }
 
-// TestPairsOfFaults applies two faults at two states, drawn with a fixed seed.
-func TestPairsOfFaults(t *testing.T) {
+// TestRequestsUnderPairsOfFaults applies random pairs of faults at random states, with a fixed seed.
+func TestRequestsUnderPairsOfFaults(t *testing.T) {
 	t.Parallel()
 	const pairs = 24
 	random := rand.New(rand.NewPCG(20261202, 5))
 	faults := allFaults()
-	names := []string{"before it is sent", "sent", "answering", "ending"}
+	stateNames := []string{"before it is sent", "sent", "answering", "ending"}
 	b := newBatch(t)
 	for range pairs {
 		first, second := faults[random.IntN(len(faults))], faults[random.IntN(len(faults))]
-		state, later := names[random.IntN(len(names))], time.Duration(random.IntN(1000))*time.Millisecond
-		b.run(fmt.Sprintf("%s and %s after %v/%s", first.name, second.name, later, state), func(t *testing.T) {
-			r := newRig(t, 1, 3)
-			questions := mixed(3)
-			states[state](r, questions, func() {
-				first.apply(r)
-				r.later(later, func() { second.apply(r) })
+		state, delay := stateNames[random.IntN(len(stateNames))], time.Duration(random.IntN(1000))*time.Millisecond
+		b.run(fmt.Sprintf("%s and %s after %v/%s", first.name, second.name, delay, state), func(t *testing.T) {
+			fleet := newTestFleet(t, 1, 3)
+			requests := mixedRequests(3)
+			faultStates[state](fleet, requests, func() {
+				first.apply(fleet)
+				fleet.afterDelay(delay, func() { second.apply(fleet) })
 			})
-			outcomes := r.askAll(questions)
+			outcomes := fleet.sendAll(requests)
 			for name, o := range outcomes {
-				if questions[name].key == "" {
-					assert.True(t, o.whole || o.refusedByUpstream(), "%s: %v", name, o)
+				if requests[name].key == "" {
+					assert.True(t, o.complete || o.refusedByUpstream(), "%s: %v", name, o)
 				}
 			}
-			r.check(outcomes, questions)
+			fleet.checkOutcomes(outcomes, requests)
 		})
 	}
 	b.wait()
 }
 
-// TestRunWhoseEntryIsGoneIsCancelled: the entry dies in the middle of an answer; the engine does not go on for it.
-func TestRunWhoseEntryIsGoneIsCancelled(t *testing.T) {
+// TestRunIsCancelledWhenEntryIsLost guards against an engine that keeps generating after the entry crashed in the
+// middle of an answer.
+func TestRunIsCancelledWhenEntryIsLost(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 1)
-	q := generate("entry gone", 4000, true)
+	fleet := newTestFleet(t, 1, 1)
+	q := generateRequest("entry gone", 4000, true)
 	var once sync.Once
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	q.watch = func(tokens int) {
+	q.onToken = func(tokens int) {
 		if tokens >= 5 {
 			once.Do(func() {
-				r.toAgent[0].kill()
-				r.later(2*time.Second, cancel)
+				fleet.agentProxies[0].kill()
+				fleet.afterDelay(2*time.Second, cancel)
 			})
 		}
 	}
 	q.deadline = time.Minute
-	o := r.ask(ctx, 0, q)
-	assert.False(t, o.whole)
-	r.await("the run is cancelled", func() bool {
-		runs := r.engineRuns()[o.id]
+	o := fleet.send(ctx, 0, q)
+	assert.False(t, o.complete)
+	fleet.eventually("the run is cancelled", func() bool {
+		runs := fleet.engineRuns()[o.id]
 		return len(runs) == 1 && runs[0].Outcome == "cancelled"
 	})
-	run := r.engineRuns()[o.id][0]
-	assert.Less(t, run.EndMS-run.StartMS, int64(15000), "the run went on")
+	run := fleet.engineRuns()[o.id][0]
+	assert.Less(t, run.EndMS-run.StartMS, int64(15000), "the run continued")
 }
 
-// TestLargeBodies: a body over the replay bound goes through as it comes, with or without a length.
-func TestLargeBodies(t *testing.T) {
+// TestBodiesBeyondReplayBoundAreForwarded sends a body larger than maxReplayBytes, with a Content-Length and chunked.
+// It must be forwarded as it is read.
+func TestBodiesBeyondReplayBoundAreForwarded(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 2)
-	large := book("large", strings.Repeat("0123456789abcdef", 40<<10))
-	o := r.ask(context.Background(), 0, large)
-	assert.True(t, o.whole, "%v", o)
-	req := newRequest(context.Background(), "http://"+r.entries[0].callers.Addr().String(), large)
+	fleet := newTestFleet(t, 1, 2)
+	large := bookingRequest("large", strings.Repeat("0123456789abcdef", 40<<10))
+	o := fleet.send(context.Background(), 0, large)
+	assert.True(t, o.complete, "%v", o)
+	req := newRequest(context.Background(), "http://"+fleet.entries[0].callerListener.Addr().String(), large)
 	req.Body, req.ContentLength = io.NopCloser(strings.NewReader(large.body)), -1
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	require.NoError(t, err)
 	var chunked outcome
 	chunked.id, chunked.status = resp.Header.Get(HeaderRequestID), resp.StatusCode
-	chunked.read(resp, large, r.digest)
+	chunked.read(resp, large, fleet.weightsDigest)
 	_ = resp.Body.Close()
-	assert.True(t, chunked.whole, "%v", chunked)
+	assert.True(t, chunked.complete, "%v", chunked)
 }
 
-// TestOversizedBodyIsNotCutAndRun: a chunked body over the limit is refused, not run as far as it fits.
-func TestOversizedBodyIsNotCutAndRun(t *testing.T) {
+// TestOversizedChunkedBodyNeverRuns guards against running a request with a truncated body. A chunked body above the
+// limit is refused.
+func TestOversizedChunkedBodyNeverRuns(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 1)
-	q := book("oversized", strings.Repeat("x", 2<<20))
-	req := newRequest(context.Background(), "http://"+r.entries[0].callers.Addr().String(), q)
+	fleet := newTestFleet(t, 1, 1)
+	q := bookingRequest("oversized", strings.Repeat("x", 2<<20))
+	req := newRequest(context.Background(), "http://"+fleet.entries[0].callerListener.Addr().String(), q)
 	req.Body, req.ContentLength = io.NopCloser(strings.NewReader(q.body)), -1
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err == nil {
 		assert.GreaterOrEqual(t, resp.StatusCode, 400)
 		_ = resp.Body.Close()
 	}
-	r.quiesce()
-	assert.Empty(t, r.plainRuns())
+	fleet.quiesce()
+	assert.Empty(t, fleet.plainRuns())
 }
 
-// TestCutUploadNeverRuns: a caller dies in the middle of its body, within the replay bound and beyond it.
-func TestCutUploadNeverRuns(t *testing.T) {
+// TestInterruptedUploadNeverRuns guards against running a request whose caller disconnected while it sent the body,
+// with a body within maxReplayBytes and one beyond it.
+func TestInterruptedUploadNeverRuns(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 1)
+	fleet := newTestFleet(t, 1, 1)
 	for _, size := range []int{100 << 10, 600 << 10} {
-		conn, err := net.Dial("tcp", r.entries[0].callers.Addr().String())
+		conn, err := net.Dial("tcp", fleet.entries[0].callerListener.Addr().String())
 		require.NoError(t, err)
 		_, err = fmt.Fprintf(conn, "POST /karrakin/portal/bookings HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size/2+1))
 		require.NoError(t, err)
@@ -147,74 +151,78 @@
 		require.NoError(t, conn.Close())
 	}
 	time.Sleep(200 * time.Millisecond)
-	assert.Empty(t, r.plainRuns())
+	assert.Empty(t, fleet.plainRuns())
 }
 
-// TestHTTP10CallerSeesThatAnAnswerIsCut: for HTTP/1.0 the end of the connection is the end of the answer, so a cut
-// one ends with a reset.
-func TestHTTP10CallerSeesThatAnAnswerIsCut(t *testing.T) {
+// TestHTTP10ConnectionIsResetOnIncompleteAnswer guards against a truncated answer that an HTTP/1.0 caller takes as
+// complete. For HTTP/1.0 the end of the connection is the end of the answer, so an incomplete answer must end with a
+// reset.
+func TestHTTP10ConnectionIsResetOnIncompleteAnswer(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 1)
-	conn, err := net.Dial("tcp", r.entries[0].callers.Addr().String())
+	fleet := newTestFleet(t, 1, 1)
+	conn, err := net.Dial("tcp", fleet.entries[0].callerListener.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	q := generate("old caller", 1000, true)
+	q := generateRequest("old caller", 1000, true)
 	_, err = fmt.Fprintf(conn, "POST /karrakin/summary/v1/generate HTTP/1.0\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(q.body), q.body)
 	require.NoError(t, err)
 	first := make([]byte, 300)
 	_, err = io.ReadFull(conn, first)
 	require.NoError(t, err)
-	r.fault(r.engines, `{"e0":{"crash":true,"restart_ms":600000}}`)
+	fleet.setFaults(fleet.engineServer, `{"e0":{"crash":true,"restart_ms":600000}}`)
 	_, err = io.ReadAll(conn)
-	assert.Error(t, err, "a cut answer ended cleanly")
+	assert.Error(t, err, "an incomplete answer ended cleanly")
 }
 
-// TestWaitingCallersHearOfIt: a slow engine's stream is not dead, and its caller sees comments meanwhile.
-func TestWaitingCallersHearOfIt(t *testing.T) {
+// TestIdleEventStreamGetsKeepaliveComments guards against callers that time out on a slow engine. The entry sends
+// comments while the stream is idle.
+func TestIdleEventStreamGetsKeepaliveComments(t *testing.T) {
 	t.Parallel()
-	r := startRig(&rig{t: t, stalledAfter: time.Minute}, 1, 1) // A step takes 5 s, and a slow machine adds to that.
-	r.fault(r.engines, `{"e0":{"slow_factor":1000}}`)
-	q := generate("slow", 2, true)
+	fleet := startTestFleet(&testFleet{t: t, stalledAfter: time.Minute}, 1, 1) // A token takes 5 s, and longer on a slow machine.
+	fleet.setFaults(fleet.engineServer, `{"e0":{"slow_factor":1000}}`)
+	q := generateRequest("slow", 2, true)
 	q.deadline = time.Minute
-	status, body, err := r.raw(q)
+	status, body, err := fleet.sendRaw(q)
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusOK, status)
 	assert.Contains(t, body, "\n\n: waiting\n\n")
 	assert.Contains(t, body, "event: done")
 }
 
-// TestRestartedAgentDoesNotDeny: a booking runs under an agent's life that then ends; the next life can't know of it.
-func TestRestartedAgentDoesNotDeny(t *testing.T) {
+// TestRestartedAgentReportsUnknownOutcome guards against a false "not run" after the agent restarts during a run,
+// because the new instance does not know the run.
+func TestRestartedAgentReportsUnknownOutcome(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 1)
-	r.fault(r.plains, `{"p0":{"slow_factor":2000}}`)
+	fleet := newTestFleet(t, 1, 1)
+	fleet.setFaults(fleet.plainServer, `{"p0":{"slow_factor":2000}}`)
 	var restarted sync.WaitGroup
 	restarted.Go(func() {
-		r.await("the booking runs", func() bool {
+		fleet.eventually("the booking runs", func() bool {
 			n := 0
-			r.agents[0].Loop.View(func(s *core.State) { n = len(s.Runs.Running) })
+			fleet.agents[0].Loop.View(func(s *core.State) { n = len(s.Runs.Running) })
 			return n > 0
 		})
-		r.restartAgent()
+		fleet.restartAgent()
 	})
-	q := book("restart", "once")
-	o := r.ask(context.Background(), 0, q)
+	q := bookingRequest("restart", "once")
+	o := fleet.send(context.Background(), 0, q)
 	restarted.Wait()
 	require.NotNil(t, o.problem, "%v", o)
 	assert.Equal(t, code.Unknown, o.problem.Ran)
-	r.check(map[string]outcome{"": o}, map[string]question{"": q})
+	fleet.checkOutcomes(map[string]outcome{"": o}, map[string]testRequest{"": q})
 }
 
-// TestASlowWayToAnEngineIsNoDeath: an engine makes its first token after 5 s, and what is asked of it meanwhile is answered after 0.7 s.
-// Its caller was told that it was silent (504, 4002), after 3 s: each question was given up after 0.5 s, and two in a row were
-// taken for a frozen engine, though each was answered. On a machine that is loaded enough TestWaitingCallersHearOfIt shows the same.
-func TestASlowWayToAnEngineIsNoDeath(t *testing.T) {
+// TestSlowEngineConnectionIsNotTakenAsFrozen guards against taking an engine as frozen because its health checks take
+// longer than their timeout. The engine generates its first token after 5 s, and answers health checks after 0.7 s.
+// When each check was given up after 0.5 s, two in a row counted as a frozen engine, and the caller was refused after
+// 3 s (504, code 4002). TestIdleEventStreamGetsKeepaliveComments fails in the same way on a heavily loaded machine.
+func TestSlowEngineConnectionIsNotTakenAsFrozen(t *testing.T) {
 	t.Parallel()
-	r := startRig(&rig{t: t, stalledAfter: time.Minute}, 1, 1)
-	r.fault(r.engines, `{"e0":{"slow_factor":1000}}`)
-	r.toEngine[0].lag.Store(int64(350 * time.Millisecond))
-	q := generate("slow way", 2, true)
+	fleet := startTestFleet(&testFleet{t: t, stalledAfter: time.Minute}, 1, 1)
+	fleet.setFaults(fleet.engineServer, `{"e0":{"slow_factor":1000}}`)
+	fleet.engineProxies[0].latency.Store(int64(350 * time.Millisecond))
+	q := generateRequest("slow way", 2, true)
 	q.deadline = time.Minute
-	o := r.ask(context.Background(), 0, q)
-	assert.True(t, o.whole, "%v", o)
+	o := fleet.send(context.Background(), 0, q)
+	assert.True(t, o.complete, "%v", o)
 }
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -14,83 +14,85 @@
 	"samphireweir.example/samphireweir/internal/frame"
 )
 
-// idleAgents closes pooled connections to agents that carry nothing.
-const idleAgents = 30 * time.Second
+// agentIdleTimeout is how long an idle pooled connection to an agent stays open.
+const agentIdleTimeout = 30 * time.Second
 
-// errNotConnected says that a call was never sent, because no connection could be made.
+// errNotConnected means that a call was not sent: it could not be built, or no connection was established.
 var errNotConnected = errors.New("no connection")
 
-// newAgentClient returns a client of agents that dials as the client of peers does. Without pooling each call has a connection of its own: what is asked
-// after a silence must not meet another silent connection.
+// newAgentClient returns an HTTP client for agents that dials as the client for peers does. If pooled is false, each
+// call uses a new connection: a call made after a timeout must not be sent on another pooled connection that is dead
+// as well.
 func newAgentClient(peers *http.Client, pooled bool) *http.Client {
 	t := peers.Transport.(*http.Transport).Clone()
-	t.IdleConnTimeout = idleAgents
+	t.IdleConnTimeout = agentIdleTimeout
 	t.DisableKeepAlives = !pooled
 	return &http.Client{Transport: t}
 }
 
-// stream is one connection on which an agent sends an answer.
+// stream is an HTTP response on which an agent sends an answer as frames.
 type stream struct {
 	resp   *http.Response
 	frames *frame.Reader
-	// silence cancels the connection when no frame came in time.
-	silence *time.Timer
-	cancel  context.CancelFunc
-	// ended is set when the last frame is here.
-	ended bool
+	// silenceTimer cancels the call if no frame arrives within frame.SilenceLimit.
+	silenceTimer *time.Timer
+	cancel       context.CancelFunc
+	// lastFrameReceived is set once the last frame was read.
+	lastFrameReceived bool
 }
 
+// next reads a frame and restarts the silence timer.
 func (s *stream) next() (frame.Type, []byte, error) {
 	t, payload, err := s.frames.Next()
-	s.silence.Reset(frame.SilenceLimit)
-	s.ended = err == nil && (t == frame.TypeEnd || t == frame.TypeFail)
+	s.silenceTimer.Reset(frame.SilenceLimit)
+	s.lastFrameReceived = err == nil && (t == frame.TypeEnd || t == frame.TypeFail)
 	return t, payload, err
 }
 
-// close is done with the answer: its connection is kept when the last frame came, else it ends.
+// close releases the stream. The connection is reused if the last frame was received; otherwise it is closed.
 func (s *stream) close() {
-	if s.ended {
-		s.ended = false
-		go s.finish()
+	if s.lastFrameReceived {
+		s.lastFrameReceived = false
+		go s.drain()
 		return
 	}
-	s.silence.Stop()
+	s.silenceTimer.Stop()
 	s.cancel()
 	_ = s.resp.Body.Close()
 }
 
-// finish reads on to the end of the HTTP answer, which follows the last frame at once, so that the connection can carry
-// further calls.
-func (s *stream) finish() {
+// drain reads the HTTP response to its end, which follows the last frame immediately, so that the connection can be
+// reused.
+func (s *stream) drain() {
 	_, _ = io.Copy(io.Discard, io.LimitReader(s.resp.Body, 1))
 	s.close()
 }
 
-// agentCall is one call to an agent.
+// agentCall describes one call to an agent.
 type agentCall struct {
 	address, path string
 	env           frame.Envelope
 	header        http.Header
 	body          io.Reader
-	length        int64
-	// fresh asks for a connection of its own.
-	fresh bool
+	contentLength int64
+	// unpooled requests a new connection for this call.
+	unpooled bool
 }
 
-// open makes the call and waits for the agent's first byte, which comes at once when the connection works.
-func (e *Entry) open(ctx context.Context, c agentCall) (*stream, error) {
+// openStream makes the call and waits for the response's header, which a working agent sends immediately.
+func (e *Entry) openStream(ctx context.Context, c agentCall) (*stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, "http://"+c.address+c.path, c.body)
 	if err != nil {
 		cancel()
-		return nil, errors.Wrapf(errNotConnected, "build the call to %s: %v", c.address, err)
+		return nil, errors.Wrapf(errNotConnected, "building the call to %s: %v", c.address, err)
 	}
-	if c.body != nil && c.length != 0 {
-		// A body that can't be had again: the transport must not send a call twice on its own account.
+	if c.body != nil && c.contentLength != 0 {
+		// The body can be read only once. Without GetBody the transport can't send the call a second time on its own.
 		req.Body, req.GetBody = io.NopCloser(c.body), nil
-		req.ContentLength = c.length
+		req.ContentLength = c.contentLength
 	} else {
 		req.Body, req.GetBody, req.ContentLength = nil, nil, 0
 	}
@@ -100,27 +102,27 @@
 		cancel()
 		return nil, errors.Wrap(errNotConnected, err.Error())
 	}
-	client := e.agents
-	repeatable := req.Body == nil && c.header.Get(HeaderKey) != ""
-	if c.fresh || repeatable {
-		// On a connection of its own the transport never repeats a call.
-		client = e.freshAgents
+	client := e.agentClient
+	mayBeRepeated := req.Body == nil && c.header.Get(HeaderIdempotencyKey) != ""
+	if c.unpooled || mayBeRepeated {
+		// On a new connection the transport never repeats a call.
+		client = e.unpooledAgentClient
 	}
-	silence := time.AfterFunc(frame.HeadLimit, cancel)
+	silenceTimer := time.AfterFunc(frame.HeadLimit, cancel)
 	resp, err := client.Do(req)
 	if err != nil {
-		silence.Stop()
+		silenceTimer.Stop()
 		cancel()
 		if !connected.Load() {
-			return nil, errors.Wrapf(errNotConnected, "call %s: %v", c.address, err)
+			return nil, errors.Wrapf(errNotConnected, "calling %s: %v", c.address, err)
 		}
-		return nil, errors.Wrapf(err, "call %s", c.address)
+		return nil, errors.Wrapf(err, "calling %s", c.address)
 	}
-	silence.Reset(frame.SilenceLimit)
-	s := &stream{resp: resp, frames: frame.NewReader(resp.Body), silence: silence, cancel: cancel}
+	silenceTimer.Reset(frame.SilenceLimit)
+	s := &stream{resp: resp, frames: frame.NewReader(resp.Body), silenceTimer: silenceTimer, cancel: cancel}
 	if resp.StatusCode != http.StatusOK {
 		s.close()
-		return nil, errors.Errorf("call %s: status %d", c.address, resp.StatusCode)
+		return nil, errors.Errorf("calling %s: status %d", c.address, resp.StatusCode)
 	}
 	return s, nil
 }
--- a/internal/entry/tamper_test.go
+++ b/internal/entry/tamper_test.go
@@ -15,22 +15,22 @@
 	"samphireweir.example/samphireweir/internal/frame"
 )
 
-// piece is one frame on its way.
-type piece struct {
+// rawFrame is one frame of an answer.
+type rawFrame struct {
 	kind    frame.Type
 	payload []byte
 }
 
-// tamperer stands between entries and one agent and changes the frames of the first whole answer that passes.
-type tamperer struct {
-	agent  string
-	change func([]piece) []piece
-	done   atomic.Bool
+// frameTamperer is a proxy between entries and one agent. It changes the frames of the first complete answer.
+type frameTamperer struct {
+	agentAddress string
+	change       func([]rawFrame) []rawFrame
+	done         atomic.Bool
 }
 
-// ServeHTTP passes a call on, and its answer back.
-func (p *tamperer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+p.agent+r.URL.Path, r.Body)
+// ServeHTTP forwards a call and its answer.
+func (p *frameTamperer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+p.agentAddress+r.URL.Path, r.Body)
 	if err != nil {
 		return
 	}
@@ -46,37 +46,37 @@
 		return
 	}
 	_ = http.NewResponseController(w).Flush()
-	pieces := readPieces(resp.Body, func() { _ = frame.Write(w, frame.TypeBeat, nil); _ = http.NewResponseController(w).Flush() })
-	if only(pieces, frame.TypeEnd) >= 0 {
+	frames := readFrames(resp.Body, func() { _ = frame.Write(w, frame.TypeBeat, nil); _ = http.NewResponseController(w).Flush() })
+	if indexOfKind(frames, frame.TypeEnd) >= 0 {
 		p.done.Store(true)
-		pieces = p.change(pieces)
+		frames = p.change(frames)
 	}
-	for _, f := range pieces {
+	for _, f := range frames {
 		_ = frame.Write(w, f.kind, f.payload)
 	}
 }
 
-// readPieces reads an answer to its end. Beats are passed on as they come, so that however slow the run is the entry
-// does not take the connection for dead and ask again before it saw the changed answer.
-func readPieces(r io.Reader, beat func()) []piece {
-	var pieces []piece
-	frames := frame.NewReader(r)
+// readFrames reads an answer to its end. Heartbeats are forwarded as they arrive. Otherwise the entry would take the
+// connection as dead during a slow run and reconnect before it received the changed answer.
+func readFrames(r io.Reader, forwardHeartbeat func()) []rawFrame {
+	var frames []rawFrame
+	reader := frame.NewReader(r)
 	for {
-		kind, payload, err := frames.Next()
+		kind, payload, err := reader.Next()
 		if err != nil {
-			return pieces
+			return frames
 		}
 		if kind == frame.TypeBeat {
-			beat()
+			forwardHeartbeat()
 			continue
 		}
-		pieces = append(pieces, piece{kind, bytes.Clone(payload)})
+		frames = append(frames, rawFrame{kind, bytes.Clone(payload)})
 	}
 }
 
-// only returns the first frame of a kind and its place.
-func only(pieces []piece, kind frame.Type) int {
-	for i, p := range pieces {
+// indexOfKind returns the index of the first frame of a kind, or -1 if there is none.
+func indexOfKind(frames []rawFrame, kind frame.Type) int {
+	for i, p := range frames {
 		if p.kind == kind {
 			return i
 		}
@@ -84,106 +84,109 @@
 	return -1
 }
 
-func edit[T any](p piece, change func(*T)) piece {
+// editFrame changes the JSON payload of a frame.
+func editFrame[T any](f rawFrame, change func(*T)) rawFrame {
 	var v T
-	_ = json.Unmarshal(p.payload, &v)
+	_ = json.Unmarshal(f.payload, &v)
 	change(&v)
 	payload, _ := json.Marshal(v)
-	return piece{p.kind, payload}
+	return rawFrame{f.kind, payload}
 }
 
-// tampers are the ways in which an answer arrives that is not, or not wholly, the one asked for.
-var tampers = map[string]func([]piece) []piece{
-	"head of another request": func(p []piece) []piece {
-		i := only(p, frame.TypeHead)
-		p[i] = edit(p[i], func(h *frame.Head) { h.Request = "another" })
+// tamperings are the changes to the frames of an answer, by name.
+var tamperings = map[string]func([]rawFrame) []rawFrame{
+	"head of another request": func(p []rawFrame) []rawFrame {
+		i := indexOfKind(p, frame.TypeHead)
+		p[i] = editFrame(p[i], func(h *frame.Head) { h.Request = "another" })
 		return p
 	},
-	"head of another try": func(p []piece) []piece {
-		i := only(p, frame.TypeHead)
-		p[i] = edit(p[i], func(h *frame.Head) { h.Attempt = 99 })
+	"head of another try": func(p []rawFrame) []rawFrame {
+		i := indexOfKind(p, frame.TypeHead)
+		p[i] = editFrame(p[i], func(h *frame.Head) { h.Attempt = 99 })
 		return p
 	},
-	"end of another request": func(p []piece) []piece {
-		i := only(p, frame.TypeEnd)
-		p[i] = edit(p[i], func(e *frame.End) { e.Request = "another" })
+	"end of another request": func(p []rawFrame) []rawFrame {
+		i := indexOfKind(p, frame.TypeEnd)
+		p[i] = editFrame(p[i], func(e *frame.End) { e.Request = "another" })
 		return p
 	},
-	"answer of another request": func(p []piece) []piece {
+	"answer of another request": func(p []rawFrame) []rawFrame {
 		sum := xxhash.New()
 		for i, f := range p {
 			switch f.kind {
 			case frame.TypeHead:
-				p[i] = edit(f, func(h *frame.Head) { h.Request = "another" })
+				p[i] = editFrame(f, func(h *frame.Head) { h.Request = "another" })
 			case frame.TypeData:
 				p[i].payload = bytes.ReplaceAll(f.payload, []byte("a"), []byte("b"))
 				_, _ = sum.Write(p[i].payload)
 			case frame.TypeEnd:
-				p[i] = edit(f, func(e *frame.End) { e.Request, e.Sum = "another", sum.Sum64() })
+				p[i] = editFrame(f, func(e *frame.End) { e.Request, e.Sum = "another", sum.Sum64() })
 			}
 		}
 		return p
 	},
-	"no head": func(p []piece) []piece {
-		i := only(p, frame.TypeHead)
+	"no head": func(p []rawFrame) []rawFrame {
+		i := indexOfKind(p, frame.TypeHead)
 		return append(p[:i:i], p[i+1:]...)
 	},
-	"cut before the head": func(p []piece) []piece { return p[:only(p, frame.TypeHead)] },
-	"cut after the head":  func(p []piece) []piece { return p[:only(p, frame.TypeHead)+1] },
-	"cut before the end":  func(p []piece) []piece { return p[:only(p, frame.TypeEnd)] },
-	"data doubled": func(p []piece) []piece {
-		i := only(p, frame.TypeData)
+	"cut before the head": func(p []rawFrame) []rawFrame { return p[:indexOfKind(p, frame.TypeHead)] },
+	"cut after the head":  func(p []rawFrame) []rawFrame { return p[:indexOfKind(p, frame.TypeHead)+1] },
+	"cut before the end":  func(p []rawFrame) []rawFrame { return p[:indexOfKind(p, frame.TypeEnd)] },
+	"data doubled": func(p []rawFrame) []rawFrame {
+		i := indexOfKind(p, frame.TypeData)
 		return append(p[:i+1:i+1], p[i:]...)
 	},
-	"data left out": func(p []piece) []piece {
-		i := only(p, frame.TypeData)
+	"data left out": func(p []rawFrame) []rawFrame {
+		i := indexOfKind(p, frame.TypeData)
 		return append(p[:i:i], p[i+1:]...)
 	},
-	"data garbled": func(p []piece) []piece {
-		i := only(p, frame.TypeData)
+	"data garbled": func(p []rawFrame) []rawFrame {
+		i := indexOfKind(p, frame.TypeData)
 		data := p[i].payload
 		data[len(data)/2] ^= 1
 		return p
 	},
-	"failure of another request": func(p []piece) []piece {
+	"failure of another request": func(p []rawFrame) []rawFrame {
 		fail, _ := json.Marshal(frame.Fail{Request: "another", Attempt: 1, Ran: "not run"})
-		return []piece{{frame.TypeFail, fail}}
+		return []rawFrame{{frame.TypeFail, fail}}
 	},
-	"nothing": func([]piece) []piece { return nil },
+	"nothing": func([]rawFrame) []rawFrame { return nil },
 }
 
-// harmful tells whether bytes are wrong that can't be had again: then the answer must not end well. A stream that lacks
-// events has passed on later ones before that is seen; of other answers what is left out is asked for again.
-func harmful(tamper, kind string) bool {
-	return tamper == "data doubled" || tamper == "data garbled" || (tamper == "data left out" && kind == "stream")
+// corruptsAnswer reports whether a tampering corrupts an answer beyond recovery, so that it must not end cleanly. A
+// stream with missing events has forwarded later events before the gap is detected; for other answers, the missing
+// part is requested again.
+func corruptsAnswer(tampering, kind string) bool {
+	return tampering == "data doubled" || tampering == "data garbled" || (tampering == "data left out" && kind == "stream")
 }
 
-// TestAnswersAreMatched changes the frames of an answer between agent and entry: nothing of another answer passes, and
-// nothing that is not whole ends cleanly. What can be had again comes whole.
-func TestAnswersAreMatched(t *testing.T) {
+// TestTamperedAnswersAreDetected changes the frames of an answer between agent and entry. No data of another answer
+// may be forwarded, and no incomplete answer may end cleanly. An answer that can be recovered must arrive complete.
+func TestTamperedAnswersAreDetected(t *testing.T) {
 	t.Parallel()
 	b := newBatch(t)
-	for name, change := range tampers {
-		for kind, q := range map[string]question{"stream": generate("matched", 12, true), "whole": generate("matched", 12, false), "book": book("k", "once")} {
+	for name, change := range tamperings {
+		for kind, q := range map[string]testRequest{"stream": generateRequest("matched", 12, true), "whole": generateRequest("matched", 12, false), "book": bookingRequest("k", "once")} {
 			b.run(name+"/"+kind, func(t *testing.T) {
-				r := newRig(t, 1, 1)
-				r.toAgent[0].target.Store(host(serve(t, &tamperer{agent: r.agents[0].Address(), change: change})))
-				o := r.ask(context.Background(), 0, q)
-				if harmful(name, kind) {
-					assert.False(t, o.whole, "%v", o)
-					assert.False(t, o.clean && o.problem == nil, "%v", o)
-					assert.NotEqual(t, "not run", o.ranOf())
+				fleet := newTestFleet(t, 1, 1)
+				fleet.agentProxies[0].target.Store(trimScheme(serve(t, &frameTamperer{agentAddress: fleet.agents[0].Address(), change: change})))
+				o := fleet.send(context.Background(), 0, q)
+				if corruptsAnswer(name, kind) {
+					assert.False(t, o.complete, "%v", o)
+					assert.False(t, o.cleanEnd && o.problem == nil, "%v", o)
+					assert.NotEqual(t, "not run", o.runStatus())
 					return
 				}
-				assert.True(t, o.whole, "%v", o)
-				r.check(map[string]outcome{"": o}, map[string]question{"": q})
+				assert.True(t, o.complete, "%v", o)
+				fleet.checkOutcomes(map[string]outcome{"": o}, map[string]testRequest{"": q})
 			})
 		}
 	}
 	b.wait()
 }
 
-func (o outcome) ranOf() string {
+// runStatus returns the run status of a refusal, or "" if the request was not refused.
+func (o outcome) runStatus() string {
 	if o.problem == nil {
 		return ""
 	}
--- a/internal/entry/upstream_test.go
+++ b/internal/entry/upstream_test.go
@@ -20,8 +20,8 @@
 	"samphireweir.example/samphireweir/internal/code"
 )
 
-// rawUpstream answers each call with bytes of its own and closes the connection.
-func rawUpstream(t *testing.T, answer string, runs *atomic.Int64) string {
+// newRawUpstream starts a server that answers each call with the given bytes and closes the connection.
+func newRawUpstream(t *testing.T, answer string, runs *atomic.Int64) string {
 	return serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		runs.Add(1)
@@ -34,13 +34,14 @@
 	}))
 }
 
-// TestPlainAnswersAsTheyAre: what a plain service says comes as it is, and what is cut never ends cleanly.
-func TestPlainAnswersAsTheyAre(t *testing.T) {
+// TestPlainAnswersAreForwardedUnchanged guards against changes to a plain service's answer, and against a truncated
+// answer that ends cleanly for the caller.
+func TestPlainAnswersAreForwardedUnchanged(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
 		answer string
 		status int
-		// clean says that the caller gets it as it is.
+		// clean is set if the caller's connection must end without an error.
 		clean bool
 		body  string
 		code  code.Code
@@ -59,10 +60,10 @@
 	b := newBatch(t)
 	for name, c := range cases {
 		b.run(name, func(t *testing.T) {
-			r := newRig(t, 1, 1)
+			fleet := newTestFleet(t, 1, 1)
 			var runs atomic.Int64
-			r.toPlain[0].target.Store(host(rawUpstream(t, c.answer, &runs)))
-			status, body, err := r.raw(book("k", "x"))
+			fleet.plainProxies[0].target.Store(trimScheme(newRawUpstream(t, c.answer, &runs)))
+			status, body, err := fleet.sendRaw(bookingRequest("k", "x"))
 			assert.Equal(t, c.status, status)
 			assert.Equal(t, c.clean, err == nil, "%v", err)
 			if c.code == 0 && c.clean {
@@ -78,47 +79,48 @@
 	b.wait()
 }
 
-// raw sends a question and returns the answer as it came.
-func (r *rig) raw(q question) (int, string, error) {
-	req := newRequest(context.Background(), "http://"+r.entries[0].callers.Addr().String(), q)
-	req.Header.Set(HeaderKey, q.key)
+// sendRaw sends a request and returns the status and body of the answer without interpreting them.
+func (f *testFleet) sendRaw(q testRequest) (int, string, error) {
+	req := newRequest(context.Background(), "http://"+f.entries[0].callerListener.Addr().String(), q)
+	req.Header.Set(HeaderIdempotencyKey, q.key)
 	if q.deadline > 0 {
 		req.Header.Set(HeaderDeadline, fmt.Sprint(q.deadline.Milliseconds()))
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
-	require.NoError(r.t, err)
+	require.NoError(f.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	return resp.StatusCode, string(body), err
 }
 
-// engineProxy stands before the engines and changes the answers of /v1/generate.
-func (r *rig) engineProxy(change func(*http.Response) error) {
-	base, err := url.Parse(r.engines)
-	require.NoError(r.t, err)
-	proxy := httputil.NewSingleHostReverseProxy(base)
-	proxy.FlushInterval = -1
-	proxy.ErrorHandler = func(http.ResponseWriter, *http.Request, error) { panic(http.ErrAbortHandler) }
-	proxy.ModifyResponse = func(resp *http.Response) error {
+// modifyEngineAnswers routes the agents' calls to engines through a proxy that applies change to the answers of
+// /v1/generate.
+func (f *testFleet) modifyEngineAnswers(change func(*http.Response) error) {
+	base, err := url.Parse(f.engineServer)
+	require.NoError(f.t, err)
+	reverseProxy := httputil.NewSingleHostReverseProxy(base)
+	reverseProxy.FlushInterval = -1
+	reverseProxy.ErrorHandler = func(http.ResponseWriter, *http.Request, error) { panic(http.ErrAbortHandler) }
+	reverseProxy.ModifyResponse = func(resp *http.Response) error {
 		if !strings.HasSuffix(resp.Request.URL.Path, "/v1/generate") {
 			return nil
 		}
 		return change(resp)
 	}
-	address := host(serve(r.t, proxy))
-	for _, w := range r.toEngine {
-		w.target.Store(address)
+	address := trimScheme(serve(f.t, reverseProxy))
+	for _, proxy := range f.engineProxies {
+		proxy.target.Store(address)
 	}
 }
 
-// replace changes the text of answers.
-func replace(old, now string) func(*http.Response) error {
+// replaceInBody returns a change that replaces a text in the body of an answer.
+func replaceInBody(original, replacement string) func(*http.Response) error {
 	return func(resp *http.Response) error {
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			return err
 		}
-		body = bytes.ReplaceAll(body, []byte(old), []byte(now))
+		body = bytes.ReplaceAll(body, []byte(original), []byte(replacement))
 		resp.Body = io.NopCloser(bytes.NewReader(body))
 		resp.ContentLength = int64(len(body))
 		resp.Header.Set("Content-Length", fmt.Sprint(len(body)))
@@ -126,31 +128,33 @@
 	}
 }
 
-// TestMixedWeightsAreWithheld: an answer whose end names other weights than its run is pinned to never looks whole. In
-// one piece it is refused; a stream ends with an error.
-func TestMixedWeightsAreWithheld(t *testing.T) {
+// TestAnswerWithOtherWeightsIsRefused guards against answers that mix weights. The end of the answer names weights
+// other than those that the run is pinned to. An answer that is not streamed is refused; a stream ends with an error
+// event.
+func TestAnswerWithOtherWeightsIsRefused(t *testing.T) {
 	for name, stream := range map[string]bool{"one piece": false, "stream": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, 1, 2)
-			other := strings.Repeat("0", len(r.digest))
-			r.engineProxy(replace(`"digest":"`+r.digest, `"digest":"`+other))
-			o := r.ask(context.Background(), 0, generate("mixed", 8, stream))
+			fleet := newTestFleet(t, 1, 2)
+			other := strings.Repeat("0", len(fleet.weightsDigest))
+			fleet.modifyEngineAnswers(replaceInBody(`"digest":"`+fleet.weightsDigest, `"digest":"`+other))
+			o := fleet.send(context.Background(), 0, generateRequest("mixed", 8, stream))
 			require.NotNil(t, o.problem, "%v", o)
-			assert.True(t, o.refusedAs(code.WeightsChanged, code.DidRun), "%v", o)
-			assert.False(t, o.whole)
-			assert.Equal(t, !stream, o.clean)
+			assert.True(t, o.isRefusal(code.WeightsChanged, code.DidRun), "%v", o)
+			assert.False(t, o.complete)
+			assert.Equal(t, !stream, o.cleanEnd)
 		})
 	}
 }
 
-// TestEngineStreamWithoutItsEndGoesOn: a stream that ends cleanly without its last event was cut.
-func TestEngineStreamWithoutItsEndGoesOn(t *testing.T) {
+// TestEngineStreamWithoutEndEventIsContinued guards against a truncated stream that is taken as complete. The stream
+// ends cleanly but without its last event, so it must be continued.
+func TestEngineStreamWithoutEndEventIsContinued(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 2)
-	var cut atomic.Int64
-	r.engineProxy(func(resp *http.Response) error {
-		if cut.Add(1) > 1 {
+	fleet := newTestFleet(t, 1, 2)
+	var answers atomic.Int64
+	fleet.modifyEngineAnswers(func(resp *http.Response) error {
+		if answers.Add(1) > 1 {
 			return nil
 		}
 		body, err := io.ReadAll(resp.Body)
@@ -159,18 +163,18 @@
 		resp.Header.Del("Content-Length")
 		return err
 	})
-	o := r.ask(context.Background(), 0, generate("no end", 20, true))
-	assert.True(t, o.whole, "%v", o)
+	o := fleet.send(context.Background(), 0, generateRequest("no end", 20, true))
+	assert.True(t, o.complete, "%v", o)
 }
 
-// TestEngine503IsNotRunOnlyWhenItSaysSo: of an engine's 503 only the errors that are defined as such mean that the
-// request was not run.
-func TestEngine503IsNotRunOnlyWhenItSaysSo(t *testing.T) {
+// TestEngine503MeansNotRunOnlyForDefinedErrors guards against a false "not run". Only the defined error texts in an
+// engine's 503 mean that the request did not run.
+func TestEngine503MeansNotRunOnlyForDefinedErrors(t *testing.T) {
 	for body, ran := range map[string]code.Ran{`{"error":"loading"}`: code.NotRun, `{"error":"no weights"}`: code.NotRun, `{"error":"crashed half way"}`: code.Unknown, "": code.Unknown} {
 		t.Run(body, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, 1, 1)
-			r.engineProxy(func(resp *http.Response) error {
+			fleet := newTestFleet(t, 1, 1)
+			fleet.modifyEngineAnswers(func(resp *http.Response) error {
 				_ = resp.Body.Close()
 				resp.StatusCode = http.StatusServiceUnavailable
 				resp.Body = io.NopCloser(strings.NewReader(body))
@@ -178,18 +182,18 @@
 				resp.Header.Set("Content-Length", fmt.Sprint(len(body)))
 				return nil
 			})
-			o := r.ask(context.Background(), 0, generate("x", 1, false))
-			assert.True(t, o.refusedAs(code.UpstreamLoading, ran), "%v", o)
+			o := fleet.send(context.Background(), 0, generateRequest("x", 1, false))
+			assert.True(t, o.isRefusal(code.UpstreamLoading, ran), "%v", o)
 		})
 	}
 }
 
-// TestRunsAreNotRepeatedByTheTransport: an upstream closes a kept connection after it ran a call without a body that
-// carries a key, which net/http would send again by itself.
-func TestRunsAreNotRepeatedByTheTransport(t *testing.T) {
+// TestTransportDoesNotRepeatRunsWithoutBody guards against a second run by net/http, which by itself repeats a call
+// without a body that has an idempotency key. The upstream closes a reused connection after running such a call.
+func TestTransportDoesNotRepeatRunsWithoutBody(t *testing.T) {
 	t.Parallel()
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodPut} {
-		r := newRig(t, 1, 1)
+		fleet := newTestFleet(t, 1, 1)
 		var runs atomic.Int64
 		upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 			if req.URL.Path == "/p0/warm" {
@@ -199,45 +203,46 @@
 			panic(http.ErrAbortHandler)
 		}))
 		t.Cleanup(upstream.Close)
-		r.toPlain[0].target.Store(host(upstream.URL))
+		fleet.plainProxies[0].target.Store(trimScheme(upstream.URL))
 		for range 4 {
-			r.ask(context.Background(), 0, lookup("/warm"))
+			fleet.send(context.Background(), 0, lookupRequest("/warm"))
 		}
-		o := r.ask(context.Background(), 0, question{service: "portal", method: method, path: "/book", key: "key-" + method})
+		o := fleet.send(context.Background(), 0, testRequest{service: "portal", method: method, path: "/book", key: "key-" + method})
 		require.NotNil(t, o.problem, "%v", o)
 		assert.Equal(t, code.Unknown, o.problem.Ran)
 		assert.Equal(t, int64(1), runs.Load(), "%s: %v", method, o)
 	}
 }
 
-// TestCallerWhoLeavesStopsTheRun: the engine does not go on for a caller that is gone.
-func TestCallerWhoLeavesStopsTheRun(t *testing.T) {
+// TestCallerDisconnectCancelsRun guards against an engine that keeps generating after the caller disconnected.
+func TestCallerDisconnectCancelsRun(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 1)
-	ctx, leave := context.WithCancel(context.Background())
-	q := generate("leaves", 2000, true)
-	q.watch = func(tokens int) {
+	fleet := newTestFleet(t, 1, 1)
+	ctx, disconnect := context.WithCancel(context.Background())
+	q := generateRequest("leaves", 2000, true)
+	q.onToken = func(tokens int) {
 		if tokens >= 3 {
-			leave()
+			disconnect()
 		}
 	}
-	o := r.ask(ctx, 0, q)
-	assert.False(t, o.whole)
-	r.await("the run is cancelled", func() bool {
-		runs := r.engineRuns()[o.id]
+	o := fleet.send(ctx, 0, q)
+	assert.False(t, o.complete)
+	fleet.eventually("the run is cancelled", func() bool {
+		runs := fleet.engineRuns()[o.id]
 		return len(runs) == 1 && runs[0].Outcome == "cancelled"
 	})
-	assert.Less(t, r.engineRuns()[o.id][0].Tokens, 500, "the run went on as long as for a resume")
+	assert.Less(t, fleet.engineRuns()[o.id][0].Tokens, 500, "the run continued as if the caller could resume")
 }
 
-// TestDeadlineIsKeptAndTold: a deadline that passes in the middle of a try ends it there and here, with what is true.
-func TestDeadlineIsKeptAndTold(t *testing.T) {
+// TestDeadlineEndsAttemptWithTrueRunStatus lets the deadline pass during an attempt. The attempt must end on the
+// agent and the entry, and the caller is refused with the true run status.
+func TestDeadlineEndsAttemptWithTrueRunStatus(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, 1, 2)
-	r.fault(r.engines, `{"*":{"slow_factor":1000}}`)
-	q := generate("late", 10, false)
+	fleet := newTestFleet(t, 1, 2)
+	fleet.setFaults(fleet.engineServer, `{"*":{"slow_factor":1000}}`)
+	q := generateRequest("late", 10, false)
 	q.deadline = 1500 * time.Millisecond
-	o := r.ask(context.Background(), 0, q)
-	assert.True(t, o.refusedAs(code.DeadlinePassed, code.Unknown), "%v", o)
-	assert.Less(t, o.took, 5*time.Second)
+	o := fleet.send(context.Background(), 0, q)
+	assert.True(t, o.isRefusal(code.DeadlinePassed, code.Unknown), "%v", o)
+	assert.Less(t, o.duration, 5*time.Second)
 }
