--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -21,36 +21,39 @@
 	"samphireweir.example/samphireweir/internal/transfer"
 )
 
-// handOverTime is how long the runs that outlast the grace have to tell their entries.
-const handOverTime = time.Second
+// cancelReportTimeout is how long runs that are cancelled at shutdown have to report their failure to their entries.
+const cancelReportTimeout = time.Second
 
-// Agent is the process.
+// Agent runs beside a host's upstreams. It executes requests for entries, shares weights with its peers, and sends
+// load and role orders to its engines.
 type Agent struct {
 	*node.Process
 	config  Config
 	fetcher *transfer.Fetcher
 	engines *engine.Client
-	// pooled and single call upstreams; a call that runs at most once has a connection of its own.
-	pooled *http.Client
-	single *http.Client
-	// prober asks engines whether they live, and answers are how long these took.
-	prober  *engine.Client
-	answers answerTimes
-	// orders holds the cancel functions of the orders on their way, by serial.
-	orders sync.Map
-	// byURL names the upstreams in metrics and traces.
-	byURL map[string]telemetry.Upstream
-	// orderTransport makes the transport of one order.
-	orderTransport func(permit func() error) http.RoundTripper
-	// client reads engines' states.
-	client *http.Client
-	// life is this process's incarnation, as its advertisement names it.
-	life uint64
-	// runs holds the answers that can be resumed.
-	runs sync.Map
+	// pooledClient and singleUseClient send requests to upstreams. A request that must run at most once uses
+	// singleUseClient, which opens a new connection for each request.
+	pooledClient    *http.Client
+	singleUseClient *http.Client
+	// prober sends liveness probes to engines; probeTimes derives their timeout from recent response times.
+	prober     *engine.Client
+	probeTimes probeTimes
+	// orderCancels holds the cancel functions of the orders in flight, by serial.
+	orderCancels sync.Map
+	// upstreamsByURL holds the labels of the upstreams in metrics and traces, by base URL.
+	upstreamsByURL map[string]telemetry.Upstream
+	// newOrderTransport returns the transport of one order. The transport calls permit before each part of the order that
+	// it sends, and aborts the order if permit returns an error.
+	newOrderTransport func(permit func() error) http.RoundTripper
+	// stateClient reads the state of engines.
+	stateClient *http.Client
+	// selfIncarnation is this process's incarnation, as its advertisement states it.
+	selfIncarnation uint64
+	// executions holds the runs whose responses can be resumed: *execution by run.ID.
+	executions sync.Map
 }
 
-// New makes an agent from checked settings.
+// New returns an agent with settings that passed Config.Check.
 func New(c Config, log zerolog.Logger) (*Agent, error) {
 	upstreams, err := ParseUpstreams(c.Upstreams)
 	if err != nil {
@@ -66,18 +69,18 @@
 	if c.MarkTimeout == 0 {
 		c.MarkTimeout = defaultMarkTimeout
 	}
-	a := &Agent{Process: p, config: c, pooled: newUpstreamClient(true), single: newUpstreamClient(false), prober: newProber()}
-	a.client = node.NewHTTPClient()
-	a.orderTransport = engine.NewGuardedTransport
+	a := &Agent{Process: p, config: c, pooledClient: newUpstreamClient(true), singleUseClient: newUpstreamClient(false), prober: newProber()}
+	a.stateClient = node.NewHTTPClient()
+	a.newOrderTransport = engine.NewGuardedTransport
 	a.instrument(upstreams)
-	a.engines = engine.NewClient(a.client)
+	a.engines = engine.NewClient(a.stateClient)
 	a.fetcher = a.newFetcher()
 	a.fetcher.Routes(p.PeersMux, p.Handlers)
 	p.PeersMux.HandleFunc("POST "+frame.RunPath, a.handleRun)
 	p.PeersMux.HandleFunc("POST "+frame.ResumePath, a.handleResume)
 	p.PeersMux.HandleFunc("POST "+frame.FencePath, a.handleFence)
-	p.Loop.View(func(s *core.State) { a.life = s.Self.Incarnation })
-	p.Loop.SetCarrier(a.carry)
+	p.Loop.View(func(s *core.State) { a.selfIncarnation = s.Self.Incarnation })
+	p.Loop.SetCarrier(a.executeEffect)
 	p.Loop.Step(weights.Configured{Mode: weights.Mode(c.Spread), NoYield: c.NoYield})
 	return a, nil
 }
@@ -95,59 +98,61 @@
 	return f
 }
 
-// Run serves until ctx ends, then shuts down gracefully within grace.
+// Run serves until ctx ends, then shuts down gracefully: requests in flight have the grace period to end.
 func (a *Agent) Run(ctx context.Context, grace time.Duration) {
-	live, cancel := context.WithCancel(context.Background())
+	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	a.Process.Run(live, nil)
-	a.beginOrders()
-	go a.pollCaches(live)
+	a.Process.Run(runCtx, nil)
+	a.enableOrders()
+	go a.pollEngines(runCtx)
 	<-ctx.Done()
 	logevent.Info(a.Log, logevent.StopAsked).Msg("stop asked")
 	a.Stopping()
 	a.drain(grace)
-	a.handOver()
-	a.releaseOrders()
-	closing, done := context.WithTimeout(context.Background(), time.Second)
-	defer done()
-	a.Close(closing)
+	a.cancelRemainingRuns()
+	a.releaseIncarnation()
+	closeCtx, cancelClose := context.WithTimeout(context.Background(), time.Second)
+	defer cancelClose()
+	a.Close(closeCtx)
 	a.closeIdle()
-	logevent.Info(a.Log, logevent.Stopped).Int("open", a.open()).Msg("stopped")
+	logevent.Info(a.Log, logevent.Stopped).Int("open", a.runCount()).Msg("stopped")
 }
 
-// closeIdle closes the connections to upstreams that are kept for further calls.
+// closeIdle closes the idle connections to upstreams.
 func (a *Agent) closeIdle() {
-	for _, c := range []*http.Client{a.pooled, a.single, a.client} {
+	for _, c := range []*http.Client{a.pooledClient, a.singleUseClient, a.stateClient} {
 		c.CloseIdleConnections()
 	}
 }
 
-// drain waits until no request runs here, at most grace.
+// drain waits until no request runs on this host, for the grace period at most.
 func (a *Agent) drain(grace time.Duration) {
 	deadline := time.Now().Add(grace)
-	for time.Now().Before(deadline) && a.open() > 0 {
+	for time.Now().Before(deadline) && a.runCount() > 0 {
 		time.Sleep(step.TickInterval)
 	}
 }
 
-// handOver ends the runs that outlast the grace: their entries go on with them on other upstreams of the same
-// version, from where they are.
-func (a *Agent) handOver() {
-	a.runs.Range(func(_, x any) bool {
-		x.(*execution).cancel(errLeaving)
+// cancelRemainingRuns cancels the runs that outlast the grace period. Their entries resume them on other upstreams of
+// the same version, at the position that the response had reached.
+func (a *Agent) cancelRemainingRuns() {
+	a.executions.Range(func(_, x any) bool {
+		x.(*execution).cancel(errShuttingDown)
 		return true
 	})
-	a.drain(handOverTime)
+	a.drain(cancelReportTimeout)
 }
 
-func (a *Agent) open() int {
+// runCount returns the number of requests that run on this host.
+func (a *Agent) runCount() int {
 	n := 0
 	a.Loop.View(func(s *core.State) { n = len(s.Runs.Running) })
 	return n
 }
 
-func (a *Agent) carry(e step.Effect) {
-	if a.Carry(e) || a.fetcher.Carry(e) || a.carryOrders(e) {
+// executeEffect carries out an effect of the core.
+func (a *Agent) executeEffect(e step.Effect) {
+	if a.Carry(e) || a.fetcher.Carry(e) || a.executeRolloutEffect(e) {
 		return
 	}
 	switch e := e.(type) {
--- a/internal/agent/body.go
+++ b/internal/agent/body.go
@@ -10,45 +10,47 @@
 	"github.com/pkg/errors"
 )
 
-// wholeBody is the largest body that is taken in whole before the request starts, in bytes. An entry that dies
-// while it sends such a body leaves nothing started.
-const wholeBody = 256 << 10
+// maxBufferedBody is how many bytes of a request body are read before the request starts. If an entry crashes while it
+// sends a smaller body, the request has not started.
+const maxBufferedBody = 256 << 10
 
-// errReleased ends the reading of a body whose connection is over.
-var errReleased = errors.New("the body's connection is over")
+// errBodyReleased is returned by reads of a body after its connection's handler returned.
+var errBodyReleased = errors.New("reading request body: connection from the entry has ended")
 
-// body is a request's body. What is over wholeBody is read from the entry's connection while it is sent on; the
-// connection's handler must not return meanwhile, so it calls release first.
+// body is a request's body. The first maxBufferedBody bytes are buffered; the rest is read from the entry's connection
+// while it is forwarded. net/http does not allow reads after the connection's handler returns, so the handler calls
+// release before.
 type body struct {
-	kept    *bytes.Reader
-	control *http.ResponseController
+	buffered *bytes.Reader
+	control  *http.ResponseController
 
 	mu       sync.Mutex
 	rest     io.Reader
 	released bool
 }
 
+// readBody reads and buffers the first maxBufferedBody bytes of a request's body.
 func readBody(w http.ResponseWriter, r *http.Request) (*body, error) {
-	kept, err := io.ReadAll(io.LimitReader(r.Body, wholeBody))
+	buffered, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBody))
 	if err != nil {
-		return nil, errors.Wrap(err, "read the body")
+		return nil, errors.Wrap(err, "reading request body")
 	}
-	b := &body{kept: bytes.NewReader(kept), control: http.NewResponseController(w)}
-	if len(kept) == wholeBody {
+	b := &body{buffered: bytes.NewReader(buffered), control: http.NewResponseController(w)}
+	if len(buffered) == maxBufferedBody {
 		b.rest = r.Body
 	}
 	return b, nil
 }
 
-// Read reads from the start of the body on.
+// Read reads the buffered bytes, then the rest from the connection.
 func (b *body) Read(p []byte) (int, error) {
-	if b.kept.Len() > 0 {
-		return b.kept.Read(p)
+	if b.buffered.Len() > 0 {
+		return b.buffered.Read(p)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.released {
-		return 0, errReleased
+		return 0, errBodyReleased
 	}
 	if b.rest == nil {
 		return 0, io.EOF
@@ -56,10 +58,10 @@
 	return b.rest.Read(p)
 }
 
-// Close does nothing: the body belongs to its connection.
+// Close does nothing: the handler of the connection owns the body.
 func (b *body) Close() error { return nil }
 
-// release ends the reading of the body, and waits for a read that is under way.
+// release makes further reads from the connection fail, interrupts a read in progress, and waits for it to return.
 func (b *body) release() {
 	if b.rest == nil {
 		return
--- a/internal/agent/replay_test.go
+++ b/internal/agent/body_replay_test.go
@@ -12,9 +12,10 @@
 	"samphireweir.example/samphireweir/internal/standin/serve"
 )
 
-// TestTransportDoesNotRepeatRuns: net/http repeats a call without a body by itself when it carries an
-// Idempotency-Key and its kept connection breaks. The upstream may have run it by then.
-func TestTransportDoesNotRepeatRuns(t *testing.T) {
+// TestTransportDoesNotRetryRequests guards against a request that is executed twice: net/http retries a request without
+// a body by itself if it has an Idempotency-Key header and its reused connection breaks. The upstream may have executed
+// it by then.
+func TestTransportDoesNotRetryRequests(t *testing.T) {
 	var runs atomic.Int64
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/warm" {
@@ -29,9 +30,9 @@
 	require.NoError(t, err)
 	require.NoError(t, warm.Body.Close())
 
-	// As a server reads a call without a body.
+	// The body is the one that a server gets for a request without a body.
 	incoming := httptest.NewRequest(http.MethodPost, "/run", http.NoBody)
-	req, err := http.NewRequest(http.MethodPost, upstream.URL+"/book", unrepeatable(incoming.Body))
+	req, err := http.NewRequest(http.MethodPost, upstream.URL+"/book", nonReplayable(incoming.Body))
 	require.NoError(t, err)
 	req.Header.Set("Idempotency-Key", "k")
 	resp, err := client.Do(req)
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -1,5 +1,5 @@
-// Package agent is the process beside a host's upstreams: it takes requests from entries and runs them, spreads
-// weights with its peers, and gives its engines their orders.
+// Package agent implements the process that runs beside a host's upstreams. It receives requests from entries and
+// executes them on the upstreams, shares weights with its peers, and sends load and role orders to its engines.
 package agent
 
 import (
@@ -15,33 +15,36 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// defaultChunkMemory is the budget for chunks when none is given, in bytes.
+// defaultChunkMemory is the default memory budget for chunks, in bytes.
 const defaultChunkMemory = 4 << 30
 
-// Config is an agent's process settings.
+// Config holds the process settings of an agent.
 type Config struct {
 	node.Config
-	// WeightStore and Origin are URLs; either may be empty, not both.
+	// WeightStore and Origin are the base URLs of the sources of weights; one of them may be empty, not both.
 	WeightStore string
 	Origin      string
-	// Upstreams is the flag's text; see ParseUpstreams.
+	// Upstreams lists the host's upstreams in the format of ParseUpstreams.
 	Upstreams string
-	// LinkRate paces each direction of the host's link, in bytes a second; 0 for no pacing.
+	// LinkRate limits the transfers in each direction of the host's link, in bytes per second; 0 for no limit.
 	LinkRate int64
-	// StalledAfter is how long an answer that has begun may bring no byte though its upstream lives; 0 for the default.
+	// StalledAfter is how long a response that has started may deliver no byte although its upstream answers probes;
+	// 0 for the default.
 	StalledAfter time.Duration
-	// MarkTimeout bounds the telling of entries that a request is suspect, before its failure is told; 0 for the default.
+	// MarkTimeout bounds the delivery of a suspect's mark to the entries, which precedes the report of the request's
+	// failure; 0 for the default.
 	MarkTimeout time.Duration
-	// ChunkMemory is the budget for chunks, in bytes.
+	// ChunkMemory is the memory budget for chunks, in bytes.
 	ChunkMemory int64
-	// Spread and NoYield choose how weights spread, for experiments; an empty Spread is tiers.
+	// Spread is how weights are distributed among agents, for experiments: tiers, swarm or direct; empty for tiers.
+	// With NoYield set, transfers do not yield to live requests.
 	Spread  string
 	NoYield bool
-	// Orders holds the times of orders to engines; zero fields take the defaults.
+	// Orders holds the intervals and timeouts of orders to engines; zero fields take the defaults.
 	Orders rollout.Timing
 }
 
-// Flags declares the flags of c on fs.
+// Flags declares the command-line flags of an agent on fs; parsing them sets the fields of c.
 func (c *Config) Flags(fs *flag.FlagSet) {
 	c.Config.Flags(fs)
 	fs.StringVar(&c.WeightStore, "weight-store", "", "URL of the weight store, asked before the origin")
@@ -54,7 +57,7 @@
 	fs.BoolVar(&c.NoYield, "no-yield", false, "for experiments only: transfers don't yield to live requests")
 }
 
-// Check tells the first setting that is missing or bad.
+// Check returns an error for the first setting that is missing or invalid. It sets the role, and the default of Spread.
 func (c *Config) Check() error {
 	c.Role = member.Agent
 	if err := c.Config.Check(); err != nil {
@@ -82,8 +85,8 @@
 	return err
 }
 
-// ParseUpstreams reads TEAM/SERVICE=KIND@URL, with commas between. An upstream's name is its URL's last path
-// element, which must be unique on the host.
+// ParseUpstreams parses a comma-separated list of TEAM/SERVICE=KIND@URL. The name of an upstream is the last path
+// element of its URL and must be unique on the host.
 func ParseUpstreams(text string) ([]rollout.Upstream, error) {
 	var list []rollout.Upstream
 	names := map[string]bool{}
--- a/internal/agent/bench_test.go
+++ b/internal/agent/env_test.go
@@ -36,15 +36,15 @@
 )
 
 const (
-	benchTeam    = "karrakin"
-	benchService = "summary-model"
-	// patience is how long a test waits for what must come.
-	patience = 30 * time.Second
-	settle   = 10 * time.Millisecond
+	testTeam    = "karrakin"
+	testService = "summary-model"
+	// waitTimeout is how long a test waits for a condition, and waitInterval the time between two checks of it.
+	waitTimeout  = 30 * time.Second
+	waitInterval = 10 * time.Millisecond
 )
 
-// benchTiming shortens the times, so that leases and polls end within a test.
-func benchTiming() rollout.Timing {
+// testTiming returns short intervals and timeouts, so that leases expire and polls happen within a test.
+func testTiming() rollout.Timing {
 	return rollout.Timing{
 		Poll: 20 * time.Millisecond, MaxPoll: 100 * time.Millisecond, Retry: 20 * time.Millisecond,
 		MaxRetry: 100 * time.Millisecond, Silent: 300 * time.Millisecond, Drain: 200 * time.Millisecond,
@@ -53,39 +53,41 @@
 	}
 }
 
-// bench is the platform, the origin and the engines as stand-ins in the test's process, with real agents on them.
-type bench struct {
+// testEnv runs the platform, the origin and the engines as stand-ins in the test's process; its agents are real ones.
+type testEnv struct {
 	t       testing.TB
 	objects *httptest.Server
 	hosts   *httptest.Server
 	origin  *httptest.Server
 	engines *httptest.Server
 	setting setting.Setting
-	// secret is this fleet's own: an address that the kernel gave to a process of another fleet must not join the two.
+	// secret is different in each environment. The kernel may give an agent an address that another environment used
+	// before; the secret keeps the two from joining.
 	secret string
 }
 
-// fencings are the two sorts of engines; each failure is tried on both.
+// fencings are the two ways in which engines treat fencing numbers.
 var fencings = []setting.Fencing{setting.FencingChecked, setting.FencingIgnored}
 
-func onBoth(t *testing.T, test func(t *testing.T, f setting.Fencing)) {
+// forEachFencing runs a test with engines that check fencing numbers and with engines that ignore them.
+func forEachFencing(t *testing.T, test func(t *testing.T, f setting.Fencing)) {
 	t.Parallel()
 	for _, f := range fencings {
 		t.Run(string(f), func(t *testing.T) { test(t, f) })
 	}
 }
 
-func newBench(t *testing.T, f setting.Fencing, engines ...string) *bench {
+func newTestEnv(t *testing.T, f setting.Fencing, engines ...string) *testEnv {
 	t.Parallel()
-	return buildBench(t, f, engines...)
+	return buildTestEnv(t, f, engines...)
 }
 
-func buildBench(t testing.TB, f setting.Fencing, engines ...string) *bench {
+func buildTestEnv(t testing.TB, f setting.Fencing, engines ...string) *testEnv {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	origin, err := weights.NewServer(weights.Config{Shape: weights.Shape{Size: 2 << 20, ChunkSize: 256 << 10, Seed: 7}})
 	require.NoError(t, err)
-	b := &bench{
+	b := &testEnv{
 		t:       t,
 		secret:  rand.Text(),
 		objects: serveTest(t, objectapi.NewServer(objectapi.Config{History: 10000})),
@@ -111,10 +113,10 @@
 	return s
 }
 
-// digest is the identity of a version of the bench's model.
-func (b *bench) digest(version string) string { return manifest.Digest(b.manifest(version)) }
+// digest returns the digest of a version of the model.
+func (b *testEnv) digest(version string) string { return manifest.Digest(b.manifest(version)) }
 
-func (b *bench) manifest(version string) []byte {
+func (b *testEnv) manifest(version string) []byte {
 	resp, err := http.Get(b.origin.URL + "/v1/weights/risk/" + b.setting.Adapter + "/" + version + "/manifest")
 	require.NoError(b.t, err)
 	defer func() { _ = resp.Body.Close() }()
@@ -123,17 +125,18 @@
 	return raw
 }
 
-// apply puts a version in force.
-func (b *bench) apply(version string) string {
+// apply writes the service's setting with the given version and returns the digest of the version.
+func (b *testEnv) apply(version string) string {
 	b.setting.Version = version
 	b.setting.Digest = b.digest(version)
 	value, err := json.Marshal(b.setting)
 	require.NoError(b.t, err)
-	b.call(http.MethodPut, b.objects.URL+"/v1/objects/"+setting.Key(benchTeam, benchService), string(value))
+	b.call(http.MethodPut, b.objects.URL+"/v1/objects/"+setting.Key(testTeam, testService), string(value))
 	return b.setting.Digest
 }
 
-func (b *bench) call(method, url, body string) []byte {
+// call sends an HTTP request to a stand-in and returns the response body. A status of 400 or more fails the test.
+func (b *testEnv) call(method, url, body string) []byte {
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	require.NoError(b.t, err)
 	resp, err := http.DefaultClient.Do(req)
@@ -145,31 +148,31 @@
 	return raw
 }
 
-// fault switches faults of a stand-in on or off.
-func (b *bench) fault(s *httptest.Server, faults string) {
+// setFaults switches faults of a stand-in on or off.
+func (b *testEnv) setFaults(s *httptest.Server, faults string) {
 	b.call(http.MethodPost, s.URL+"/admin/faults", faults)
 }
 
-// running is an agent that serves until stop.
-type running struct {
+// testAgent is an agent that serves until stop is called.
+type testAgent struct {
 	*Agent
-	b    *bench
-	kill context.CancelFunc
-	done chan struct{}
+	b      *testEnv
+	cancel context.CancelFunc
+	done   chan struct{}
 }
 
-// agent starts an agent; each element of change may alter it before it runs.
-func (b *bench) agent(host string, engines []string, change ...func(*Agent)) *running {
+// agent starts an agent. The functions in change modify it before it runs.
+func (b *testEnv) agent(host string, engines []string, change ...func(*Agent)) *testAgent {
 	var upstreams []string
 	for _, e := range engines {
-		upstreams = append(upstreams, fmt.Sprintf("%s/%s=engine@%s/%s", benchTeam, benchService, b.engines.URL, e))
+		upstreams = append(upstreams, fmt.Sprintf("%s/%s=engine@%s/%s", testTeam, testService, b.engines.URL, e))
 	}
 	c := Config{
 		Config: node.Config{
 			Name: host, Place: "perth-a", Region: "west", PeersListen: "127.0.0.1:0", OperatorsListen: "127.0.0.1:0",
 			ObjectAPI: b.objects.URL, HostList: b.hosts.URL, Config: keys.Config{Secret: b.secret},
 		},
-		Origin: b.origin.URL, Upstreams: strings.Join(upstreams, ","), ChunkMemory: 64 << 20, Orders: benchTiming(),
+		Origin: b.origin.URL, Upstreams: strings.Join(upstreams, ","), ChunkMemory: 64 << 20, Orders: testTiming(),
 	}
 	require.NoError(b.t, c.Check())
 	a, err := New(c, zerolog.Nop())
@@ -177,9 +180,9 @@
 	for _, f := range change {
 		f(a)
 	}
-	b.list(a.Address())
+	b.addToHostList(a.Address())
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Agent: a, b: b, kill: cancel, done: make(chan struct{})}
+	r := &testAgent{Agent: a, b: b, cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		a.Run(ctx, 10*time.Millisecond)
@@ -188,26 +191,26 @@
 	return r
 }
 
-func (b *bench) list(address string) {
+func (b *testEnv) addToHostList(address string) {
 	b.call(http.MethodPut, b.hosts.URL+"/admin/hosts",
 		fmt.Sprintf(`{"address":%q,"role":"agent","place":"perth-a","region":"west","state":"live"}`, address))
 }
 
 // stop shuts the agent down gracefully.
-func (r *running) stop() {
-	r.kill()
+func (r *testAgent) stop() {
+	r.cancel()
 	<-r.done
 }
 
-// pause holds the agent's core, as if the process were stopped; the returned function lets it go on.
-func (r *running) pause() (resume func()) {
-	held := make(chan struct{})
+// pause blocks the agent's core, as if the process were paused. The returned function unblocks it.
+func (r *testAgent) pause() (resume func()) {
+	blocked := make(chan struct{})
 	release := make(chan struct{})
 	go r.Loop.View(func(*core.State) {
-		close(held)
+		close(blocked)
 		<-release
 	})
-	<-held
+	<-blocked
 	var once atomic.Bool
 	resume = func() {
 		if once.CompareAndSwap(false, true) {
@@ -218,14 +221,15 @@
 	return resume
 }
 
-// upstream returns what the agent knows of an engine.
-func (r *running) upstream(name string) rollout.Upstream {
+// upstream returns the agent's state of an engine.
+func (r *testAgent) upstream(name string) rollout.Upstream {
 	var u rollout.Upstream
 	r.Loop.View(func(s *core.State) { u = *s.Rollout.Upstreams[name] })
 	return u
 }
 
-func (r *running) number() uint64 {
+// incarnationNumber returns the number of the agent's incarnation, or 0 if it has none.
+func (r *testAgent) incarnationNumber() uint64 {
 	var n uint64
 	r.Loop.View(func(s *core.State) {
 		if s.Rollout.Incarnation != nil {
@@ -235,8 +239,8 @@
 	return n
 }
 
-// serves waits until the agent serves a version from an engine.
-func (r *running) serves(name, digest string) rollout.Upstream {
+// awaitServing waits until the agent serves a version from an engine, and returns its state of the engine.
+func (r *testAgent) awaitServing(name, digest string) rollout.Upstream {
 	r.b.t.Helper()
 	r.b.await(func() bool {
 		u := r.upstream(name)
@@ -245,25 +249,27 @@
 	return r.upstream(name)
 }
 
-func (b *bench) await(what func() bool, format string, args ...any) {
+// await waits until condition holds; the test fails after waitTimeout with the description of the condition.
+func (b *testEnv) await(condition func() bool, format string, args ...any) {
 	b.t.Helper()
-	deadline := time.Now().Add(patience)
-	for !what() {
+	deadline := time.Now().Add(waitTimeout)
+	for !condition() {
 		if time.Now().After(deadline) {
-			require.FailNow(b.t, "did not come: "+fmt.Sprintf(format, args...))
+			require.FailNow(b.t, "timed out waiting until "+fmt.Sprintf(format, args...))
 		}
-		time.Sleep(settle)
+		time.Sleep(waitInterval)
 	}
 }
 
-func (b *bench) state(name string) engine.State {
+// state reads the state of an engine from the engine itself.
+func (b *testEnv) state(name string) engine.State {
 	var s engine.State
 	require.NoError(b.t, json.Unmarshal(b.call(http.MethodGet, b.engines.URL+"/"+name+"/state", ""), &s))
 	return s
 }
 
-// loads returns the engines' own log of load orders.
-func (b *bench) loads() []engine.LoadEntry {
+// loads returns the load orders in the log of the engine stand-in.
+func (b *testEnv) loads() []engine.LoadEntry {
 	var list []engine.LoadEntry
 	b.eachLogLine(func(kind string, line []byte) {
 		if kind != "load" {
@@ -276,7 +282,8 @@
 	return list
 }
 
-func (b *bench) eachLogLine(f func(kind string, line []byte)) {
+// eachLogLine calls f with each line of the log of the engine stand-in.
+func (b *testEnv) eachLogLine(f func(kind string, line []byte)) {
 	lines := bufio.NewScanner(bytes.NewReader(b.call(http.MethodGet, b.engines.URL+"/admin/log", "")))
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -288,9 +295,10 @@
 	}
 }
 
-// checkLog checks the engines' own log: each load that took effect was of the whole content of its version, and on
-// engines that check fencing numbers the numbers obeyed never go down.
-func (b *bench) checkLog(versions ...string) {
+// checkEngineLog checks the log of the engine stand-in. Each load that took effect had the complete content of its
+// version and a generation of its own. On engines that check fencing numbers, the accepted numbers never decrease. No
+// completed run saw a change of weights.
+func (b *testEnv) checkEngineLog(versions ...string) {
 	content := map[string]string{}
 	for _, v := range versions {
 		m, err := manifest.Parse(b.manifest(v))
@@ -314,7 +322,7 @@
 		}
 		require.Equal(b.t, content[e.Digest], e.ContentSHA256, "content of %.8s", e.Digest)
 		key := fmt.Sprint(e.Engine, e.Generation)
-		require.False(b.t, generations[key], "generation %d of %s stands twice", e.Generation, e.Engine)
+		require.False(b.t, generations[key], "generation %d of %s was used twice", e.Generation, e.Engine)
 		generations[key] = true
 	}
 	b.eachLogLine(func(kind string, line []byte) {
@@ -329,8 +337,8 @@
 	})
 }
 
-// doneLoads counts the loads of an engine that took effect.
-func (b *bench) doneLoads(name string) int {
+// completedLoads returns the number of loads of an engine that took effect.
+func (b *testEnv) completedLoads(name string) int {
 	n := 0
 	for _, e := range b.loads() {
 		if e.Engine == name && e.Outcome == "done" {
--- a/internal/agent/instrument.go
+++ b/internal/agent/instrument.go
@@ -8,21 +8,21 @@
 	"samphireweir.example/samphireweir/internal/telemetry"
 )
 
-// instrument measures and traces the calls to the host's upstreams, to peers and to the sources of weights.
+// instrument adds metrics and traces to the calls to the host's upstreams, to peers and to the sources of weights.
 func (a *Agent) instrument(upstreams []rollout.Upstream) {
-	a.byURL = map[string]telemetry.Upstream{}
+	a.upstreamsByURL = map[string]telemetry.Upstream{}
 	for _, u := range upstreams {
-		a.byURL[strings.TrimSuffix(u.URL, "/")] = telemetry.Upstream{Team: u.Team, Service: u.Service, Name: u.Name}
+		a.upstreamsByURL[strings.TrimSuffix(u.URL, "/")] = telemetry.Upstream{Team: u.Team, Service: u.Service, Name: u.Name}
 	}
-	for _, client := range []*http.Client{a.client, a.pooled, a.single} {
+	for _, client := range []*http.Client{a.stateClient, a.pooledClient, a.singleUseClient} {
 		a.instrumentUpstream(client)
 	}
 	a.Telemetry.Traces.Client(a.Client, telemetry.NamePeerCall)
 	a.Telemetry.Sources(a.Outside, a.config.WeightStore, a.config.Origin)
 }
 
-// instrumentUpstream measures and traces the calls that a client makes to the host's upstreams.
+// instrumentUpstream adds metrics and traces to the calls that a client makes to the host's upstreams.
 func (a *Agent) instrumentUpstream(c *http.Client) {
-	a.Telemetry.Upstreams(c, a.byURL)
+	a.Telemetry.Upstreams(c, a.upstreamsByURL)
 	a.Telemetry.Traces.Client(c, telemetry.NameUpstreamCall)
 }
--- a/internal/agent/load.go
+++ b/internal/agent/load.go
@@ -13,11 +13,11 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// cachePoll is the time between two readings of an engine's load and of its cache's events.
-const cachePoll = 500 * time.Millisecond
+// cachePollInterval is the interval at which an engine's load and the events of its prefix cache are read.
+const cachePollInterval = 500 * time.Millisecond
 
-// noteLoad passes an engine's word on its load to the core.
-func (a *Agent) noteLoad(upstream string, state engine.State, err error) {
+// recordLoad passes the load that an engine reported to the core. It ignores a state that could not be read.
+func (a *Agent) recordLoad(upstream string, state engine.State, err error) {
 	if err != nil {
 		return
 	}
@@ -25,43 +25,45 @@
 	a.Loop.Step(run.LoadRead{Upstream: upstream, Running: state.Load.Running, Waiting: state.Load.Waiting, Age: age})
 }
 
-// report returns the load of the run's upstream, as it is without the run itself when that ended.
-func (a *Agent) report(x *execution, ended bool) *routing.Report {
-	r := a.reportOn(x.start.Upstream, x.env.Cache)
-	if ended && r.Running > 0 && a.stillCounted(x.start.ID) {
+// loadReport returns the load of the run's upstream. If ended is set, the report leaves out the run itself.
+func (a *Agent) loadReport(x *execution, ended bool) *routing.Report {
+	r := a.upstreamLoadReport(x.start.Upstream, x.env.Cache)
+	if ended && r.Running > 0 && a.isCounted(x.start.ID) {
 		r.Running--
 	}
 	return r
 }
 
-func (a *Agent) stillCounted(id run.ID) bool {
+// isCounted reports whether the core still counts a run as running.
+func (a *Agent) isCounted(id run.ID) bool {
 	counted := false
 	a.Loop.View(func(s *core.State) { _, counted = s.Runs.Running[id] })
 	return counted
 }
 
-func (a *Agent) reportOn(upstream string, seen routing.CacheMark) *routing.Report {
+// upstreamLoadReport returns the load of an upstream and the changes of its prefix cache since seen.
+func (a *Agent) upstreamLoadReport(upstream string, seen routing.CacheMark) *routing.Report {
 	var r routing.Report
 	a.Loop.View(func(s *core.State) { r = s.Runs.Load.Report(time.Now(), upstream, seen) })
 	return &r
 }
 
-// pollCaches reads the engines' load and what changes in their prefix caches.
-func (a *Agent) pollCaches(ctx context.Context) {
-	after := map[string]int64{}
-	t := time.NewTicker(cachePoll)
+// pollEngines reads the load of the serving engines and the changes of their prefix caches until ctx ends.
+func (a *Agent) pollEngines(ctx context.Context) {
+	cursors := map[string]int64{}
+	t := time.NewTicker(cachePollInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			a.pollCachesOnce(ctx, after)
+			a.pollEnginesOnce(ctx, cursors)
 		}
 	}
 }
 
-func (a *Agent) pollCachesOnce(ctx context.Context, after map[string]int64) {
+func (a *Agent) pollEnginesOnce(ctx context.Context, cursors map[string]int64) {
 	var serving []rollout.Upstream
 	a.Loop.View(func(s *core.State) {
 		for _, name := range s.Rollout.Order {
@@ -72,25 +74,25 @@
 		}
 	})
 	for _, u := range serving {
-		a.readCache(ctx, u, after)
+		a.pollEngine(ctx, u, cursors)
 	}
 }
 
-func (a *Agent) readCache(ctx context.Context, u rollout.Upstream, after map[string]int64) {
+func (a *Agent) pollEngine(ctx context.Context, u rollout.Upstream, cursors map[string]int64) {
 	callCtx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	state, err := a.engines.State(callCtx, u.URL)
-	a.noteLoad(u.Name, state, err)
+	a.recordLoad(u.Name, state, err)
 	if err != nil {
 		return
 	}
-	news, err := a.engines.CacheEvents(callCtx, u.URL, after[u.Name])
+	batch, err := a.engines.CacheEvents(callCtx, u.URL, cursors[u.Name])
 	if err != nil {
 		return
 	}
-	after[u.Name] = news.Next
+	cursors[u.Name] = batch.Next
 	ev := run.CacheRead{Upstream: u.Name, Boot: state.BootID}
-	for _, e := range news.Events {
+	for _, e := range batch.Events {
 		if prefix, ok := routing.ParsePrefix(e.Prefix); ok {
 			ev.Events = append(ev.Events, routing.CacheEvent{Prefix: prefix, Evicted: e.Kind == engine.EvictedKind})
 		}
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -19,56 +19,57 @@
 )
 
 const (
-	// stateTimeout bounds one reading of an engine's state.
+	// stateTimeout bounds one read of an engine's state.
 	stateTimeout = 2 * time.Second
 	// loadTimeout bounds a load order.
 	loadTimeout = 10 * time.Minute
 	// roleTimeout bounds a role order.
 	roleTimeout = 10 * time.Second
-	// releaseTimeout bounds the giving back of the incarnation at the end.
+	// releaseTimeout bounds the release of the incarnation at shutdown.
 	releaseTimeout = time.Second
 )
 
-// errMayNotOrder cuts an order whose permission ended.
-var errMayNotOrder = errors.New("this agent may give no order now")
+// errOrderNotAllowed aborts an order that the agent is no longer allowed to send.
+var errOrderNotAllowed = errors.New("sending order: agent is not allowed to send orders now")
 
-// beginOrders lets the core take the incarnation and give orders.
-func (a *Agent) beginOrders() {
+// enableOrders has the core acquire the incarnation and start sending orders to engines.
+func (a *Agent) enableOrders() {
 	a.Loop.Step(rollout.Begin{Host: a.Config.Name, Holder: uuid.NewString(), Timing: a.config.Orders})
 }
 
-// releaseOrders ends the orders and gives the incarnation back, so that a successor need not wait.
-func (a *Agent) releaseOrders() {
+// releaseIncarnation ends the orders and releases the incarnation, so that the agent's successor need not wait for it.
+func (a *Agent) releaseIncarnation() {
 	a.Loop.Step(rollout.ReleaseAsked{})
 	deadline := time.Now().Add(releaseTimeout)
-	for time.Now().Before(deadline) && a.holdsOrders() {
+	for time.Now().Before(deadline) && a.holdsIncarnation() {
 		time.Sleep(step.TickInterval)
 	}
 }
 
-func (a *Agent) holdsOrders() bool {
+// holdsIncarnation reports whether this agent holds the incarnation of its upstreams.
+func (a *Agent) holdsIncarnation() bool {
 	held := false
 	a.Loop.View(func(s *core.State) { held = s.Rollout.Incarnation.Held() })
 	return held
 }
 
-// carryOrders carries out an effect of the rollout reducer. It reports whether e was one of them.
-func (a *Agent) carryOrders(e step.Effect) bool {
+// executeRolloutEffect carries out an effect of the rollout reducer. It reports whether e was one of them.
+func (a *Agent) executeRolloutEffect(e step.Effect) bool {
 	switch e := e.(type) {
 	case rollout.ReadState:
 		go a.readState(e)
 	case rollout.Load:
-		ctx := a.startOrder(e.Order, loadTimeout)
+		ctx := a.newOrderContext(e.Order, loadTimeout)
 		go a.load(ctx, e)
 	case rollout.SetRole:
-		ctx := a.startOrder(e.Order, roleTimeout)
+		ctx := a.newOrderContext(e.Order, roleTimeout)
 		go a.setRole(ctx, e)
 	case rollout.CancelOrder:
-		a.stopOrder(e.Order)
+		a.cancelOrder(e.Order)
 	case rollout.OutOfService:
 		logevent.Warn(a.Log, logevent.OutOfService).Str("upstream", e.Upstream).Str("why", string(e.Why)).Msg("out of service")
 		if e.Why == rollout.ReasonChanged {
-			a.withhold(e.Upstream)
+			a.cancelRunsOn(e.Upstream)
 		}
 	case rollout.InService:
 		logevent.Info(a.Log, logevent.LoadDone).Str("upstream", e.Upstream).Str("digest", e.Digest).
@@ -76,7 +77,7 @@
 	case rollout.DrainOverdue:
 		logevent.Warn(a.Log, logevent.DrainOverdue).Str("upstream", e.Upstream).Int("running", e.Running).Msg("drain overdue")
 	default:
-		return a.carryPlatform(e)
+		return a.executeObjectEffect(e)
 	}
 	return true
 }
@@ -95,28 +96,30 @@
 	}})
 }
 
-// startOrder makes the context of an order, which CancelOrder ends.
-func (a *Agent) startOrder(serial uint64, limit time.Duration) context.Context {
+// newOrderContext returns the context of an order, which cancelOrder cancels.
+func (a *Agent) newOrderContext(serial uint64, limit time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
-	a.orders.Store(serial, cancel)
+	a.orderCancels.Store(serial, cancel)
 	return ctx
 }
 
-func (a *Agent) stopOrder(serial uint64) {
-	if cancel, ok := a.orders.LoadAndDelete(serial); ok {
+// cancelOrder cancels an order in flight; it does nothing if the order has ended.
+func (a *Agent) cancelOrder(serial uint64) {
+	if cancel, ok := a.orderCancels.LoadAndDelete(serial); ok {
 		cancel.(context.CancelFunc)()
 	}
 }
 
-// orderClient returns the client of one order, which asks for permission as it writes.
+// orderClient returns the client of one order. While it writes the order, it checks repeatedly that the order is still
+// allowed.
 func (a *Agent) orderClient(ctx context.Context, upstream string) *engine.Client {
-	permit := func() error { return a.permit(ctx, upstream) }
-	client := &http.Client{Transport: a.orderTransport(permit)}
+	permit := func() error { return a.checkOrderAllowed(ctx, upstream) }
+	client := &http.Client{Transport: a.newOrderTransport(permit)}
 	a.instrumentUpstream(client)
 	return engine.NewClient(client)
 }
 
-// load streams a complete verified version into an engine.
+// load streams the complete, verified content of a version to an engine.
 func (a *Agent) load(ctx context.Context, e rollout.Load) {
 	logevent.Info(a.Log, logevent.LoadOrdered).Str("upstream", e.Upstream).Str("digest", e.Digest).Uint64("generation", e.Generation).Msg("load ordered")
 	content, size, err := a.fetcher.Memory.Content(e.Digest)
@@ -125,19 +128,19 @@
 			ID: uuid.NewString(), Digest: e.Digest, Generation: e.Generation, Fencing: e.Fencing, Content: content, Size: size,
 		})
 	}
-	a.endOrder(e.Upstream, e.Order, err)
+	a.finishOrder(e.Upstream, e.Order, err)
 }
 
 func (a *Agent) setRole(ctx context.Context, e rollout.SetRole) {
 	err := a.orderClient(ctx, e.Upstream).SetRole(ctx, e.URL, engine.RoleOrder{
 		Role: string(e.Role), Fencing: e.Fencing, ID: uuid.NewString(),
 	})
-	a.endOrder(e.Upstream, e.Order, err)
+	a.finishOrder(e.Upstream, e.Order, err)
 }
 
-// endOrder tells the core that the call is over. Whatever came of it, the core reads the engine back.
-func (a *Agent) endOrder(upstream string, serial uint64, err error) {
-	a.stopOrder(serial)
+// finishOrder reports the outcome of an order to the core. The core reads the engine's state back in every case.
+func (a *Agent) finishOrder(upstream string, serial uint64, err error) {
+	a.cancelOrder(serial)
 	outcome := rollout.OrderDone
 	if err != nil {
 		logevent.Warn(a.Log, logevent.LoadFailed).Str("upstream", upstream).Err(err).Msg("order failed")
@@ -149,32 +152,33 @@
 	a.Loop.Step(rollout.OrderEnded{Upstream: upstream, Order: serial, Outcome: outcome})
 }
 
-// permit tells whether an order may go on now.
-func (a *Agent) permit(ctx context.Context, upstream string) error {
+// checkOrderAllowed returns an error if an order was cancelled or the agent is not allowed to send orders now.
+func (a *Agent) checkOrderAllowed(ctx context.Context, upstream string) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	may := false
-	a.Loop.View(func(s *core.State) { may = s.Rollout.MayOrder(upstream, time.Now()) })
-	if !may {
-		return errMayNotOrder
+	allowed := false
+	a.Loop.View(func(s *core.State) { allowed = s.Rollout.MayOrder(upstream, time.Now()) })
+	if !allowed {
+		return errOrderNotAllowed
 	}
 	return nil
 }
 
-// withhold ends the runs on an engine whose weights changed under them.
-func (a *Agent) withhold(upstream string) {
-	a.runs.Range(func(_, value any) bool {
+// cancelRunsOn cancels the runs on an engine whose weights changed while they ran.
+func (a *Agent) cancelRunsOn(upstream string) {
+	a.executions.Range(func(_, value any) bool {
 		if x := value.(*execution); x.start.Upstream == upstream {
-			x.withheld.Store(true)
-			x.cancel(errWithheld)
+			x.weightsChanged.Store(true)
+			x.cancel(errWeightsChanged)
 		}
 		return true
 	})
 }
 
-// confirmWeights reads the engine back after a run: the answer counts only if the engine still shows the weights
-// that the run began under. Generations are never used twice, so that equal ends mean an unchanged middle.
+// confirmWeights reads the engine's state after a run. The response is valid only if the engine still reports the
+// weights with which the run started. Generations are never reused, so equal generations at the start and at the end
+// show that the weights did not change in between.
 func (a *Agent) confirmWeights(start run.Start) *failure {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
@@ -182,8 +186,8 @@
 	if err != nil {
 		return &failure{code: code.UpstreamDied, ran: code.DidRun}
 	}
-	same := !state.Loading && state.Digest == start.Digest && state.Generation == start.Generation && state.BootID == start.BootID
-	if same {
+	unchanged := !state.Loading && state.Digest == start.Digest && state.Generation == start.Generation && state.BootID == start.BootID
+	if unchanged {
 		return nil
 	}
 	logevent.Warn(a.Log, logevent.AnswerWithheld).Str("request", start.ID.Request).Str("upstream", start.Upstream).Msg("answer withheld")
--- a/internal/agent/orders_paused_test.go
+++ b/internal/agent/orders_paused_test.go
@@ -22,16 +22,16 @@
 	"samphireweir.example/samphireweir/internal/standin/engine"
 )
 
-// superseded tells whether the agent knows that another took its incarnation.
-func (r *running) superseded() bool {
+// superseded reports whether the agent knows that another agent has taken its incarnation.
+func (r *testAgent) superseded() bool {
 	lost := false
 	r.Loop.View(func(s *core.State) { lost = s.Rollout.Incarnation.Superseded })
 	return lost
 }
 
-// generate runs a request through the agent and returns the answer's digest, or why it is withheld.
-func (r *running) generate(name, id string, tokens int) (string, *failure) {
-	env := frame.Envelope{Request: id, Attempt: 1, Upstream: name, Target: "/v1/generate", Incarnation: r.life}
+// generate sends a request through the agent and returns the digest that the response states, or the failure.
+func (r *testAgent) generate(name, id string, tokens int) (string, *failure) {
+	env := frame.Envelope{Request: id, Attempt: 1, Upstream: name, Target: "/v1/generate", Incarnation: r.selfIncarnation}
 	decision := r.Decide(func(call uint64) step.Event {
 		return run.Asked{Call: call, Message: message(env), Upstream: name}
 	})
@@ -43,18 +43,18 @@
 	require.NoError(r.b.t, err)
 	req := httptest.NewRequest(http.MethodPost, "/", bytes.NewReader(body))
 	req.Header.Set(frame.MethodHeader, http.MethodPost)
-	whole, err := readBody(httptest.NewRecorder(), req)
+	requestBody, err := readBody(httptest.NewRecorder(), req)
 	require.NoError(r.b.t, err)
-	x := r.execute(start, env, req, whole)
+	x := r.startExecution(start, env, req, requestBody)
 	return r.collect(x)
 }
 
-// collect waits for the end of an answer and checks that its text is of the version that it names.
-func (r *running) collect(x *execution) (string, *failure) {
+// collect reads a response to its end and checks that its text was produced with the version that it states.
+func (r *testAgent) collect(x *execution) (string, *failure) {
 	reader, _ := x.out.attach(0)
 	var raw []byte
 	for {
-		s := x.out.next(reader, copySize)
+		s := x.out.next(reader, readBufferSize)
 		raw = append(raw, s.data...)
 		if s.ended {
 			return r.checkAnswer(raw, s.fail)
@@ -65,10 +65,10 @@
 	}
 }
 
-// mixedAnswer marks an answer that ended cleanly and is not of one version.
+// mixedAnswer is the code for a response that ended without an error but was not produced with a single version.
 const mixedAnswer code.Code = -1
 
-func (r *running) checkAnswer(raw []byte, f *failure) (string, *failure) {
+func (r *testAgent) checkAnswer(raw []byte, f *failure) (string, *failure) {
 	if f != nil {
 		return "", f
 	}
@@ -86,70 +86,71 @@
 	return a.Digest, nil
 }
 
-// TestPausedAgentIsReplaced pauses an agent and lets its replacement change the version; when the first goes on, it
-// gives no order and takes no work.
-func TestPausedAgentIsReplaced(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, "e1")
+// TestReplacedAgentSendsNoOrders guards against an agent that resumes after a pause and still acts on its engine, although
+// a replacement has changed the version meanwhile. It must send no orders and accept no requests.
+func TestReplacedAgentSendsNoOrders(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, "e1")
 		v1 := b.apply("v1")
 		old := b.agent("host-1", []string{"e1"})
-		old.serves("e1", v1)
+		old.awaitServing("e1", v1)
 		resume := old.pause()
 		v2 := b.apply("v2")
 		next := b.agent("host-1", []string{"e1"})
-		next.serves("e1", v2)
+		next.awaitServing("e1", v2)
 		resume()
-		b.await(old.superseded, "the old agent knows")
+		b.await(old.superseded, "the old agent knows that it was replaced")
 		require.Equal(t, member.Down, old.upstream("e1").Phase)
-		next.serves("e1", v2)
-		require.Equal(t, 2, b.doneLoads("e1"))
-		b.checkLog("v1", "v2")
+		next.awaitServing("e1", v2)
+		require.Equal(t, 2, b.completedLoads("e1"))
+		b.checkEngineLog("v1", "v2")
 	})
 }
 
-// TestLateOrderIsRefused lets a former agent's order go out after its replacement serves. It is refused by the
-// engine, or cut by the former agent's own lease; the engine stays as the replacement ordered.
-func TestLateOrderIsRefused(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, "e1")
+// TestOrderOfReplacedAgentHasNoEffect guards against an order that a paused agent sends after its replacement serves. The
+// engine refuses it, or the former agent aborts it because its lease has expired. The engine keeps the weights that the
+// replacement ordered.
+func TestOrderOfReplacedAgentHasNoEffect(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, "e1")
 		b.apply("v1")
-		g := newGate(t, holdBefore)
+		g := newInterceptor(t, delayBeforeSend)
 		old := b.agent("host-1", []string{"e1"}, g.install)
 		<-g.reached
 		resume := old.pause()
 		v2 := b.apply("v2")
 		next := b.agent("host-1", []string{"e1"})
-		before := next.serves("e1", v2)
+		before := next.awaitServing("e1", v2)
 		g.release()
 		resume()
 		<-g.passed
-		b.await(old.superseded, "the old agent knows")
-		after := next.serves("e1", v2)
+		b.await(old.superseded, "the old agent knows that it was replaced")
+		after := next.awaitServing("e1", v2)
 		require.Equal(t, before.Generation, after.Generation)
-		require.Equal(t, 1, b.doneLoads("e1"))
+		require.Equal(t, 1, b.completedLoads("e1"))
 		for _, e := range b.loads() {
-			if uint64(e.FencingNumber) == old.number() {
-				require.Equal(t, "refused", e.Outcome, "an engine began to obey a former agent")
+			if uint64(e.FencingNumber) == old.incarnationNumber() {
+				require.Equal(t, "refused", e.Outcome, "an engine accepted an order of a former agent")
 			}
 		}
-		b.checkLog("v2")
+		b.checkEngineLog("v2")
 	})
 }
 
-// TestLateOrderPastItsChecks lets a former agent's order go out that passed all its checks before the pause. An
-// engine that checks refuses it. One that ignores numbers obeys: the replacement sees that, withholds what ran, and
-// loads again.
-func TestLateOrderPastItsChecks(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, "e1")
+// TestDelayedOrderOfReplacedAgent guards against an order of a former agent that had passed all checks before the pause,
+// so that nothing can abort it. An engine that checks fencing numbers refuses it. One that ignores them executes it: the
+// replacement detects that, fails the run in flight, and loads its version again.
+func TestDelayedOrderOfReplacedAgent(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, "e1")
 		v1 := b.apply("v1")
-		g := newGate(t, holdChecked)
+		g := newInterceptor(t, delayAfterChecks)
 		old := b.agent("host-1", []string{"e1"}, g.install)
 		<-g.reached
 		old.pause()
 		v2 := b.apply("v2")
 		next := b.agent("host-1", []string{"e1"})
-		before := next.serves("e1", v2)
+		before := next.awaitServing("e1", v2)
 		answers := make(chan string, 1)
 		go func() {
 			digest, failed := next.generate("e1", "across", 400)
@@ -158,18 +159,18 @@
 			}
 			answers <- digest
 		}()
-		b.await(func() bool { return b.started("e1") }, "a run is on its way")
+		b.await(func() bool { return b.hasRunning("e1") }, "e1 runs a request")
 		g.release()
 		<-g.passed
 		if f == setting.FencingChecked {
 			require.Equal(t, v2, <-answers)
-			require.Equal(t, before.Generation, next.serves("e1", v2).Generation)
-			require.Equal(t, 1, b.doneLoads("e1"))
+			require.Equal(t, before.Generation, next.awaitServing("e1", v2).Generation)
+			require.Equal(t, 1, b.completedLoads("e1"))
 			return
 		}
 		require.Equal(t, fmt.Sprint(code.WeightsChanged), <-answers)
-		b.await(func() bool { return next.upstream("e1").Generation > before.Generation }, "loaded again")
-		next.serves("e1", v2)
+		b.await(func() bool { return next.upstream("e1").Generation > before.Generation }, "e1 was loaded again")
+		next.awaitServing("e1", v2)
 		require.NotEqual(t, v1, b.state("e1").Digest)
 		digest, failed := next.generate("e1", "after", 3)
 		require.Nil(t, failed)
@@ -177,64 +178,66 @@
 	})
 }
 
-// started tells whether an engine runs a request.
-func (b *bench) started(name string) bool {
+// hasRunning reports whether an engine runs a request.
+func (b *testEnv) hasRunning(name string) bool {
 	var all map[string]engine.Stats
 	require.NoError(b.t, json.Unmarshal(b.call(http.MethodGet, b.engines.URL+"/admin/stats", ""), &all))
 	return all[name].Running > 0
 }
 
-// TestAgentDiesWhileLoading ends an agent in the middle of a load order; its replacement loads the whole.
-func TestAgentDiesWhileLoading(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, "e1")
+// TestReplacementRepeatsUnfinishedLoad guards against an engine that stays without weights, or with a part of them, when
+// its agent stops in the middle of a load order. The replacement must load the complete version.
+func TestReplacementRepeatsUnfinishedLoad(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, "e1")
 		v1 := b.apply("v1")
-		g := newGate(t, holdMiddle)
+		g := newInterceptor(t, delayMidBody)
 		old := b.agent("host-1", []string{"e1"}, g.install)
 		<-g.reached
 		old.pause()
 		next := b.agent("host-1", []string{"e1"})
-		next.serves("e1", v1)
-		require.Equal(t, 1, b.doneLoads("e1"))
-		b.checkLog("v1")
+		next.awaitServing("e1", v1)
+		require.Equal(t, 1, b.completedLoads("e1"))
+		b.checkEngineLog("v1")
 	})
 }
 
-// TestPausedInTheMiddleOfAnOrder lets an agent go on that was paused in the middle of an order's body.
-func TestPausedInTheMiddleOfAnOrder(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, "e1")
+// TestAgentPausedMidOrderChangesNothing guards against an agent that was paused while it sent the body of an order, and
+// sends the rest after its replacement has loaded another version.
+func TestAgentPausedMidOrderChangesNothing(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, "e1")
 		b.apply("v1")
-		g := newGate(t, holdMiddle)
+		g := newInterceptor(t, delayMidBody)
 		old := b.agent("host-1", []string{"e1"}, g.install)
 		<-g.reached
 		resume := old.pause()
 		v2 := b.apply("v2")
 		next := b.agent("host-1", []string{"e1"})
-		before := next.serves("e1", v2)
+		before := next.awaitServing("e1", v2)
 		g.release()
 		resume()
 		<-g.passed
-		b.await(old.superseded, "the old agent knows")
-		require.Equal(t, before.Generation, next.serves("e1", v2).Generation)
+		b.await(old.superseded, "the old agent knows that it was replaced")
+		require.Equal(t, before.Generation, next.awaitServing("e1", v2).Generation)
 		require.Equal(t, v2, b.state("e1").Digest)
-		b.checkLog("v2")
+		b.checkEngineLog("v2")
 	})
 }
 
-// TestAnswerIsConfirmed withholds an answer whose engine was loaded by someone else during the run, although no
-// reading came in between: the engine is read back when the run ends.
-func TestAnswerIsConfirmed(t *testing.T) {
-	b := newBench(t, setting.FencingIgnored, "e1")
+// TestWeightsAreVerifiedAfterRun guards against a response from mixed weights: another sender loads the engine during the
+// run, and no regular read of the state falls in between. The state must be read again when the run ends.
+func TestWeightsAreVerifiedAfterRun(t *testing.T) {
+	b := newTestEnv(t, setting.FencingIgnored, "e1")
 	v1 := b.apply("v1")
 	a := b.agent("host-1", []string{"e1"}, func(a *Agent) { a.config.Orders.Poll = time.Hour })
-	a.serves("e1", v1)
+	a.awaitServing("e1", v1)
 	failures := make(chan *failure, 1)
 	go func() {
 		_, failed := a.generate("e1", "across", 400)
 		failures <- failed
 	}()
-	b.await(func() bool { return b.started("e1") }, "a run is on its way")
+	b.await(func() bool { return b.hasRunning("e1") }, "e1 runs a request")
 	req, err := http.NewRequest(http.MethodPut, b.engines.URL+"/e1/orders/load", strings.NewReader("other weights"))
 	require.NoError(t, err)
 	req.Header.Set("Weights-Digest", "other")
@@ -243,6 +246,6 @@
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 	failed := <-failures
-	require.NotNil(t, failed, "an answer from mixed weights")
+	require.NotNil(t, failed, "a response from mixed weights")
 	require.Equal(t, code.WeightsChanged, failed.code)
 }
--- a/internal/agent/orders_platform.go
+++ b/internal/agent/orders_platform.go
@@ -13,11 +13,12 @@
 	"samphireweir.example/samphireweir/internal/objectapi"
 )
 
-// objectTimeout bounds a call to the object API; a call that takes longer counts as failed, its outcome as unknown.
+// objectTimeout bounds a call to the object API. A call that takes longer has failed with unknown outcome.
 const objectTimeout = 3 * time.Second
 
-// carryPlatform carries out the calls for the incarnation and for slots. It reports whether e was one of them.
-func (a *Agent) carryPlatform(e step.Effect) bool {
+// executeObjectEffect carries out an effect that reads or writes the incarnation or the slots in the object API, or that
+// reports the incarnation as held or lost. It reports whether e was one of them.
+func (a *Agent) executeObjectEffect(e step.Effect) bool {
 	switch e := e.(type) {
 	case incarnation.Read:
 		go func() { a.Loop.Step(a.readIncarnation(e)) }()
@@ -69,7 +70,7 @@
 	return slot.Present{Key: e.Key, Version: item.Version, Value: item.Value, Conflict: conflict}
 }
 
-// readObject reads an object; one that does not exist has version 0.
+// readObject reads an object. An object that does not exist is returned with version 0.
 func (a *Agent) readObject(key string) (objectapi.Item, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), objectTimeout)
 	defer cancel()
@@ -80,8 +81,8 @@
 	return item, err
 }
 
-// writeObject writes an object on condition of its version. It returns the object as it now is: as written, or as
-// it was when the condition failed, which conflict tells.
+// writeObject writes an object if its version is ifVersion. On a version conflict it returns the object that is present
+// and sets conflict; else it returns the object as written.
 func (a *Agent) writeObject(key string, value []byte, ifVersion uint64) (item objectapi.Item, conflict bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), objectTimeout)
 	defer cancel()
--- a/internal/agent/output.go
+++ b/internal/agent/output.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// keepBytes is how much of an answer is kept for a resume, before and after the reader's place together.
-	keepBytes = 1 << 20
-	// aheadBytes is how far the upstream may run ahead of the connection to the entry.
-	aheadBytes = 256 << 10
+	// maxRetainedBytes is how many bytes of a response are retained so that it can be resumed, before and after the
+	// reader's position together.
+	maxRetainedBytes = 1 << 20
+	// maxUnreadBytes is how many bytes the upstream may be ahead of the connection to the entry.
+	maxUnreadBytes = 256 << 10
 )
 
-// output is the answer of one run, between the upstream that writes it and the connections that read it. One
-// connection reads at a time; a later one takes over.
+// output buffers the response of one run between the upstream, which writes it, and the connections of the entry, which
+// read it. One connection reads at a time; a later one replaces it.
 type output struct {
 	mu      sync.Mutex
 	changed chan struct{}
 	status  int
 	header  http.Header
-	// base is the offset in the answer of buf's first byte.
+	// base is the offset of buf's first byte in the response.
 	base  int64
 	buf   []byte
 	ended bool
 	fail  *failure
-	// sum hashes the whole answer.
+	// sum is the hash of all bytes of the response so far.
 	sum *xxhash.Digest
-	// reader numbers the present connection; read is how far it has got.
-	reader int
-	read   int64
+	// reader is the number of the current connection; readOffset is its position in the response.
+	reader     int
+	readOffset int64
 }
 
 func newOutput() *output { return &output{changed: make(chan struct{}), sum: xxhash.New()} }
@@ -49,28 +50,28 @@
 	o.notify()
 }
 
-// behind tells whether the upstream has to wait for the connection to the entry.
-func (o *output) behind() bool {
+// full reports whether the upstream has to wait until the connection to the entry has read more.
+func (o *output) full() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.base+int64(len(o.buf))-o.read >= aheadBytes
+	return o.base+int64(len(o.buf))-o.readOffset >= maxUnreadBytes
 }
 
-// begun tells whether the head is set.
-func (o *output) begun() bool {
+// headSet reports whether setHead was called.
+func (o *output) headSet() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.status != 0
 }
 
-// write appends bytes of the answer, waiting while the connection is too far behind. It reports false when stop
-// is closed first.
+// write appends bytes of the response. It blocks while maxUnreadBytes or more are unread, and reports false if stop is
+// closed before it could append.
 func (o *output) write(p []byte, stop <-chan struct{}) bool {
 	for {
 		o.mu.Lock()
-		ahead := o.base + int64(len(o.buf)) - o.read
+		ahead := o.base + int64(len(o.buf)) - o.readOffset
 		wait := o.changed
-		if ahead < aheadBytes {
+		if ahead < maxUnreadBytes {
 			o.append(p)
 			o.mu.Unlock()
 			return true
@@ -84,16 +85,18 @@
 	}
 }
 
+// append adds p and drops the oldest bytes beyond maxRetainedBytes; the caller holds mu.
 func (o *output) append(p []byte) {
 	_, _ = o.sum.Write(p)
 	o.buf = append(o.buf, p...)
-	if over := len(o.buf) - keepBytes; over > 0 {
+	if over := len(o.buf) - maxRetainedBytes; over > 0 {
 		o.buf = append([]byte(nil), o.buf[over:]...)
 		o.base += int64(over)
 	}
 	o.notify()
 }
 
+// end marks the end of the response; f is nil if it is complete. Only the first call counts.
 func (o *output) end(f *failure) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -105,7 +108,8 @@
 	o.notify()
 }
 
-// attach makes the caller the present reader, from offset. It reports false when that part is no longer kept.
+// attach makes the caller the current reader, starting at offset. It reports false if the bytes at offset are no longer
+// retained or not yet written.
 func (o *output) attach(offset int64) (reader int, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -113,26 +117,29 @@
 		return 0, false
 	}
 	o.reader++
-	o.read = offset
+	o.readOffset = offset
 	o.notify()
 	return o.reader, true
 }
 
-// snapshot is what a reader sees at one moment.
+// snapshot is the state of an output as one call of next returns it.
 type snapshot struct {
-	// replaced is set when another connection has taken over.
+	// replaced is set when another connection has replaced the reader.
 	replaced bool
 	status   int
 	header   http.Header
 	data     []byte
-	ended    bool
-	fail     *failure
-	total    int64
-	sum      uint64
-	changed  <-chan struct{}
+	// ended is set when the response has ended and data is its last part; fail, total and sum then describe its end.
+	ended bool
+	fail  *failure
+	// total is the size of the response so far, in bytes.
+	total int64
+	sum   uint64
+	// changed is closed at the next change of the output.
+	changed <-chan struct{}
 }
 
-// next returns what there is after the reader's place, at most limit bytes, and moves the place.
+// next returns at most limit bytes after the reader's position and advances it.
 func (o *output) next(reader, limit int) snapshot {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -140,15 +147,15 @@
 	if s.replaced {
 		return s
 	}
-	from := int(o.read - o.base)
+	from := int(o.readOffset - o.base)
 	n := min(limit, len(o.buf)-from)
 	s.data = append([]byte(nil), o.buf[from:from+n]...)
-	o.read += int64(n)
+	o.readOffset += int64(n)
 	if n > 0 {
 		o.notify()
 		s.changed = o.changed
 	}
-	s.ended = o.ended && o.read == s.total
+	s.ended = o.ended && o.readOffset == s.total
 	s.fail = o.fail
 	s.sum = o.sum.Sum64()
 	return s
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -15,119 +15,123 @@
 )
 
 const (
-	// probeInterval is how long an upstream may be silent before it is asked whether it lives, and the time between
-	// two such questions.
+	// probeInterval is how long an upstream may be silent before it is probed, and the time between two probes.
 	probeInterval = time.Second
-	// openFor is how long a question to a silent upstream stays open at least: an answer that comes late is a sign of life as well. The upstream is
-	// taken for frozen when no answer came to it, nor to the one after it, which is asked over another connection. Given up after 0.5 s, an
-	// engine whose answers took 0.7 s was taken for frozen, and its caller told so. A frozen one is found probeInterval and openFor after its
-	// last byte.
-	openFor = 2 * time.Second
-	// defaultStalledAfter is how long an answer that has begun may bring no byte though its upstream lives: its
-	// connection is dead then, or the upstream has forgotten it.
+	// minProbeTimeout is how long a probe of a silent upstream waits for a response at least; a late response is a sign
+	// of life as well. An upstream counts as frozen when a probe was not answered and neither a later probe, which uses
+	// a connection of its own, nor a byte of the response showed a sign of life since. With a timeout of 0.5 s, an
+	// engine that took 0.7 s to respond was taken for frozen and the caller's request failed. A frozen upstream is
+	// detected probeInterval plus minProbeTimeout after its last byte.
+	minProbeTimeout = 2 * time.Second
+	// defaultStalledAfter is how long a response that has started may deliver no byte although its upstream answers
+	// probes. After that its connection is dead, or the upstream has dropped the request.
 	defaultStalledAfter = 15 * time.Second
 )
 
-// probed is the outcome of a question to an upstream.
-type probed struct {
-	asked  time.Time
+// probeResult is the outcome of a probe that was sent at sentAt.
+type probeResult struct {
+	sentAt time.Time
 	health run.Health
 }
 
-// watch tells a slow upstream from a dead one while a run is silent, until the run ends.
-func (a *Agent) watch(x *execution) {
-	began := time.Now()
-	answers := make(chan probed, int(openAtMost/probeInterval)+1) // As many as may be open at once.
-	alive := began
+// monitor probes the upstream of a run while it sends nothing, to tell a slow upstream from a dead one. It returns when
+// the run ends.
+func (a *Agent) monitor(x *execution) {
+	startedAt := time.Now()
+	results := make(chan probeResult, int(maxProbeTimeout/probeInterval)+1) // The maximum number of concurrent probes.
+	lastAlive := startedAt
 	ticks := time.NewTicker(probeInterval)
 	defer ticks.Stop()
 	for {
 		select {
 		case <-x.ctx.Done():
 			return
-		case got := <-answers:
-			alive = x.judge(got, alive, x.silent(began))
+		case result := <-results:
+			lastAlive = x.applyProbe(result, lastAlive, x.silence(startedAt))
 		case <-ticks.C:
-			if silent := x.silent(began); silent >= probeInterval {
-				a.giveUpStalled(x, silent)
-				go a.ask(x, answers)
+			if silent := x.silence(startedAt); silent >= probeInterval {
+				a.cancelIfStalled(x, silent)
+				go a.sendProbe(x, results)
 			} else {
-				alive = time.Now()
+				lastAlive = time.Now()
 			}
 		}
 	}
 }
 
-// silent is how long the upstream has sent nothing to a run that began at a moment.
-func (x *execution) silent(began time.Time) time.Duration {
-	if x.out.behind() {
-		x.touch() // The reader is slow, not the upstream.
+// silence returns how long the upstream has sent nothing to a run that started at startedAt.
+func (x *execution) silence(startedAt time.Time) time.Duration {
+	if x.out.full() {
+		x.recordActivity() // The reader is slow, not the upstream.
 	}
-	if heard := x.heard.Load(); heard != 0 {
-		return time.Since(time.Unix(0, heard))
+	if last := x.lastActivity.Load(); last != 0 {
+		return time.Since(time.Unix(0, last))
 	}
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
-// giveUpStalled ends a run whose connection brings nothing for too long, whatever its upstream says.
-func (a *Agent) giveUpStalled(x *execution, silent time.Duration) {
-	firstByte := time.Duration(x.env.DeadlineMS) * time.Millisecond / 2
-	heard := x.heard.Load() != 0
-	if heard && silent > a.config.StalledAfter || !heard && firstByte > 0 && silent > firstByte {
+// cancelIfStalled cancels a run whose connection has delivered nothing for too long, even if its upstream answers probes.
+// The limit is StalledAfter, or half of the deadline before the first byte.
+func (a *Agent) cancelIfStalled(x *execution, silent time.Duration) {
+	firstByteTimeout := time.Duration(x.env.DeadlineMS) * time.Millisecond / 2
+	responding := x.lastActivity.Load() != 0
+	if responding && silent > a.config.StalledAfter || !responding && firstByteTimeout > 0 && silent > firstByteTimeout {
 		x.cancel(errStalled)
 	}
 }
 
-func (a *Agent) ask(x *execution, answers chan<- probed) {
-	asked := time.Now()
+// sendProbe probes the upstream of a run and sends the result to results.
+func (a *Agent) sendProbe(x *execution, results chan<- probeResult) {
+	sentAt := time.Now()
 	health := a.diagnose(x)
 	select {
-	case answers <- probed{asked: asked, health: health}:
+	case results <- probeResult{sentAt: sentAt, health: health}:
 	case <-x.ctx.Done():
 	}
 }
 
-// judge ends a run whose upstream is gone or frozen. alive is when the upstream last showed that it lives, and silent for how long it has sent
-// nothing; judge returns alive anew.
-func (x *execution) judge(got probed, alive time.Time, silent time.Duration) time.Time {
-	switch got.health {
+// applyProbe cancels a run whose upstream has crashed or is frozen. lastAlive is when the upstream last showed a sign of
+// life, and silent is how long it has sent nothing to the run. applyProbe returns the new value of lastAlive.
+func (x *execution) applyProbe(result probeResult, lastAlive time.Time, silent time.Duration) time.Time {
+	switch result.health {
 	case run.Crashing:
 		x.cancel(errCrashed)
 	case run.Unanswered:
-		if got.asked.After(alive) && silent >= time.Since(got.asked) {
+		if result.sentAt.After(lastAlive) && silent >= time.Since(result.sentAt) {
 			x.cancel(errFrozen)
 		}
 	default:
 		return time.Now()
 	}
-	return alive
+	return lastAlive
 }
 
-// diagnose asks the upstream over a new connection whether it is still the process that took the run.
+// diagnose checks over a new connection whether the upstream is still the process that received the run.
 func (a *Agent) diagnose(x *execution) run.Health {
 	return run.Diagnose(x.start.Kind, x.start.BootID, a.probe(x.start))
 }
 
+// probe sends one liveness probe: a read of the state to an engine, a TCP connection to a plain service.
 func (a *Agent) probe(s run.Start) run.Probe {
-	asked := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), a.answers.wait(asked))
+	sentAt := time.Now()
+	ctx, cancel := context.WithTimeout(context.Background(), a.probeTimes.timeout(sentAt))
 	defer cancel()
 	if s.Kind != setting.Engine {
 		return probeConnection(ctx, s.URL)
 	}
 	state, err := a.prober.State(ctx, s.URL)
 	if err == nil {
-		a.answers.note(time.Now(), time.Since(asked))
+		a.probeTimes.record(time.Now(), time.Since(sentAt))
 		return run.Probe{BootID: state.BootID}
 	}
 	if ctx.Err() != nil {
 		return run.Probe{Silent: true}
 	}
-	// A refused or reset connection, or a status that says that the engine is not up.
+	// The connection was refused or reset, or the status code shows that the engine is not up.
 	return run.Probe{Refused: true}
 }
 
-// probeConnection asks a plain service for no more than a connection: any call to it might have an effect.
+// probeConnection probes a plain service by opening a TCP connection only: any request might have side effects.
 func probeConnection(ctx context.Context, base string) run.Probe {
 	u, err := url.Parse(base)
 	if err != nil {
@@ -146,10 +150,11 @@
 	return run.Probe{Refused: ctx.Err() == nil, Silent: ctx.Err() != nil}
 }
 
-// newProber returns a client of engines that makes a new connection for each question.
+// newProber returns an engine client that opens a new connection for each probe.
 func newProber() *engine.Client { return engine.NewClient(newUpstreamClient(false)) }
 
-// cancelAtUpstream tells an engine that a request was given up on. Its connection, which closes too, may be silent.
+// cancelAtUpstream sends a cancellation of the request to its engine. The request's connection is closed as well, but
+// the engine may not notice that.
 func (a *Agent) cancelAtUpstream(x *execution) {
 	if x.start.Kind != setting.Engine {
 		return
@@ -163,11 +168,11 @@
 			return
 		}
 		req.Header.Set("Content-Type", "application/json")
-		if resp, err := a.single.Do(req); err == nil {
+		if resp, err := a.singleUseClient.Do(req); err == nil {
 			_ = resp.Body.Close()
 		}
 	}()
 }
 
-// doubt has the core read an upstream's state at once, so that nothing more goes to one that is gone.
-func (a *Agent) doubt(start run.Start) { a.Loop.Step(rollout.Doubted{Upstream: start.Upstream}) }
+// recheck has the core read an upstream's state at once, so that a crashed upstream gets no further requests.
+func (a *Agent) recheck(start run.Start) { a.Loop.Step(rollout.Doubted{Upstream: start.Upstream}) }
--- a/internal/agent/probe_test.go
+++ b/internal/agent/probe_test.go
@@ -10,11 +10,12 @@
 	"samphireweir.example/samphireweir/internal/core/run"
 )
 
-// TestOnlyAnUpstreamThatShowsNoSignOfLifeIsFrozen judges a question that stayed open for two seconds.
-func TestOnlyAnUpstreamThatShowsNoSignOfLifeIsFrozen(t *testing.T) {
+// TestOnlySilentUpstreamIsFrozen guards against a run that is cancelled because one probe timed out after 2 s, although
+// a later probe or a byte of the response showed that the upstream is alive.
+func TestOnlySilentUpstreamIsFrozen(t *testing.T) {
 	for name, c := range map[string]struct {
 		health run.Health
-		// alive is how long ago a later question was answered, and silent how long ago the last byte came.
+		// alive is how long ago a later probe was answered, and silent how long ago the last byte was received.
 		alive, silent time.Duration
 		cause         error
 	}{
@@ -28,7 +29,7 @@
 			ctx, cancel := context.WithCancelCause(context.Background())
 			x := &execution{ctx: ctx, cancel: cancel}
 			now := time.Now()
-			x.judge(probed{asked: now.Add(-openFor), health: c.health}, now.Add(-c.alive), c.silent)
+			x.applyProbe(probeResult{sentAt: now.Add(-minProbeTimeout), health: c.health}, now.Add(-c.alive), c.silent)
 			require.ErrorIs(t, context.Cause(ctx), c.cause)
 		})
 	}
--- a/internal/agent/contain.go
+++ b/internal/agent/recover.go
@@ -2,8 +2,9 @@
 
 import "samphireweir.example/samphireweir/internal/code"
 
-// contained calls an upstream; a panic in it ends this one run and no other.
-func (a *Agent) contained(call func() *failure) (f *failure) {
+// withPanicRecovery calls call, which executes one run. A panic fails this run only; whether the request was executed
+// is then unknown.
+func (a *Agent) withPanicRecovery(call func() *failure) (f *failure) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			a.NotePanic("run", cause)
--- a/internal/agent/contain_test.go
+++ b/internal/agent/recover_test.go
@@ -11,11 +11,12 @@
 	"samphireweir.example/samphireweir/internal/telemetry"
 )
 
-// TestPanicEndsOneRun makes a fault of the program the failure of its run, which may have been executed.
-func TestPanicEndsOneRun(t *testing.T) {
+// TestPanicFailsOnlyItsRun guards against a panic in one run that ends the process. The run must fail with an unknown
+// outcome, since the upstream may have executed it.
+func TestPanicFailsOnlyItsRun(t *testing.T) {
 	a := &Agent{Process: &node.Process{Telemetry: telemetry.New(nil), Log: zerolog.Nop()}}
-	f := a.contained(func() *failure { panic("a fault") })
+	f := a.withPanicRecovery(func() *failure { panic("a fault") })
 	require.Equal(t, &failure{code: code.InternalFault, ran: code.Unknown}, f)
 	require.EqualValues(t, 1, a.Telemetry.Metrics.Panics.Value("run"))
-	require.Nil(t, a.contained(func() *failure { return nil }))
+	require.Nil(t, a.withPanicRecovery(func() *failure { return nil }))
 }
--- a/internal/agent/behind.go
+++ b/internal/agent/revision.go
@@ -8,9 +8,9 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// caughtUp brings this agent to the revision of the setting that the entry has, and tells whether it got there.
-// Nothing of the request has started before.
-func (a *Agent) caughtUp(ctx context.Context, env frame.Envelope) bool {
+// ensureRevision waits until this agent has the revision of the service's setting that the entry has, and reports
+// whether it does. It is called before the request starts, so a failure means that the request was not executed.
+func (a *Agent) ensureRevision(ctx context.Context, env frame.Envelope) bool {
 	key := ""
 	a.Loop.View(func(s *core.State) {
 		if u := s.Rollout.Upstreams[env.Upstream]; u != nil {
--- a/internal/agent/rollout_bench_test.go
+++ b/internal/agent/rollout_bench_test.go
@@ -13,55 +13,55 @@
 	"samphireweir.example/samphireweir/internal/standin/objectapi"
 )
 
-// benchLoad is how long each load of a measured rollout takes at least.
-const benchLoad = time.Second
+// measuredLoadTime is the minimum duration of each load in a measured rollout.
+const measuredLoadTime = time.Second
 
-// BenchmarkRollout measures rollouts of a new version over hosts with one engine each, at the default times: how
-// long one takes against engines / max_unavailable loads in a row, and its calls on the object API. Each iteration
-// is a rollout. All agents run in this process.
+// BenchmarkRollout measures rollouts of a new version over hosts with one engine each, with the default timing: the
+// duration, its ratio to that of engines / max_unavailable loads in sequence, and the calls to the object API. Each
+// iteration is one rollout. All agents run in this process.
 //
 //	go test -run '^$' -bench Rollout -benchtime 3x ./internal/agent
 func BenchmarkRollout(b *testing.B) {
-	for _, size := range []struct{ engines, away int }{{8, 2}, {16, 4}, {32, 8}, {64, 16}, {32, 4}, {32, 16}} {
-		b.Run(fmt.Sprintf("engines=%d/away=%d", size.engines, size.away), func(b *testing.B) {
-			measureRollouts(b, size.engines, size.away)
+	for _, size := range []struct{ engines, maxUnavailable int }{{8, 2}, {16, 4}, {32, 8}, {64, 16}, {32, 4}, {32, 16}} {
+		b.Run(fmt.Sprintf("engines=%d/away=%d", size.engines, size.maxUnavailable), func(b *testing.B) {
+			measureRollouts(b, size.engines, size.maxUnavailable)
 		})
 	}
 }
 
-func measureRollouts(b *testing.B, engines, away int) {
+func measureRollouts(b *testing.B, engines, maxUnavailable int) {
 	var names []string
 	for i := range engines {
 		names = append(names, fmt.Sprint("e", i))
 	}
-	bench := buildBench(b, setting.FencingChecked, names...)
-	bench.setting.MaxUnavailable = away
-	first := bench.apply("v0")
-	var agents []*running
+	env := buildTestEnv(b, setting.FencingChecked, names...)
+	env.setting.MaxUnavailable = maxUnavailable
+	first := env.apply("v0")
+	var agents []*testAgent
 	for i, name := range names {
-		agents = append(agents, bench.agent(fmt.Sprint("host-", i), []string{name}, func(a *Agent) {
+		agents = append(agents, env.agent(fmt.Sprint("host-", i), []string{name}, func(a *Agent) {
 			a.config.Orders = rollout.Timing{}
-			slowLoadsBy(benchLoad)(a)
+			slowLoadsBy(measuredLoadTime)(a)
 		}))
 	}
 	for i, a := range agents {
-		a.serves(names[i], first)
+		a.awaitServing(names[i], first)
 	}
-	time.Sleep(2 * time.Second) // Slots of the first loads, if any, are given back.
-	before := bench.objectStats()
+	time.Sleep(2 * time.Second) // Slots of the initial loads, if any, are released.
+	before := env.objectStats()
 	b.ResetTimer()
 	for n := range b.N {
-		digest := bench.apply(fmt.Sprint("v", n+1))
+		digest := env.apply(fmt.Sprint("v", n+1))
 		for i, a := range agents {
-			a.serves(names[i], digest)
+			a.awaitServing(names[i], digest)
 		}
 	}
 	took := b.Elapsed()
 	b.StopTimer()
 	time.Sleep(2 * time.Second)
-	after := bench.objectStats()
+	after := env.objectStats()
 	runs := float64(b.N)
-	ideal := benchLoad * time.Duration(engines/away)
+	ideal := measuredLoadTime * time.Duration(engines/maxUnavailable)
 	b.ReportMetric(took.Seconds()/runs, "s/rollout")
 	b.ReportMetric(took.Seconds()/runs/ideal.Seconds(), "times-ideal")
 	b.ReportMetric(float64(after.Writes-before.Writes)/runs, "writes/rollout")
@@ -69,7 +69,8 @@
 	b.ReportMetric(float64(after.Reads-before.Reads)/runs, "reads/rollout")
 }
 
-func (b *bench) objectStats() objectapi.Stats {
+// objectStats returns the counts of calls to the object API.
+func (b *testEnv) objectStats() objectapi.Stats {
 	resp, err := http.Get(b.objects.URL + "/admin/stats")
 	if err != nil {
 		b.t.Fatal(err)
--- a/internal/agent/rollout_test.go
+++ b/internal/agent/rollout_test.go
@@ -19,43 +19,44 @@
 	"samphireweir.example/samphireweir/internal/standin/engine"
 )
 
-// fleet starts hosts with two engines each and waits until all serve v1.
-func (b *bench) fleet(hosts int, change ...func(*Agent)) (agents []*running, v1 string) {
+// startFleet starts hosts with two engines each and waits until all of them serve v1.
+func (b *testEnv) startFleet(hosts int, change ...func(*Agent)) (agents []*testAgent, v1 string) {
 	v1 = b.apply("v1")
 	for i := range hosts {
 		agents = append(agents, b.agent(fmt.Sprint("host-", i), b.pair(i), change...))
 	}
-	b.allServe(agents, v1)
+	b.awaitAllServing(agents, v1)
 	return agents, v1
 }
 
-// pair names the engines of a host.
-func (b *bench) pair(i int) []string { return []string{fmt.Sprint("e", 2*i), fmt.Sprint("e", 2*i+1)} }
+// pair returns the names of the two engines of host i.
+func (b *testEnv) pair(i int) []string { return []string{fmt.Sprint("e", 2*i), fmt.Sprint("e", 2*i+1)} }
 
-func (b *bench) allServe(agents []*running, digest string) {
+func (b *testEnv) awaitAllServing(agents []*testAgent, digest string) {
 	b.t.Helper()
 	for i, a := range agents {
 		for _, e := range b.pair(i) {
-			a.serves(e, digest)
+			a.awaitServing(e, digest)
 		}
 	}
 }
 
 func sixEngines() []string { return []string{"e0", "e1", "e2", "e3", "e4", "e5"} }
 
-// slowLoads makes each load order take a while, so that loads of different engines would overlap.
+// slowLoads makes each load order take slowLoad at least, so that loads of different engines overlap if nothing
+// prevents it.
 func slowLoads(a *Agent) { slowLoadsBy(slowLoad)(a) }
 
 func slowLoadsBy(d time.Duration) func(*Agent) {
 	return func(a *Agent) {
-		next := a.orderTransport
-		a.orderTransport = func(permit func() error) http.RoundTripper {
+		next := a.newOrderTransport
+		a.newOrderTransport = func(permit func() error) http.RoundTripper {
 			return &slowTransport{next: next(permit), by: d}
 		}
 	}
 }
 
-// slowLoad is how long a slow load takes at least.
+// slowLoad is the minimum duration of a slow load.
 const slowLoad = 150 * time.Millisecond
 
 type slowTransport struct {
@@ -63,7 +64,7 @@
 	by   time.Duration
 }
 
-// RoundTrip sends a call; the body of a load begins late.
+// RoundTrip sends a call and slows down the body of a load order.
 func (s *slowTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if strings.HasSuffix(r.URL.Path, "/orders/load") {
 		r.Body = &slowBody{ReadCloser: r.Body, by: s.by}
@@ -78,9 +79,9 @@
 	slow bool
 }
 
-// Read reads the next piece; one of them takes long.
+// Read reads from the body; it sleeps once after pauseAfterBytes.
 func (s *slowBody) Read(p []byte) (int, error) {
-	if s.read >= heldAfter && !s.slow {
+	if s.read >= pauseAfterBytes && !s.slow {
 		s.slow = true
 		time.Sleep(s.by)
 	}
@@ -89,8 +90,9 @@
 	return n, err
 }
 
-// mostAway is the most engines that loaded at once, by the engines' own log, of those that had served before.
-func (b *bench) mostAway() int {
+// maxUnavailable returns the maximum number of engines that loaded at the same time, according to the log of the engine
+// stand-in. The first load of an engine does not count.
+func (b *testEnv) maxUnavailable() int {
 	type edge struct {
 		at    int64
 		delta int
@@ -106,17 +108,17 @@
 		served[e.Engine] = served[e.Engine] || e.Outcome == "done"
 	}
 	slices.SortFunc(edges, func(x, y edge) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.delta, y.delta)) })
-	away, most := 0, 0
+	loading, highest := 0, 0
 	for _, e := range edges {
-		away += e.delta
-		most = max(most, away)
+		loading += e.delta
+		highest = max(highest, loading)
 	}
-	return most
+	return highest
 }
 
-// slots reads the holders in the service's object.
-func (b *bench) slots() string {
-	resp, err := http.Get(b.objects.URL + "/v1/objects/" + slot.Key(benchTeam, benchService))
+// slotsObject reads the object with the slots of the service.
+func (b *testEnv) slotsObject() string {
+	resp, err := http.Get(b.objects.URL + "/v1/objects/" + slot.Key(testTeam, testService))
 	require.NoError(b.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
@@ -124,39 +126,41 @@
 	return string(raw)
 }
 
-// TestRolloutInWaves changes the version of six engines with two away at once at most.
-func TestRolloutInWaves(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, sixEngines()...)
+// TestRolloutRespectsMaxUnavailable guards against a rollout that takes more engines out of service at once than
+// max_unavailable, here two of six.
+func TestRolloutRespectsMaxUnavailable(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, sixEngines()...)
 		b.setting.MaxUnavailable = 2
-		agents, _ := b.fleet(3, slowLoads)
+		agents, _ := b.startFleet(3, slowLoads)
 		v2 := b.apply("v2")
-		b.allServe(agents, v2)
-		require.LessOrEqual(t, b.mostAway(), 2)
-		b.await(func() bool { return strings.Contains(b.slots(), `"holders":[]`) }, "slots given back: %s", b.slots())
-		b.checkLog("v1", "v2")
+		b.awaitAllServing(agents, v2)
+		require.LessOrEqual(t, b.maxUnavailable(), 2)
+		b.await(func() bool { return strings.Contains(b.slotsObject(), `"holders":[]`) }, "the slots are released: %s", b.slotsObject())
+		b.checkEngineLog("v1", "v2")
 	})
 }
 
-// TestRollbackInTheMiddle goes back while the first engine of a rollout loads. The others never leave service.
-func TestRollbackInTheMiddle(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, sixEngines()...)
-		agents, v1 := b.fleet(3, slowLoads)
+// TestRollbackDuringRollout checks a rollback while the first engine of a rollout loads. The rollout must stop, and at
+// most one engine at a time may be out of service.
+func TestRollbackDuringRollout(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, sixEngines()...)
+		agents, v1 := b.startFleet(3, slowLoads)
 		v2 := b.apply("v2")
-		b.await(func() bool { return b.loading() > 0 }, "an engine loads")
+		b.await(func() bool { return b.loadingCount() > 0 }, "an engine loads")
 		b.apply("v1")
-		b.allServe(agents, v1)
+		b.awaitAllServing(agents, v1)
 		for _, e := range sixEngines() {
 			b.await(func() bool { return b.state(e).Digest == v1 }, "%s holds v1", e)
 		}
-		b.checkLog("v1", "v2")
-		require.LessOrEqual(t, b.mostAway(), 1)
-		require.Less(t, b.loadsOf(v2), len(sixEngines()))
+		b.checkEngineLog("v1", "v2")
+		require.LessOrEqual(t, b.maxUnavailable(), 1)
+		require.Less(t, b.completedLoadsOf(v2), len(sixEngines()))
 	})
 }
 
-func (b *bench) loading() int {
+func (b *testEnv) loadingCount() int {
 	n := 0
 	for _, e := range sixEngines() {
 		if b.state(e).Loading {
@@ -166,7 +170,7 @@
 	return n
 }
 
-func (b *bench) loadsOf(digest string) int {
+func (b *testEnv) completedLoadsOf(digest string) int {
 	n := 0
 	for _, e := range b.loads() {
 		if e.Digest == digest && e.Outcome == "done" {
@@ -176,121 +180,124 @@
 	return n
 }
 
-// TestSlotHolderDies lets the agent stand still whose engine is away; the others go on once its slot expired.
-func TestSlotHolderDies(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, sixEngines()...)
+// TestRolloutContinuesAfterSlotExpires guards against a rollout that blocks forever because the agent that holds the slot
+// is paused while its engine loads. The other agents must proceed once the slot has expired.
+func TestRolloutContinuesAfterSlotExpires(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, sixEngines()...)
 		v1 := b.apply("v1")
-		g := newGate(t, holdMiddle)
+		g := newInterceptor(t, delayMidBody)
 		g.disarm()
-		agents := []*running{
+		agents := []*testAgent{
 			b.agent("host-0", b.pair(0), g.install), b.agent("host-1", b.pair(1)), b.agent("host-2", b.pair(2)),
 		}
-		b.allServe(agents, v1)
+		b.awaitAllServing(agents, v1)
 		g.arm()
 		v2 := b.apply("v2")
 		<-g.reached
 		resume := agents[0].pause()
 		for i, a := range agents[1:] {
 			for _, e := range b.pair(i + 1) {
-				a.serves(e, v2)
+				a.awaitServing(e, v2)
 			}
 		}
 		g.release()
 		resume()
-		b.allServe(agents, v2)
-		require.LessOrEqual(t, b.mostAway(), 2, "one that stands still and one more")
-		b.checkLog("v1", "v2")
+		b.awaitAllServing(agents, v2)
+		require.LessOrEqual(t, b.maxUnavailable(), 2, "the engine of the paused agent and one more")
+		b.checkEngineLog("v1", "v2")
 	})
 }
 
-// TestSlotHolderIsReplaced lets a new agent of the host finish what its predecessor left away.
-func TestSlotHolderIsReplaced(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, sixEngines()...)
+// TestReplacementFinishesLoadOfSlotHolder guards against an engine that stays out of service when the agent that held the
+// slot for it is replaced in the middle of the load.
+func TestReplacementFinishesLoadOfSlotHolder(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, sixEngines()...)
 		v1 := b.apply("v1")
-		g := newGate(t, holdMiddle)
+		g := newInterceptor(t, delayMidBody)
 		g.disarm()
-		agents := []*running{
+		agents := []*testAgent{
 			b.agent("host-0", b.pair(0), g.install), b.agent("host-1", b.pair(1)), b.agent("host-2", b.pair(2)),
 		}
-		b.allServe(agents, v1)
+		b.awaitAllServing(agents, v1)
 		g.arm()
 		v2 := b.apply("v2")
 		<-g.reached
 		agents[0].pause()
 		agents[0] = b.agent("host-0", b.pair(0))
-		b.allServe(agents, v2)
-		b.checkLog("v1", "v2")
+		b.awaitAllServing(agents, v2)
+		b.checkEngineLog("v1", "v2")
 	})
 }
 
-// TestLostSlotAnswers loses the answers to writes of the slots after they took effect.
-func TestLostSlotAnswers(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, sixEngines()...)
-		agents, _ := b.fleet(3, slowLoads)
-		b.fault(b.objects, `{"lose_next_answers":4,"lose_next_key_prefix":"slots/"}`)
+// TestSlotWritesWithLostResponses guards against a rollout that stops or exceeds max_unavailable because the responses to
+// writes of the slots object were lost after the writes took effect.
+func TestSlotWritesWithLostResponses(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, sixEngines()...)
+		agents, _ := b.startFleet(3, slowLoads)
+		b.setFaults(b.objects, `{"lose_next_answers":4,"lose_next_key_prefix":"slots/"}`)
 		v2 := b.apply("v2")
-		b.allServe(agents, v2)
-		require.LessOrEqual(t, b.mostAway(), 1)
-		b.checkLog("v1", "v2")
+		b.awaitAllServing(agents, v2)
+		require.LessOrEqual(t, b.maxUnavailable(), 1)
+		b.checkEngineLog("v1", "v2")
 	})
 }
 
-// TestOutageInARollout cuts the platform off while engines load: what is away comes back, nothing more goes away,
-// and the rollout goes on after the outage.
-func TestOutageInARollout(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, sixEngines()...)
-		agents, _ := b.fleet(3, slowLoads)
+// TestPlatformOutageDuringRollout checks an outage of the platform while engines load. Engines that load return to
+// service, no other engine leaves it, and the rollout continues after the outage.
+func TestPlatformOutageDuringRollout(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, sixEngines()...)
+		agents, _ := b.startFleet(3, slowLoads)
 		v2 := b.apply("v2")
-		b.await(func() bool { return b.loading() > 0 }, "an engine loads")
-		b.fault(b.objects, `{"outage":true}`)
-		time.Sleep(2 * benchTiming().Slots.Expiry)
+		b.await(func() bool { return b.loadingCount() > 0 }, "an engine loads")
+		b.setFaults(b.objects, `{"outage":true}`)
+		time.Sleep(2 * testTiming().Slots.Expiry)
 		loads := len(b.loads())
-		time.Sleep(benchTiming().Slots.Expiry)
-		require.Equal(t, loads, len(b.loads()), "an engine went away in the outage")
-		b.fault(b.objects, `{"outage":false}`)
-		b.allServe(agents, v2)
-		require.LessOrEqual(t, b.mostAway(), 1)
-		b.checkLog("v1", "v2")
+		time.Sleep(testTiming().Slots.Expiry)
+		require.Equal(t, loads, len(b.loads()), "an engine left service during the outage")
+		b.setFaults(b.objects, `{"outage":false}`)
+		b.awaitAllServing(agents, v2)
+		require.LessOrEqual(t, b.maxUnavailable(), 1)
+		b.checkEngineLog("v1", "v2")
 	})
 }
 
-// TestRoleRollsOut changes the role in waves, without a load.
-func TestRoleRollsOut(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, sixEngines()...)
-		agents, v1 := b.fleet(3)
+// TestRoleChangeNeedsNoLoad guards against needless loads when only the role of a service changes.
+func TestRoleChangeNeedsNoLoad(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, sixEngines()...)
+		agents, v1 := b.startFleet(3)
 		loads := len(b.loads())
 		b.setting.Role = setting.RoleDecode
 		b.apply("v1")
 		for _, e := range sixEngines() {
-			b.await(func() bool { return b.state(e).Role == string(setting.RoleDecode) }, "%s decodes", e)
+			b.await(func() bool { return b.state(e).Role == string(setting.RoleDecode) }, "%s has the decode role", e)
 		}
-		b.allServe(agents, v1)
+		b.awaitAllServing(agents, v1)
 		for i, a := range agents {
 			for _, e := range b.pair(i) {
 				b.await(func() bool {
 					u := a.upstream(e)
 					return u.Phase == member.Serving && u.Role == setting.RoleDecode
-				}, "%s serves in its role", e)
+				}, "%s serves in the decode role", e)
 			}
 		}
 		require.Equal(t, loads, len(b.loads()))
 	})
 }
 
-// TestAdapterRollsOut treats another adapter as another version.
-func TestAdapterRollsOut(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, sixEngines()...)
-		agents, v1 := b.fleet(3)
+// TestAdapterChangeIsRolledOut checks that a change of the adapter is rolled out like a change of the version.
+func TestAdapterChangeIsRolledOut(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, sixEngines()...)
+		agents, v1 := b.startFleet(3)
 		b.setting.Adapter = "salt"
 		salted := b.apply("v1")
 		require.NotEqual(t, v1, salted)
-		b.allServe(agents, salted)
+		b.awaitAllServing(agents, salted)
 		m, err := manifest.Parse(b.manifest("v1"))
 		require.NoError(t, err)
 		for _, e := range b.loads() {
@@ -301,11 +308,12 @@
 	})
 }
 
-// TestDrainCutsNothing lets a request that is longer than the drain's bound end under the weights it began with.
-func TestDrainCutsNothing(t *testing.T) {
-	onBoth(t, func(t *testing.T, f setting.Fencing) {
-		b := newBench(t, f, "e0", "e1")
-		agents, v1 := b.fleet(1)
+// TestDrainDoesNotAbortRequests guards against a rollout that aborts requests in flight. A request that takes longer than
+// Timing.Drain must end with the weights with which it started.
+func TestDrainDoesNotAbortRequests(t *testing.T) {
+	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
+		b := newTestEnv(t, f, "e0", "e1")
+		agents, v1 := b.startFleet(1)
 		answers := make(chan string, 1)
 		go func() {
 			digest, failed := agents[0].generate("e0", "long", 400)
@@ -314,10 +322,10 @@
 			}
 			answers <- digest
 		}()
-		b.await(func() bool { return b.started("e0") }, "a run is on its way")
+		b.await(func() bool { return b.hasRunning("e0") }, "e0 runs a request")
 		v2 := b.apply("v2")
 		require.Equal(t, v1, <-answers)
-		b.allServe(agents, v2)
-		b.checkLog("v1", "v2")
+		b.awaitAllServing(agents, v2)
+		b.checkEngineLog("v1", "v2")
 	})
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -19,32 +19,35 @@
 )
 
 const (
-	// lingerFor is how long an answer waits for a resume after its connection broke.
-	lingerFor = 5 * time.Second
-	// defaultRunTime bounds a run whose entry names no deadline.
-	defaultRunTime = 10 * time.Minute
-	// defaultMarkTimeout bounds the telling of entries that a request is suspect.
+	// resumeWindow is how long a run goes on without a connection, and how long its response is kept after its end, so
+	// that the entry can resume it.
+	resumeWindow = 5 * time.Second
+	// defaultRunTimeout bounds a run for which the entry set no deadline.
+	defaultRunTimeout = 10 * time.Minute
+	// defaultMarkTimeout bounds the delivery of a suspect's mark to the entries.
 	defaultMarkTimeout = 500 * time.Millisecond
-	// copySize is the most that is read from an upstream at once, in bytes.
-	copySize = 32 << 10
+	// readBufferSize is the maximum number of bytes that are read from an upstream, or sent in one frame, at once.
+	readBufferSize = 32 << 10
 )
 
-// execution is one run on an upstream.
+// execution is the state of one run on an upstream.
 type execution struct {
 	start  run.Start
 	env    frame.Envelope
 	out    *output
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// heard is when the upstream last sent a byte, in nanoseconds of wall-clock time; 0 before the first.
-	heard atomic.Int64
+	// lastActivity is when the upstream last sent a byte, in Unix nanoseconds; 0 before the first byte.
+	lastActivity atomic.Int64
 
-	mu     sync.Mutex
-	linger *time.Timer
-	// withheld is set when the engine's weights changed under the run.
-	withheld atomic.Bool
+	mu sync.Mutex
+	// resumeTimer cancels the run when its connection broke and no other replaced it within resumeWindow.
+	resumeTimer *time.Timer
+	// weightsChanged is set when the engine's weights changed during the run.
+	weightsChanged atomic.Bool
 }
 
+// message returns the part of an envelope that the core uses to identify a request and to detect duplicates.
 func message(env frame.Envelope) run.Message {
 	return run.Message{
 		ID:          run.ID{Request: env.Request, Attempt: env.Attempt},
@@ -52,9 +55,9 @@
 	}
 }
 
-// open reads the envelope of a call and answers its head and a beat at once, so that the entry knows that the
-// connection works, whatever the upstream does.
-func open(w http.ResponseWriter, r *http.Request) (frame.Envelope, bool) {
+// acceptCall parses the envelope of a call. It sends the response headers and a heartbeat at once, so that the entry
+// knows that the connection works while the upstream has not responded. It reports false if the call has ended.
+func acceptCall(w http.ResponseWriter, r *http.Request) (frame.Envelope, bool) {
 	env, err := frame.ParseEnvelope(r.Header)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -62,57 +65,60 @@
 	}
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	w.Header().Set("Content-Type", frame.ContentType)
-	return env, beat(w)
+	return env, writeHeartbeat(w)
 }
 
-func beat(w http.ResponseWriter) bool {
+// writeHeartbeat sends a heartbeat frame and reports whether the connection accepted it.
+func writeHeartbeat(w http.ResponseWriter) bool {
 	if frame.Write(w, frame.TypeBeat, nil) != nil {
 		return false
 	}
 	return http.NewResponseController(w).Flush() == nil
 }
 
-// handleRun takes a request from an entry, starts it if the core permits, and passes its answer on.
+// handleRun receives a request from an entry, starts it if the core allows that, and relays its response.
 func (a *Agent) handleRun(w http.ResponseWriter, r *http.Request) {
-	env, ok := open(w, r)
+	env, ok := acceptCall(w, r)
 	if !ok {
 		return
 	}
 	defer node.DrainBody(w, r)
 	body, err := readBody(w, r)
 	if err != nil {
-		return // The entry has gone, or its connection failed, before the request was whole: nothing starts.
+		return // The connection from the entry ended before the request was complete; nothing is started.
 	}
 	defer body.release()
-	if !a.caughtUp(r.Context(), env) {
+	if !a.ensureRevision(r.Context(), env) {
 		a.writeFail(w, env, &failure{code: code.NotReady, ran: code.NotRun})
 		return
 	}
 	switch d := a.awaitDecision(w, r, env).(type) {
 	case run.Start:
-		x := a.execute(d, env, r, body)
+		x := a.startExecution(d, env, r, body)
 		reader, _ := x.out.attach(0)
 		a.relay(w, r, x, reader, true)
 	case run.Join:
 		a.join(w, r, env, d.ID)
 	case run.Refuse:
-		// An entry may ask before it has heard of a crash: the refusal tells it, so that it does not ask the next agent.
-		a.writeFail(w, env, &failure{code: d.Code, ran: d.Ran, mark: a.mark(env.Fingerprint)})
+		// The entry may not have received the mark of a suspect request yet. The refusal carries the mark, so that the
+		// entry does not send the request to the next agent.
+		a.writeFail(w, env, &failure{code: d.Code, ran: d.Ran, mark: a.suspectMark(env.Fingerprint)})
 	}
 }
 
-// mark returns what is held of a fingerprint; nil when it is no suspect.
-func (a *Agent) mark(fingerprint string) (held *record.Record) {
+// suspectMark returns the record that marks a fingerprint as suspect, or nil if it is not suspect.
+func (a *Agent) suspectMark(fingerprint string) (mark *record.Record) {
 	a.Loop.View(func(s *core.State) {
-		if mark, ok := s.Mark(fingerprint); ok {
-			held = &mark
+		if found, ok := s.Mark(fingerprint); ok {
+			mark = &found
 		}
 	})
-	return held
+	return mark
 }
 
-// awaitDecision asks the core, with beats while a suspect waits to run alone. It returns nil when the entry has
-// gone meanwhile; the try is fenced then.
+// awaitDecision asks the core whether the request may start and returns its decision. It sends heartbeats while a
+// suspect request waits until it can run alone on its upstream. If the connection from the entry ends meanwhile, the
+// attempt is fenced and awaitDecision returns nil.
 func (a *Agent) awaitDecision(w http.ResponseWriter, r *http.Request, env frame.Envelope) step.Effect {
 	call, ch, done := a.Calls.Open()
 	defer done()
@@ -123,26 +129,27 @@
 		Call: call, Message: message(env), Upstream: env.Upstream,
 		Fingerprint: env.Fingerprint, Alone: env.Alone, Digest: env.Digest,
 	})
-	beats := time.NewTicker(frame.BeatInterval)
-	defer beats.Stop()
+	heartbeats := time.NewTicker(frame.BeatInterval)
+	defer heartbeats.Stop()
 	for {
 		select {
 		case d := <-ch:
 			return d
-		case <-beats.C:
-			if beat(w) {
+		case <-heartbeats.C:
+			if writeHeartbeat(w) {
 				continue
 			}
 		case <-r.Context().Done():
 		}
 		a.fence(env)
-		a.handBack(ch)
+		a.discardStart(ch)
 		return nil
 	}
 }
 
-// handBack ends a run that the core had started when its entry was found gone: nothing of it reached the upstream.
-func (a *Agent) handBack(decision <-chan step.Effect) {
+// discardStart reports a run as not executed if the core had started it before the entry's disconnect was noticed.
+// Nothing of it was sent to the upstream. Without the report the core would count it as running forever.
+func (a *Agent) discardStart(decision <-chan step.Effect) {
 	select {
 	case d := <-decision:
 		if start, started := d.(run.Start); started {
@@ -152,9 +159,9 @@
 	}
 }
 
-// join gives a second copy of a message the answer of the run that the first one started.
+// join relays the response of a run that has started already: to a duplicate of its message, or to an entry that resumes.
 func (a *Agent) join(w http.ResponseWriter, r *http.Request, env frame.Envelope, id run.ID) {
-	found, known := a.runs.Load(id)
+	found, known := a.executions.Load(id)
 	if !known {
 		a.writeFail(w, env, &failure{code: code.StreamBroken, ran: code.Unknown})
 		return
@@ -168,31 +175,31 @@
 	a.relay(w, r, x, reader, env.Offset == 0)
 }
 
-// handleResume continues an answer over a new connection. A try that is not known here is fenced, so that the entry
-// learns in one call whether to wait or to send it elsewhere.
+// handleResume continues a response over a new connection. It fences an attempt that is not known here, so that the
+// entry learns with one call whether to wait or to send the request to another upstream.
 func (a *Agent) handleResume(w http.ResponseWriter, r *http.Request) {
-	env, ok := open(w, r)
+	env, ok := acceptCall(w, r)
 	if !ok {
 		return
 	}
 	id := message(env).ID
-	if _, known := a.runs.Load(id); known && env.Incarnation == a.life {
+	if _, known := a.executions.Load(id); known && env.Incarnation == a.selfIncarnation {
 		a.join(w, r, env, id)
 		return
 	}
 	a.writeFail(w, env, &failure{code: code.AttemptFenced, ran: a.fence(env)})
 }
 
-// handleFence gives up on a try: if it has not started it never will, and if it runs it is cancelled.
+// handleFence fences an attempt: it is cancelled if it runs, and it can't start afterwards.
 func (a *Agent) handleFence(w http.ResponseWriter, r *http.Request) {
-	env, ok := open(w, r)
+	env, ok := acceptCall(w, r)
 	if !ok {
 		return
 	}
 	a.writeFail(w, env, &failure{code: code.AttemptFenced, ran: a.fence(env)})
 }
 
-// fence keeps a try from starting and cancels it when it runs. It returns what is true of the try.
+// fence prevents an attempt from starting and cancels it if it runs. It returns whether the attempt was executed.
 func (a *Agent) fence(env frame.Envelope) code.Ran {
 	d := a.Decide(func(call uint64) step.Event { return run.Fenced{Call: call, Message: message(env)} })
 	answer := d.(run.FenceAnswer)
@@ -203,59 +210,60 @@
 }
 
 func (a *Agent) cancelRun(id run.ID) {
-	if found, known := a.runs.Load(id); known {
-		found.(*execution).cancel(errGivenUp)
+	if found, known := a.executions.Load(id); known {
+		found.(*execution).cancel(errAbandoned)
 	}
 }
 
-// execute begins the run; the answer goes to the execution's output.
-func (a *Agent) execute(start run.Start, env frame.Envelope, r *http.Request, body *body) *execution {
-	limit := defaultRunTime
+// startExecution starts a run in the background. Its response is written to the output of the execution.
+func (a *Agent) startExecution(start run.Start, env frame.Envelope, r *http.Request, body *body) *execution {
+	limit := defaultRunTimeout
 	if env.DeadlineMS > 0 {
 		limit = time.Duration(env.DeadlineMS) * time.Millisecond
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	x := &execution{start: start, env: env, out: newOutput(), ctx: ctx, cancel: cancel}
-	a.runs.Store(start.ID, x)
+	a.executions.Store(start.ID, x)
 	stop := time.AfterFunc(limit, func() { cancel(errDeadline) })
 	go func() {
 		defer stop.Stop()
-		a.drive(x, r, body)
+		a.runExecution(x, r, body)
 	}()
 	return x
 }
 
-// drive runs the request on the upstream to its end.
-func (a *Agent) drive(x *execution, r *http.Request, body *body) {
-	go a.watch(x)
-	f := a.contained(func() *failure { return a.callUpstream(x, r, body) })
+// runExecution sends the request to the upstream, reads its response to the end, and reports the outcome to the core.
+func (a *Agent) runExecution(x *execution, r *http.Request, body *body) {
+	go a.monitor(x)
+	f := a.withPanicRecovery(func() *failure { return a.callUpstream(x, r, body) })
 	x.cancel(nil)
-	if x.withheld.Load() {
+	if x.weightsChanged.Load() {
 		f = &failure{code: code.WeightsChanged, ran: code.DidRun}
 	}
 	done := run.Finished{ID: x.start.ID, Ran: code.DidRun, Whole: f == nil}
 	if f != nil {
 		done.Ran = f.ran
-		a.noteFailure(x, f)
+		a.reportFailure(x, f)
 	}
 	x.out.end(f)
 	a.Loop.Step(done)
-	time.AfterFunc(lingerFor, func() { a.runs.Delete(x.start.ID) })
+	time.AfterFunc(resumeWindow, func() { a.executions.Delete(x.start.ID) })
 }
 
-// noteFailure tells the core of a crash, so that the request is marked before the entry hears of it.
-func (a *Agent) noteFailure(x *execution, f *failure) {
+// reportFailure logs the failure of a run. If the upstream crashed, it reports the crash to the core, so that the request
+// is marked as suspect before the entry receives the failure.
+func (a *Agent) reportFailure(x *execution, f *failure) {
 	logevent.Warn(a.Log, logevent.AttemptFailed).Str("request", x.env.Request).Str("upstream", x.start.Upstream).
 		Int("code", int(f.code)).Str("ran", string(f.ran)).Bool("crashed", f.crashed).Msg("attempt failed")
 	if !f.crashed {
 		return
 	}
 	a.Loop.Step(run.Crashed{ID: x.start.ID})
-	a.doubt(x.start)
+	a.recheck(x.start)
 	var listeners []string
 	a.Loop.View(func(s *core.State) { listeners = s.MarkListeners() })
-	if f.mark = a.mark(x.env.Fingerprint); f.mark != nil {
-		// The caller may go to another entry as soon as it hears of the failure: the entries hear of it first.
+	if f.mark = a.suspectMark(x.env.Fingerprint); f.mark != nil {
+		// The caller may retry at another entry as soon as it receives the failure, so the entries receive the mark first.
 		ctx, cancel := context.WithTimeout(context.Background(), a.config.MarkTimeout)
 		defer cancel()
 		a.Deliver(ctx, listeners, []record.Record{*f.mark})
@@ -264,39 +272,41 @@
 		Str("upstream", x.start.Upstream).Msg("request suspect")
 }
 
-// relay writes the answer to one connection, with beats in its silences. When the connection breaks, the run goes
-// on for lingerFor, so that the entry can resume.
+// relay writes the response to one connection, with heartbeats while the upstream sends nothing. If the connection
+// breaks, the run goes on for resumeWindow, so that the entry can resume it.
 func (a *Agent) relay(w http.ResponseWriter, r *http.Request, x *execution, reader int, withHead bool) {
-	x.stopLinger()
+	x.stopResumeTimer()
 	if !a.relayFrames(w, r, x, reader, withHead) {
-		x.startLinger()
+		x.startResumeTimer()
 	}
 }
 
-func (x *execution) startLinger() {
+// startResumeTimer cancels the run after resumeWindow, unless a connection resumes it before.
+func (x *execution) startResumeTimer() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.linger != nil {
-		x.linger.Stop()
+	if x.resumeTimer != nil {
+		x.resumeTimer.Stop()
 	}
-	x.linger = time.AfterFunc(lingerFor, func() { x.cancel(errGivenUp) })
+	x.resumeTimer = time.AfterFunc(resumeWindow, func() { x.cancel(errAbandoned) })
 }
 
-func (x *execution) stopLinger() {
+func (x *execution) stopResumeTimer() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.linger != nil {
-		x.linger.Stop()
+	if x.resumeTimer != nil {
+		x.resumeTimer.Stop()
 	}
 }
 
-// relayFrames reports whether the run needs this connection no longer: it ended, or another took over.
+// relayFrames writes the frames of a response to one connection. It reports true if the response has ended or another
+// connection has replaced this one, and false if the connection broke.
 func (a *Agent) relayFrames(w http.ResponseWriter, r *http.Request, x *execution, reader int, withHead bool) bool {
-	beats := time.NewTicker(frame.BeatInterval)
-	defer beats.Stop()
+	heartbeats := time.NewTicker(frame.BeatInterval)
+	defer heartbeats.Stop()
 	control := http.NewResponseController(w)
 	for {
-		s := x.out.next(reader, copySize)
+		s := x.out.next(reader, readBufferSize)
 		if s.replaced {
 			return true
 		}
@@ -315,20 +325,20 @@
 		case <-s.changed:
 		case <-r.Context().Done():
 			return false
-		case <-beats.C:
-			if !beat(w) {
+		case <-heartbeats.C:
+			if !writeHeartbeat(w) {
 				return false
 			}
 		}
 	}
 }
 
-// writeSnapshot writes what a reader saw: the head once, data, and the end.
+// writeSnapshot writes the frames of a snapshot: the head if it was not written yet, the data, and the end.
 func (a *Agent) writeSnapshot(w http.ResponseWriter, x *execution, s snapshot, withHead *bool) error {
 	id := x.start.ID
 	if *withHead && s.status != 0 {
 		*withHead = false
-		head := frame.Head{Request: id.Request, Attempt: id.Attempt, Status: s.status, Header: s.header, Load: a.report(x, false)}
+		head := frame.Head{Request: id.Request, Attempt: id.Attempt, Status: s.status, Header: s.header, Load: a.loadReport(x, false)}
 		if err := frame.WriteJSON(w, frame.TypeHead, head); err != nil {
 			return err
 		}
@@ -342,9 +352,9 @@
 		return nil
 	}
 	if s.fail != nil {
-		return frame.WriteJSON(w, frame.TypeFail, failFrame(id, s.fail, a.report(x, true)))
+		return frame.WriteJSON(w, frame.TypeFail, failFrame(id, s.fail, a.loadReport(x, true)))
 	}
-	return frame.WriteJSON(w, frame.TypeEnd, frame.End{Request: id.Request, Attempt: id.Attempt, Bytes: s.total, Sum: s.sum, Load: a.report(x, true)})
+	return frame.WriteJSON(w, frame.TypeEnd, frame.End{Request: id.Request, Attempt: id.Attempt, Bytes: s.total, Sum: s.sum, Load: a.loadReport(x, true)})
 }
 
 func failFrame(id run.ID, f *failure, load *routing.Report) frame.Fail {
@@ -352,14 +362,15 @@
 }
 
 func (a *Agent) writeFail(w http.ResponseWriter, env frame.Envelope, f *failure) {
-	_ = frame.WriteJSON(w, frame.TypeFail, failFrame(message(env).ID, f, a.reportOn(env.Upstream, env.Cache)))
+	_ = frame.WriteJSON(w, frame.TypeFail, failFrame(message(env).ID, f, a.upstreamLoadReport(env.Upstream, env.Cache)))
 }
 
-// failure says why an answer ended without being whole.
+// failure is the reason why a response is not complete, and whether the request was executed.
 type failure struct {
 	code code.Code
 	ran  code.Ran
-	// crashed says that the upstream crashed under the run; mark is then what is held of the fingerprint.
+	// crashed is set when the upstream crashed during the run; mark is then the record that marks the request's
+	// fingerprint as suspect.
 	crashed bool
 	mark    *record.Record
 }
--- a/internal/agent/upstream.go
+++ b/internal/agent/upstream.go
@@ -20,95 +20,100 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// maxIdleUpstream is as many connections as an upstream may have requests, so that they are used again.
-const maxIdleUpstream = 512
+// maxIdleConnsPerUpstream is the number of idle connections that are kept per upstream. It equals the maximum number of
+// concurrent requests of an upstream, so that every connection can be reused.
+const maxIdleConnsPerUpstream = 512
 
 const (
-	// upstreamIdle closes pooled connections to upstreams early: a stale one costs a try.
-	upstreamIdle = 2 * time.Second
-	// cancelTimeout bounds the telling of an engine that a request was given up on.
+	// upstreamIdleTimeout is how long an idle connection to an upstream is kept. It is short, since a request on a stale
+	// connection costs an attempt.
+	upstreamIdleTimeout = 2 * time.Second
+	// cancelTimeout bounds the call that cancels a request at its engine.
 	cancelTimeout = time.Second
-	// headerResumeOffset tells an engine which tokens to skip.
+	// headerResumeOffset is the request header with the number of tokens that an engine skips.
 	headerResumeOffset = "Resume-Offset"
 )
 
 // The causes for which a run is cancelled.
 var (
-	errDeadline = errors.New("the deadline passed")
-	errLeaving  = errors.New("the agent stops")
-	errGivenUp  = errors.New("the entry gave up on the run")
-	errFrozen   = errors.New("the upstream does not answer")
-	errStalled  = errors.New("the answer's connection carries nothing")
-	errCrashed  = errors.New("the upstream crashed")
-	errWithheld = errors.New("the weights changed under the run")
+	errDeadline       = errors.New("run exceeded its deadline")
+	errShuttingDown   = errors.New("agent is shutting down")
+	errAbandoned      = errors.New("entry fenced the run or did not resume it")
+	errFrozen         = errors.New("upstream did not answer liveness probes")
+	errStalled        = errors.New("connection to the upstream delivered no data")
+	errCrashed        = errors.New("upstream crashed")
+	errWeightsChanged = errors.New("weights of the engine changed during the run")
 )
 
-// newUpstreamClient returns a client that passes every answer on as it is, redirects included. pooled keeps
-// connections for further calls; a call that must not run twice has a connection of its own.
+// newUpstreamClient returns a client that returns every response unchanged, redirects included. If pooled is set, it
+// reuses connections. Else it opens one for each request; requests that must not run twice are sent that way, since
+// net/http may retry a request on a reused connection.
 func newUpstreamClient(pooled bool) *http.Client {
 	d := &net.Dialer{Timeout: control.DialTimeout}
 	return &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport: &http.Transport{
 			DialContext:         d.DialContext,
-			MaxIdleConnsPerHost: maxIdleUpstream,
-			IdleConnTimeout:     upstreamIdle,
+			MaxIdleConnsPerHost: maxIdleConnsPerUpstream,
+			IdleConnTimeout:     upstreamIdleTimeout,
 			DisableCompression:  true,
 			DisableKeepAlives:   !pooled,
 		},
 	}
 }
 
-// mostlyWithoutBody are the methods for which net/http looks whether there is a body before it says so.
-var mostlyWithoutBody = map[string]bool{
+// methodsUsuallyWithoutBody are the methods for which net/http checks whether a body of unknown length is empty before it
+// sends the headers. For other methods it announces a body in any case.
+var methodsUsuallyWithoutBody = map[string]bool{
 	http.MethodGet: true, http.MethodHead: true, http.MethodOptions: true, http.MethodDelete: true, "PROPFIND": true, "SEARCH": true,
 }
 
-// callUpstream sends the request and takes its answer in.
+// callUpstream sends the request to the upstream and reads its response.
 func (a *Agent) callUpstream(x *execution, r *http.Request, body *body) *failure {
 	req, err := a.upstreamRequest(x, r, body)
 	if err != nil {
 		return &failure{code: code.BadMessage, ran: code.NotRun}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	resp, err := a.clientFor(x, req).Do(req.WithContext(httptrace.WithClientTrace(x.ctx, trace)))
 	if err != nil {
 		if !connected.Load() {
-			return a.notConnected(x)
+			return a.connectFailed(x)
 		}
-		return a.lost(x)
+		return a.connectionLost(x)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	x.touch()
+	x.recordActivity()
 	a.Loop.Step(run.FirstByte{ID: x.start.ID})
-	a.Loop.Step(weights.FirstByte{Upstream: x.start.Upstream, Took: time.Since(began)})
-	return a.takeAnswer(x, req.Method, resp)
+	a.Loop.Step(weights.FirstByte{Upstream: x.start.Upstream, Took: time.Since(startedAt)})
+	return a.receiveResponse(x, req.Method, resp)
 }
 
-// clientFor returns the client whose transport can't send the request twice.
+// clientFor returns a client whose transport can't send the request twice.
 func (a *Agent) clientFor(x *execution, req *http.Request) *http.Client {
 	if x.env.Once || req.Body == http.NoBody {
-		return a.single
+		return a.singleUseClient
 	}
-	return a.pooled
+	return a.pooledClient
 }
 
+// upstreamRequest builds the request to the upstream from the call of the entry.
 func (a *Agent) upstreamRequest(x *execution, r *http.Request, body *body) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(x.ctx, r.Header.Get(frame.MethodHeader), x.start.URL+x.env.Target, unrepeatable(body))
+	req, err := http.NewRequestWithContext(x.ctx, r.Header.Get(frame.MethodHeader), x.start.URL+x.env.Target, nonReplayable(body))
 	if err != nil {
-		return nil, errors.Wrapf(err, "build the call to %s", x.start.URL)
+		return nil, errors.Wrapf(err, "building request to upstream %s", x.start.URL)
 	}
 	req.ContentLength = r.ContentLength
-	if r.ContentLength == 0 && !mostlyWithoutBody[req.Method] {
-		req.Body = http.NoBody // An empty body that is not of unknown length.
+	if r.ContentLength == 0 && !methodsUsuallyWithoutBody[req.Method] {
+		req.Body = http.NoBody // Else net/http would send the empty body with unknown length.
 	}
 	req.Header = frame.EndToEnd(r.Header)
 	req.Header.Set(engine.HeaderRequestID, x.env.Request)
 	req.Header.Set(engine.HeaderAttempt, strconv.Itoa(x.env.Attempt))
 	if x.start.Kind == setting.Engine {
-		req.Header.Del("Accept-Encoding") // The agent reads the end of an engine's answer.
+		req.Header.Del("Accept-Encoding") // The agent parses the end of an engine's response.
 	}
 	if x.env.ResumeTokens > 0 {
 		req.Header.Set(headerResumeOffset, strconv.Itoa(x.env.ResumeTokens))
@@ -116,20 +121,21 @@
 	return req, nil
 }
 
-// touch notes that the upstream sent something.
-func (x *execution) touch() { x.heard.Store(time.Now().UnixNano()) }
+// recordActivity records that the upstream has just sent something.
+func (x *execution) recordActivity() { x.lastActivity.Store(time.Now().UnixNano()) }
 
-// notConnected settles a run whose upstream took no connection: nothing was sent, so it was not run.
-func (a *Agent) notConnected(x *execution) *failure {
+// connectFailed returns the failure of a run for which no connection was made. Nothing was sent, so it was not executed.
+func (a *Agent) connectFailed(x *execution) *failure {
 	if cause := context.Cause(x.ctx); cause != nil {
 		return &failure{code: codeOf(cause), ran: code.NotRun}
 	}
-	a.doubt(x.start)
+	a.recheck(x.start)
 	return &failure{code: code.UpstreamDied, ran: code.NotRun}
 }
 
-// lost settles a run whose connection failed after the request may have been sent.
-func (a *Agent) lost(x *execution) *failure {
+// connectionLost returns the failure of a run whose connection failed or whose context was cancelled after the request
+// may have been sent. Whether it was executed is unknown.
+func (a *Agent) connectionLost(x *execution) *failure {
 	cause := context.Cause(x.ctx)
 	if cause == nil {
 		f := &failure{code: code.UpstreamDied, ran: code.Unknown}
@@ -140,9 +146,10 @@
 	return &failure{code: codeOf(cause), ran: code.Unknown, crashed: errors.Is(cause, errCrashed)}
 }
 
+// codeOf returns the result code for the cause of a cancellation.
 func codeOf(cause error) code.Code {
 	switch {
-	case errors.Is(cause, errLeaving):
+	case errors.Is(cause, errShuttingDown):
 		return code.Stopping
 	case errors.Is(cause, errDeadline):
 		return code.DeadlinePassed
