--- a/internal/proof/weights.go
+++ b/internal/proof/weights.go
@@ -34,7 +34,7 @@
 // weightCells are the cells of the concern Weights.
 var weightCells = append(burstCells(), []Cell{
 	{Concern: Weights, Fault: "place cut off for good, the origin in reach", Step: "whole transfer", Tests: []string{"TestPartitionedDataCentreFetchesFromOrigin"}},
-	{Concern: Weights, Fault: "rolled back", Step: "in the middle of the transfer", Tests: []string{"TestRollbackDuringRollout", "TestRetiredVersionKeepsSharedChunks", "TestVersionWantedAgainIsNotRetired"}},
+	{Concern: Weights, Fault: "rolled back", Step: "in the middle of the transfer", Tests: []string{"TestRollbackInTheMiddle", "TestRetiredVersionKeepsSharedChunks", "TestVersionWantedAgainIsNotRetired"}},
 	{Concern: Weights, Fault: "chunk memory too small", Step: "manifest", Tests: []string{"TestMemoryTooSmallIsReportedAndRetried", "TestManifestThatDoesNotFitReportsItsCode"}},
 	{Concern: Weights, Fault: "chunk memory too small", Step: "chunk", Tests: []string{"TestFullMemoryRejectsChunks"}},
 	{Concern: Weights, Fault: "source corrupt, changed or away for good", Step: "whole transfer", Tests: []string{"TestBlockedBurstReportsCode"}},
