--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// drainBytes is how much of a body that nobody wants is read, so that its connection can be used again.
-	drainBytes = 256 << 10
-	// drainTimeout bounds the reading.
+	// maxDrainBytes bounds how much of an unread request body is discarded so that its connection can be reused.
+	maxDrainBytes = 256 << 10
+	// drainTimeout bounds the time spent on discarding the body.
 	drainTimeout = time.Second
 )
 
-// DrainBody reads what is left of a request's body. A handler that enabled full duplex must call it before it returns:
-// net/http reads the rest only after the handler and then takes the next request on the connection for a
-// concurrent read, and drops the connection.
+// DrainBody discards the unread rest of a request's body, up to 256 KiB and 1 s. A handler that enabled full duplex
+// must call it before it returns. Otherwise net/http reads the rest after the handler has returned, mistakes the next
+// request on the connection for a concurrent read, and drops the connection.
 func DrainBody(w http.ResponseWriter, r *http.Request) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return
 	}
-	var one [1]byte
-	if n, err := r.Body.Read(one[:0]); n == 0 && err == io.EOF {
+	var buf [1]byte
+	if n, err := r.Body.Read(buf[:0]); n == 0 && err == io.EOF {
 		return
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(drainTimeout))
-	_, err := io.CopyN(io.Discard, r.Body, drainBytes)
+	_, err := io.CopyN(io.Discard, r.Body, maxDrainBytes)
 	if err == io.EOF {
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -14,7 +14,7 @@
 	"samphireweir.example/samphireweir/internal/node"
 )
 
-// lockedBuffer is a log that can be read while it is written.
+// lockedBuffer is a buffer for log output that is safe for concurrent reads and writes.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -32,16 +32,17 @@
 	return l.b.String()
 }
 
-// TestDrainBodyKeepsConnection refuses requests with unread bodies and finds the connection in order for the next.
+// TestDrainBodyKeepsConnection guards against a panic in net/http when a full-duplex handler returns without reading
+// the body: 20 requests with unread bodies are rejected, and the connection stays usable for the next one.
 func TestDrainBodyKeepsConnection(t *testing.T) {
-	errors := &lockedBuffer{}
+	serverLog := &lockedBuffer{}
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		defer node.DrainBody(w, r)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_ = http.NewResponseController(w).Flush()
 	}))
-	s.Config.ErrorLog = log.New(errors, "", 0)
+	s.Config.ErrorLog = log.New(serverLog, "", 0)
 	s.Start()
 	defer s.Close()
 	for range 20 {
@@ -51,5 +52,5 @@
 		require.NoError(t, err)
 		require.NoError(t, resp.Body.Close())
 	}
-	require.NotContains(t, errors.String(), "panic")
+	require.NotContains(t, serverLog.String(), "panic")
 }
--- a/internal/node/bursts.go
+++ b/internal/node/bursts.go
@@ -12,65 +12,66 @@
 )
 
 const (
-	// BurstsPath is where operators read how bursts of weights go.
+	// BurstsPath is the operators' path for the progress of bursts of weights.
 	BurstsPath = "/weights"
 
 	progressMethod = "weights.progress"
-	// progressAtOnce bounds the hosts that are asked at a time, progressLeafTime the question to one and progressTime
-	// the whole reading.
-	progressAtOnce   = 64
-	progressLeafTime = time.Second
-	progressTime     = 4 * time.Second
+	// maxProgressCalls bounds the hosts that are queried concurrently.
+	maxProgressCalls = 64
+	// progressCallTimeout bounds the call to one host.
+	progressCallTimeout = time.Second
+	// progressTimeout bounds the calls to all hosts together.
+	progressTimeout = 4 * time.Second
 )
 
 type progressAnswer struct {
 	Weights []weights.Summary `json:"weights,omitempty"`
 }
 
-// handleBursts asks the hosts that take part how far they are: their records don't tell, as each record goes to all
-// entries and few people look.
+// handleBursts queries the hosts that take part in bursts for their progress. Progress is not part of their records,
+// because every record is sent to all entries and progress is read rarely.
 func (p *Process) handleBursts(w http.ResponseWriter, r *http.Request) {
-	var asked []string
-	p.Loop.View(func(s *core.State) { asked = s.TakingPart() })
-	told := p.progress(r.Context(), asked)
-	silent := len(asked) - len(told)
+	var hosts []string
+	p.Loop.View(func(s *core.State) { hosts = s.TakingPart() })
+	reports := p.hostProgress(r.Context(), hosts)
+	unanswered := len(hosts) - len(reports)
 	var view core.BurstView
 	p.Loop.View(func(s *core.State) {
-		told[p.Address()] = s.Weights.Summaries(time.Now())
-		view = s.Bursts(time.Now(), told)
+		reports[p.Address()] = s.Weights.Summaries(time.Now())
+		view = s.Bursts(time.Now(), reports)
 	})
-	view.Silent = silent
+	view.Silent = unanswered
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(view)
 }
 
-// progress asks hosts and returns the answers by address; a silent host has none.
-func (p *Process) progress(ctx context.Context, hosts []string) map[string][]weights.Summary {
-	ctx, cancel := context.WithTimeout(ctx, progressTime)
+// hostProgress queries hosts and returns their answers by address. A host that does not answer is missing.
+func (p *Process) hostProgress(ctx context.Context, hosts []string) map[string][]weights.Summary {
+	ctx, cancel := context.WithTimeout(ctx, progressTimeout)
 	defer cancel()
 	var (
-		mu   sync.Mutex
-		wg   sync.WaitGroup
-		open = make(chan struct{}, progressAtOnce)
-		told = map[string][]weights.Summary{}
+		mu      sync.Mutex
+		wg      sync.WaitGroup
+		slots   = make(chan struct{}, maxProgressCalls)
+		reports = map[string][]weights.Summary{}
 	)
 	for _, host := range hosts {
-		open <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-open }()
-			leaf, cancel := context.WithTimeout(ctx, progressLeafTime)
+			defer func() { <-slots }()
+			callCtx, cancel := context.WithTimeout(ctx, progressCallTimeout)
 			defer cancel()
 			var a progressAnswer
-			if p.Pool.Call(leaf, host, progressMethod, empty{}, &a) != nil {
+			if p.Pool.Call(callCtx, host, progressMethod, empty{}, &a) != nil {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			told[host] = a.Weights
+			reports[host] = a.Weights
 		})
 	}
 	wg.Wait()
-	return told
+	return reports
 }
 
 func (p *Process) handleProgress(context.Context, string, json.RawMessage) (any, error) {
--- a/internal/node/bursts_test.go
+++ b/internal/node/bursts_test.go
@@ -16,9 +16,9 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// TestProgressIsAskedOfTheHosts reads the bursts at an entry: agents that answer tell how far they are, one that does not
-// answer is counted as silent.
-func TestProgressIsAskedOfTheHosts(t *testing.T) {
+// TestBurstViewQueriesHosts guards the burst view of an entry: the progress of agents that answer is shown, and an
+// agent that does not answer is counted as silent instead of being left out.
+func TestBurstViewQueriesHosts(t *testing.T) {
 	s := newSite(t, 5)
 	s.awaitReady(s.procs...)
 	value, err := json.Marshal(setting.Setting{
@@ -45,12 +45,12 @@
 		}
 		return hosts == 3 && view.Silent == 0
 	}, limit, 50*time.Millisecond)
-	dead := "127.0.0.1:1"
-	s.list(dead, member.Agent, "place-0")
+	unreachable := "127.0.0.1:1"
+	s.list(unreachable, member.Agent, "place-0")
 	advert := member.Advert{Host: "dead", Upstreams: []member.Upstream{{Name: "p1", Team: "karrakin", Service: "portal"}}}
 	value, err = json.Marshal(advert.Fixed())
 	require.NoError(t, err)
-	r = record.Record{Key: member.AdvertPrefix + dead, Version: record.Version{Major: 1}, Value: value}
+	r = record.Record{Key: member.AdvertPrefix + unreachable, Version: record.Version{Major: 1}, Value: value}
 	s.procs[0].Loop.Step(record.Published{Records: []record.Record{r}})
 	require.Eventually(t, func() bool { return read().Silent == 1 }, limit, 50*time.Millisecond)
 }
--- a/internal/node/catchup.go
+++ b/internal/node/catchup.go
@@ -10,8 +10,8 @@
 	"samphireweir.example/samphireweir/internal/core/record"
 )
 
-// catchUpLimit bounds how long a request waits for the setting that its entry already has.
-const catchUpLimit = time.Second
+// catchUpTimeout bounds how long a request waits for the revision of a setting that its entry already has.
+const catchUpTimeout = time.Second
 
 type fetchMessage struct {
 	Key string `json:"key"`
@@ -21,20 +21,21 @@
 	Records []record.Record `json:"records,omitempty"`
 }
 
-// Revision returns the revision of a setting that is in force here; it rides on requests to agents.
+// Revision returns the revision of a setting that is in force in this process. Entries attach it to requests to agents.
 func (p *Process) Revision(key string) uint64 {
 	var revision uint64
 	p.Loop.View(func(s *core.State) { revision = s.Settings[key].Revision })
 	return revision
 }
 
-// CatchUp brings this process to at least a revision of a setting that the process at address from has, and tells
-// whether it got there. One that did not must not serve the request that brought the revision.
+// CatchUp reports whether this process has at least the given revision of a setting. If it does not, CatchUp first
+// fetches the setting from the process at address from, within 1 s. A process for which it returns false must not serve
+// the request that carried the revision.
 func (p *Process) CatchUp(ctx context.Context, from, key string, revision uint64) bool {
 	if !p.behind(key, revision) {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, catchUpLimit)
+	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	var a fetchAnswer
 	if from == "" || p.Pool.Call(ctx, from, fetchMethod, fetchMessage{Key: key}, &a) != nil {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -15,35 +15,39 @@
 	"samphireweir.example/samphireweir/internal/telemetry"
 )
 
-// Config is what every process of the system reads from its settings.
+// Config holds the process settings that entries and agents share.
 type Config struct {
 	// Name is the host's name, unique in the fleet.
-	Name   string
-	Place  string
+	Name string
+	// Place is the data centre of the host.
+	Place string
+	// Region is the region of that data centre.
 	Region string
-	// PeersListen is where other processes of the system reach this one.
+	// PeersListen is the listen address for other processes of the system, IP:PORT.
 	PeersListen string
-	// OperatorsListen serves health, status and metrics.
+	// OperatorsListen is the listen address for health, status and metrics, IP:PORT.
 	OperatorsListen string
-	ObjectAPI       string
-	HostList        string
-	// Config holds the secrets and certificates between processes.
+	// ObjectAPI is the URL of the platform's object API.
+	ObjectAPI string
+	// HostList is the URL of the platform's list of hosts.
+	HostList string
+	// Config names the secrets and certificates for communication between processes.
 	keys.Config
 	Role member.Role
-	// Trace says where traces go.
+	// Trace configures the export of traces.
 	Trace telemetry.TraceConfig
-	// Traces, when set, is taken in place of what Trace describes.
+	// Traces, when set, is used instead of an exporter built from Trace.
 	Traces *telemetry.Traces
-	// LogLevel is the least level that is logged.
+	// LogLevel is the minimum level that is logged: debug, info, warn or error.
 	LogLevel string
-	// Profile serves the profiles of pprof on the operators' address.
+	// Profile enables the pprof handlers on the operators' address.
 	Profile bool
 }
 
-// levels are the levels of the log; the empty one is the default.
-var levels = map[string]bool{"": true, "debug": true, "info": true, "warn": true, "error": true}
+// logLevels are the valid values of LogLevel. The empty string stands for the default.
+var logLevels = map[string]bool{"": true, "debug": true, "info": true, "warn": true, "error": true}
 
-// Flags declares the flags of c on fs.
+// Flags registers the flags of c on fs.
 func (c *Config) Flags(fs *flag.FlagSet) {
 	fs.StringVar(&c.Name, "name", "", "the host's name, unique in the fleet, such as host-17")
 	fs.StringVar(&c.Place, "place", "", "the place (data centre) of the host, such as perth-a")
@@ -54,11 +58,11 @@
 	fs.StringVar(&c.HostList, "host-list", "", "URL of the platform's list of hosts")
 	c.Config.Flags(fs)
 	c.Trace.Flags(fs)
-	fs.StringVar(&c.LogLevel, "log-level", zerolog.InfoLevel.String(), "least level that is logged: debug, info, warn or error")
-	fs.BoolVar(&c.Profile, "profile", false, "serve the profiles of pprof under /debug/pprof/ on the operators' address")
+	fs.StringVar(&c.LogLevel, "log-level", zerolog.InfoLevel.String(), "minimum level that is logged: debug, info, warn or error")
+	fs.BoolVar(&c.Profile, "profile", false, "serve pprof profiles under /debug/pprof/ on the operators' address")
 }
 
-// Check tells the first setting that is missing or bad.
+// Check returns an error for the first setting that is missing or invalid.
 func (c *Config) Check() error {
 	names := []struct{ field, value string }{{"name", c.Name}, {"place", c.Place}, {"region", c.Region}}
 	for _, n := range names {
@@ -75,7 +79,7 @@
 	if err := CheckURL("host-list", c.HostList); err != nil {
 		return err
 	}
-	if !levels[c.LogLevel] {
+	if !logLevels[c.LogLevel] {
 		return code.Errorf(code.BadProcess, "-log-level", "%q, want debug, info, warn or error", c.LogLevel)
 	}
 	if err := c.Trace.Check(); err != nil {
@@ -94,7 +98,7 @@
 	return config.CheckApart("peers-listen", c.PeersListen, "operators-listen", c.OperatorsListen)
 }
 
-// CheckURL refuses what is not the URL of an HTTP service.
+// CheckURL returns an error unless value is the URL of an HTTP service. field is the flag's name without the dash.
 func CheckURL(field, value string) error {
 	u, err := url.Parse(value)
 	if err != nil || u.Host == "" || !strings.HasPrefix(u.Scheme, "http") {
--- a/internal/node/count.go
+++ b/internal/node/count.go
@@ -15,25 +15,25 @@
 
 const (
 	countMethod = "setting.count"
-	// countDirect is the largest part of the fleet that one process asks by itself; a larger one is split among
-	// delegates, so that nobody asks more than about twice the square root of the fleet.
-	countDirect = 48
-	// countAtOnce bounds the calls that one count has open.
-	countAtOnce = 12
-	// countLeafTime bounds the question to one process, so that a silent one does not make its delegate late.
-	countLeafTime = time.Second
-	// countTries is how many of a part are tried as its delegate.
-	countTries = 3
+	// maxDirectCount is the largest number of processes that one process queries itself. A larger set is partitioned
+	// among delegates, so that no process queries more than about twice the square root of the fleet's size.
+	maxDirectCount = 48
+	// maxCountCalls bounds the concurrent calls of one count.
+	maxCountCalls = 12
+	// countCallTimeout bounds the call to one process, so that one that does not answer does not delay its delegate.
+	countCallTimeout = time.Second
+	// maxDelegateTries is how many processes of a partition are tried as its delegate.
+	maxDelegateTries = 3
 )
 
 type countMessage struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
-	// Addresses are the processes to count, this one not among them.
+	// Addresses are the processes to count, without the receiver of the message.
 	Addresses []string `json:"addresses,omitempty"`
 }
 
-// InForce counts the listed processes that have a revision of a setting in force.
+// InForce counts the processes on the host list that have a revision of a setting in force.
 func (p *Process) InForce(ctx context.Context, key string, revision uint64) fleet.InForce {
 	var addresses []string
 	p.Loop.View(func(s *core.State) { addresses = append(addresses, s.Members.Peers()...) })
@@ -48,22 +48,22 @@
 	return p.count(ctx, m), nil
 }
 
-// count counts this process and those that m names.
+// count counts this process and those that m lists.
 func (p *Process) count(ctx context.Context, m countMessage) fleet.InForce {
 	total := p.countSelf(m)
 	var (
-		mu   sync.Mutex
-		wg   sync.WaitGroup
-		open = make(chan struct{}, countAtOnce)
+		mu    sync.Mutex
+		wg    sync.WaitGroup
+		slots = make(chan struct{}, maxCountCalls)
 	)
-	for _, part := range split(m.Addresses) {
-		open <- struct{}{}
+	for _, partition := range partitionAddresses(m.Addresses) {
+		slots <- struct{}{}
 		wg.Go(func() {
-			found := p.countPart(ctx, m, part)
+			found := p.countPartition(ctx, m, partition)
 			mu.Lock()
 			total.Add(found)
 			mu.Unlock()
-			<-open
+			<-slots
 		})
 	}
 	wg.Wait()
@@ -80,50 +80,53 @@
 	return f
 }
 
-// countPart asks the first of a part that answers to count the part.
-func (p *Process) countPart(ctx context.Context, m countMessage, part []string) fleet.InForce {
+// countPartition delegates the count of a partition to the first of its processes that answers. It tries at most
+// maxDelegateTries of them, and counts those that don't answer as silent.
+func (p *Process) countPartition(ctx context.Context, m countMessage, partition []string) fleet.InForce {
 	var silent fleet.InForce
-	for i, delegate := range part {
-		if i == countTries {
+	for i, delegate := range partition {
+		if i == maxDelegateTries {
 			break
 		}
-		ask := countMessage{Key: m.Key, Revision: m.Revision, Addresses: part[i+1:]}
+		request := countMessage{Key: m.Key, Revision: m.Revision, Addresses: partition[i+1:]}
 		var found fleet.InForce
-		if p.ask(ctx, delegate, ask, &found) == nil {
+		if p.request(ctx, delegate, request, &found) == nil {
 			found.Add(silent)
 			return found
 		}
 		p.Loop.Step(member.DialFailed{Address: delegate})
 		silent.Add(fleet.InForce{Processes: 1, SilentCount: 1, Silent: []string{delegate}})
 	}
-	rest := part[min(len(part), countTries):]
+	rest := partition[min(len(partition), maxDelegateTries):]
 	silent.Add(fleet.InForce{Processes: len(rest), SilentCount: len(rest), Silent: rest})
 	return silent
 }
 
-func (p *Process) ask(ctx context.Context, to string, m countMessage, found *fleet.InForce) error {
+// request asks the process at address to for a count. A message without further addresses to count has the shorter timeout countCallTimeout.
+func (p *Process) request(ctx context.Context, to string, m countMessage, found *fleet.InForce) error {
 	if len(m.Addresses) == 0 {
-		leaf, cancel := context.WithTimeout(ctx, countLeafTime)
+		callCtx, cancel := context.WithTimeout(ctx, countCallTimeout)
 		defer cancel()
-		ctx = leaf
+		ctx = callCtx
 	}
 	return p.Pool.Call(ctx, to, countMethod, m, found)
 }
 
-// split divides addresses into parts of one, or into about as many parts as each has members.
-func split(addresses []string) [][]string {
+// partitionAddresses divides addresses into partitions of one address. More than maxDirectCount addresses are divided into
+// about sqrt(n) partitions of sqrt(n) addresses.
+func partitionAddresses(addresses []string) [][]string {
 	size := 1
-	if len(addresses) > countDirect {
+	if len(addresses) > maxDirectCount {
 		size = int(math.Ceil(math.Sqrt(float64(len(addresses)))))
 	}
-	var parts [][]string
+	var partitions [][]string
 	for len(addresses) > 0 {
 		n := min(size, len(addresses))
-		parts = append(parts, addresses[:n])
+		partitions = append(partitions, addresses[:n])
 		addresses = addresses[n:]
 	}
-	return parts
+	return partitions
 }
 
-// countTime bounds one count.
-const countTime = 10 * time.Second
+// countTimeout bounds one count that an operator asks for.
+const countTimeout = 10 * time.Second
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -30,14 +30,15 @@
 
 const limit = 20 * time.Second
 
-// site is a few real processes with the platform's stand-ins.
+// site runs a few real processes against stand-ins for the platform.
 type site struct {
 	t       *testing.T
 	objects *httptest.Server
 	hosts   *httptest.Server
 	procs   []*node.Process
 	stops   []context.CancelFunc
-	// secret is this fleet's own: an address that the kernel gave to a process of another fleet must not join the two.
+	// secret is unique to this fleet. The kernel may reuse a port for a process of another test's fleet, and with a common
+	// secret the two fleets would merge.
 	secret string
 }
 
@@ -87,7 +88,7 @@
 	return p
 }
 
-// list puts a process on the host list.
+// list adds a process to the host list.
 func (s *site) list(address string, role member.Role, place string) {
 	body, err := json.Marshal(hostlist.Host{Address: address, Role: string(role), Place: place, Region: "west", State: "live"})
 	require.NoError(s.t, err)
@@ -143,6 +144,8 @@
 	require.NoError(s.t, err)
 }
 
+// TestChangeIsInForceAndCountedOnRealProcesses guards against a wrong count of the processes that have a change in force.
+// An unreachable process on the host list is counted as silent.
 func TestChangeIsInForceAndCountedOnRealProcesses(t *testing.T) {
 	s := newSite(t, 8)
 	s.awaitReady(s.procs...)
@@ -157,6 +160,8 @@
 	}, limit, 50*time.Millisecond)
 }
 
+// TestStatusAndPreviewOfRealProcesses guards against a status or preview that misses a shortage of replicas in a data
+// centre.
 func TestStatusAndPreviewOfRealProcesses(t *testing.T) {
 	s := newSite(t, 6)
 	s.awaitReady(s.procs...)
@@ -176,10 +181,12 @@
 	require.Eventually(t, func() bool {
 		st, err := s.fleet(0).Status(ctx)
 		return err == nil && len(st.Problems) == 1
-	}, limit, 50*time.Millisecond, "too few in a place is a problem")
+	}, limit, 50*time.Millisecond, "too few replicas in a place is reported as a problem")
 }
 
-func TestReplacedInAnOutageOnRealProcesses(t *testing.T) {
+// TestProcessesReplacedDuringPlatformOutageBecomeReady guards against new processes that need the platform to become
+// ready: they are started during an outage of the object API and must get the setting from their peers.
+func TestProcessesReplacedDuringPlatformOutageBecomeReady(t *testing.T) {
 	s := newSite(t, 6)
 	s.awaitReady(s.procs...)
 	last := s.apply(2)
@@ -188,15 +195,16 @@
 	for _, i := range []int{0, 2, 4} {
 		s.stop(i)
 	}
-	fresh := []*node.Process{s.add(0), s.add(2), s.add(4)}
-	s.awaitReady(fresh...)
-	for _, p := range fresh {
+	replacements := []*node.Process{s.add(0), s.add(2), s.add(4)}
+	s.awaitReady(replacements...)
+	for _, p := range replacements {
 		require.Equal(t, last.Revision, p.Revision(last.Key))
 	}
 }
 
-// TestHangingPlatform leaves every call without an answer, the waiting watches among them.
-func TestHangingPlatform(t *testing.T) {
+// TestProcessesRecoverFromHangingPlatform guards against calls that wait for ever: the platform answers no call for 1 s,
+// open watches included, and a later change must still come into force.
+func TestProcessesRecoverFromHangingPlatform(t *testing.T) {
 	s := newSite(t, 4)
 	s.awaitReady(s.procs...)
 	s.awaitEverywhere(s.apply(1))
@@ -206,6 +214,8 @@
 	s.awaitEverywhere(s.apply(2))
 }
 
+// TestProcessThatIsBehindCatchesUp guards against a process that serves requests on an older revision than their entry
+// has: CatchUp must report failure when no peer has the revision or the peer can't be reached.
 func TestProcessThatIsBehindCatchesUp(t *testing.T) {
 	s := newSite(t, 3)
 	s.awaitReady(s.procs...)
@@ -213,6 +223,6 @@
 	s.awaitEverywhere(a)
 	ctx := context.Background()
 	require.True(t, s.procs[2].CatchUp(ctx, s.procs[0].Address(), a.Key, a.Revision))
-	require.False(t, s.procs[2].CatchUp(ctx, s.procs[0].Address(), a.Key, a.Revision+1000), "nobody has that revision")
+	require.False(t, s.procs[2].CatchUp(ctx, s.procs[0].Address(), a.Key, a.Revision+1000), "no process has that revision")
 	require.False(t, s.procs[2].CatchUp(ctx, "127.0.0.1:1", a.Key, a.Revision+1000))
 }
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -18,28 +18,28 @@
 	"samphireweir.example/samphireweir/internal/logevent"
 )
 
-// WriteTimeout bounds the wait for the other end to take some bytes. It begins anew with each write, so that it
-// bounds no answer as a whole.
+// WriteTimeout bounds how long one write waits for the peer to accept bytes. It restarts with each write, so it does
+// not limit the duration of a whole answer.
 const WriteTimeout = 30 * time.Second
 
-// newServer returns a server whose reads and writes can't stall for ever and whose panics stay in their request.
+// newServer returns a server whose reads and writes can't block for ever. A panic in a handler ends only its request.
 func (p *Process) newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler: p.guard(h), ReadHeaderTimeout: HeaderTimeout, IdleTimeout: IdleTimeout, WriteTimeout: WriteTimeout,
-		MaxHeaderBytes: MaxHeaderBytes, ErrorLog: log.New(libraryLog{p.Log}, "", 0),
+		MaxHeaderBytes: MaxHeaderBytes, ErrorLog: log.New(httpErrorLog{p.Log}, "", 0),
 	}
 }
 
-// libraryLog passes the HTTP library's log lines on as events.
-type libraryLog struct{ log zerolog.Logger }
+// httpErrorLog writes the log lines of net/http as log events.
+type httpErrorLog struct{ log zerolog.Logger }
 
-// Write logs one line.
-func (l libraryLog) Write(line []byte) (int, error) {
+// Write logs one line of net/http.
+func (l httpErrorLog) Write(line []byte) (int, error) {
 	logevent.Warn(l.log, logevent.ServerError).Str("error", strings.TrimSpace(string(line))).Msg("server error")
 	return len(line), nil
 }
 
-// guard bounds each read and write of an exchange and contains panics.
+// guard sets deadlines on each read and write of a request and recovers panics of its handler.
 func (p *Process) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g := &guardedWriter{ResponseWriter: w, control: http.NewResponseController(w), timeout: WriteTimeout}
@@ -49,13 +49,14 @@
 			r.Body = g.body
 		}
 		defer g.extend()
-		defer p.containRequest(g, r)
+		defer p.recoverRequest(g, r)
 		next.ServeHTTP(g, r)
 	})
 }
 
-// containRequest answers a request whose handler panicked. The panic that aborts an answer on purpose goes on.
-func (p *Process) containRequest(g *guardedWriter, r *http.Request) {
+// recoverRequest answers a request whose handler panicked. It passes on http.ErrAbortHandler, which aborts an answer on
+// purpose, and aborts an answer that has already started, so that it can't look complete.
+func (p *Process) recoverRequest(g *guardedWriter, r *http.Request) {
 	cause := recover()
 	if cause == nil {
 		return
@@ -76,13 +77,13 @@
 	})
 }
 
-// NotePanic counts and logs a fault that was contained.
+// NotePanic counts and logs a recovered panic. where is the kind of work that panicked.
 func (p *Process) NotePanic(where string, cause any) {
 	p.Telemetry.Metrics.Panics.Add(1, where)
 	logevent.Warn(p.Log, logevent.PanicContained).Str("where", where).Interface("cause", cause).Str("stack", string(debug.Stack())).Msg("panic contained")
 }
 
-// guardedWriter gives each write its own time.
+// guardedWriter sets a new deadline for each write.
 type guardedWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
@@ -94,26 +95,27 @@
 
 func (g *guardedWriter) extend() { _ = g.control.SetWriteDeadline(time.Now().Add(g.timeout)) }
 
-// WriteHeader notes that the answer has begun.
+// WriteHeader records that the answer has started.
 func (g *guardedWriter) WriteHeader(status int) {
 	g.wrote = true
 	g.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes within its time.
+// Write extends the write deadline and writes p.
 func (g *guardedWriter) Write(p []byte) (int, error) {
 	g.wrote = true
 	g.extend()
 	return g.ResponseWriter.Write(p)
 }
 
-// FlushError flushes within its time.
+// FlushError extends the write deadline and flushes.
 func (g *guardedWriter) FlushError() error {
 	g.extend()
 	return g.control.Flush()
 }
 
-// SetReadDeadline bounds the reads of the body by a handler's own deadline as well.
+// SetReadDeadline sets the handler's own read deadline. The body's reads are bounded by the earlier of this deadline
+// and the one that guardedBody sets.
 func (g *guardedWriter) SetReadDeadline(t time.Time) error {
 	if g.body == nil {
 		return g.control.SetReadDeadline(t)
@@ -124,37 +126,38 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (g *guardedWriter) Unwrap() http.ResponseWriter { return g.ResponseWriter }
 
-// guardedBody bounds each read of a body by the pace that it must keep.
+// guardedBody sets a deadline for each read of a body, from the minimum rate at which the body must arrive.
 type guardedBody struct {
 	io.ReadCloser
 	control *http.ResponseController
 
-	mu       sync.Mutex
-	pace     intake.Pace
-	began    time.Time
-	released bool
-	// deadline is the handler's own; zero for none.
+	mu   sync.Mutex
+	pace intake.Pace
+	// readStartedAt is when the last read started.
+	readStartedAt time.Time
+	released      bool
+	// deadline is the handler's own read deadline; zero for none.
 	deadline time.Time
 }
 
-// Read reads within the time that the body's pace allows.
+// Read reads within the time that the body's minimum rate allows.
 func (b *guardedBody) Read(p []byte) (int, error) {
-	if err := b.begin(); err != nil {
+	if err := b.startRead(); err != nil {
 		return 0, err
 	}
 	n, err := b.ReadCloser.Read(p)
-	return n, b.end(n, err)
+	return n, b.endRead(n, err)
 }
 
-func (b *guardedBody) begin() error {
+func (b *guardedBody) startRead() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.began = time.Now()
+	b.readStartedAt = time.Now()
 	if b.pace.TooSlow() {
-		return errTooSlow()
+		return errBodyTooSlow()
 	}
 	if !b.released {
-		_ = b.control.SetReadDeadline(b.earlier(b.began.Add(b.pace.Patience())))
+		_ = b.control.SetReadDeadline(b.earlierDeadline(b.readStartedAt.Add(b.pace.Patience())))
 	}
 	return nil
 }
@@ -166,35 +169,35 @@
 	return b.control.SetReadDeadline(t)
 }
 
-func (b *guardedBody) earlier(t time.Time) time.Time {
+func (b *guardedBody) earlierDeadline(t time.Time) time.Time {
 	if b.deadline.IsZero() || t.Before(b.deadline) {
 		return t
 	}
 	return b.deadline
 }
 
-// end lifts the deadline, since the library itself reads on to see whether the other end goes away.
-func (b *guardedBody) end(n int, err error) error {
+// endRead removes the read's deadline, because net/http itself keeps reading to detect that the peer disconnects.
+func (b *guardedBody) endRead(n int, err error) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pace.Bytes += int64(n)
-	b.pace.Waited += time.Since(b.began)
+	b.pace.Waited += time.Since(b.readStartedAt)
 	if b.released {
 		return err
 	}
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
-		return errTooSlow()
+		return errBodyTooSlow()
 	}
 	_ = b.control.SetReadDeadline(b.deadline)
 	return err
 }
 
-func errTooSlow() error {
+func errBodyTooSlow() error {
 	return code.Errorf(code.BodyTooSlow, "body", "want bytes at least every %v and %d bytes a second after %v", intake.Silence, intake.MinRate, intake.Grace)
 }
 
-// release ends the guard with its handler: a body that is read after that must not touch the connection's deadlines.
-// What is left of the body gets a last bound, in which the library may discard it.
+// release ends the guard when its handler returns: later reads of the body must not change the connection's deadlines.
+// The rest of the body gets a last deadline of HeaderTimeout, within which net/http may discard it.
 func (b *guardedBody) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -19,8 +19,8 @@
 	"samphireweir.example/samphireweir/internal/telemetry"
 )
 
-// soon is the patience of these tests' guards.
-const soon = 50 * time.Millisecond
+// guardTimeout is the timeout of the guards in these tests.
+const guardTimeout = 50 * time.Millisecond
 
 func serveTest(t *testing.T, h http.Handler) string {
 	t.Helper()
@@ -32,7 +32,7 @@
 	return s.Listener.Addr().String()
 }
 
-// send writes text on a connection of its own and returns it.
+// send opens a connection, writes text on it and returns it.
 func send(t *testing.T, address, text string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -44,10 +44,11 @@
 	return conn
 }
 
-// TestStalledBodyIsGivenUp lets a body stop in the middle: the handler hears of it with a code, and can still answer.
-func TestStalledBodyIsGivenUp(t *testing.T) {
+// TestStalledBodyFailsWithCode guards against a handler that waits for ever for a body that stops in the middle: its reads
+// fail with a result code, and it can still answer.
+func TestStalledBodyFailsWithCode(t *testing.T) {
 	address := serveTest(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b := &guardedBody{ReadCloser: r.Body, control: http.NewResponseController(w), pace: intake.Pace{Waited: intake.Grace - soon}}
+		b := &guardedBody{ReadCloser: r.Body, control: http.NewResponseController(w), pace: intake.Pace{Waited: intake.Grace - guardTimeout}}
 		defer b.release()
 		_, err := io.ReadAll(b)
 		_, again := b.Read(make([]byte, 1))
@@ -59,7 +60,8 @@
 	require.Equal(t, 2, strings.Count(string(answer), "samphireweir 1007 body too slow"), string(answer))
 }
 
-// TestBodyInPartsArrives lets a body come in two parts and the same connection carry a second request.
+// TestBodyInPartsArrives guards against a read deadline that outlives its read: a body arrives in two parts, and the same
+// connection then carries a second request.
 func TestBodyInPartsArrives(t *testing.T) {
 	p := &Process{Telemetry: telemetry.New(nil), Log: zerolog.Nop()}
 	address := serveTest(t, p.guard(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -76,11 +78,12 @@
 	require.Contains(t, string(answer), "ghijkl")
 }
 
-// TestStalledReaderIsGivenUp lets a caller take nothing of its answer: the write ends.
-func TestStalledReaderIsGivenUp(t *testing.T) {
+// TestWriteToStalledReaderTimesOut guards against a handler that blocks for ever on a caller that reads nothing of its
+// answer.
+func TestWriteToStalledReaderTimesOut(t *testing.T) {
 	ended := make(chan error, 1)
 	address := serveTest(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		g := &guardedWriter{ResponseWriter: w, control: http.NewResponseController(w), timeout: soon}
+		g := &guardedWriter{ResponseWriter: w, control: http.NewResponseController(w), timeout: guardTimeout}
 		var err error
 		for err == nil {
 			_, err = g.Write(make([]byte, 1<<20))
@@ -96,27 +99,29 @@
 	}
 }
 
-// TestLongStreamIsNotCut leaves pauses longer than the time of one write between the parts of an answer.
-func TestLongStreamIsNotCut(t *testing.T) {
+// TestStreamWithLongPausesIsNotCut guards against a write timeout that limits a whole answer: the pauses between its parts
+// are longer than the timeout of one write.
+func TestStreamWithLongPausesIsNotCut(t *testing.T) {
 	address := serveTest(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		g := &guardedWriter{ResponseWriter: w, control: http.NewResponseController(w), timeout: soon}
+		g := &guardedWriter{ResponseWriter: w, control: http.NewResponseController(w), timeout: guardTimeout}
 		for range 3 {
 			_, _ = g.Write([]byte("part "))
 			_ = g.FlushError()
-			time.Sleep(2 * soon)
+			time.Sleep(2 * guardTimeout)
 		}
 		g.extend()
 	}))
 	resp, err := http.Get("http://" + address)
 	require.NoError(t, err)
 	defer func() { _ = resp.Body.Close() }()
-	whole, err := io.ReadAll(resp.Body)
+	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	require.Equal(t, "part part part ", string(whole))
+	require.Equal(t, "part part part ", string(body))
 }
 
-// TestPanicStaysInItsRequest answers with a code, logs where it was, and serves on.
-func TestPanicStaysInItsRequest(t *testing.T) {
+// TestPanicEndsOnlyItsRequest guards against a panic of a handler that ends the process or leaves an incomplete answer that
+// looks complete. The panic is answered with a result code, counted and logged.
+func TestPanicEndsOnlyItsRequest(t *testing.T) {
 	var logged bytes.Buffer
 	p := &Process{Telemetry: telemetry.New(nil), Log: zerolog.New(&logged)}
 	address := serveTest(t, p.guard(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -133,7 +138,7 @@
 	require.Equal(t, http.StatusInternalServerError, status)
 	require.Contains(t, body, `"code":1009`)
 	_, body = get(t, address, "/late")
-	require.NotEqual(t, "part", body, "what is not whole must not look whole")
+	require.NotEqual(t, "part", body, "an incomplete answer must not look complete")
 	status, body = get(t, address, "/")
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "well", body)
@@ -141,14 +146,14 @@
 	require.Contains(t, logged.String(), `"event":1005`)
 }
 
-// get returns a status and a body; the body of an answer that was cut is "cut".
+// get returns the status and body of an answer. The body is "cut" if the answer was aborted.
 func get(t *testing.T, address, path string) (int, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	require.NoError(t, err)
-	req.Close = true // On a connection of its own the client repeats no call.
+	req.Close = true // With a connection of its own, the client does not retry the request.
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, "cut"
@@ -161,9 +166,9 @@
 	return resp.StatusCode, string(body)
 }
 
-// TestTooSlowHasItsCode keeps the code of a body that was given up readable through wrapping.
-func TestTooSlowHasItsCode(t *testing.T) {
+// TestBodyTooSlowErrorHasCode guards against an error for a slow body whose result code can't be found with errors.As.
+func TestBodyTooSlowErrorHasCode(t *testing.T) {
 	var coded *code.Error
-	require.ErrorAs(t, errTooSlow(), &coded)
+	require.ErrorAs(t, errBodyTooSlow(), &coded)
 	require.Equal(t, code.BodyTooSlow, coded.Code)
 }
--- a/internal/node/hosts_test.go
+++ b/internal/node/hosts_test.go
@@ -14,8 +14,9 @@
 	"samphireweir.example/samphireweir/internal/keys"
 )
 
-// TestAnOutageOfTheHostListIsLoggedOnceAndItsEndToo reads the list before, in and after an outage.
-func TestAnOutageOfTheHostListIsLoggedOnceAndItsEndToo(t *testing.T) {
+// TestHostListOutageAndRecoveryAreLoggedOnce guards against a log line for every failed read of the host list: an outage of
+// two reads must produce one line at its start and one at its end.
+func TestHostListOutageAndRecoveryAreLoggedOnce(t *testing.T) {
 	var down atomic.Bool
 	list := serveTest(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if down.Load() {
@@ -31,10 +32,10 @@
 	}, zerolog.New(&log), nil)
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		_ = p.peers.Close()
-		_ = p.operators.Close()
+		_ = p.peersListener.Close()
+		_ = p.operatorsListener.Close()
 	})
-	p.live = context.Background()
+	p.runCtx = context.Background()
 	for _, outage := range []bool{false, true, true, false, false} {
 		down.Store(outage)
 		p.readHosts()
--- a/internal/node/instrument.go
+++ b/internal/node/instrument.go
@@ -8,7 +8,7 @@
 	"samphireweir.example/samphireweir/internal/telemetry"
 )
 
-// instrument puts metrics and traces round the process's loop and clients, and serves the page of metrics.
+// instrument attaches metrics and traces to the process's loop and clients, and registers the metrics handler.
 func (p *Process) instrument() error {
 	traces := p.Config.Traces
 	if traces == nil {
@@ -25,12 +25,12 @@
 	traces.Client(p.Outside, telemetry.NameOutsideCall)
 	p.Operators.HandleFunc("GET /metrics", p.Telemetry.ServePage)
 	if p.Config.Profile {
-		p.profile()
+		p.registerProfiles()
 	}
 	return nil
 }
 
-// controlServer serves the control messages of other processes.
+// controlServer returns the server for control messages of other processes.
 func (p *Process) controlServer() *control.Server {
 	s := control.NewServer(p.Handlers)
 	s.Meter = p.Telemetry
@@ -38,8 +38,8 @@
 	return s
 }
 
-// profile serves pprof to operators.
-func (p *Process) profile() {
+// registerProfiles registers the pprof handlers on the operators' address.
+func (p *Process) registerProfiles() {
 	p.Operators.HandleFunc("GET /debug/pprof/", pprof.Index)
 	p.Operators.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
 	p.Operators.HandleFunc("GET /debug/pprof/trace", pprof.Trace)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -1,4 +1,5 @@
-// Package node runs the pure core of a process: it feeds events in and hands effects out.
+// Package node is the shell of a process around its core, which is a pure reducer: the shell turns what happens
+// (messages, requests, ticks) into events for the reducer and carries out the effects that the reducer returns.
 package node
 
 import (
@@ -11,19 +12,21 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// Carrier carries out one effect. It is called under the loop's lock, in the order of the effects, so it must
-// neither block nor call Step; longer work goes to a goroutine of its own.
+// Carrier carries out one effect. It is called under the loop's lock, in the order of the effects, so it must neither
+// block nor call Step. Longer work must run in a goroutine of its own.
 type Carrier func(step.Effect)
 
-// Loop owns the state of a process.
+// Loop owns the state of a process and serializes the events that change it.
 type Loop struct {
 	mu    sync.Mutex
 	state *core.State
 	carry Carrier
-	watch Observer
+	// observer is nil when nothing observes the loop.
+	observer Observer
 }
 
-// Observer sees each event and each effect, under the loop's lock; it must neither block nor call Step.
+// Observer receives each event and each effect. It is called under the loop's lock, so it must neither block nor call
+// Step.
 type Observer interface {
 	Event(step.Event)
 	Effect(step.Effect)
@@ -32,10 +35,10 @@
 // NewLoop returns a loop over state. SetCarrier must be called before the first Step.
 func NewLoop(state *core.State) *Loop { return &Loop{state: state} }
 
-// SetObserver sets what sees the events and effects; it must be called before the first Step.
-func (l *Loop) SetObserver(o Observer) { l.watch = o }
+// SetObserver sets the observer of events and effects. It must be called before the first Step.
+func (l *Loop) SetObserver(o Observer) { l.observer = o }
 
-// SetCarrier sets what carries effects out.
+// SetCarrier sets the function that carries out effects. It must be called before the first Step.
 func (l *Loop) SetCarrier(c Carrier) { l.carry = c }
 
 // Step reduces one event and carries out its effects.
@@ -45,27 +48,27 @@
 	l.observe(ev)
 	in := step.Input{Now: time.Now(), Rand: rand.Uint64(), Event: ev}
 	for _, e := range l.state.Reduce(in) {
-		if l.watch != nil {
-			l.watch.Effect(e)
+		if l.observer != nil {
+			l.observer.Effect(e)
 		}
 		l.carry(e)
 	}
 }
 
 func (l *Loop) observe(ev step.Event) {
-	if l.watch != nil {
-		l.watch.Event(ev)
+	if l.observer != nil {
+		l.observer.Event(ev)
 	}
 }
 
-// View calls f with the state under the lock. f must not keep or change what it sees.
+// View calls f with the state, under the lock. f must neither change the state nor keep references to it.
 func (l *Loop) View(f func(*core.State)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(l.state)
 }
 
-// Tick steps a Tick every step.TickInterval until ctx ends.
+// Tick steps a step.Tick event every step.TickInterval until ctx is done.
 func (l *Loop) Tick(ctx context.Context) {
 	t := time.NewTicker(step.TickInterval)
 	defer t.Stop()
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -15,7 +15,8 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// fleetRoutes serves what this process knows of the whole fleet, to operators and, with the secret, to peers.
+// fleetRoutes registers the handlers for this process's view of the whole fleet, for operators and, with the secret, for
+// peers.
 func (p *Process) fleetRoutes() {
 	for _, mux := range []*http.ServeMux{p.Operators, p.PeersMux} {
 		mux.HandleFunc("GET "+fleet.StatusPath, p.handleStatus)
@@ -37,7 +38,7 @@
 		http.Error(w, code.Errorf(code.BadMessage, "revision", "%q, want a number", r.FormValue("revision")).Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), countTime)
+	ctx, cancel := context.WithTimeout(r.Context(), countTimeout)
 	defer cancel()
 	writeJSON(w, p.InForce(ctx, r.FormValue("key"), revision))
 }
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -16,11 +16,11 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// platformTimeout bounds a call to the platform, beyond the time that it is asked to wait. A watch that has gone
-// silent ends by it and is made again over a new connection.
+// platformTimeout bounds a call to the platform, in addition to the time that the call asks the platform to wait. It
+// ends a watch whose connection no longer answers; the watch is then repeated on a new connection.
 const platformTimeout = 2 * time.Second
 
-// readPlatform carries out an effect of the watch's reducer.
+// readPlatform carries out an effect of the reducer that watches the platform.
 func (p *Process) readPlatform(e step.Effect) {
 	switch e := e.(type) {
 	case watch.List:
@@ -33,62 +33,63 @@
 }
 
 func (p *Process) readHosts() {
-	ctx, cancel := context.WithTimeout(p.live, platformTimeout)
+	ctx, cancel := context.WithTimeout(p.runCtx, platformTimeout)
 	defer cancel()
 	hosts, err := p.Hosts.Hosts(ctx)
 	if err != nil {
-		if p.hostsLost.CompareAndSwap(false, true) && p.live.Err() == nil {
+		if p.hostListLost.CompareAndSwap(false, true) && p.runCtx.Err() == nil {
 			logevent.Warn(p.Log, logevent.HostListLost).Err(err).Msg("host list lost")
 		}
 		p.Loop.Step(watch.HostsFailed{})
 		return
 	}
-	if p.hostsLost.CompareAndSwap(true, false) {
+	if p.hostListLost.CompareAndSwap(true, false) {
 		logevent.Info(p.Log, logevent.HostListBack).Msg("host list back")
 	}
 	p.Loop.Step(member.ListRead{Hosts: hosts})
 }
 
 func (p *Process) listSettings() {
-	ctx, cancel := context.WithTimeout(p.live, platformTimeout)
+	ctx, cancel := context.WithTimeout(p.runCtx, platformTimeout)
 	defer cancel()
 	l, err := p.Objects.List(ctx, setting.Prefix)
 	if err != nil {
-		p.readFailed(errors.Wrap(err, "list the settings"))
+		p.settingsReadFailed(errors.Wrap(err, "listing settings"))
 		return
 	}
-	p.platformBack()
-	p.Loop.Step(core.PlatformListed{Revision: l.Revision, Records: records(l.Items)})
+	p.noteObjectAPIReachable()
+	p.Loop.Step(core.PlatformListed{Revision: l.Revision, Records: toRecords(l.Items)})
 }
 
 func (p *Process) watchSettings(e watch.Watch) {
-	ctx, cancel := context.WithTimeout(p.live, e.Wait+platformTimeout)
+	ctx, cancel := context.WithTimeout(p.runCtx, e.Wait+platformTimeout)
 	defer cancel()
 	l, err := p.Objects.Watch(ctx, setting.Prefix, e.After, e.Wait)
 	if err != nil {
-		p.readFailed(errors.Wrap(err, "watch the settings"))
+		p.settingsReadFailed(errors.Wrap(err, "watching settings"))
 		return
 	}
-	p.platformBack()
-	p.Loop.Step(core.PlatformWatched{Revision: l.Revision, Records: records(l.Items)})
+	p.noteObjectAPIReachable()
+	p.Loop.Step(core.PlatformWatched{Revision: l.Revision, Records: toRecords(l.Items)})
 }
 
-func (p *Process) readFailed(err error) {
+func (p *Process) settingsReadFailed(err error) {
 	gone := errors.Is(err, objectapi.ErrGone)
-	if !gone && p.lost.CompareAndSwap(false, true) && p.live.Err() == nil {
+	if !gone && p.objectAPILost.CompareAndSwap(false, true) && p.runCtx.Err() == nil {
 		logevent.Warn(p.Log, logevent.PlatformLost).Err(err).Msg("platform lost")
 	}
 	p.Loop.Step(watch.ReadFailed{Gone: gone})
 }
 
-func (p *Process) platformBack() {
-	if p.lost.CompareAndSwap(true, false) {
+func (p *Process) noteObjectAPIReachable() {
+	if p.objectAPILost.CompareAndSwap(true, false) {
 		logevent.Info(p.Log, logevent.PlatformBack).Msg("platform back")
 	}
 }
 
-// records makes records of objects: without the settings' history, and tombstones as what they are.
-func records(items []objectapi.Item) []record.Record {
+// toRecords converts objects of the object API to records. It leaves out the settings' history, and it converts a
+// tombstone to a deleted record.
+func toRecords(items []objectapi.Item) []record.Record {
 	list := make([]record.Record, 0, len(items))
 	for _, i := range items {
 		r := record.Record{Key: i.Key, Version: record.Version{Major: i.Version}, Deleted: i.Deleted}
--- a/internal/node/process.go
+++ b/internal/node/process.go
@@ -25,20 +25,20 @@
 )
 
 const (
-	// HeaderTimeout bounds the reading of a request's head.
+	// HeaderTimeout bounds the time to read a request's header.
 	HeaderTimeout = 10 * time.Second
-	// IdleTimeout closes connections that carry nothing.
+	// IdleTimeout is how long an idle connection is kept open.
 	IdleTimeout = 2 * time.Minute
-	// MaxHeaderBytes bounds a request's head.
+	// MaxHeaderBytes bounds the size of a request's header, in bytes.
 	MaxHeaderBytes = 64 << 10
 	// keepAlive is the interval of TCP keep-alives.
 	keepAlive = 15 * time.Second
-	// maxIdlePerHost bounds the idle connections kept to one address.
+	// maxIdlePerHost bounds the idle connections that are kept to one address.
 	maxIdlePerHost = 64
 )
 
-// Process is what an entry and an agent share: listeners, the loop, the relay of records, the reading of the
-// platform.
+// Process is the part of a process that entries and agents share: listeners, the event loop, the relay of records and
+// the reading of the platform.
 type Process struct {
 	Config    Config
 	Log       zerolog.Logger
@@ -50,35 +50,37 @@
 	PeersMux  *http.ServeMux
 	Operators *http.ServeMux
 	Telemetry *telemetry.Telemetry
-	// Client calls other processes of the system, with mutual TLS when it is set.
+	// Client calls other processes of the system, with mutual TLS when certificates are configured.
 	Client *http.Client
 	// Outside calls the platform and the sources of weights.
 	Outside *http.Client
 
-	peers     net.Listener
-	operators net.Listener
-	// Calls are the questions to the core that wait for its answer.
+	peersListener     net.Listener
+	operatorsListener net.Listener
+	// Calls are the calls to the core that wait for its answer.
 	Calls Calls
-	// live ends with the process.
-	live context.Context
-	// lost and hostsLost are set while the object API, or the list of hosts, does not answer.
-	lost      atomic.Bool
-	hostsLost atomic.Bool
-	stopping  atomic.Bool
-	servers   []*http.Server
+	// runCtx is done when the process ends.
+	runCtx context.Context
+	// objectAPILost is set while the object API does not answer.
+	objectAPILost atomic.Bool
+	// hostListLost is set while the list of hosts does not answer.
+	hostListLost atomic.Bool
+	// stopping is set when the process shows itself as not ready because it is about to stop.
+	stopping atomic.Bool
+	servers  []*http.Server
 }
 
-// NewProcess listens and makes the parts. upstreams is empty but for an agent.
+// NewProcess opens the listeners and creates the parts of a process. upstreams is empty except for an agent.
 func NewProcess(c Config, log zerolog.Logger, upstreams []rollout.Upstream) (*Process, error) {
 	p := &Process{Config: c, Log: log, Handlers: control.Handlers{}, PeersMux: http.NewServeMux(), Operators: http.NewServeMux()}
 	var err error
-	if p.peers, err = net.Listen("tcp", c.PeersListen); err != nil {
+	if p.peersListener, err = net.Listen("tcp", c.PeersListen); err != nil {
 		return nil, code.Errorf(code.BadProcess, "-peers-listen", "can't listen: %v", err)
 	}
-	if p.operators, err = net.Listen("tcp", c.OperatorsListen); err != nil {
+	if p.operatorsListener, err = net.Listen("tcp", c.OperatorsListen); err != nil {
 		return nil, code.Errorf(code.BadProcess, "-operators-listen", "can't listen: %v", err)
 	}
-	if err = p.secure(); err != nil {
+	if err = p.setUpPeerTransport(); err != nil {
 		return nil, err
 	}
 	p.Outside = NewHTTPClient()
@@ -96,15 +98,16 @@
 	return p, nil
 }
 
-// secure makes the means of talking to other processes, with mutual TLS when certificates are given.
-func (p *Process) secure() error {
+// setUpPeerTransport creates the clients for other processes. It uses mutual TLS, for the peer listener too, when
+// certificates are configured.
+func (p *Process) setUpPeerTransport() error {
 	dial := dialer().DialContext
 	if p.Config.TLS() {
 		pair, err := keys.Load(p.Config.Config)
 		if err != nil {
 			return err
 		}
-		p.peers = tls.NewListener(p.peers, pair.Server())
+		p.peersListener = tls.NewListener(p.peersListener, pair.Server())
 		dial = (&tls.Dialer{NetDialer: dialer(), Config: pair.Client()}).DialContext
 	}
 	p.Client = newHTTPClient(dial)
@@ -116,7 +119,7 @@
 	return &net.Dialer{Timeout: control.DialTimeout, KeepAlive: keepAlive}
 }
 
-// NewHTTPClient returns a client with bounded dials and no bound on a whole answer, since answers stream.
+// NewHTTPClient returns a client with a dial timeout. It has no timeout for a whole answer, because answers are streamed.
 func NewHTTPClient() *http.Client { return newHTTPClient(dialer().DialContext) }
 
 func newHTTPClient(dial control.DialFunc) *http.Client {
@@ -128,11 +131,11 @@
 	}}
 }
 
-// Address is where peers reach this process.
-func (p *Process) Address() string { return p.peers.Addr().String() }
+// Address returns the address at which peers reach this process.
+func (p *Process) Address() string { return p.peersListener.Addr().String() }
 
-// OperatorsAddress is where operators reach this process.
-func (p *Process) OperatorsAddress() string { return p.operators.Addr().String() }
+// OperatorsAddress returns the address at which operators reach this process.
+func (p *Process) OperatorsAddress() string { return p.operatorsListener.Addr().String() }
 
 func (p *Process) routes() {
 	p.relayRoutes()
@@ -143,18 +146,19 @@
 	p.Operators.HandleFunc("GET "+BurstsPath, p.handleBursts)
 }
 
-// Serve serves h on l until the process ends.
+// Serve serves h on l in the background until Close is called.
 func (p *Process) Serve(l net.Listener, h http.Handler) {
 	s := p.newServer(h)
 	p.servers = append(p.servers, s)
 	go func() { _ = s.Serve(l) }()
 }
 
-// Run starts all that entry and agent share. It returns at once; the parts end with ctx.
+// Run starts the parts that entries and agents share and returns at once. They end when ctx is done. fields are added to
+// the log event that names the listen addresses.
 func (p *Process) Run(ctx context.Context, fields map[string]string) {
-	p.live = ctx
-	p.Serve(p.peers, p.authorized(p.Telemetry.Traces.AgentServer(p.PeersMux)))
-	p.Serve(p.operators, p.Operators)
+	p.runCtx = ctx
+	p.Serve(p.peersListener, p.authorized(p.Telemetry.Traces.AgentServer(p.PeersMux)))
+	p.Serve(p.operatorsListener, p.Operators)
 	ev := logevent.Info(p.Log, logevent.Listening).Str("peers", p.Address()).Str("operators", p.OperatorsAddress())
 	for k, v := range fields {
 		ev = ev.Str(k, v)
@@ -164,19 +168,20 @@
 	go p.Loop.Tick(ctx)
 }
 
-// NotReady shows the process as not ready while it still serves.
+// NotReady makes the readiness check fail while the process still serves.
 func (p *Process) NotReady() { p.stopping.Store(true) }
 
-// Leaving tells whether the process shows itself as not ready because it is about to stop.
+// Leaving reports whether the readiness check fails because the process is about to stop.
 func (p *Process) Leaving() bool { return p.stopping.Load() }
 
-// Stopping marks the process as not ready, so that the balancer sends nothing more.
+// Stopping makes the readiness check fail, so that the load balancer sends no more requests, and tells the core that a
+// shutdown was requested.
 func (p *Process) Stopping() {
 	p.stopping.Store(true)
 	p.Loop.Step(core.StopAsked{})
 }
 
-// Close ends the listeners, waits for open exchanges until ctx ends, and closes all connections.
+// Close closes the listeners, waits for open requests until ctx is done, and then closes all connections.
 func (p *Process) Close(ctx context.Context) {
 	for _, s := range p.servers {
 		_ = s.Shutdown(ctx)
@@ -208,7 +213,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Carry carries out the effects that entry and agent share. It reports whether e was one of them.
+// Carry carries out e if it is one of the effects that entries and agents share, and reports whether it is.
 func (p *Process) Carry(e step.Effect) bool {
 	switch e := e.(type) {
 	case record.Push, record.Exchange, record.Compare, record.Answer, record.CompareAnswer,
--- a/internal/node/refusals.go
+++ b/internal/node/refusals.go
@@ -9,57 +9,58 @@
 	"samphireweir.example/samphireweir/internal/code"
 )
 
-// libraryEnd ends the head of an answer that net/http gives by itself to what is not a request. No answer of a
-// handler has these two fields alone: a date stands in each.
-const libraryEnd = "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n"
+// serverErrorHeader is the end of the header of an error response that net/http itself writes for a malformed request.
+// No response of a handler has just these two fields, because each also has a Date.
+const serverErrorHeader = "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n"
 
-// NumberRefusals makes the answers that net/http gives by itself, to what is malformed or too large to be a request,
-// refusals like all others: with a number, and with the statement that nothing was run.
-func NumberRefusals(l net.Listener) net.Listener { return numberingListener{l} }
+// NumberRefusals wraps l so that the error responses that net/http itself writes, to requests that are malformed or too
+// large, have the form of all other rejections: with a result code and the statement that the request was not run.
+func NumberRefusals(l net.Listener) net.Listener { return rejectionListener{l} }
 
-type numberingListener struct{ net.Listener }
+type rejectionListener struct{ net.Listener }
 
-// Accept takes the next connection.
-func (l numberingListener) Accept() (net.Conn, error) {
+// Accept accepts the next connection.
+func (l rejectionListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	tcp, ok := conn.(*net.TCPConn)
 	if err != nil || !ok {
 		return conn, err
 	}
-	return &numberingConn{tcp}, nil
+	return &rejectionConn{tcp}, nil
 }
 
-// numberingConn is a connection of a caller.
-type numberingConn struct{ *net.TCPConn }
+// rejectionConn is a caller's connection that replaces the error responses of net/http.
+type rejectionConn struct{ *net.TCPConn }
 
-// Write writes p, or a numbered refusal in its place.
-func (c *numberingConn) Write(p []byte) (int, error) {
-	status, isRefusal := libraryRefusal(p)
-	if !isRefusal {
+// Write writes p, or a rejection with a result code if p is an error response of net/http.
+func (c *rejectionConn) Write(p []byte) (int, error) {
+	status, isServerError := parseServerError(p)
+	if !isServerError {
 		return c.TCPConn.Write(p)
 	}
-	if _, err := c.TCPConn.Write(numberedRefusal(status)); err != nil {
+	if _, err := c.TCPConn.Write(codedRejection(status)); err != nil {
 		return 0, err
 	}
 	return len(p), nil
 }
 
-// libraryRefusal returns the status line's text after the version.
-func libraryRefusal(p []byte) (status string, ok bool) {
+// parseServerError reports whether p is an error response that net/http itself wrote, and returns the text of its
+// status line after the HTTP version.
+func parseServerError(p []byte) (status string, ok bool) {
 	const version = "HTTP/1.1 "
-	line := bytes.Index(p, []byte("\r\n"))
-	if line < len(version) || !bytes.HasPrefix(p, []byte(version)) || !bytes.HasPrefix(p[line:], []byte(libraryEnd)) {
+	lineEnd := bytes.Index(p, []byte("\r\n"))
+	if lineEnd < len(version) || !bytes.HasPrefix(p, []byte(version)) || !bytes.HasPrefix(p[lineEnd:], []byte(serverErrorHeader)) {
 		return "", false
 	}
-	return string(p[len(version):line]), true
+	return string(p[len(version):lineEnd]), true
 }
 
-func numberedRefusal(status string) []byte {
+func codedRejection(status string) []byte {
 	entry := code.MalformedRequest.Describe()
-	number := entry.Status
-	_, _ = fmt.Sscanf(status, "%d", &number)
+	statusCode := entry.Status
+	_, _ = fmt.Sscanf(status, "%d", &statusCode)
 	body, err := json.Marshal(map[string]any{
-		"title": entry.Name, "status": number, "code": entry.Code, "detail": status + "; " + entry.Help, "ran": code.NotRun,
+		"title": entry.Name, "status": statusCode, "code": entry.Code, "detail": status + "; " + entry.Help, "ran": code.NotRun,
 	})
 	if err != nil {
 		return nil
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -11,7 +11,7 @@
 	"samphireweir.example/samphireweir/internal/logevent"
 )
 
-// The control methods that pass records on.
+// The control methods that replicate records between processes.
 const (
 	pushMethod     = "record.push"
 	exchangeMethod = "record.exchange"
@@ -70,7 +70,7 @@
 	p.Handlers[countMethod] = p.handleCount
 }
 
-// relay carries out an effect of the records' reducer.
+// relay carries out an effect of the reducer that replicates records.
 func (p *Process) relay(e step.Effect) {
 	switch e := e.(type) {
 	case record.Push:
@@ -90,7 +90,7 @@
 	}
 }
 
-// callPeer makes one call, and tells the core whether the peer answered.
+// callPeer makes one call and reports to the core whether the peer answered.
 func (p *Process) callPeer(to, method string, params, answer any) error {
 	err := p.Pool.Call(context.Background(), to, method, params, answer)
 	if err != nil {
--- a/internal/node/served.go
+++ b/internal/node/served.go
@@ -8,6 +8,7 @@
 	"samphireweir.example/samphireweir/internal/core"
 )
 
+// servedMethod is the control method that asks an entry which versions of a service are served.
 const servedMethod = "member.served"
 
 type servedMessage struct {
