--- a/internal/frame/envelope.go
+++ b/internal/frame/envelope.go
@@ -11,62 +11,68 @@
 )
 
 const (
-	// EnvelopeHeader carries an Envelope from an entry to an agent.
+	// EnvelopeHeader is the HTTP header that carries an Envelope from an entry to an agent.
 	EnvelopeHeader = "Samphireweir-Run"
-	// RunPath is where an agent takes requests.
+	// RunPath is the agent's path for running a request.
 	RunPath = "/run"
-	// ResumePath is where an agent continues an answer that broke.
+	// ResumePath is the agent's path for continuing an answer whose connection broke.
 	ResumePath = "/resume"
-	// FencePath is where an agent is told that a try was given up on.
+	// FencePath is the agent's path for a report that the entry has given up an attempt.
 	FencePath = "/fence"
-	// BeatInterval is the time between two beats on a connection that has no data.
+	// BeatInterval is the time between heartbeats on a connection without data.
 	BeatInterval = time.Second
-	// HeadLimit is how long an entry waits for an agent's first byte before it takes the connection for silent and
-	// asks over a new one. The agent answers at once, whatever the upstream does.
+	// HeadLimit is how long an entry waits for an agent's first byte before it considers the connection dead and
+	// repeats the request on a new one. The agent answers at once, independently of the upstream.
 	HeadLimit = time.Second
-	// SilenceLimit is how long an entry waits for a frame before it takes the connection for dead.
+	// SilenceLimit is how long an entry waits for a frame before it considers the connection dead.
 	SilenceLimit = 3 * BeatInterval
-	// MaxEnvelope bounds an envelope, in bytes.
+	// MaxEnvelope bounds an encoded envelope, in bytes.
 	MaxEnvelope = 16 << 10
 )
 
-// Envelope says what an entry wants of an agent.
+// Envelope describes to an agent the attempt that an entry asks it to run, resume or fence.
 type Envelope struct {
-	Request  string `json:"request"`
-	Attempt  int    `json:"attempt"`
+	// Request is the ID of the request.
+	Request string `json:"request"`
+	// Attempt is the number of the attempt, from 1.
+	Attempt int `json:"attempt"`
+	// Upstream is the name of the upstream on the agent's host.
 	Upstream string `json:"upstream"`
 	// Target is the path and query at the upstream.
 	Target string `json:"target,omitempty"`
-	// Offset is the first byte of the answer that a resume wants.
+	// Offset is the first byte of the answer that a resume asks for.
 	Offset int64 `json:"offset,omitempty"`
-	// DeadlineMS is the time left to the caller's deadline.
+	// DeadlineMS is the time left until the caller's deadline, in milliseconds.
 	DeadlineMS int64 `json:"deadline_ms,omitempty"`
-	// Incarnation is the life of the agent that the entry means, from its advertisement.
+	// Incarnation identifies the instance of the agent that the entry addresses, as the agent advertised it.
 	Incarnation uint64 `json:"incarnation"`
-	// Entry names the life of the entry; Sequence counts the tries that it sent.
-	Entry    string `json:"entry"`
+	// Entry identifies the instance of the entry.
+	Entry string `json:"entry"`
+	// Sequence counts the attempts that this instance of the entry has sent.
 	Sequence uint64 `json:"sequence"`
-	// Fingerprint names what the request is, whoever sends it.
+	// Fingerprint identifies the content of the request, independently of the caller.
 	Fingerprint string `json:"fingerprint,omitempty"`
-	// Alone asks that nothing else runs on the upstream meanwhile.
+	// Alone asks that no other request runs on the upstream at the same time.
 	Alone bool `json:"alone,omitempty"`
-	// Mark is what the entry holds of the fingerprint of a suspect; the agent may not have heard it yet.
+	// Mark is the entry's record of crashes for the fingerprint, which the agent may not have received yet.
 	Mark *record.Record `json:"mark,omitempty"`
-	// Digest, when set, is the only version that the request may run under.
+	// Digest, when set, is the digest of the only version of weights on which the request may run.
 	Digest string `json:"digest,omitempty"`
-	// ResumeTokens, when set, is the first token that the engine shall make: the answer goes on from there.
+	// ResumeTokens, when set, is the index of the first token that the engine must generate: the answer continues
+	// from there.
 	ResumeTokens int `json:"resume_tokens,omitempty"`
-	// Revision is the revision of the service's setting that the entry has; an agent that has an older one catches up
-	// with From, the entry's address for peers, before it serves.
+	// Revision is the entry's revision of the service's setting. An agent with an older revision fetches the setting
+	// from the entry before it serves the request.
 	Revision uint64 `json:"revision,omitempty"`
-	From     string `json:"from,omitempty"`
-	// Once says that the call runs at most once.
+	// From is the entry's address for peers.
+	From string `json:"from,omitempty"`
+	// Once requires that the request runs at most once.
 	Once bool `json:"once,omitempty"`
-	// Cache is what the entry has heard of the upstream's prefix cache.
+	// Cache identifies the last change of the upstream's prefix cache that the entry has received.
 	Cache routing.CacheMark `json:"cache,omitzero"`
 }
 
-// Set writes the envelope to h.
+// Set encodes e into EnvelopeHeader of h. It fails if the encoded envelope exceeds MaxEnvelope bytes.
 func (e Envelope) Set(h http.Header) error {
 	raw, err := json.Marshal(e)
 	if err != nil {
@@ -79,7 +85,7 @@
 	return nil
 }
 
-// ParseEnvelope reads and checks the envelope in h.
+// ParseEnvelope decodes and validates the envelope in EnvelopeHeader of h.
 func ParseEnvelope(h http.Header) (Envelope, error) {
 	var e Envelope
 	raw := h.Get(EnvelopeHeader)
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,7 +1,8 @@
-// Package frame is the format of an answer on its way from an agent to an entry. Framing lets the entry tell an
-// answer that is whole from one that was cut, silence from a slow upstream, and its own answer from another's.
+// Package frame is the format in which an agent sends an answer to an entry. Framing lets the entry distinguish a
+// complete answer from a truncated one, a dead connection from a slow upstream, and its own answer from that of another
+// request.
 //
-// A frame is one byte of type, four bytes of length (big endian), and the payload.
+// A frame is one byte of type, four bytes of payload length (big endian), and the payload.
 package frame
 
 import (
@@ -15,7 +16,7 @@
 	"samphireweir.example/samphireweir/internal/core/routing"
 )
 
-// Type tells frames apart.
+// Type is the type of a frame.
 type Type byte
 
 // The types of frame.
@@ -24,57 +25,60 @@
 	TypeHead Type = 1
 	// TypeData carries bytes of the answer's body.
 	TypeData Type = 2
-	// TypeBeat carries nothing: the agent is alive and the upstream has not spoken.
+	// TypeBeat is a heartbeat without payload: the agent is alive and the upstream has sent nothing.
 	TypeBeat Type = 3
-	// TypeEnd carries an End: the answer is whole.
+	// TypeEnd carries an End: the answer is complete.
 	TypeEnd Type = 4
-	// TypeFail carries a Fail: the answer will not be whole.
+	// TypeFail carries a Fail: the answer will not be completed.
 	TypeFail Type = 5
 )
 
-// MaxPayload bounds one frame, in bytes.
+// MaxPayload bounds the payload of one frame, in bytes.
 const MaxPayload = 256 << 10
 
+// headerSize is the size of a frame's type and length, in bytes.
 const headerSize = 5
 
-// ContentType marks a framed answer.
+// ContentType is the media type of a framed answer.
 const ContentType = "application/x-samphireweir-frames"
 
-// Head begins an answer.
+// Head is the payload of the first frame of an answer: its status and header.
 type Head struct {
 	Request string      `json:"request"`
 	Attempt int         `json:"attempt"`
 	Status  int         `json:"status"`
 	Header  http.Header `json:"header"`
-	// Load is the agent's word on the upstream's load.
+	// Load is the load of the upstream as the agent reports it.
 	Load *routing.Report `json:"load,omitempty"`
 }
 
-// End says how many bytes of body the whole answer has, and the hash of them.
+// End is the payload of the frame that ends a complete answer, with the size and hash of the body for verification.
 type End struct {
 	Request string `json:"request"`
 	Attempt int    `json:"attempt"`
-	Bytes   int64  `json:"bytes"`
-	// Sum is the xxhash of the body.
+	// Bytes is the size of the body.
+	Bytes int64 `json:"bytes"`
+	// Sum is the 64-bit xxhash of the body.
 	Sum uint64 `json:"sum"`
-	// Load is the agent's word on the upstream's load.
+	// Load is the load of the upstream as the agent reports it.
 	Load *routing.Report `json:"load,omitempty"`
 }
 
-// Fail says why there is no (more) answer.
+// Fail is the payload of the frame that ends an answer early, with the reason.
 type Fail struct {
 	Request string    `json:"request"`
 	Attempt int       `json:"attempt"`
 	Code    code.Code `json:"code"`
 	Ran     code.Ran  `json:"ran"`
-	// Crashed says that the upstream crashed under the request; Mark is then what is held of its fingerprint.
-	Crashed bool           `json:"crashed,omitempty"`
-	Mark    *record.Record `json:"mark,omitempty"`
-	// Load is the agent's word on the upstream's load.
+	// Crashed reports whether the upstream crashed while it ran the request.
+	Crashed bool `json:"crashed,omitempty"`
+	// Mark is set with Crashed: the record of crashes for the request's fingerprint.
+	Mark *record.Record `json:"mark,omitempty"`
+	// Load is the load of the upstream as the agent reports it.
 	Load *routing.Report `json:"load,omitempty"`
 }
 
-// Write writes one frame.
+// Write writes one frame. It fails for a payload of more than MaxPayload bytes.
 func Write(w io.Writer, t Type, payload []byte) error {
 	if len(payload) > MaxPayload {
 		return code.Errorf(code.BadMessage, "frame.length", "%d bytes, at most %d", len(payload), MaxPayload)
@@ -87,7 +91,7 @@
 	return err
 }
 
-// WriteJSON writes one frame with a JSON payload.
+// WriteJSON writes one frame with v, encoded as JSON, as its payload.
 func WriteJSON(w io.Writer, t Type, v any) error {
 	payload, err := json.Marshal(v)
 	if err != nil {
@@ -102,15 +106,15 @@
 	buf []byte
 }
 
-// NewReader returns a reader of the frames in r.
+// NewReader returns a Reader of the frames in r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
 
-// Next returns the next frame. The payload is valid until the next call. A stream that ends between or within
-// frames gives io.ErrUnexpectedEOF: only TypeEnd and TypeFail end an answer.
+// Next returns the next frame. The payload is valid until the next call. If the stream ends between or within frames,
+// Next returns io.ErrUnexpectedEOF, because only TypeEnd and TypeFail end an answer.
 func (r *Reader) Next() (Type, []byte, error) {
 	var head [headerSize]byte
 	if _, err := io.ReadFull(r.r, head[:]); err != nil {
-		return 0, nil, cut(err)
+		return 0, nil, unexpectedEOF(err)
 	}
 	t := Type(head[0])
 	if t < TypeHead || t > TypeFail {
@@ -125,12 +129,13 @@
 	}
 	payload := r.buf[:n]
 	if _, err := io.ReadFull(r.r, payload); err != nil {
-		return 0, nil, cut(err)
+		return 0, nil, unexpectedEOF(err)
 	}
 	return t, payload, nil
 }
 
-func cut(err error) error {
+// unexpectedEOF returns io.ErrUnexpectedEOF for io.EOF, and err otherwise.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/frame/fuzz_test.go
+++ b/internal/frame/fuzz_test.go
@@ -10,7 +10,8 @@
 	"samphireweir.example/samphireweir/internal/frame"
 )
 
-// FuzzReader reads arbitrary bytes as frames: each frame is within its bound and is written back the same.
+// FuzzReader checks that Reader accepts no payload over MaxPayload, and that the accepted frames are encoded to the same
+// bytes encoded.
 func FuzzReader(f *testing.F) {
 	var good bytes.Buffer
 	_ = frame.WriteJSON(&good, frame.TypeHead, frame.Head{Request: "r", Attempt: 1, Status: 200})
@@ -19,20 +20,20 @@
 	f.Add([]byte{2, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		r := frame.NewReader(bytes.NewReader(raw))
-		var again bytes.Buffer
+		var encoded bytes.Buffer
 		for {
 			kind, payload, err := r.Next()
 			if err != nil {
 				break
 			}
 			require.LessOrEqual(t, len(payload), frame.MaxPayload)
-			require.NoError(t, frame.Write(&again, kind, payload))
+			require.NoError(t, frame.Write(&encoded, kind, payload))
 		}
-		require.True(t, bytes.HasPrefix(raw, again.Bytes()))
+		require.True(t, bytes.HasPrefix(raw, encoded.Bytes()))
 	})
 }
 
-// FuzzParseEnvelope refuses or accepts arbitrary text; what it accepts goes back into a header.
+// FuzzParseEnvelope checks that each envelope that is accepted has a request ID and a positive attempt number.
 func FuzzParseEnvelope(f *testing.F) {
 	f.Add(`{"request":"r","attempt":1,"upstream":"u"}`)
 	f.Add(`{"attempt":-1}`)
