--- a/internal/engine/guard.go
+++ b/internal/engine/guard.go
@@ -8,25 +8,27 @@
 )
 
 const (
-	// checkedBytes is the most that is written to an engine between two checks of the permission to order.
-	checkedBytes = 1 << 20
-	// checkedTime is the longest between two checks; a longer gap is a pause of this process.
-	checkedTime = 20 * time.Millisecond
-	// orderDialTimeout bounds the dial of an order.
+	// maxUncheckedBytes bounds the bytes that are written to an engine between two checks of the permission.
+	maxUncheckedBytes = 1 << 20
+	// maxUncheckedTime bounds the time between two checks. A longer gap means that this process was paused, and the
+	// permission may have ended in the meantime.
+	maxUncheckedTime = 20 * time.Millisecond
+	// orderDialTimeout bounds the time to connect to an engine for an order.
 	orderDialTimeout = 3 * time.Second
-	// orderBuffer is the size of the writes of an order, in bytes.
-	orderBuffer = 64 << 10
+	// orderBufferBytes is the size of the write buffer of an order's connection, in bytes.
+	orderBufferBytes = 64 << 10
 )
 
-// NewGuardedTransport returns the transport of one order. It asks for permission before the first byte goes out,
-// the head's included, and between the pieces of the body, and cuts the connection when the permission ended. The
-// check stands at the connection because the HTTP client sends a request's head before it reads the body.
+// NewGuardedTransport returns the HTTP transport for one order. It calls permit before the first byte, the header
+// included, and again after at most 1 MiB or 20 ms of writes. If permit returns an error, the write fails and the request
+// is aborted. The check is made at the connection because the HTTP client sends a request's header before it reads the
+// body.
 func NewGuardedTransport(permit func() error) http.RoundTripper {
 	d := &net.Dialer{Timeout: orderDialTimeout}
 	return &http.Transport{
 		DisableKeepAlives:  true,
 		DisableCompression: true,
-		WriteBufferSize:    orderBuffer,
+		WriteBufferSize:    orderBufferBytes,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := d.DialContext(ctx, network, address)
 			if err != nil {
@@ -37,18 +39,19 @@
 	}
 }
 
-// guardedConn is a connection that writes only while that is permitted.
+// guardedConn is a connection that writes only while permit returns nil.
 type guardedConn struct {
 	net.Conn
-	permit    func() error
+	permit func() error
+	// unchecked counts the bytes since the last check.
 	unchecked int
 	checkedAt time.Time
 }
 
-// Write writes p if the order may go on.
+// Write checks the permission, if a check is due, and writes p.
 func (g *guardedConn) Write(p []byte) (int, error) {
 	g.unchecked += len(p)
-	if g.unchecked >= checkedBytes || time.Since(g.checkedAt) >= checkedTime {
+	if g.unchecked >= maxUncheckedBytes || time.Since(g.checkedAt) >= maxUncheckedTime {
 		if err := g.permit(); err != nil {
 			return 0, err
 		}
