--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -14,13 +14,13 @@
 	"github.com/pkg/errors"
 )
 
-// MaxValue is the largest value that the platform holds, in bytes.
+// MaxValue is the size limit of a value in the platform's object API, in bytes.
 const MaxValue = 1 << 20
 
-// maxAnswer bounds what is read of one answer, in bytes.
-const maxAnswer = 64 << 20
+// maxAnswerBytes bounds how much of one answer is read, in bytes.
+const maxAnswerBytes = 64 << 20
 
-// Item is one object, or the news of one.
+// Item is one object or one change of an object.
 type Item struct {
 	Key     string          `json:"key"`
 	Version uint64          `json:"version"`
@@ -30,17 +30,20 @@
 
 // Listing is a consistent read of several objects.
 type Listing struct {
+	// Revision is the revision of the store at which the objects were read.
 	Revision uint64 `json:"revision"`
 	Items    []Item `json:"items"`
 }
 
-// ErrNotFound says that there is no such object.
-var ErrNotFound = errors.New("no such object")
+// ErrNotFound means that the object does not exist.
+var ErrNotFound = errors.New("object not found")
 
-// ErrGone says that the watch's revision is older than what the platform keeps; list again.
+// ErrGone means that the revision of a watch is older than the history that the platform keeps. The caller must list the
+// objects again.
 var ErrGone = errors.New("revision no longer kept")
 
-// ConflictError says that the object had another version than the condition; nothing was written.
+// ConflictError means that the object's version differs from the version in the condition. Nothing was written. Present
+// is the object as it is.
 type ConflictError struct{ Present Item }
 
 // Error describes the conflict.
@@ -48,18 +51,20 @@
 	return "version conflict on " + e.Present.Key + ": present version " + strconv.FormatUint(e.Present.Version, 10)
 }
 
-// RefusedError says that the platform answered that it did nothing (rate, outage).
+// RefusedError means that the platform rejected a call without carrying it out, because of a rate limit or an outage.
 type RefusedError struct {
-	Status     int
+	// Status is the HTTP status.
+	Status int
+	// RetryAfter is the delay that the platform asked for; 0 when it gave none.
 	RetryAfter time.Duration
 }
 
-// Error describes the refusal.
+// Error describes the rejection.
 func (e *RefusedError) Error() string {
-	return "platform refused with status " + strconv.Itoa(e.Status)
+	return "platform rejected the call with status " + strconv.Itoa(e.Status)
 }
 
-// Client calls the object API.
+// Client calls the platform's object API.
 type Client struct {
 	base string
 	http *http.Client
@@ -75,17 +80,19 @@
 	return item, err
 }
 
-// Put writes an object on condition that its version is ifVersion; 0 means that it must not exist.
+// Put writes an object on condition that its version is ifVersion; 0 means that it must not exist. It returns a
+// *ConflictError if the condition does not hold.
 func (c *Client) Put(ctx context.Context, key string, value []byte, ifVersion uint64) (Item, error) {
 	var item Item
-	err := c.call(ctx, http.MethodPut, "/v1/objects/"+key, condition(ifVersion), value, &item)
+	err := c.call(ctx, http.MethodPut, "/v1/objects/"+key, versionCondition(ifVersion), value, &item)
 	return item, err
 }
 
-// Delete removes an object on condition that its version is ifVersion.
+// Delete removes an object on condition that its version is ifVersion. It returns a *ConflictError if the condition does
+// not hold.
 func (c *Client) Delete(ctx context.Context, key string, ifVersion uint64) (Item, error) {
 	var item Item
-	err := c.call(ctx, http.MethodDelete, "/v1/objects/"+key, condition(ifVersion), nil, &item)
+	err := c.call(ctx, http.MethodDelete, "/v1/objects/"+key, versionCondition(ifVersion), nil, &item)
 	return item, err
 }
 
@@ -96,7 +103,8 @@
 	return l, err
 }
 
-// Watch waits up to wait for changes after revision and returns them with the revision to go on from.
+// Watch waits up to wait for changes after the revision after. It returns them with the revision to continue from, or
+// ErrGone if the platform no longer keeps the changes after that revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Listing, error) {
 	q := url.Values{}
 	q.Set("prefix", prefix)
@@ -107,7 +115,8 @@
 	return l, err
 }
 
-func condition(version uint64) http.Header {
+// versionCondition returns the header that makes a write conditional on an object's version.
+func versionCondition(version uint64) http.Header {
 	h := http.Header{}
 	h.Set("If-Version", strconv.FormatUint(version, 10))
 	return h
@@ -116,7 +125,7 @@
 func (c *Client) call(ctx context.Context, method, path string, header http.Header, body []byte, into any) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrapf(err, "build %s %s", method, path)
+		return errors.Wrapf(err, "building request %s %s", method, path)
 	}
 	for k, v := range header {
 		req.Header[k] = v
@@ -126,17 +135,18 @@
 		return errors.Wrapf(err, "%s %s", method, path)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		return errors.Wrapf(err, "read the answer to %s %s", method, path)
+		return errors.Wrapf(err, "reading the answer to %s %s", method, path)
 	}
 	return decode(resp, raw, into)
 }
 
+// decode decodes a successful answer into into, and returns the error that another status stands for.
 func decode(resp *http.Response, raw []byte, into any) error {
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return errors.Wrap(json.Unmarshal(raw, into), "decode the platform's answer")
+		return errors.Wrap(json.Unmarshal(raw, into), "decoding the platform's answer")
 	case http.StatusNotFound:
 		return ErrNotFound
 	case http.StatusGone:
@@ -144,7 +154,7 @@
 	case http.StatusConflict:
 		conflict := &ConflictError{}
 		if err := json.Unmarshal(raw, &conflict.Present); err != nil {
-			return errors.Wrap(err, "decode a conflict")
+			return errors.Wrap(err, "decoding the platform's version conflict")
 		}
 		return conflict
 	}
