--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -35,7 +35,7 @@
 	Running int `json:"running"`
 	// Waiting is the number of requests in the engine's queue.
 	Waiting int `json:"waiting"`
-	// KVUsed is the used fraction of the KV cache.
+	// KVUsed is the number of tokens that the KV cache holds for running requests.
 	KVUsed float64 `json:"kv_used"`
 	// AsOfMS is the time at which the load was measured, in Unix milliseconds.
 	AsOfMS int64 `json:"as_of_ms"`
