--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys says how the system's processes know one another: a shared secret on every message, and mutual TLS
-// when certificates are given.
+// Package keys authenticates the system's processes to one another: with a shared secret on every message, and with
+// mutual TLS when certificates are configured.
 package keys
 
 import (
@@ -17,31 +17,34 @@
 	"samphireweir.example/samphireweir/internal/code"
 )
 
-// reloadInterval is how often the certificate's files are looked at for a new one.
+// reloadInterval is the minimum time between two checks of the certificate file for a new certificate.
 const reloadInterval = time.Minute
 
-// Config names the secrets and the files of mutual TLS.
+// Config holds the secrets and names the files for mutual TLS.
 type Config struct {
-	// Secret goes out on every message between processes.
+	// Secret is sent with every message between processes.
 	Secret string
-	// PreviousSecret is accepted too, so that a secret can be replaced process by process.
+	// PreviousSecret is accepted as well, so that a secret can be replaced process by process. Empty for none.
 	PreviousSecret string
-	// CertFile, KeyFile and CAFile are PEM files; all three or none.
+	// CertFile is the PEM file with this process's certificate. CertFile, KeyFile and CAFile must all be set or all be
+	// empty.
 	CertFile string
-	KeyFile  string
-	CAFile   string
+	// KeyFile is the PEM file with the certificate's private key.
+	KeyFile string
+	// CAFile is the PEM file with the authority that signs the processes' certificates.
+	CAFile string
 }
 
-// Flags declares the flags of c on fs.
+// Flags registers the flags of c on fs.
 func (c *Config) Flags(fs *flag.FlagSet) {
-	fs.StringVar(&c.Secret, "secret", "", "secret shared by the system's processes; better given as a variable")
-	fs.StringVar(&c.PreviousSecret, "previous-secret", "", "secret that is accepted too while it is being replaced")
+	fs.StringVar(&c.Secret, "secret", "", "secret shared by the system's processes; prefer the environment variable")
+	fs.StringVar(&c.PreviousSecret, "previous-secret", "", "previous secret, accepted as well while the secret is being replaced")
 	fs.StringVar(&c.CertFile, "tls-cert", "", "PEM file with this process's certificate, for mutual TLS between processes")
-	fs.StringVar(&c.KeyFile, "tls-key", "", "PEM file with the certificate's key")
+	fs.StringVar(&c.KeyFile, "tls-key", "", "PEM file with the certificate's private key")
 	fs.StringVar(&c.CAFile, "tls-ca", "", "PEM file with the authority that signs the processes' certificates")
 }
 
-// Check tells the first setting that is missing or bad.
+// Check returns an error for the first setting that is missing or invalid.
 func (c *Config) Check() error {
 	if c.Secret == "" {
 		return code.Errorf(code.BadProcess, "-secret", "empty, want the secret that all processes of the system share")
@@ -58,32 +61,34 @@
 	return nil
 }
 
-// TLS tells whether processes speak mutual TLS.
+// TLS reports whether mutual TLS is configured.
 func (c *Config) TLS() bool { return c.CertFile != "" }
 
-// Authorize sets the secret on a message.
+// Authorize sets the Authorization header of a message to the secret.
 func (c *Config) Authorize(h http.Header) { h.Set("Authorization", "Bearer "+c.Secret) }
 
-// Authorized tells whether a message carries the secret or the previous one.
+// Authorized reports whether a message carries the current or the previous secret.
 func (c *Config) Authorized(h http.Header) bool {
 	got := []byte(h.Get("Authorization"))
-	now := subtle.ConstantTimeCompare(got, []byte("Bearer "+c.Secret)) == 1
-	before := c.PreviousSecret != "" && subtle.ConstantTimeCompare(got, []byte("Bearer "+c.PreviousSecret)) == 1
-	return now || before
+	isCurrent := subtle.ConstantTimeCompare(got, []byte("Bearer "+c.Secret)) == 1
+	isPrevious := c.PreviousSecret != "" && subtle.ConstantTimeCompare(got, []byte("Bearer "+c.PreviousSecret)) == 1
+	return isCurrent || isPrevious
 }
 
-// Pair holds the present certificate and reads it anew when its file changes.
+// Pair holds the current certificate and reloads it when its file changes.
 type Pair struct {
 	config Config
 	pool   *x509.CertPool
 
-	mu      sync.Mutex
-	cert    *tls.Certificate
-	read    time.Time
-	changed time.Time
+	mu   sync.Mutex
+	cert *tls.Certificate
+	// checkedAt is when the certificate file was last checked.
+	checkedAt time.Time
+	// modifiedAt is the modification time of the file from which cert was loaded.
+	modifiedAt time.Time
 }
 
-// Load reads the certificate, its key and the authority.
+// Load reads the certificate, its private key and the authority's certificate.
 func Load(c Config) (*Pair, error) {
 	p := &Pair{config: c, pool: x509.NewCertPool()}
 	pem, err := os.ReadFile(c.CAFile)
@@ -91,37 +96,38 @@
 		return nil, code.Errorf(code.BadProcess, "-tls-ca", "%v", err)
 	}
 	if !p.pool.AppendCertsFromPEM(pem) {
-		return nil, code.Errorf(code.BadProcess, "-tls-ca", "%s holds no certificate in PEM", c.CAFile)
+		return nil, code.Errorf(code.BadProcess, "-tls-ca", "%s contains no PEM certificate", c.CAFile)
 	}
-	_, err = p.present(time.Now())
+	_, err = p.current(time.Now())
 	return p, err
 }
 
-// present returns the certificate; a file that can't be read leaves the last good one in use.
-func (p *Pair) present(now time.Time) (*tls.Certificate, error) {
+// current returns the certificate. It reloads the files if the certificate file has changed; the check is made at most
+// once per reloadInterval. If the files can't be read, the last valid certificate stays in use.
+func (p *Pair) current(now time.Time) (*tls.Certificate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cert != nil && now.Sub(p.read) < reloadInterval {
+	if p.cert != nil && now.Sub(p.checkedAt) < reloadInterval {
 		return p.cert, nil
 	}
-	p.read = now
+	p.checkedAt = now
 	info, err := os.Stat(p.config.CertFile)
-	if err == nil && p.cert != nil && info.ModTime().Equal(p.changed) {
+	if err == nil && p.cert != nil && info.ModTime().Equal(p.modifiedAt) {
 		return p.cert, nil
 	}
 	cert, loadErr := tls.LoadX509KeyPair(p.config.CertFile, p.config.KeyFile)
 	if loadErr == nil && err == nil {
 		p.cert = &cert
-		p.changed = info.ModTime()
+		p.modifiedAt = info.ModTime()
 		return p.cert, nil
 	}
 	if p.cert != nil {
 		return p.cert, nil
 	}
-	return nil, errors.Wrap(code.Errorf(code.BadProcess, "-tls-cert and -tls-key", "%v", loadErr), "load the certificate")
+	return nil, errors.Wrap(code.Errorf(code.BadProcess, "-tls-cert and -tls-key", "%v", loadErr), "loading the certificate")
 }
 
-// Server returns the settings for accepting connections of other processes.
+// Server returns the TLS configuration for accepting connections from other processes.
 func (p *Pair) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -129,35 +135,36 @@
 		ClientCAs:  p.pool,
 		NextProtos: []string{"http/1.1"},
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return p.present(time.Now())
+			return p.current(time.Now())
 		},
 	}
 }
 
-// Client returns the settings for calling other processes. Processes are reached by IP address, so it is the
-// authority's signature that counts and not a name.
+// Client returns the TLS configuration for calling other processes. Processes are addressed by IP address, so the peer's
+// certificate must be signed by the authority, but its name is not checked.
 func (p *Pair) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		RootCAs:    p.pool,
 		NextProtos: []string{"http/1.1"},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return p.present(time.Now())
+			return p.current(time.Now())
 		},
-		// The chain is verified below, without a name.
+		// VerifyConnection verifies the chain, without the name.
 		InsecureSkipVerify: true,
 		VerifyConnection:   p.verify,
 	}
 }
 
+// verify checks that the peer's certificate chain is signed by the authority.
 func (p *Pair) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("the peer showed no certificate")
+		return errors.New("peer presented no certificate")
 	}
 	options := x509.VerifyOptions{Roots: p.pool, Intermediates: x509.NewCertPool()}
 	for _, c := range state.PeerCertificates[1:] {
 		options.Intermediates.AddCert(c)
 	}
 	_, err := state.PeerCertificates[0].Verify(options)
-	return errors.Wrap(err, "verify the peer's certificate")
+	return errors.Wrap(err, "verifying the peer's certificate")
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -22,7 +22,7 @@
 	"samphireweir.example/samphireweir/internal/keys"
 )
 
-// authority signs certificates for a test.
+// authority is a certificate authority for a test.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -53,7 +53,7 @@
 	return path
 }
 
-// issue returns the settings of a process with a certificate of a.
+// issue returns the configuration of a process with a certificate that a signed.
 func (a *authority) issue(t *testing.T, name string) keys.Config {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -97,29 +97,31 @@
 	return resp.Body.Close()
 }
 
-// TestMutualTLS lets in only processes whose certificate the same authority signed, in both directions.
-func TestMutualTLS(t *testing.T) {
+// TestMutualTLSRequiresSameAuthority guards against connections with processes of another authority or without a
+// certificate. Both the server and the client must verify the peer.
+func TestMutualTLSRequiresSameAuthority(t *testing.T) {
 	ours, others := newAuthority(t), newAuthority(t)
 	address := serve(t, ours.issue(t, "server"))
 
-	friend, err := keys.Load(ours.issue(t, "friend"))
+	trusted, err := keys.Load(ours.issue(t, "friend"))
 	require.NoError(t, err)
-	require.NoError(t, get(address, friend.Client()))
+	require.NoError(t, get(address, trusted.Client()))
 
-	stranger, err := keys.Load(others.issue(t, "stranger"))
+	untrusted, err := keys.Load(others.issue(t, "stranger"))
 	require.NoError(t, err)
-	require.Error(t, get(address, stranger.Client()), "a stranger's certificate")
+	require.Error(t, get(address, untrusted.Client()), "client certificate of another authority")
 
-	impostor := serve(t, others.issue(t, "impostor"))
-	require.Error(t, get(impostor, friend.Client()), "an impostor's server")
+	untrustedServer := serve(t, others.issue(t, "impostor"))
+	require.Error(t, get(untrustedServer, trusted.Client()), "server certificate of another authority")
 
-	bare := friend.Client()
-	bare.GetClientCertificate = nil
-	require.Error(t, get(address, bare), "no certificate")
+	withoutCert := trusted.Client()
+	withoutCert.GetClientCertificate = nil
+	require.Error(t, get(address, withoutCert), "no client certificate")
 }
 
-// TestSecretRotation accepts the present and the previous secret and no other.
-func TestSecretRotation(t *testing.T) {
+// TestOnlyCurrentAndPreviousSecretAreAccepted guards against messages that are rejected while a secret is being replaced,
+// and against an unset previous secret that matches an empty one.
+func TestOnlyCurrentAndPreviousSecretAreAccepted(t *testing.T) {
 	c := keys.Config{Secret: "new", PreviousSecret: "old"}
 	for secret, want := range map[string]bool{"new": true, "old": true, "other": false, "": false} {
 		h := http.Header{}
@@ -127,14 +129,15 @@
 		sender.Authorize(h)
 		require.Equal(t, want, c.Authorized(h), "secret %q", secret)
 	}
-	alone := keys.Config{Secret: "new"}
+	withoutPrevious := keys.Config{Secret: "new"}
 	h := http.Header{}
 	h.Set("Authorization", "Bearer ")
-	require.False(t, alone.Authorized(h), "an empty previous secret is no secret")
+	require.False(t, withoutPrevious.Authorized(h), "an unset previous secret must not match an empty one")
 }
 
-// TestCheckNamesTheClash refuses some of the three files without the others.
-func TestCheckNamesTheClash(t *testing.T) {
+// TestCheckNamesIncompleteTLSFilesAndMissingSecret guards against a process that starts with only some of the three TLS
+// files, or without a secret, and against an error that does not name the flags.
+func TestCheckNamesIncompleteTLSFilesAndMissingSecret(t *testing.T) {
 	c := keys.Config{Secret: "s", CertFile: "x"}
 	require.ErrorContains(t, c.Check(), "-tls-cert, -tls-key and -tls-ca")
 	c = keys.Config{}
