--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads process settings from flags and environment variables. Each flag has its variable; the
-// flag wins. A variable with the product's prefix that nothing reads is refused, so that a typing error is seen.
+// Package config reads process settings from flags and environment variables. Each flag has a variable; the flag takes
+// precedence. A variable with the product's prefix that no command reads is an error, so that a misspelt name is noticed.
 package config
 
 import (
@@ -13,17 +13,18 @@
 	"samphireweir.example/samphireweir/internal/code"
 )
 
-// EnvPrefix begins the name of each variable.
+// EnvPrefix is the prefix of the names of all environment variables of the system.
 const EnvPrefix = "SAMPHIREWEIR_"
 
-// Variable returns the environment variable of a flag: "link-rate" is SAMPHIREWEIR_LINK_RATE.
+// Variable returns the name of the environment variable for a flag: SAMPHIREWEIR_LINK_RATE for "link-rate".
 func Variable(flagName string) string {
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flagName, "-", "_"))
 }
 
-// Describe adds each flag's variable to its help, and gives the errors of parsing flags their code.
+// Describe adds the name of the environment variable to each flag's help text, and prefixes the errors of parsing flags
+// with their result code.
 func Describe(fs *flag.FlagSet) {
-	fs.SetOutput(numbered{fs.Output()})
+	fs.SetOutput(codeWriter{fs.Output()})
 	fs.VisitAll(func(f *flag.Flag) {
 		if !strings.Contains(f.Usage, EnvPrefix) {
 			f.Usage += " (variable " + Variable(f.Name) + ")"
@@ -31,24 +32,24 @@
 	})
 }
 
-// flagErrors begin the errors of package flag.
-var flagErrors = []string{"invalid value ", "invalid boolean ", "flag provided but not defined", "flag needs an argument"}
+// flagErrorPrefixes are the prefixes of the error messages of package flag.
+var flagErrorPrefixes = []string{"invalid value ", "invalid boolean ", "flag provided but not defined", "flag needs an argument"}
 
-// numbered writes the errors of package flag with their code.
-type numbered struct{ io.Writer }
+// codeWriter prefixes the error messages of package flag with their result code.
+type codeWriter struct{ io.Writer }
 
 // Write writes one message.
-func (n numbered) Write(p []byte) (int, error) {
-	for _, start := range flagErrors {
-		if bytes.HasPrefix(p, []byte(start)) {
-			_, _ = fmt.Fprintf(n.Writer, "samphireweir %d %s: ", code.BadProcess, code.BadProcess.Describe().Name)
+func (w codeWriter) Write(p []byte) (int, error) {
+	for _, prefix := range flagErrorPrefixes {
+		if bytes.HasPrefix(p, []byte(prefix)) {
+			_, _ = fmt.Fprintf(w.Writer, "samphireweir %d %s: ", code.BadProcess, code.BadProcess.Describe().Name)
 		}
 	}
-	return n.Writer.Write(p)
+	return w.Writer.Write(p)
 }
 
-// FromEnvironment fills in the flags that were not given from the environment (a list of NAME=value). others are the
-// variables that other commands read; they may stand there too.
+// FromEnvironment sets the flags that were not given from environ, a list of NAME=value. others are the variables that
+// other commands read; they are ignored. Any other variable with EnvPrefix is an error.
 func FromEnvironment(fs *flag.FlagSet, environ []string, others map[string]bool) error {
 	given := map[string]bool{}
 	fs.Visit(func(f *flag.Flag) { given[f.Name] = true })
@@ -67,21 +68,22 @@
 			continue
 		}
 		if err := fs.Set(flagName, value); err != nil {
-			return code.Errorf(code.BadProcess, name, "%q: %v; want %s", value, err, wanted(fs.Lookup(flagName)))
+			return code.Errorf(code.BadProcess, name, "%q: %v; want %s", value, err, validExample(fs.Lookup(flagName)))
 		}
 	}
 	return nil
 }
 
-// wanted gives the default as an example of a right value.
-func wanted(f *flag.Flag) string {
+// validExample returns a hint at a valid value: the flag's default, or its help text if it has none.
+func validExample(f *flag.Flag) string {
 	if f.DefValue == "" {
 		return f.Usage
 	}
 	return "a value such as " + f.DefValue
 }
 
-// CheckListen refuses what is not an IP address with a port to listen on.
+// CheckListen returns an error unless value is an IP address and port to listen on. field is the flag's name without the
+// dash.
 func CheckListen(field, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		return code.Errorf(code.BadProcess, "-"+field, "%q, want IP:PORT such as 10.0.0.5:7070, or port 0 for any", value)
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// CheckApart refuses two listeners on one address; port 0 gives each its own.
+// CheckApart returns an error if two listeners have the same address. Port 0 stands for any free port and never clashes.
 func CheckApart(fieldA, a, fieldB, b string) error {
 	if a != b || strings.HasSuffix(a, ":0") {
 		return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,8 +17,8 @@
 	return fs, name, rate
 }
 
-// TestFlagWinsOverVariable takes the variable only where the flag is not given.
-func TestFlagWinsOverVariable(t *testing.T) {
+// TestFlagTakesPrecedenceOverVariable guards against an environment variable that overrides a flag on the command line.
+func TestFlagTakesPrecedenceOverVariable(t *testing.T) {
 	fs, name, rate := flags("-name", "flag")
 	env := []string{"SAMPHIREWEIR_NAME=variable", "SAMPHIREWEIR_LINK_RATE=7", "OTHER=x"}
 	require.NoError(t, config.FromEnvironment(fs, env, nil))
@@ -26,30 +26,33 @@
 	require.Equal(t, 7, *rate)
 }
 
-// TestBadEnvironmentIsRefused names the variable that is unknown or has a bad value.
-func TestBadEnvironmentIsRefused(t *testing.T) {
+// TestUnknownOrInvalidVariableIsRejected guards against a misspelt variable that is ignored, and against an error that does
+// not name the variable.
+func TestUnknownOrInvalidVariableIsRejected(t *testing.T) {
 	fs, _, _ := flags()
 	require.ErrorContains(t, config.FromEnvironment(fs, []string{"SAMPHIREWEIR_LINKRATE=7"}, nil), "6002 unknown variable: SAMPHIREWEIR_LINKRATE")
 	require.ErrorContains(t, config.FromEnvironment(fs, []string{"SAMPHIREWEIR_LINK_RATE=x"}, nil), "6001 bad process setting: SAMPHIREWEIR_LINK_RATE")
 }
 
-// TestDescribeNamesTheVariable puts the variable into the flag's help.
-func TestDescribeNamesTheVariable(t *testing.T) {
+// TestDescribeAddsVariableToHelp guards against flag help that does not name the environment variable.
+func TestDescribeAddsVariableToHelp(t *testing.T) {
 	fs, _, _ := flags()
 	config.Describe(fs)
 	require.Contains(t, fs.Lookup("link-rate").Usage, "SAMPHIREWEIR_LINK_RATE")
 }
 
-// TestOtherCommandsVariables lets one environment serve several commands.
-func TestOtherCommandsVariables(t *testing.T) {
+// TestVariablesOfOtherCommandsAreIgnored guards against a command that fails because the environment also has variables of
+// other commands.
+func TestVariablesOfOtherCommandsAreIgnored(t *testing.T) {
 	fs, name, _ := flags()
 	env := []string{"SAMPHIREWEIR_NAME=variable", "SAMPHIREWEIR_ORIGIN=x"}
 	require.NoError(t, config.FromEnvironment(fs, env, map[string]bool{"SAMPHIREWEIR_ORIGIN": true}))
 	require.Equal(t, "variable", *name)
 }
 
-// TestListeners refuses what is no address and two listeners on one.
-func TestListeners(t *testing.T) {
+// TestListenAddressesAreValidated guards against a process that starts with an invalid listen address or with two
+// listeners on the same address.
+func TestListenAddressesAreValidated(t *testing.T) {
 	require.NoError(t, config.CheckListen("peers-listen", "10.0.0.5:7070"))
 	for _, bad := range []string{"", "7070", "localhost:7070", "10.0.0.5", "10.0.0.5:x"} {
 		require.ErrorContains(t, config.CheckListen("peers-listen", bad), "6001 bad process setting: -peers-listen")
