--- a/internal/hostconfig/hostconfig.go
+++ b/internal/hostconfig/hostconfig.go
@@ -1,53 +1,63 @@
-// Package hostconfig holds what a process on the platform knows of its host from its settings file.
+// Package hostconfig defines what a process on the platform reads about its host from its settings file.
 package hostconfig
 
 import "time"
 
-// Host is one host, as its settings say.
+// Host describes one host.
 type Host struct {
-	Name       string
-	IP         string
+	// Name is the unique name of the host.
+	Name string
+	// IP is the address of the host, without a port.
+	IP string
+	// DataCentre is the data centre of the host.
 	DataCentre string
-	Region     string
+	// Region is the region of that data centre.
+	Region string
 	// Regions maps each data centre to its region.
 	Regions map[string]string
-	// PeerPort is where the system's processes reach one another.
+	// PeerPort is the port on which the system's processes reach one another on every host.
 	PeerPort int
-	// Seeds are addresses, with that port, of a few hosts that an entry may run on; they may be stale.
+	// Seeds are the addresses, IP:PeerPort, of a few hosts on which an entry may run. They may be outdated.
 	Seeds []string
-	// Callers is where callers connect and Readiness where the balancer asks; empty on hosts that take no callers.
-	Callers   string
+	// Callers is the address at which callers connect; empty on hosts that don't serve callers.
+	Callers string
+	// Readiness is the address at which the load balancer checks readiness; empty like Callers.
 	Readiness string
-	// Engine is the address of the engine on this host, with its service; empty on hosts without one.
-	Engine        string
+	// Engine is the address of the engine on this host; empty on hosts without one.
+	Engine string
+	// EngineService is the service of that engine; empty like Engine.
 	EngineService string
 	// Store is the address of the platform's object store.
 	Store string
-	// StoreReads is how many reads a second the store allows all processes together; 0 when the platform does not say.
+	// StoreReads is the number of reads per second that the store allows all processes together; 0 when the platform does
+	// not specify it.
 	StoreReads float64
-	// Memory is the limit of a process in bytes.
+	// Memory is the memory limit of a process, in bytes.
 	Memory int64
-	// Link is the rate of the host's link in bytes a second.
+	// Link is the bandwidth of the host's network link, in bytes per second.
 	Link int64
-	// Grace is the time between the request to stop and the kill.
+	// Grace is the time between the signal to stop and the kill of the process.
 	Grace time.Duration
-	// VersionTime is how long after the naming of a version requests may still begin on an older one.
+	// VersionTime is how long after the activation of a version requests may still start on an older one.
 	VersionTime time.Duration
-	// ManifestTime and DrainTime are how long after the store took it a change of the manifest is in force on every host, and a leaving
-	// upstream gets no more work; 0 when the platform does not say.
+	// ManifestTime is the maximum time from a write of the manifest to the store until the change is in force on every host.
+	// DrainTime is the maximum time from the write of an upstream's drain to the store until the upstream gets no more
+	// requests. Each is 0 when the platform does not specify it.
 	ManifestTime, DrainTime time.Duration
-	// EvacuationTime is how long after the store took it an evacuation of a data centre is in force on every host; 0 where the platform has
-	// none.
+	// EvacuationTime is the maximum time from a write of the evacuation of a data centre to the store until it is in force on
+	// every host; 0 when the platform has no evacuations.
 	EvacuationTime time.Duration
-	// Settle is how long after its start or a disturbance a host may be without knowledge of what is in force; 0 when the platform does not
-	// say.
-	Settle  time.Duration
+	// Settle is the maximum time after its start or a disturbance during which a host may not know what is in force; 0 when
+	// the platform does not specify it.
+	Settle time.Duration
+	// Retries is the retry budget of a service.
 	Retries Retries
 }
 
-// ListedAge is how old, at its start, a version of weights counts as that a process finds in the store: so old that it is due when the host
-// must know what is in force. A version that was named long ago is thus required in time whoever is left to tell its age; one that
-// was named a moment before is required up to VersionTime - Settle too early, until somebody tells.
+// ListedAge returns the age that a process assumes at its start for a version of weights that it finds in the store. With
+// this age, the version becomes required when the host must know what is in force, Settle after the start. A version that
+// was activated long ago is then required in time, even if no other process can report when it was activated. A version
+// that was activated a moment ago is required up to VersionTime - Settle too early, until a process reports its age.
 func (h Host) ListedAge() time.Duration {
 	if h.Settle <= 0 {
 		return 0
@@ -55,8 +65,8 @@
 	return max(0, h.VersionTime-h.Settle)
 }
 
-// ChangeTime is how long a process may take to hear of any change in the store: the shorter of ManifestTime and DrainTime, of those that the
-// platform says.
+// ChangeTime returns the maximum time for a process to receive any change in the store: the shorter of ManifestTime and
+// DrainTime, or the one that the platform specifies if it specifies only one.
 func (h Host) ChangeTime() time.Duration {
 	if h.ManifestTime <= 0 || h.DrainTime <= 0 {
 		return max(h.ManifestTime, h.DrainTime)
@@ -64,10 +74,13 @@
 	return min(h.ManifestTime, h.DrainTime)
 }
 
-// Retries bounds the repeats that all entries together may send to a service: Ratio of the requests in a Window, and
-// Extra more.
+// Retries is a retry budget. It bounds the retries that all entries together may send to a service in a Window: Ratio
+// times the number of requests in the Window, plus Extra.
 type Retries struct {
-	Ratio  float64
-	Extra  float64
+	// Ratio is the number of retries per request.
+	Ratio float64
+	// Extra is the number of retries that are allowed in addition.
+	Extra float64
+	// Window is the time over which requests and retries are counted.
 	Window time.Duration
 }
