--- a/internal/source/client.go
+++ b/internal/source/client.go
@@ -1,4 +1,4 @@
-// Package source is the client of the weight store and of the origin of weights, which take the same calls.
+// Package source is the client of the weight store and of the origin of weights. Both have the same HTTP API.
 package source
 
 import (
@@ -16,16 +16,16 @@
 	"samphireweir.example/samphireweir/internal/manifest"
 )
 
-// ErrNotFound says that the source does not know the version.
-var ErrNotFound = errors.New("version not known to the source")
+// ErrNotFound means that the source does not have the version.
+var ErrNotFound = errors.New("version not found at the source")
 
-// BusyError says that the other side refuses for rate, and when to come back.
+// BusyError means that the source rejected a call because of a rate limit. RetryAfter is the delay before the next try.
 type BusyError struct{ RetryAfter time.Duration }
 
-// Error describes the refusal.
-func (e *BusyError) Error() string { return fmt.Sprintf("busy, come back after %v", e.RetryAfter) }
+// Error describes the rejection.
+func (e *BusyError) Error() string { return fmt.Sprintf("source is busy, retry after %v", e.RetryAfter) }
 
-// defaultRetryAfter is taken when a source names no time.
+// defaultRetryAfter is the delay when a source gives no valid Retry-After.
 const defaultRetryAfter = time.Second
 
 func retryAfter(h http.Header) time.Duration {
@@ -36,16 +36,17 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// Client reads from one source.
+// Client reads weights from one source.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client for the source at base.
+// NewClient returns a client for the source at the URL base.
 func NewClient(base string, c *http.Client) *Client { return &Client{base: base, http: c} }
 
-// Manifest reads the exact bytes of a version's manifest.
+// Manifest reads the manifest of a version and returns its exact bytes, of which the digest is computed. It returns more
+// than manifest.MaxBytes bytes, cut off, for a manifest that is too large.
 func (c *Client) Manifest(ctx context.Context, ref weights.Ref) ([]byte, error) {
 	body, err := c.get(ctx, ref, "manifest", "")
 	if err != nil {
@@ -53,10 +54,10 @@
 	}
 	defer func() { _ = body.Close() }()
 	raw, err := io.ReadAll(io.LimitReader(body, manifest.MaxBytes+1))
-	return raw, errors.Wrapf(err, "read the manifest of %v", ref)
+	return raw, errors.Wrapf(err, "reading the manifest of %v", ref)
 }
 
-// Data opens length bytes of a version's content from offset.
+// Data opens a reader of length bytes of a version's content, starting at offset. The caller must close it.
 func (c *Client) Data(ctx context.Context, ref weights.Ref, offset, length int64) (io.ReadCloser, error) {
 	return c.get(ctx, ref, "data", fmt.Sprintf("bytes=%d-%d", offset, offset+length-1))
 }
@@ -65,7 +66,7 @@
 	path := fmt.Sprintf("%s/v1/weights/%s/%s/%s/%s", c.base, url.PathEscape(ref.Model), url.PathEscape(ref.Adapter), url.PathEscape(ref.Version), what)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, path, nil)
 	if err != nil {
-		return nil, errors.Wrapf(err, "build the call for %s", path)
+		return nil, errors.Wrapf(err, "building the request for %s", path)
 	}
 	if byteRange != "" {
 		req.Header.Set("Range", byteRange)
