--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic runs a function again and again, and waits.
+// Package periodic runs functions at an interval and sleeps until a context is done.
 package periodic
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Run calls f after each interval until ctx ends. A call that takes longer than the interval delays the next.
+// Run calls f after each interval until ctx is done. A call that takes longer than the interval delays the next one.
 func Run(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -20,7 +20,7 @@
 	}
 }
 
-// Sleep waits for d or until ctx ends. It returns at once when d is not positive.
+// Sleep waits for d or until ctx is done. It returns at once if d is not positive.
 func Sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
