--- a/internal/boundedlog/boundedlog.go
+++ b/internal/boundedlog/boundedlog.go
@@ -1,5 +1,5 @@
-// Package boundedlog writes log lines without ever making their writers wait, and with a bounded volume. Routine lines
-// are dropped first; what was dropped is counted and said.
+// Package boundedlog writes log lines asynchronously, so that logging never blocks, and limits their volume. Routine lines
+// and warnings have separate limits. Lines over a limit are dropped, and their number is logged.
 package boundedlog
 
 import (
@@ -14,45 +14,49 @@
 )
 
 const (
-	// flushInterval is how long lines are gathered for one write; each write costs a system call.
+	// flushInterval is how long lines are buffered for one write, because each write costs a system call.
 	flushInterval = 200 * time.Millisecond
-	// linesPerFlush bounds the routine lines of an interval: 300 a second, several times what an entry writes at 25 requests a second.
-	linesPerFlush = 60
-	// importantPerFlush bounds the warnings and errors of an interval beside them.
-	importantPerFlush = 60
-	// maxPending bounds the bytes that wait for a reader that does not read.
-	maxPending = 256 << 10
+	// maxRoutinePerFlush bounds the routine lines in an interval: 300 per second, which is several times what an entry
+	// writes at 25 requests per second.
+	maxRoutinePerFlush = 60
+	// maxImportantPerFlush bounds the warnings and errors in an interval, in addition to the routine lines.
+	maxImportantPerFlush = 60
+	// maxPendingBytes bounds the buffered bytes while the reader of the log does not read.
+	maxPendingBytes = 256 << 10
 )
 
-// Writer gathers lines and writes them in the background. It is a zerolog.LevelWriter.
+// Writer buffers lines and writes them in the background. It implements zerolog.LevelWriter.
 type Writer struct {
 	out io.Writer
-	// role and name are the process's, for the line on dropped lines.
+	// role and name identify the process in the log event for dropped lines.
 	role, name string
 
 	mu      sync.Mutex
 	pending bytes.Buffer
+	// routine counts the routine lines in the current interval.
 	routine int
-	// important counts warnings and errors of the present interval.
+	// important counts the warnings and errors in the current interval.
 	important int
-	dropped   int64
+	// dropped counts the lines that were dropped in the current interval.
+	dropped int64
 }
 
-// New returns a writer to out for the process of a role on a host. Run must be started for lines to come out.
+// New returns a Writer to out. role and name are those of the process. No line is written until Run is started.
 func New(out io.Writer, role, name string) *Writer { return &Writer{out: out, role: role, name: name} }
 
-// Write takes a routine line.
+// Write buffers a routine line. It is equivalent to WriteLevel with zerolog.InfoLevel.
 func (w *Writer) Write(line []byte) (int, error) { return w.WriteLevel(zerolog.InfoLevel, line) }
 
-// WriteLevel takes a line, or drops it when too many came. It never waits and never fails.
+// WriteLevel buffers a line, or drops it if the interval's limit or the buffer's is reached. It never waits for out and
+// never fails.
 func (w *Writer) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	count, limit := &w.routine, linesPerFlush
+	count, limit := &w.routine, maxRoutinePerFlush
 	if level >= zerolog.WarnLevel {
-		count, limit = &w.important, importantPerFlush
+		count, limit = &w.important, maxImportantPerFlush
 	}
-	if *count >= limit || w.pending.Len()+len(line) > maxPending {
+	if *count >= limit || w.pending.Len()+len(line) > maxPendingBytes {
 		w.dropped++
 		return len(line), nil
 	}
@@ -61,7 +65,7 @@
 	return len(line), nil
 }
 
-// Run writes what was gathered until stop is closed, and the rest then.
+// Run writes the buffered lines at every flushInterval until stop is closed, and then writes the rest.
 func (w *Writer) Run(stop <-chan struct{}) {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
@@ -76,8 +80,8 @@
 	}
 }
 
-// confession is the line on lines that were dropped.
-func (w *Writer) confession(dropped int64) []byte {
+// droppedLine returns the log line that reports the number of dropped lines.
+func (w *Writer) droppedLine(dropped int64) []byte {
 	var line bytes.Buffer
 	log := zerolog.New(&line).With().Timestamp().Str("process", w.role).Str("name", w.name).Logger()
 	logevent.Warn(log, logevent.LinesDropped).Int64("dropped", dropped).Msg("log lines dropped")
@@ -93,9 +97,9 @@
 	w.dropped = 0
 	w.mu.Unlock()
 	if dropped > 0 {
-		lines = append(lines, w.confession(dropped)...)
+		lines = append(lines, w.droppedLine(dropped)...)
 	}
 	if len(lines) > 0 {
-		_, _ = w.out.Write(lines) // A log that can't be written has nowhere to be reported.
+		_, _ = w.out.Write(lines) // A failure to write the log can't be logged.
 	}
 }
--- a/internal/boundedlog/boundedlog_test.go
+++ b/internal/boundedlog/boundedlog_test.go
@@ -12,24 +12,25 @@
 	"samphireweir.example/samphireweir/internal/boundedlog"
 )
 
-// stopped is a reader that has stopped reading: writes to it wait until it is released.
-type stopped struct {
+// blockedWriter blocks all writes until release is closed, like a pipe whose reader has blockedWriter reading.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	got     bytes.Buffer
 }
 
-// Write waits for the release.
-func (s *stopped) Write(p []byte) (int, error) {
-	<-s.release
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.got.Write(p)
+// Write waits for the release and records p.
+func (b *blockedWriter) Write(p []byte) (int, error) {
+	<-b.release
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.got.Write(p)
 }
 
-// TestAStoppedReaderCostsLinesAndNoTime writes far more than is kept while nobody reads. Each call returns; what did not fit is counted.
-func TestAStoppedReaderCostsLinesAndNoTime(t *testing.T) {
-	out := &stopped{release: make(chan struct{})}
+// TestStoppedLogReaderDropsLinesWithoutBlocking guards against a process that blocks on its log when the log's reader stops
+// reading: far more lines are written than the buffer holds, every call returns, and the dropped lines are counted.
+func TestStoppedLogReaderDropsLinesWithoutBlocking(t *testing.T) {
+	out := &blockedWriter{release: make(chan struct{})}
 	w := boundedlog.New(out, "entry", "host-1")
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -50,8 +51,9 @@
 	require.Contains(t, out.got.String(), "log lines dropped")
 }
 
-// TestWarningsHaveRoomOfTheirOwn writes more routine lines than an interval takes, and warnings after them.
-func TestWarningsHaveRoomOfTheirOwn(t *testing.T) {
+// TestWarningsHaveTheirOwnLimit guards against warnings that are dropped because routine lines have used up the interval's
+// limit.
+func TestWarningsHaveTheirOwnLimit(t *testing.T) {
 	var out bytes.Buffer
 	w := boundedlog.New(&out, "entry", "host-1")
 	log := zerolog.New(w)
@@ -66,7 +68,7 @@
 	require.Contains(t, out.String(), `"dropped":940`)
 }
 
-// BenchmarkLine measures what a line costs its writer.
+// BenchmarkLine measures the cost of one log line for the goroutine that logs it.
 func BenchmarkLine(b *testing.B) {
 	w := boundedlog.New(&bytes.Buffer{}, "entry", "host-1")
 	log := zerolog.New(w)
