--- a/internal/boundedlog/boundedlog_test.go
+++ b/internal/boundedlog/boundedlog_test.go
@@ -12,7 +12,7 @@
 	"samphireweir.example/samphireweir/internal/boundedlog"
 )
 
-// blockedWriter blocks all writes until release is closed, like a pipe whose reader has blockedWriter reading.
+// blockedWriter blocks all writes until release is closed, like a pipe whose reader has stopped reading.
 type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -150,7 +150,7 @@
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return p.current(time.Now())
 		},
-		// VerifyConnection verifies the chain, without the name.
+		// VerifyConnection replaces the default verification: it verifies the chain but not the name.
 		InsecureSkipVerify: true,
 		VerifyConnection:   p.verify,
 	}
