--- a/internal/source/client.go
+++ b/internal/source/client.go
@@ -23,7 +23,7 @@
 type BusyError struct{ RetryAfter time.Duration }
 
 // Error describes the rejection.
-func (e *BusyError) Error() string { return fmt.Sprintf("source is busy, retry after %v", e.RetryAfter) }
+func (e *BusyError) Error() string { return fmt.Sprintf("busy, retry after %v", e.RetryAfter) }
 
 // defaultRetryAfter is the delay when a source gives no valid Retry-After.
 const defaultRetryAfter = time.Second
