--- a/internal/setting/file.go
+++ b/internal/setting/file.go
@@ -15,11 +15,12 @@
 // File is a setting as operators write it and `settings get` prints it.
 type File struct {
 	Setting
-	// IfVersion is the object's version that the operator saw; the change is refused when another came between.
+	// IfVersion is the version of the object that the operator has read. The change is rejected if the object has changed
+	// since.
 	IfVersion *uint64 `json:"if_version,omitempty"`
 }
 
-// ParseFile reads and checks the text of a file. Errors name the file, the line or field, and a right value.
+// ParseFile parses and validates the text of a file. Errors name the file, the line or field, and a valid value.
 func ParseFile(name string, raw []byte) (*File, error) {
 	if len(raw) > MaxBytes {
 		return nil, code.Errorf(code.BadSetting, name, "%d bytes, at most %d", len(raw), MaxBytes)
@@ -28,7 +29,7 @@
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(f); err != nil {
-		return nil, describe(name, raw, err)
+		return nil, describeDecodeError(name, raw, err)
 	}
 	if dec.More() {
 		return nil, code.Errorf(code.BadSetting, name, "more text after the setting; want one JSON object")
@@ -43,6 +44,7 @@
 	return f, nil
 }
 
+// inFile adds the name of a file to the field of a coded error.
 func inFile(name string, err error) error {
 	coded, ok := err.(*code.Error)
 	if !ok {
@@ -51,32 +53,35 @@
 	return &code.Error{Code: coded.Code, Field: name + ": " + coded.Field, Text: coded.Text}
 }
 
+// unknownField matches the error of encoding/json for an unknown field.
 var unknownField = regexp.MustCompile(`unknown field "([^"]*)"`)
 
-// describe says where a file can't be read, and what would be right.
-func describe(name string, raw []byte, err error) error {
+// describeDecodeError converts an error of encoding/json to one that names the position in the file and a valid value.
+func describeDecodeError(name string, raw []byte, err error) error {
 	switch e := err.(type) {
 	case *json.SyntaxError:
-		return code.Errorf(code.BadSetting, place(name, raw, e.Offset), "not JSON: %v", e)
+		return code.Errorf(code.BadSetting, position(name, raw, e.Offset), "not JSON: %v", e)
 	case *json.UnmarshalTypeError:
-		return code.Errorf(code.BadSetting, place(name, raw, e.Offset)+": "+strings.TrimPrefix(e.Field, "Setting."), "got %s, want %s", e.Value, wanted(e))
+		return code.Errorf(code.BadSetting, position(name, raw, e.Offset)+": "+strings.TrimPrefix(e.Field, "Setting."), "got %s, want %s", e.Value, validExample(e))
 	}
 	if m := unknownField.FindStringSubmatch(err.Error()); m != nil {
 		return code.Errorf(code.BadSetting, name+": "+m[1], "no such field; did you mean %q? The fields are %s",
-			nearest(m[1], fieldNames()), strings.Join(fieldNames(), ", "))
+			closestName(m[1], fieldNames()), strings.Join(fieldNames(), ", "))
 	}
 	return code.Errorf(code.BadSetting, name, "can't be read: %v; want one JSON object such as %s", err, Example)
 }
 
-// Example is a whole setting, for help texts.
+// Example is a complete setting, for help texts.
 const Example = `{"kind":"engine","model":"risk","version":"v1","places":{"perth-a":12}}`
 
-func place(name string, raw []byte, offset int64) string {
+// position returns the file and line of an offset, as "name:line".
+func position(name string, raw []byte, offset int64) string {
 	offset = min(offset, int64(len(raw)))
 	return fmt.Sprintf("%s:%d", name, 1+bytes.Count(raw[:offset], []byte("\n")))
 }
 
-func wanted(e *json.UnmarshalTypeError) string {
+// validExample describes a valid value for the type that the field has.
+func validExample(e *json.UnmarshalTypeError) string {
 	switch e.Type.Kind() {
 	case reflect.Int, reflect.Uint64:
 		return "a whole number such as 4"
@@ -90,7 +95,7 @@
 	return "a " + e.Type.String()
 }
 
-// fieldNames lists the fields that an operator may write, in the order of the schema.
+// fieldNames returns the fields that an operator may write, in the order of the schema.
 func fieldNames() []string {
 	var names []string
 	t := reflect.TypeFor[Setting]()
@@ -101,15 +106,15 @@
 	return append(names, "if_version")
 }
 
-// nearest returns the name with the fewest edits to word.
-func nearest(word string, names []string) string {
+// closestName returns the name with the smallest edit distance to word.
+func closestName(word string, names []string) string {
 	sorted := append([]string{}, names...)
-	sort.SliceStable(sorted, func(i, j int) bool { return edits(word, sorted[i]) < edits(word, sorted[j]) })
+	sort.SliceStable(sorted, func(i, j int) bool { return editDistance(word, sorted[i]) < editDistance(word, sorted[j]) })
 	return sorted[0]
 }
 
-// edits is the Levenshtein distance of a and b.
-func edits(a, b string) int {
+// editDistance returns the Levenshtein distance between a and b.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
@@ -129,13 +134,14 @@
 	return row[len(b)]
 }
 
-// maxReplicas bounds the replicas in one place; more is a typing error.
+// maxReplicas bounds the replicas in one data centre. A larger number is taken for a typing error.
 const maxReplicas = 100_000
 
+// methods are the HTTP methods that a non-idempotent rule may name.
 var methods = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"}
 
-// checkStrict holds what is asked of an operator's file and not of a setting that is already in force, so that a
-// new rule never takes an old setting out of force.
+// checkStrict applies the rules for an operator's file that do not apply to a setting that is already in force. This way a
+// new rule never invalidates a setting in force.
 func (f *File) checkStrict() error {
 	total := 0
 	for _, place := range sortedKeys(f.Places) {
@@ -161,6 +167,7 @@
 	return nil
 }
 
+// checkRule checks a rule of non_idempotent: a method, or "METHOD /path-prefix".
 func checkRule(rule string) error {
 	method, prefix, hasPrefix := strings.Cut(rule, " ")
 	known := false
@@ -168,11 +175,11 @@
 		known = known || m == method
 	}
 	if !known {
-		return code.Errorf(code.BadSetting, "non_idempotent", "%q: %q is no method; did you mean %q, such as \"POST /bookings\"?",
-			rule, method, nearest(strings.ToUpper(method), methods))
+		return code.Errorf(code.BadSetting, "non_idempotent", "%q: %q is not a supported method; did you mean %q, such as \"POST /bookings\"?",
+			rule, method, closestName(strings.ToUpper(method), methods))
 	}
 	if hasPrefix && !strings.HasPrefix(prefix, "/") {
-		return code.Errorf(code.BadSetting, "non_idempotent", "%q: the path wants to begin with /, such as \"%s /bookings\"", rule, method)
+		return code.Errorf(code.BadSetting, "non_idempotent", "%q: the path must begin with /, such as \"%s /bookings\"", rule, method)
 	}
 	return nil
 }
--- a/internal/setting/file_test.go
+++ b/internal/setting/file_test.go
@@ -8,7 +8,9 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-func TestFileErrorsNameFileFieldAndARightValue(t *testing.T) {
+// TestFileErrorsNameFileFieldAndValidValue guards against errors for an operator's file that don't say where the mistake is
+// and what a valid value is.
+func TestFileErrorsNameFileFieldAndValidValue(t *testing.T) {
 	cases := map[string][]string{
 		`{"kind":"engin"}`:                                                                  {"s.json: kind", `want "engine" or "plain"`},
 		`{"kind":"engine","modle":"risk"}`:                                                  {"s.json: modle", `did you mean "model"`},
@@ -34,17 +36,21 @@
 	}
 }
 
-func TestFileTakesTheVersionSeen(t *testing.T) {
+// TestFileReadsIfVersionAndAppliesDefaults guards against a file whose condition on the version is ignored, or whose absent
+// fields get no defaults.
+func TestFileReadsIfVersionAndAppliesDefaults(t *testing.T) {
 	f, err := setting.ParseFile("s.json", []byte(`{"kind":"plain","if_version":7}`))
 	require.NoError(t, err)
 	require.Equal(t, uint64(7), *f.IfVersion)
 	require.Equal(t, []string{"POST"}, f.NonIdempotent)
 }
 
-func TestRelayedLeavesTheHistoryOut(t *testing.T) {
-	o := (&setting.Object{}).Next(0, &setting.Setting{Kind: setting.Plain}, setting.Stamp{Change: "a"})
-	o = o.Next(3, &setting.Setting{Kind: setting.Plain}, setting.Stamp{Change: "b"})
-	raw := mustJSON(t, o)
+// TestRelayedOmitsHistory guards against the relay of a setting's history to all processes, which need only the current
+// setting.
+func TestRelayedOmitsHistory(t *testing.T) {
+	object := (&setting.Object{}).Next(0, &setting.Setting{Kind: setting.Plain}, setting.Stamp{Change: "a"})
+	object = object.Next(3, &setting.Setting{Kind: setting.Plain}, setting.Stamp{Change: "b"})
+	raw := mustJSON(t, object)
 	value, deleted := setting.Relayed(raw)
 	require.False(t, deleted)
 	require.NotContains(t, string(value), "history")
--- a/internal/setting/fuzz_test.go
+++ b/internal/setting/fuzz_test.go
@@ -9,7 +9,7 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// FuzzParse refuses or accepts arbitrary bytes; what it accepts is accepted again after encoding.
+// FuzzParse checks that a setting that Parse accepts is accepted encoded after encoding, unless it then exceeds MaxBytes.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"kind":"engine","model":"m","version":"v1","places":{"perth-a":2}}`))
 	f.Add([]byte(`{"kind":"plain","non_idempotent":["POST /bookings"]}`))
@@ -19,12 +19,12 @@
 		if err != nil {
 			return
 		}
-		again, err := json.Marshal(s)
+		encoded, err := json.Marshal(s)
 		require.NoError(t, err)
-		if len(again) > setting.MaxBytes {
+		if len(encoded) > setting.MaxBytes {
 			return
 		}
-		_, err = setting.Parse(again)
+		_, err = setting.Parse(encoded)
 		require.NoError(t, err)
 	})
 }
--- a/internal/setting/object.go
+++ b/internal/setting/object.go
@@ -7,46 +7,51 @@
 )
 
 const (
-	// FullHistory is how many earlier settings an object keeps whole, for diff and rollback.
+	// FullHistory is the number of earlier settings that an object keeps completely, for diff and rollback.
 	FullHistory = 10
-	// SlimHistory is how many more changes it keeps by id, author and version only.
+	// SlimHistory is the number of further changes of which an object keeps only the ID, author, time and version.
 	SlimHistory = 50
-	// MaxHistoryBytes bounds the earlier settings that are kept whole, in bytes.
+	// MaxHistoryBytes bounds the total size of the earlier settings that are kept completely, in bytes.
 	MaxHistoryBytes = 256 << 10
 )
 
 // Past is an earlier state of a setting.
 type Past struct {
-	// Version is the object's version while this state was the present one.
+	// Version is the object's version while this state was current.
 	Version uint64 `json:"version"`
-	Change  string `json:"change,omitempty"`
-	Author  string `json:"author,omitempty"`
-	At      string `json:"at,omitempty"`
-	Deleted bool   `json:"deleted,omitempty"`
-	// Setting is the whole state; nil for a deletion and for changes that are kept by id only.
+	// Change is the ID of the change that wrote this state.
+	Change string `json:"change,omitempty"`
+	// Author is the operator who made the change.
+	Author string `json:"author,omitempty"`
+	// At is the time of the change by the operator's clock, for information only.
+	At string `json:"at,omitempty"`
+	// Deleted reports whether the change deleted the setting.
+	Deleted bool `json:"deleted,omitempty"`
+	// Setting is the complete state; nil for a deletion and for changes of which only the metadata is kept.
 	Setting *Setting `json:"setting,omitempty"`
 }
 
-// Object is a setting as the object API holds it: the present state and what came before. Both are in one object,
-// so that one conditional write changes both and no change is lost from the history.
+// Object is a setting as the object API stores it: the current state and its history. Both are in one object, so that one
+// conditional write changes both and no change is missing from the history.
 type Object struct {
 	Setting
-	// Deleted marks a tombstone: the service has no setting, and its history stays.
+	// Deleted marks a tombstone: the service has no setting, but its history is kept.
 	Deleted bool `json:"deleted,omitempty"`
-	// History has the earlier states, the latest first.
+	// History holds the earlier states, the latest first.
 	History []Past `json:"history,omitempty"`
 }
 
-// ParseObject reads an object. A tombstone needs no setting.
+// ParseObject decodes an object without validating the setting, which a tombstone does not have.
 func ParseObject(raw []byte) (*Object, error) {
 	o := &Object{}
 	if err := json.Unmarshal(raw, o); err != nil {
-		return nil, errors.Wrap(err, "decode a setting's object")
+		return nil, errors.Wrap(err, "decoding a setting's object")
 	}
 	return o, nil
 }
 
-// Next returns the object that puts s in place of o, which was read at version; nil s is a deletion.
+// Next returns the object that replaces o, which was read at version, with the setting s. A nil s deletes the setting.
+// Version 0 means that o does not exist, and adds nothing to the history.
 func (o *Object) Next(version uint64, s *Setting, stamp Stamp) *Object {
 	next := &Object{}
 	if s != nil {
@@ -56,18 +61,22 @@
 	next.Change, next.Author, next.At = stamp.Change, stamp.Author, stamp.At
 	if version != 0 {
 		next.History = append([]Past{o.past(version)}, o.History...)
-		next.History = bound(next.History)
+		next.History = trimHistory(next.History)
 	}
 	return next
 }
 
-// Stamp says which change wrote a state. At is for people; nothing is decided by it.
+// Stamp identifies the change that wrote a state.
 type Stamp struct {
+	// Change is the ID of the change.
 	Change string
+	// Author is the operator who made the change.
 	Author string
-	At     string
+	// At is the time of the change, for information only; no decision depends on it.
+	At string
 }
 
+// past returns the current state of o, which was read at version, as an entry of the history.
 func (o *Object) past(version uint64) Past {
 	p := Past{Version: version, Change: o.Change, Author: o.Author, At: o.At, Deleted: o.Deleted}
 	if !o.Deleted {
@@ -77,8 +86,8 @@
 	return p
 }
 
-// bound keeps the latest states whole, more by id, and drops the rest.
-func bound(history []Past) []Past {
+// trimHistory keeps the latest states completely, only the metadata of SlimHistory more, and drops the rest.
+func trimHistory(history []Past) []Past {
 	history = history[:min(len(history), FullHistory+SlimHistory)]
 	size := 0
 	for i := range history {
@@ -94,8 +103,8 @@
 	return history
 }
 
-// Holds tells whether a change is the present one or in the history, and the version that it took effect with;
-// version is the object's own.
+// Holds reports whether a change is the current one or in the history, and returns the version with which it took effect.
+// version is the current version of the object.
 func (o *Object) Holds(change string, version uint64) (uint64, bool) {
 	if o.Change == change {
 		return version, true
@@ -108,11 +117,11 @@
 	return 0, false
 }
 
-// ReachesBack tells whether the history is complete since version: then a change that it does not hold, made on
-// condition of that version, has not taken effect and never will.
+// ReachesBack reports whether the history is complete since version. If it is, a change that was conditional on that
+// version and is not in the history has not taken effect and never will.
 func (o *Object) ReachesBack(version uint64) bool {
 	if version == 0 {
-		// The first state of all is kept unless the history is full.
+		// The first state is in the history unless the history is full.
 		return len(o.History) < FullHistory+SlimHistory
 	}
 	for _, p := range o.History {
@@ -123,7 +132,7 @@
 	return false
 }
 
-// PastAt returns the state that was the present one at version.
+// PastAt returns the earlier state that was current at version.
 func (o *Object) PastAt(version uint64) (Past, bool) {
 	for _, p := range o.History {
 		if p.Version == version {
@@ -133,8 +142,8 @@
 	return Past{}, false
 }
 
-// Relayed returns what the processes of the system pass on of an object's raw value: the setting without its
-// history. What can't be read is passed on as it is, for the reader to refuse.
+// Relayed returns the part of an object's raw value that processes relay to one another: the setting without its history,
+// or deleted for a tombstone. A value that can't be decoded is relayed unchanged, and the receiver rejects it.
 func Relayed(raw json.RawMessage) (value json.RawMessage, deleted bool) {
 	o, err := ParseObject(raw)
 	if err != nil {
--- a/internal/setting/role.go
+++ b/internal/setting/role.go
@@ -1,6 +1,6 @@
 package setting
 
-// Role is the part of a request's work that an engine does.
+// Role is the phase of a request that an engine runs: prefill, decode or both.
 type Role string
 
 // The roles of an engine.
--- a/internal/setting/setting.go
+++ b/internal/setting/setting.go
@@ -1,4 +1,4 @@
-// Package setting is the schema of an operator's setting: what one service of one team runs, and where.
+// Package setting defines the schema of an operator's setting: what one service of one team runs, and where.
 package setting
 
 import (
@@ -10,13 +10,13 @@
 	"samphireweir.example/samphireweir/internal/code"
 )
 
-// Prefix is where settings live in the object API: Prefix + team + "/" + service.
+// Prefix is the prefix of the keys of settings in the object API. A key is Prefix + team + "/" + service.
 const Prefix = "settings/"
 
-// MaxBytes bounds an encoded setting.
+// MaxBytes bounds the size of an encoded setting, in bytes.
 const MaxBytes = 64 << 10
 
-// Kind tells a model engine from a plain service.
+// Kind is the kind of upstream: a model engine or a plain service.
 type Kind string
 
 // The kinds of upstream.
@@ -25,68 +25,77 @@
 	Plain  Kind = "plain"
 )
 
-// Policy says what a burst of weights saves first.
+// Policy is the goal of a burst of weights: to finish early or to spare the origin.
 type Policy string
 
-// The policies of a burst.
+// The policies of a burst. TimeFirst minimizes the time, OriginFirst the reads from the origin.
 const (
 	TimeFirst   Policy = "time"
 	OriginFirst Policy = "origin"
 )
 
-// Fencing says whether the service's engines refuse orders with an old fencing number.
+// Fencing specifies whether the service's engines reject orders with an old fencing number.
 type Fencing string
 
-// The two sorts of engine.
+// The values of Fencing. FencingIgnored is for engines that accept orders with any fencing number.
 const (
 	FencingChecked Fencing = "checked"
 	FencingIgnored Fencing = "ignored"
 )
 
-// Limits are what one client account may use.
+// Limits bounds what one client account may use.
 type Limits struct {
-	// Weight is the client's share relative to the others; 1 when absent.
+	// Weight is the client account's share relative to the others; 1 when absent.
 	Weight int `json:"weight,omitempty"`
-	// Concurrency bounds its requests in flight in the whole fleet; 0 for no bound.
+	// Concurrency bounds the client account's in-flight requests in the whole fleet; 0 for no bound.
 	Concurrency int `json:"concurrency,omitempty"`
 }
 
 // Setting is what one service runs, and where.
 type Setting struct {
-	Kind    Kind   `json:"kind"`
-	Model   string `json:"model,omitempty"`
+	Kind Kind `json:"kind"`
+	// Model is the name of the model; empty for a plain service.
+	Model string `json:"model,omitempty"`
+	// Adapter is the name of the model's adapter; "none" when absent.
 	Adapter string `json:"adapter,omitempty"`
+	// Version is the version of the weights; empty for a plain service.
 	Version string `json:"version,omitempty"`
 	// Digest is the manifest digest that model, adapter and version were resolved to when the setting was accepted.
 	Digest string `json:"digest,omitempty"`
-	// Places gives the replicas by place.
+	// Places is the number of replicas by data centre.
 	Places map[string]int `json:"places,omitempty"`
-	Policy Policy         `json:"policy,omitempty"`
-	// Role is the part of a request's work that the engines do; "both" when absent.
+	// Policy is the goal of bursts of the weights; "time" when absent.
+	Policy Policy `json:"policy,omitempty"`
+	// Role is the phase of a request that the engines run; "both" when absent.
 	Role Role `json:"role,omitempty"`
-	// MaxUnavailable bounds the engines of the service that may be away at once in a rollout.
+	// MaxUnavailable bounds the engines of the service that may be unavailable at the same time in a rollout; 1 when absent.
 	MaxUnavailable int `json:"max_unavailable,omitempty"`
-	// NonIdempotent lists the calls that run at most once: a method, or "METHOD /path-prefix".
+	// NonIdempotent lists the calls that run at most once, each as a method or as "METHOD /path-prefix". It is ["POST"] when
+	// absent from the setting of a plain service.
 	NonIdempotent []string `json:"non_idempotent,omitempty"`
-	// Clients gives the limits by client account; "default" is for those not named.
+	// Clients maps client accounts to their limits. "default" applies to all accounts that are not listed.
 	Clients map[string]Limits `json:"clients,omitempty"`
-	Fencing Fencing           `json:"fencing,omitempty"`
-	// Change identifies the change that wrote this setting, to settle a lost answer by reading back.
+	// Fencing specifies whether the engines check fencing numbers; "checked" when absent.
+	Fencing Fencing `json:"fencing,omitempty"`
+	// Change is the ID of the change that wrote this setting. If the answer to a write is lost, the writer reads the setting
+	// and looks for this ID.
 	Change string `json:"change,omitempty"`
+	// Author is the operator who made the change.
 	Author string `json:"author,omitempty"`
-	// At is when the change was made, by the operator's clock; for people only.
+	// At is the time of the change by the operator's clock, for information only.
 	At string `json:"at,omitempty"`
 }
 
-var name = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+// validName matches the names of teams, services, data centres, hosts and regions.
+var validName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// ValidName tells whether s can name a team, service or place.
-func ValidName(s string) bool { return name.MatchString(s) }
+// ValidName reports whether s is a valid name: 1 to 63 characters of a-z, 0-9 and -, not starting with -.
+func ValidName(s string) bool { return validName.MatchString(s) }
 
 // Key returns the object key of a service's setting.
 func Key(team, service string) string { return Prefix + team + "/" + service }
 
-// SplitKey returns team and service of an object key.
+// SplitKey returns the team and service of an object key. ok is false if key is not the key of a setting.
 func SplitKey(key string) (team, service string, ok bool) {
 	rest, found := strings.CutPrefix(key, Prefix)
 	if !found {
@@ -96,7 +105,7 @@
 	return team, service, found && ValidName(team) && ValidName(service)
 }
 
-// Parse reads and checks a setting.
+// Parse decodes a setting, applies the defaults and validates it.
 func Parse(raw []byte) (*Setting, error) {
 	if len(raw) > MaxBytes {
 		return nil, code.Errorf(code.BadSetting, "setting", "%d bytes, at most %d", len(raw), MaxBytes)
@@ -114,7 +123,7 @@
 	return s, nil
 }
 
-// applyDefaults is the one place that fills in what an operator left out.
+// applyDefaults fills in the fields that an operator has left out. No other code does so.
 func (s *Setting) applyDefaults() {
 	if s.Kind == Plain && s.NonIdempotent == nil {
 		s.NonIdempotent = []string{"POST"}
@@ -204,7 +213,7 @@
 	return nil
 }
 
-// RunsAtMostOnce tells whether a call is one that the setting names as non-idempotent.
+// RunsAtMostOnce reports whether NonIdempotent lists a call, so that it must not run more than once.
 func (s *Setting) RunsAtMostOnce(method, path string) bool {
 	for _, rule := range s.NonIdempotent {
 		m, prefix, _ := strings.Cut(rule, " ")
@@ -215,7 +224,7 @@
 	return false
 }
 
-// SameWeights tells whether two settings name the same model, adapter and version.
+// SameWeights reports whether two settings have the same model, adapter and version.
 func (s *Setting) SameWeights(t *Setting) bool {
 	return s.Model == t.Model && s.Adapter == t.Adapter && s.Version == t.Version
 }
