--- a/internal/demo/commandline.go
+++ b/internal/demo/commandline.go
@@ -13,19 +13,19 @@
 	"samphireweir.example/samphireweir/internal/demo/processes"
 )
 
-// CommandLine makes the arguments with which the product's processes are started.
+// CommandLine builds the arguments with which the product's processes are started.
 type CommandLine struct {
-	Secret   string
+	Secret   string // shared by all processes of the run
 	Outside  *StandIns
 	LinkRate int64  // of a host, in bytes per second
-	Spread   string // how weights spread; empty for the product's own way
+	Spread   string // how weights spread; empty for the product's default
 	NoYield  bool   // transfers don't yield to live requests
 }
 
-// anyPort lets the kernel choose the port.
+// anyPort returns a listen address at which the kernel chooses the port.
 func anyPort(address string) string { return address + ":0" }
 
-// Agent gives the arguments of the agent of a host that listens for its peers at IP:PORT.
+// Agent returns the arguments of a host's agent; peers is the address (IP:PORT) at which it listens for its peers.
 func (c CommandLine) Agent(host layout.Host, peers string) []string {
 	args := append([]string{"agent"}, c.common(host.Name, host.Address, peers, host.Place)...)
 	return append(args,
@@ -38,7 +38,7 @@
 	)
 }
 
-// Entry gives the arguments of an entry that listens for peers and for callers at these IP:PORT.
+// Entry returns the arguments of an entry that listens for peers and for callers at these addresses (IP:PORT).
 func (c CommandLine) Entry(entry layout.Entry, peers, callers string) []string {
 	args := append([]string{"entry"}, c.common(entry.Name, entry.Address, peers, entry.Place)...)
 	return append(args, "-callers-listen", callers)
@@ -57,14 +57,14 @@
 	}
 }
 
-// Apply runs `samphireweir settings apply` on the version of the setting that is there now, and gives the time at which
+// Apply runs `samphireweir settings apply` against the present version of the setting and returns the time at which
 // the change was accepted.
 func (c CommandLine) Apply(ctx context.Context, client *outside.Client, binary, service string, setting layout.Setting) (time.Time, error) {
 	body, err := json.Marshal(setting)
 	if err != nil {
-		return time.Time{}, errors.Wrap(err, "encode a setting")
+		return time.Time{}, errors.Wrap(err, "encoding a setting")
 	}
-	seen, err := client.ObjectVersion(ctx, c.Outside.ObjectAPI, "settings/"+layout.Team+"/"+service)
+	present, err := client.ObjectVersion(ctx, c.Outside.ObjectAPI, "settings/"+layout.Team+"/"+service)
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -72,7 +72,7 @@
 		"-object-api", "http://"+c.Outside.ObjectAPI,
 		"-weight-store", "http://"+c.Outside.Store,
 		"-origin", "http://"+c.Outside.Origin,
-		"-if-version", strconv.FormatInt(seen, 10),
+		"-if-version", strconv.FormatInt(present, 10),
 		"-team", layout.Team, "-service", service, "-file", "-")
 	return time.Now(), err
 }
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -15,45 +15,45 @@
 )
 
 const (
-	startLimit       = 30 * time.Second
-	startLimitByHost = 200 * time.Millisecond // more of it for every host
-	readyPause       = 100 * time.Millisecond
-	killStream       = 77 // number of the random stream that chooses the hosts to kill
+	stepTimeout         = 30 * time.Second       // to apply a setting or to start a stand-in; base of the fleet's start
+	startTimeoutPerHost = 200 * time.Millisecond // added to the timeout of the fleet's start for each host
+	readyPollInterval   = 100 * time.Millisecond
+	killRandomStream    = 77 // random stream that selects the hosts to kill
 )
 
-// fleet is the product's processes: the agents, in the order of the hosts, and the entries.
+// fleet holds the product's processes: the agents, in the order of the hosts, and the entries.
 type fleet struct {
-	options     Options
-	binary      string
-	logs        string
-	outside     *StandIns
-	commandLine CommandLine
-	client      *outside.Client
-	hosts       []layout.Host
-	agents      []*processes.Process
-	entries     []*processes.Process
-	callers     []string // the entries' addresses for callers
-	killed      map[int]bool
-	startEnd    time.Duration
+	options      Options
+	binary       string
+	logs         string
+	standIns     *StandIns
+	commandLine  CommandLine
+	client       *outside.Client
+	hosts        []layout.Host
+	agents       []*processes.Process
+	entries      []*processes.Process
+	callers      []string     // addresses (IP:PORT) at which the entries accept callers
+	killed       map[int]bool // indexes of agents that killShare killed
+	startTimeout time.Duration
 }
 
-func newFleet(options Options, hosts []layout.Host, outsideSystems *StandIns, client *outside.Client, binaries, logs string) *fleet {
+func newFleet(options Options, hosts []layout.Host, standIns *StandIns, client *outside.Client, binaries, logs string) *fleet {
 	return &fleet{
-		options:     options,
-		binary:      filepath.Join(binaries, processes.Product),
-		logs:        logs,
-		commandLine: CommandLine{Secret: rand.Text(), Outside: outsideSystems, LinkRate: options.LinkRate(), Spread: options.Spread, NoYield: options.NoYield},
-		outside:     outsideSystems,
-		client:      client,
-		hosts:       hosts,
-		killed:      map[int]bool{},
-		startEnd:    startLimit + time.Duration(len(hosts))*startLimitByHost,
+		options:      options,
+		binary:       filepath.Join(binaries, processes.Product),
+		logs:         logs,
+		commandLine:  CommandLine{Secret: rand.Text(), Outside: standIns, LinkRate: options.LinkRate(), Spread: options.Spread, NoYield: options.NoYield},
+		standIns:     standIns,
+		client:       client,
+		hosts:        hosts,
+		killed:       map[int]bool{},
+		startTimeout: stepTimeout + time.Duration(len(hosts))*startTimeoutPerHost,
 	}
 }
 
-// start starts agents and entries, registers them and waits until all are ready.
+// start starts the agents and entries, registers them with the host list and waits until all are ready.
 func (f *fleet) start(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, f.startEnd)
+	timeoutCtx, cancel := context.WithTimeout(ctx, f.startTimeout)
 	defer cancel()
 	if err := f.startAgents(); err != nil {
 		return err
@@ -63,21 +63,21 @@
 	}
 	var operators []string
 	for index, agent := range f.agents {
-		addresses, err := f.register(limited, agent, outside.RoleAgent, f.hosts[index].Place)
+		addresses, err := f.register(timeoutCtx, agent, outside.RoleAgent, f.hosts[index].Place)
 		if err != nil {
 			return err
 		}
 		operators = append(operators, addresses.Operators)
 	}
 	for index, entry := range f.entries {
-		addresses, err := f.register(limited, entry, outside.RoleEntry, layout.Entries()[index].Place)
+		addresses, err := f.register(timeoutCtx, entry, outside.RoleEntry, layout.Entries()[index].Place)
 		if err != nil {
 			return err
 		}
 		operators = append(operators, addresses.Operators)
 		f.callers = append(f.callers, addresses.Callers)
 	}
-	return f.awaitReady(limited, operators)
+	return f.awaitReady(timeoutCtx, operators)
 }
 
 func (f *fleet) startAgents() error {
@@ -104,36 +104,38 @@
 	return nil
 }
 
+// register waits for a process to listen and adds it to the host list.
 func (f *fleet) register(ctx context.Context, process *processes.Process, role string, place layout.Place) (processes.Addresses, error) {
 	addresses, err := process.Addresses(ctx)
 	if err != nil {
 		return addresses, err
 	}
 	host := outside.ListedHost{Address: addresses.Peers, Role: role, Place: place.Name, Region: place.Region}
-	return addresses, f.client.Register(ctx, f.outside.HostList, host)
+	return addresses, f.client.Register(ctx, f.standIns.HostList, host)
 }
 
 func (f *fleet) awaitReady(ctx context.Context, operators []string) error {
 	for _, address := range operators {
 		for !f.client.Ready(ctx, address) {
-			if err := pause(ctx, readyPause); err != nil {
-				return errors.Wrapf(err, "wait for the process with operators' address %s to be ready", address)
+			if err := sleep(ctx, readyPollInterval); err != nil {
+				return errors.Wrapf(err, "waiting for the process with operator address %s to be ready", address)
 			}
 		}
 	}
 	return nil
 }
 
-// apply makes an operator's change of a service and gives the time at which it was accepted.
+// apply applies an operator's setting for a service and returns the time at which it was accepted.
 func (f *fleet) apply(ctx context.Context, service string, setting layout.Setting) (time.Time, error) {
-	limited, cancel := context.WithTimeout(ctx, startLimit)
+	timeoutCtx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	return f.commandLine.Apply(limited, f.client, f.binary, service, setting)
+	return f.commandLine.Apply(timeoutCtx, f.client, f.binary, service, setting)
 }
 
-// killShare ends the given share of the agents, at least one, with SIGKILL; the seed chooses which.
+// killShare kills the given share of the agents with SIGKILL; the seed selects which. It kills at least one agent, unless
+// there is only one, and always leaves one alive.
 func (f *fleet) killShare(share float64) {
-	random := mathrand.New(mathrand.NewPCG(f.options.Seed, killStream))
+	random := mathrand.New(mathrand.NewPCG(f.options.Seed, killRandomStream))
 	count := max(1, int(math.Round(share*float64(len(f.hosts)))))
 	for _, index := range random.Perm(len(f.hosts))[:min(count, len(f.hosts)-1)] {
 		f.killed[index] = true
@@ -141,7 +143,7 @@
 	}
 }
 
-// live gives the hosts whose agents were not killed.
+// live returns the hosts whose agents were not killed by killShare.
 func (f *fleet) live() []layout.Host {
 	var hosts []layout.Host
 	for index, host := range f.hosts {
@@ -152,8 +154,8 @@
 	return hosts
 }
 
-// died gives the processes that ended by themselves.
-func (f *fleet) died() []string {
+// exited returns the names of the processes that ended without being killed or stopped by the run.
+func (f *fleet) exited() []string {
 	names := []string{}
 	for index, agent := range f.agents {
 		if !f.killed[index] && !agent.Running() {
@@ -168,13 +170,14 @@
 	return names
 }
 
+// stop ends all processes and returns the names of those that had to be killed.
 func (f *fleet) stop() []string {
 	all := append([]*processes.Process{}, f.entries...)
-	return processes.Stop(append(all, f.agents...), stopGrace)
+	return processes.Stop(append(all, f.agents...), stopTimeout)
 }
 
-// pause waits for a while, or until the context ends.
-func pause(ctx context.Context, length time.Duration) error {
+// sleep waits for the given time or until the context ends.
+func sleep(ctx context.Context, length time.Duration) error {
 	select {
 	case <-time.After(length):
 		return nil
--- a/internal/demo/progress.go
+++ b/internal/demo/progress.go
@@ -10,26 +10,26 @@
 	"samphireweir.example/samphireweir/internal/demo/load"
 )
 
-// progress tells once a second how far a run is.
+// progress prints the state of a run once a second.
 type progress struct {
-	to        io.Writer
-	began     time.Time
-	mutex     sync.Mutex
-	now       string
-	served    string
-	book      *ledger.Book
-	generator *load.Generator
-	stopped   chan struct{}
-	ended     sync.WaitGroup
+	out         io.Writer
+	startedAt   time.Time
+	mutex       sync.Mutex
+	phase       string
+	servingText string // how many hosts serve the version; empty outside a spread
+	book        *ledger.Book
+	generator   *load.Generator // nil until requests are sent
+	stopped     chan struct{}
+	ended       sync.WaitGroup
 }
 
-func startProgress(to io.Writer, book *ledger.Book) *progress {
-	p := &progress{to: to, began: time.Now(), book: book, stopped: make(chan struct{})}
-	p.ended.Go(p.tell)
+func startProgress(out io.Writer, book *ledger.Book) *progress {
+	p := &progress{out: out, startedAt: time.Now(), book: book, stopped: make(chan struct{})}
+	p.ended.Go(p.printLoop)
 	return p
 }
 
-func (p *progress) tell() {
+func (p *progress) printLoop() {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
@@ -37,7 +37,7 @@
 		case <-p.stopped:
 			return
 		case <-ticker.C:
-			_, _ = fmt.Fprintln(p.to, p.line())
+			_, _ = fmt.Fprintln(p.out, p.line())
 		}
 	}
 }
@@ -46,7 +46,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	tally := p.book.Tally()
-	line := fmt.Sprintf("%4.0fs %s%s", time.Since(p.began).Seconds(), p.now, p.served)
+	line := fmt.Sprintf("%4.0fs %s%s", time.Since(p.startedAt).Seconds(), p.phase, p.servingText)
 	if p.generator == nil {
 		return line
 	}
@@ -54,20 +54,20 @@
 		tally.Sent, tally.Complete, tally.Refused, tally.Lost, tally.Garbled, p.generator.InFlight())
 }
 
-func (p *progress) phase(name string) {
+func (p *progress) setPhase(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.now = name
-	p.served = ""
+	p.phase = name
+	p.servingText = ""
 }
 
-func (p *progress) serving(serving, live int) {
+func (p *progress) setServing(serving, live int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.served = fmt.Sprintf(", %d of %d serve", serving, live)
+	p.servingText = fmt.Sprintf(", %d of %d serve", serving, live)
 }
 
-func (p *progress) watch(generator *load.Generator) {
+func (p *progress) setGenerator(generator *load.Generator) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.generator = generator
--- a/internal/demo/figures.go
+++ b/internal/demo/report.go
@@ -15,8 +15,8 @@
 	p95 = 0.95
 )
 
-// figures works out the report from the logs and the ledger.
-func (r *run) figures(engines []outside.EngineLine, plain []outside.PlainLine) report.Report {
+// report computes the report from the logs and the ledger.
+func (r *run) report(engines []outside.EngineLine, plain []outside.PlainLine) report.Report {
 	records := r.book.Records()
 	tally := r.book.Tally()
 	result := report.Report{
@@ -35,7 +35,7 @@
 		Doubled:        len(count.Doubled(plain)),
 		FalseNotRun:    len(count.FalseNotRun(records, plain, engines)),
 		Mixed:          tally.Garbled + count.MixedRuns(engines) + count.MixedLoads(engines, r.contents()),
-		Died:           r.died,
+		Died:           r.exited,
 		Killed:         r.killed,
 		Policy:         r.options.Policy,
 		Seed:           r.options.Seed,
@@ -49,35 +49,36 @@
 	return result
 }
 
-func (r *run) spreadFigures(seen *spread, engines []outside.EngineLine, records []ledger.Record) report.Spread {
-	before := count.Percentile(count.LookupTimes(records, r.quietFrom, r.quietTo), p95)
-	during := count.Percentile(count.LookupTimes(records, seen.began, seen.ended), p95)
+func (r *run) spreadFigures(result *spreadResult, engines []outside.EngineLine, records []ledger.Record) report.Spread {
+	before := count.Percentile(count.LookupTimes(records, r.baselineStart, r.baselineEnd), p95)
+	during := count.Percentile(count.LookupTimes(records, result.startedAt, result.endedAt), p95)
 	figures := report.Spread{
-		Version:      seen.version,
-		Serving:      seen.serving,
-		OriginCopies: float64(seen.bytes) / float64(seen.manifest.Size),
+		Version:      result.version,
+		Serving:      result.serving,
+		OriginCopies: float64(result.bytes) / float64(result.manifest.Size),
 		SlowP95Ratio: count.Ratio(during, before),
 		P95BeforeMS:  milliseconds(before),
 		P95DuringMS:  milliseconds(during),
 	}
 	if live := len(r.fleet.live()); live > 0 {
-		figures.ProcessorSeconds = seen.seconds / float64(live)
+		figures.ProcessorSeconds = result.cpuSeconds / float64(live)
 	}
-	figures.MemoryMB = seen.memory
-	figures.Transfers, _ = r.transfers(seen.manifest.Digest, seen.manifest.Size) // without a log there are no figures
-	times := r.liveServeTimes(seen, engines)
-	if seen.serving == len(r.fleet.live()) && len(times) == seen.serving {
+	figures.MemoryMB = result.memoryMB
+	figures.Transfers, _ = r.transfers(result.manifest.Digest, result.manifest.Size) // an unreadable log leaves the figures incomplete
+	times := r.liveServeTimes(result, engines)
+	if result.serving == len(r.fleet.live()) && len(times) == result.serving {
 		all := count.Ratio(count.Percentile(times, 1), r.options.copyTime())
-		most := count.Ratio(count.Percentile(times, p90), r.options.copyTime())
+		p90Ratio := count.Ratio(count.Percentile(times, p90), r.options.copyTime())
 		figures.TimeRatio = &all
-		figures.P90Ratio = &most
+		figures.P90Ratio = &p90Ratio
 	}
 	return figures
 }
 
-// liveServeTimes gives how long after the acceptance each live host's engine had loaded the version.
-func (r *run) liveServeTimes(seen *spread, engines []outside.EngineLine) []time.Duration {
-	byEngine := count.ServeTimes(engines, seen.manifest.Digest, seen.accepted)
+// liveServeTimes returns, for the live hosts whose engines loaded the version, the time from the acceptance of the
+// setting to the end of the load.
+func (r *run) liveServeTimes(result *spreadResult, engines []outside.EngineLine) []time.Duration {
+	byEngine := count.ServeTimes(engines, result.manifest.Digest, result.acceptedAt)
 	var times []time.Duration
 	for _, host := range r.fleet.live() {
 		if took, served := byEngine[host.Engine]; served {
@@ -87,7 +88,7 @@
 	return times
 }
 
-// contents gives the SHA-256 of each version's content by the version's digest.
+// contents returns the SHA-256 of each version's content, keyed by the version's digest.
 func (r *run) contents() map[string]string {
 	contents := map[string]string{}
 	for _, manifest := range r.manifests {
@@ -96,6 +97,7 @@
 	return contents
 }
 
+// refusedByCode counts the refused requests by code and by what the refusal said about execution.
 func refusedByCode(records []ledger.Record) map[string]int {
 	codes := map[string]int{}
 	for _, record := range records {
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -1,5 +1,5 @@
-// Package demo starts samphireweir with its stand-ins as processes on loopback, spreads a model while live requests
-// flow, and counts what happened from the stand-ins' logs and the callers' ledger.
+// Package demo starts samphireweir and its stand-ins as processes on loopback, spreads a model to the hosts under live
+// requests, and computes the results from the stand-ins' logs and the callers' ledger.
 package demo
 
 import (
@@ -19,46 +19,47 @@
 )
 
 const (
-	warmUp      = time.Second     // lookups at the start that are not measured
-	quietPeriod = 4 * time.Second // lookups only, for the p95 before
-	afterPeriod = 3 * time.Second // requests after a spread
-	probeLimit  = 20 * time.Second
-	probePath   = "/" + layout.Team + "/" + layout.PlainService + "/vendors/0"
+	warmUpPeriod     = time.Second     // lookups at the start that are not measured
+	baselinePeriod   = 4 * time.Second // lookups only, for their p95 before the first spread
+	postSpreadPeriod = 3 * time.Second // requests go on for this time after each spread
+	probeTimeout     = 20 * time.Second
+	probePath        = "/" + layout.Team + "/" + layout.PlainService + "/vendors/0"
 )
 
 // run is one run of the demo.
 type run struct {
-	options   Options
-	folder    string // temporary; removed at the end
-	client    *outside.Client
-	progress  *progress
-	book      *ledger.Book
-	hosts     []layout.Host
-	standIns  *StandIns
-	fleet     *fleet
-	manifests map[string]outside.Manifest // by version
-	generator *load.Generator
-	quietFrom time.Time
-	quietTo   time.Time
-	spreads   []*spread
-	died      []string
-	killed    []string
+	options       Options
+	tempDir       string // removed at the end
+	client        *outside.Client
+	progress      *progress
+	book          *ledger.Book
+	hosts         []layout.Host
+	standIns      *StandIns
+	fleet         *fleet
+	manifests     map[string]outside.Manifest // by version
+	generator     *load.Generator
+	baselineStart time.Time // period of the lookups before the first spread
+	baselineEnd   time.Time
+	spreads       []*spreadResult
+	exited        []string // processes that ended without being killed or stopped by the run
+	killed        []string // processes that had to be killed after the stop timeout
 }
 
-// Run makes one run, tells its progress, and gives its figures. All processes have ended when it returns.
-func Run(ctx context.Context, options Options, tell io.Writer) (report.Report, error) {
-	folder, err := os.MkdirTemp("", "samphireweir-demo-")
+// Run executes one run, prints its progress to out once a second, and returns its report. All processes have ended when
+// it returns.
+func Run(ctx context.Context, options Options, out io.Writer) (report.Report, error) {
+	tempDir, err := os.MkdirTemp("", "samphireweir-demo-")
 	if err != nil {
-		return report.Report{}, errors.Wrap(err, "make a temporary folder")
+		return report.Report{}, errors.Wrap(err, "creating a temporary directory")
 	}
-	defer func() { _ = os.RemoveAll(folder) }()
+	defer func() { _ = os.RemoveAll(tempDir) }()
 	book := &ledger.Book{}
 	r := &run{
 		options:   options,
-		folder:    folder,
+		tempDir:   tempDir,
 		client:    outside.NewClient(),
 		book:      book,
-		progress:  startProgress(tell, book),
+		progress:  startProgress(out, book),
 		hosts:     layout.Hosts(options.Hosts),
 		manifests: map[string]outside.Manifest{},
 		killed:    []string{},
@@ -68,13 +69,13 @@
 	if err := r.start(ctx); err != nil {
 		return report.Report{}, err
 	}
-	if err := r.experiment(ctx); err != nil {
+	if err := r.spreadUnderLoad(ctx); err != nil {
 		return report.Report{}, err
 	}
 	return r.finish(ctx)
 }
 
-// start builds what is needed and starts all processes.
+// start builds the binaries if necessary, starts all processes and reads the manifests.
 func (r *run) start(ctx context.Context) error {
 	binaries, err := r.binaries(ctx)
 	if err != nil {
@@ -82,13 +83,13 @@
 	}
 	logs := r.options.KeepLogs
 	if logs == "" {
-		logs = filepath.Join(r.folder, "logs")
+		logs = filepath.Join(r.tempDir, "logs")
 	}
-	r.progress.phase("starting the stand-ins")
+	r.progress.setPhase("starting the stand-ins")
 	if r.standIns, err = StartStandIns(ctx, r.options, r.hosts, binaries, logs); err != nil {
 		return err
 	}
-	r.progress.phase("starting agents and entries")
+	r.progress.setPhase("starting agents and entries")
 	r.fleet = newFleet(r.options, r.hosts, r.standIns, r.client, binaries, logs)
 	if err := r.fleet.start(ctx); err != nil {
 		return err
@@ -96,13 +97,14 @@
 	return r.readManifests(ctx)
 }
 
+// binaries returns the directory with the binaries and builds them if none is configured.
 func (r *run) binaries(ctx context.Context) (string, error) {
 	if r.options.Binaries != "" {
-		folder, err := filepath.Abs(r.options.Binaries)
-		return folder, errors.Wrap(err, "find the binaries")
+		dir, err := filepath.Abs(r.options.Binaries)
+		return dir, errors.Wrap(err, "resolving the directory with the binaries")
 	}
-	r.progress.phase("building")
-	return r.folder, processes.Build(ctx, r.folder)
+	r.progress.setPhase("building")
+	return r.tempDir, processes.Build(ctx, r.tempDir)
 }
 
 func (r *run) versions() []string {
@@ -123,9 +125,9 @@
 	return nil
 }
 
-// experiment sends live requests and spreads the versions meanwhile.
-func (r *run) experiment(ctx context.Context) error {
-	r.progress.phase("applying " + layout.PlainService)
+// spreadUnderLoad applies the plain service's setting, starts live requests and spreads the versions one after the other.
+func (r *run) spreadUnderLoad(ctx context.Context) error {
+	r.progress.setPhase("applying " + layout.PlainService)
 	if _, err := r.fleet.apply(ctx, layout.PlainService, layout.PlainSetting()); err != nil {
 		return err
 	}
@@ -135,20 +137,20 @@
 	r.generator = load.Start(load.Options{
 		Entries: r.fleet.callers, Digests: r.digests(), Seed: r.options.Seed, Book: r.book,
 	})
-	r.progress.watch(r.generator)
-	if err := r.quiet(ctx); err != nil {
+	r.progress.setGenerator(r.generator)
+	if err := r.measureBaseline(ctx); err != nil {
 		return err
 	}
 	r.generator.OpenSubmissions()
 	for index, version := range r.versions() {
 		kill := index == 0 && r.options.KillShare > 0
-		seen, err := r.spread(ctx, version, kill)
+		result, err := r.spreadVersion(ctx, version, kill)
 		if err != nil {
 			return err
 		}
-		r.spreads = append(r.spreads, seen)
-		r.progress.phase("after " + version)
-		if err := pause(ctx, afterPeriod); err != nil {
+		r.spreads = append(r.spreads, result)
+		r.progress.setPhase("after " + version)
+		if err := sleep(ctx, postSpreadPeriod); err != nil {
 			return err
 		}
 	}
@@ -163,42 +165,42 @@
 	return digests
 }
 
-// probe waits until both entries answer lookups; its requests are not in the ledger.
+// probe waits until both entries answer lookups; its requests are not recorded in the ledger.
 func (r *run) probe(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, probeLimit)
+	timeoutCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	for _, entry := range r.fleet.callers {
-		for !r.client.Answers(limited, "http://"+entry+probePath) {
-			if err := pause(limited, readyPause); err != nil {
-				return errors.Wrapf(err, "wait for the entry %s to answer lookups", entry)
+		for !r.client.Answers(timeoutCtx, "http://"+entry+probePath) {
+			if err := sleep(timeoutCtx, readyPollInterval); err != nil {
+				return errors.Wrapf(err, "waiting for the entry %s to answer lookups", entry)
 			}
 		}
 	}
 	return nil
 }
 
-// quiet sends lookups only, for the p95 before.
-func (r *run) quiet(ctx context.Context) error {
-	r.progress.phase("lookups only")
-	if err := pause(ctx, warmUp); err != nil {
+// measureBaseline waits while only lookups are sent; their p95 is compared with the p95 during a spread.
+func (r *run) measureBaseline(ctx context.Context) error {
+	r.progress.setPhase("lookups only")
+	if err := sleep(ctx, warmUpPeriod); err != nil {
 		return err
 	}
-	r.quietFrom = time.Now()
-	if err := pause(ctx, quietPeriod); err != nil {
+	r.baselineStart = time.Now()
+	if err := sleep(ctx, baselinePeriod); err != nil {
 		return err
 	}
-	r.quietTo = time.Now()
+	r.baselineEnd = time.Now()
 	return nil
 }
 
-// finish ends the requests and the product, reads the logs and works out the figures.
+// finish stops the requests and the product, reads the stand-ins' logs and computes the report.
 func (r *run) finish(ctx context.Context) (report.Report, error) {
-	r.progress.phase("waiting for the last answers")
+	r.progress.setPhase("waiting for the last responses")
 	r.stopRequests()
-	r.died = r.fleet.died()
-	r.progress.phase("stopping agents and entries")
+	r.exited = r.fleet.exited()
+	r.progress.setPhase("stopping agents and entries")
 	r.stopFleet()
-	r.progress.phase("reading the logs")
+	r.progress.setPhase("reading the logs")
 	engines, err := r.client.EngineLog(ctx, r.standIns.Engines)
 	if err != nil {
 		return report.Report{}, err
@@ -208,8 +210,8 @@
 		return report.Report{}, err
 	}
 	r.stopAll()
-	r.tellExamples(engines, plain)
-	return r.figures(engines, plain), r.keep(engines, plain)
+	r.printExamples(engines, plain)
+	return r.report(engines, plain), r.saveLogs(engines, plain)
 }
 
 func (r *run) stopRequests() {
@@ -224,7 +226,7 @@
 	}
 }
 
-// stopAll ends everything that still runs; it may be called again.
+// stopAll stops everything that still runs; it may be called more than once.
 func (r *run) stopAll() {
 	r.stopRequests()
 	r.stopFleet()
--- a/internal/demo/spread.go
+++ b/internal/demo/spread.go
@@ -10,83 +10,88 @@
 )
 
 const (
-	statePause       = 200 * time.Millisecond
-	stateCallers     = 16 // states that are read at the same time
-	spreadLimitBase  = 45 * time.Second
-	spreadLimitTimes = 15 // times that a host's link carries a copy, plus one for every host
+	statePollInterval = 200 * time.Millisecond
+	maxStateReads     = 16 // concurrent reads of engine states
+	// A spread may take spreadTimeoutBase, plus the time in which a host's link carries spreadTimeoutCopies copies and
+	// one more copy per host.
+	spreadTimeoutBase   = 45 * time.Second
+	spreadTimeoutCopies = 15
 )
 
-// spread is what was seen while one version went to the hosts.
-type spread struct {
-	version  string
-	manifest outside.Manifest
-	began    time.Time // just before the setting was applied
-	accepted time.Time
-	ended    time.Time // all live engines serve, or the limit is over
-	serving  int
-	bytes    int64   // data bytes from origin and store
-	seconds  float64 // of processor time of all agents
-	memory   float64 // of an agent in MB, in the mean
+// spreadResult holds what was measured while one version was distributed to the hosts.
+type spreadResult struct {
+	version    string
+	manifest   outside.Manifest
+	startedAt  time.Time // just before the setting was applied
+	acceptedAt time.Time // the setting was accepted
+	endedAt    time.Time // all live engines serve the version, or the timeout has passed
+	serving    int       // live engines that serve the version
+	bytes      int64     // data bytes sent by origin and store
+	cpuSeconds float64   // processor time of all agents
+	memoryMB   float64   // mean resident memory of an agent
 }
 
-// spread applies a version and waits until all live engines serve it or the limit is over.
-func (r *run) spread(ctx context.Context, version string, kill bool) (*spread, error) {
-	seen := &spread{version: version, manifest: r.manifests[version]}
+// spreadVersion applies a version and waits until all live engines serve it or the timeout has passed. With kill, it
+// kills the configured share of the agents halfway through the time in which a host's link carries one copy.
+func (r *run) spreadVersion(ctx context.Context, version string, kill bool) (*spreadResult, error) {
+	result := &spreadResult{version: version, manifest: r.manifests[version]}
 	before, err := r.sourceBytes(ctx)
 	if err != nil {
 		return nil, err
 	}
-	seen.began = time.Now()
-	seconds := r.fleet.processorSeconds()
+	result.startedAt = time.Now()
+	cpuBefore := r.fleet.cpuSeconds()
 	setting := layout.ModelSetting(r.hosts, version, r.options.Policy)
-	if seen.accepted, err = r.fleet.apply(ctx, layout.ModelService, setting); err != nil {
+	if result.acceptedAt, err = r.fleet.apply(ctx, layout.ModelService, setting); err != nil {
 		return nil, err
 	}
-	r.progress.phase("spreading " + version)
+	r.progress.setPhase("spreading " + version)
 	if kill {
-		if err := pause(ctx, time.Until(seen.accepted.Add(r.options.copyTime()/2))); err != nil {
+		if err := sleep(ctx, time.Until(result.acceptedAt.Add(r.options.copyTime()/2))); err != nil {
 			return nil, err
 		}
 		r.fleet.killShare(r.options.KillShare)
 	}
-	if err := r.awaitServing(ctx, seen); err != nil {
+	if err := r.awaitServing(ctx, result); err != nil {
 		return nil, err
 	}
-	seen.ended = time.Now()
-	seen.seconds = r.fleet.processorSeconds() - seconds
-	seen.memory = r.fleet.memoryMB()
+	result.endedAt = time.Now()
+	result.cpuSeconds = r.fleet.cpuSeconds() - cpuBefore
+	result.memoryMB = r.fleet.memoryMB()
 	after, err := r.sourceBytes(ctx)
-	seen.bytes = after - before
-	return seen, err
+	result.bytes = after - before
+	return result, err
 }
 
-func (r *run) awaitServing(ctx context.Context, seen *spread) error {
-	copies := time.Duration(spreadLimitTimes + len(r.hosts))
-	deadline := seen.accepted.Add(spreadLimitBase + copies*r.options.copyTime())
+// awaitServing waits until all live engines serve the version or the timeout has passed. Running into the timeout is
+// no error: result.serving then stays below the number of live hosts.
+func (r *run) awaitServing(ctx context.Context, result *spreadResult) error {
+	copies := time.Duration(spreadTimeoutCopies + len(r.hosts))
+	deadline := result.acceptedAt.Add(spreadTimeoutBase + copies*r.options.copyTime())
 	live := r.fleet.live()
 	for {
-		seen.serving = r.countServing(ctx, live, seen.manifest.Digest)
-		r.progress.serving(seen.serving, len(live))
-		if seen.serving > 0 {
+		result.serving = r.countServing(ctx, live, result.manifest.Digest)
+		r.progress.setServing(result.serving, len(live))
+		if result.serving > 0 {
 			r.generator.OpenGenerations()
 		}
-		if seen.serving == len(live) || time.Now().After(deadline) {
+		if result.serving == len(live) || time.Now().After(deadline) {
 			return nil
 		}
-		if err := pause(ctx, statePause); err != nil {
+		if err := sleep(ctx, statePollInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// countServing asks all engines of the hosts whether they serve the digest.
+// countServing returns how many engines of the hosts serve the digest. An engine whose state can't be read doesn't count.
 func (r *run) countServing(ctx context.Context, hosts []layout.Host, digest string) int {
 	var (
 		group   sync.WaitGroup
 		mutex   sync.Mutex
 		serving int
 	)
-	slots := make(chan struct{}, stateCallers)
+	slots := make(chan struct{}, maxStateReads)
 	for _, host := range hosts {
 		slots <- struct{}{}
 		group.Go(func() {
@@ -104,7 +109,7 @@
 	return serving
 }
 
-// sourceBytes gives the data bytes that origin and store have sent up to now.
+// sourceBytes returns the data bytes that origin and store have sent so far.
 func (r *run) sourceBytes(ctx context.Context) (int64, error) {
 	origin, err := r.client.WeightStats(ctx, r.standIns.Origin)
 	if err != nil {
--- a/internal/demo/standins.go
+++ b/internal/demo/standins.go
@@ -13,7 +13,7 @@
 
 const standInListen = "127.0.0.1:0"
 
-// StandIns are the outside systems of a run, with the addresses (IP:PORT) that they listen on.
+// StandIns are the stand-ins for the external systems of a run, with the addresses (IP:PORT) that they listen on.
 type StandIns struct {
 	processes []*processes.Process
 	ObjectAPI string
@@ -24,37 +24,41 @@
 	Plain     string
 }
 
-type standInPlan struct {
+// standInSpec describes one stand-in to start.
+type standInSpec struct {
 	name    string
 	flags   []string
-	address *string
+	address *string // where to store the address that it listens on
 }
 
-// StartStandIns starts all stand-ins; those that started are in the answer also when it comes with an error.
+// StartStandIns starts all stand-ins. On an error it also returns those that were started, so that the caller can stop
+// them.
 func StartStandIns(ctx context.Context, options Options, hosts []layout.Host, binaries, logs string) (*StandIns, error) {
 	all := &StandIns{}
-	for _, plan := range all.plan(options, hosts) {
-		args := append([]string{plan.name, "-listen", standInListen}, plan.flags...)
+	for _, spec := range all.specs(options, hosts) {
+		args := append([]string{spec.name, "-listen", standInListen}, spec.flags...)
 		binary := filepath.Join(binaries, processes.StandIn)
-		process, err := processes.Start("standin-"+plan.name, logs, binary, args...)
+		process, err := processes.Start("standin-"+spec.name, logs, binary, args...)
 		if err != nil {
 			return all, err
 		}
 		all.processes = append(all.processes, process)
-		if *plan.address, err = listening(ctx, process); err != nil {
+		if *spec.address, err = awaitListening(ctx, process); err != nil {
 			return all, err
 		}
 	}
 	return all, nil
 }
 
-func listening(ctx context.Context, process *processes.Process) (string, error) {
-	limited, cancel := context.WithTimeout(ctx, startLimit)
+// awaitListening waits at most stepTimeout for a stand-in to listen and returns its address.
+func awaitListening(ctx context.Context, process *processes.Process) (string, error) {
+	timeoutCtx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	return process.Listening(limited)
+	return process.Listening(timeoutCtx)
 }
 
-func (s *StandIns) plan(options Options, hosts []layout.Host) []standInPlan {
+// specs returns the stand-ins in the order in which they are started.
+func (s *StandIns) specs(options Options, hosts []layout.Host) []standInSpec {
 	weights := []string{
 		"-size", options.Size.String(),
 		"-chunk-size", options.ChunkSize.String(),
@@ -66,7 +70,7 @@
 		store = append(store, "-empty")
 	}
 	origin := append([]string{"-rate", strconv.FormatInt(options.OriginRate(), 10)}, weights...)
-	return []standInPlan{
+	return []standInSpec{
 		{"objectapi", nil, &s.ObjectAPI},
 		{"hostlist", nil, &s.HostList},
 		{"store", store, &s.Store},
@@ -76,10 +80,10 @@
 	}
 }
 
-// stopGrace is how long processes may take to end after SIGTERM.
-const stopGrace = 10 * time.Second
+// stopTimeout is how long processes may take to end after SIGTERM before they are killed.
+const stopTimeout = 10 * time.Second
 
-// Stop ends all stand-ins and gives the names of those that had to be killed.
+// Stop ends all stand-ins and returns the names of those that had to be killed.
 func (s *StandIns) Stop() []string {
-	return processes.Stop(s.processes, stopGrace)
+	return processes.Stop(s.processes, stopTimeout)
 }
--- a/internal/demo/bursts.go
+++ b/internal/demo/transfers.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// processorTicks a second is the unit of processor time in /proc/PID/stat.
-	processorTicks = 100
-	// userField and systemField are the places of the processor times after the command's closing bracket.
-	userField, systemField = 11, 12
-	mostLogLine            = 1 << 20
+	// cpuTicksPerSecond is the unit of the processor times in /proc/PID/stat.
+	cpuTicksPerSecond = 100
+	// userTimeField and systemTimeField are the indexes of the processor times among the fields after the command name,
+	// which ends with a closing bracket and may contain spaces itself.
+	userTimeField, systemTimeField = 11, 12
+	maxLogLineBytes                = 1 << 20
 )
 
-// burstLine is an agent's log line at the end of its part of a burst.
+// burstLine is the line that an agent logs when it has finished its part of a burst.
 type burstLine struct {
 	Event           int     `json:"event"`
 	Digest          string  `json:"digest"`
@@ -32,7 +33,8 @@
 	ControlBytes    int64   `json:"control_bytes"`
 }
 
-// transfers adds up what the agents logged of a version.
+// transfers sums up what the agents logged about a version. Copies are totals over all hosts; the figures of control
+// traffic are means per host.
 func (r *run) transfers(digest string, size int64) (report.Transfers, error) {
 	var total report.Transfers
 	hosts := 0
@@ -63,47 +65,47 @@
 func readBurstLines(path string) ([]burstLine, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "read an agent's log")
+		return nil, errors.Wrap(err, "opening an agent's log")
 	}
 	defer func() { _ = file.Close() }()
 	var lines []burstLine
 	scanner := bufio.NewScanner(file)
-	scanner.Buffer(nil, mostLogLine)
+	scanner.Buffer(nil, maxLogLineBytes)
 	for scanner.Scan() {
 		var line burstLine
 		if json.Unmarshal(scanner.Bytes(), &line) == nil && line.Event != 0 {
 			lines = append(lines, line)
 		}
 	}
-	return lines, errors.Wrapf(scanner.Err(), "read %s", path)
+	return lines, errors.Wrapf(scanner.Err(), "reading %s", path)
 }
 
-// processorSeconds gives the processor time that the live agents have used up to now, all together.
-func (f *fleet) processorSeconds() float64 {
+// cpuSeconds returns the total processor time that the running agents have used so far, in seconds.
+func (f *fleet) cpuSeconds() float64 {
 	total := 0.0
 	for _, agent := range f.agents {
-		total += processSeconds(agent.PID())
+		total += processCPUSeconds(agent.PID())
 	}
 	return total
 }
 
-// processSeconds reads one process's time; 0 when it has ended.
-func processSeconds(pid int) float64 {
+// processCPUSeconds returns the processor time of one process in seconds; 0 when it has ended.
+func processCPUSeconds(pid int) float64 {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
 		return 0
 	}
 	_, after, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(after)
-	if len(fields) <= systemField {
+	if len(fields) <= systemTimeField {
 		return 0
 	}
-	user, _ := strconv.ParseFloat(fields[userField], 64)
-	system, _ := strconv.ParseFloat(fields[systemField], 64)
-	return (user + system) / processorTicks
+	user, _ := strconv.ParseFloat(fields[userTimeField], 64)
+	system, _ := strconv.ParseFloat(fields[systemTimeField], 64)
+	return (user + system) / cpuTicksPerSecond
 }
 
-// memoryMB gives the resident memory of a live agent, in the mean.
+// memoryMB returns the mean resident memory of the running agents in MB; 0 when none runs.
 func (f *fleet) memoryMB() float64 {
 	total, count := 0.0, 0
 	for _, agent := range f.agents {
