--- a/internal/demo/count/count.go
+++ b/internal/demo/count/count.go
@@ -1,4 +1,4 @@
-// Package count works out the figures of a run from the stand-ins' logs and the callers' ledger. All of it is pure.
+// Package count computes the figures of a run from the stand-ins' logs and the callers' ledger. Its functions are pure.
 package count
 
 import (
@@ -10,8 +10,8 @@
 	"samphireweir.example/samphireweir/internal/demo/outside"
 )
 
-// Percentile gives the smallest value that at least the given share (0 to 1) of the values does not exceed.
-// Without values it gives 0.
+// Percentile returns the smallest value that at least the given share (0 to 1) of the values does not exceed (nearest
+// rank). It returns 0 for no values.
 func Percentile(values []time.Duration, share float64) time.Duration {
 	if len(values) == 0 {
 		return 0
@@ -21,7 +21,7 @@
 	return sorted[min(max(rank, 1), len(sorted))-1]
 }
 
-// RunsByKey counts the runs of every idempotency key in the plain services' log.
+// RunsByKey counts the runs of each idempotency key in the plain services' log.
 func RunsByKey(lines []outside.PlainLine) map[string]int {
 	runs := map[string]int{}
 	for _, line := range lines {
@@ -32,7 +32,7 @@
 	return runs
 }
 
-// Doubled gives the idempotency keys that ran more than once, sorted.
+// Doubled returns the idempotency keys that ran more than once, sorted.
 func Doubled(lines []outside.PlainLine) []string {
 	var keys []string
 	for key, runs := range RunsByKey(lines) {
@@ -44,27 +44,29 @@
 	return keys
 }
 
-// FalseNotRun gives the refusals that said "not run" although a log has the run. A run is recognised by the request
-// id, and by the idempotency key when that key ran more often than its other sends can account for.
+// FalseNotRun returns the refusals that said "not run" although a stand-in's log shows the run. A run is recognised by
+// its request id. It is also recognised by its idempotency key, if the key ran more often than the other requests with
+// that key can explain.
 func FalseNotRun(records []ledger.Record, plain []outside.PlainLine, engines []outside.EngineLine) []ledger.Record {
 	ran := runIDs(plain, engines)
-	surplus := unaccountedKeys(records, plain)
+	unexplained := keysWithUnexplainedRuns(records, plain)
 	var wrong []ledger.Record
 	for _, record := range records {
-		if !saidNotRun(record) {
+		if !refusedAsNotRun(record) {
 			continue
 		}
-		if ran[record.RequestID] || surplus[record.Key] {
+		if ran[record.RequestID] || unexplained[record.Key] {
 			wrong = append(wrong, record)
 		}
 	}
 	return wrong
 }
 
-func saidNotRun(record ledger.Record) bool {
+func refusedAsNotRun(record ledger.Record) bool {
 	return record.Outcome == ledger.Refused && record.Ran == ledger.NotRun
 }
 
+// runIDs returns the request ids of all runs in the logs.
 func runIDs(plain []outside.PlainLine, engines []outside.EngineLine) map[string]bool {
 	ids := map[string]bool{}
 	for _, line := range plain {
@@ -79,16 +81,16 @@
 	return ids
 }
 
-// unaccountedKeys gives the keys with more runs than sends that may have run.
-func unaccountedKeys(records []ledger.Record, plain []outside.PlainLine) map[string]bool {
-	left := RunsByKey(plain)
+// keysWithUnexplainedRuns returns the keys that ran more often than requests with that key may have run.
+func keysWithUnexplainedRuns(records []ledger.Record, plain []outside.PlainLine) map[string]bool {
+	unexplained := RunsByKey(plain)
 	for _, record := range records {
-		if record.Key != "" && !saidNotRun(record) {
-			left[record.Key]--
+		if record.Key != "" && !refusedAsNotRun(record) {
+			unexplained[record.Key]--
 		}
 	}
 	keys := map[string]bool{}
-	for key, runs := range left {
+	for key, runs := range unexplained {
 		if runs > 0 {
 			keys[key] = true
 		}
@@ -96,7 +98,7 @@
 	return keys
 }
 
-// WithOutcome gives the records with one outcome.
+// WithOutcome returns the records with the given outcome.
 func WithOutcome(records []ledger.Record, outcome ledger.Outcome) []ledger.Record {
 	var chosen []ledger.Record
 	for _, record := range records {
@@ -107,7 +109,7 @@
 	return chosen
 }
 
-// Outcomes counts the records of one kind with one outcome.
+// Outcomes counts the records of the given kind and outcome.
 func Outcomes(records []ledger.Record, kind ledger.Kind, outcome ledger.Outcome) int {
 	count := 0
 	for _, record := range records {
@@ -118,7 +120,7 @@
 	return count
 }
 
-// LookupTimes gives the durations of the complete lookups that began in the given period.
+// LookupTimes returns the durations of the complete lookups that started in the period [from, to).
 func LookupTimes(records []ledger.Record, from, to time.Time) []time.Duration {
 	var times []time.Duration
 	for _, record := range records {
@@ -133,7 +135,7 @@
 	return times
 }
 
-// Resends counts the sends beyond the first of every idempotency key.
+// Resends counts, for all idempotency keys together, the requests after the first one with the same key.
 func Resends(records []ledger.Record) int {
 	sent := map[string]bool{}
 	resends := 0
--- a/internal/demo/count/count_test.go
+++ b/internal/demo/count/count_test.go
@@ -10,6 +10,7 @@
 	"samphireweir.example/samphireweir/internal/demo/outside"
 )
 
+// TestPercentileIsTheNearestRank guards against a percentile that is off by one rank, or that sorts the caller's slice.
 func TestPercentileIsTheNearestRank(t *testing.T) {
 	var values []time.Duration
 	for value := 20; value >= 1; value-- {
@@ -24,7 +25,9 @@
 	assert.Equal(t, time.Duration(20), values[0], "the values keep their order")
 }
 
-func TestDoubledCountsAKeyOnceHoweverOftenItRan(t *testing.T) {
+// TestDoubledListsEachKeyOnce guards against a key that is listed once per extra run, and against requests without a key
+// that are taken for one key.
+func TestDoubledListsEachKeyOnce(t *testing.T) {
 	lines := []outside.PlainLine{
 		{Service: "p1", IdempotencyKey: "b"},
 		{Service: "p2", IdempotencyKey: "b"},
@@ -43,6 +46,8 @@
 	return ledger.Record{RequestID: id, Key: key, Outcome: ledger.Refused, Ran: ran}
 }
 
+// TestFalseNotRunByRequestID guards against a refusal "not run" that is accepted although a log has a run with its
+// request id. Loads and refusals with an unknown outcome don't count.
 func TestFalseNotRunByRequestID(t *testing.T) {
 	records := []ledger.Record{
 		refused("plain-ran", "", ledger.NotRun),
@@ -60,18 +65,22 @@
 	assert.Equal(t, records[:2], wrong)
 }
 
+// TestFalseNotRunByKey guards against a false "not run" that is overlooked because the run has another request id, and
+// against a true one that is blamed for the run of its resend with the same key.
 func TestFalseNotRunByKey(t *testing.T) {
 	complete := ledger.Record{RequestID: "second", Key: "k", Outcome: ledger.Complete}
 	once := []outside.PlainLine{{RequestID: "inner-1", IdempotencyKey: "k"}}
 	twice := append(once, outside.PlainLine{RequestID: "inner-2", IdempotencyKey: "k"})
 	first := refused("first", "k", ledger.NotRun)
 
-	assert.Len(t, count.FalseNotRun([]ledger.Record{first}, once, nil), 1, "nothing else may have run it")
+	assert.Len(t, count.FalseNotRun([]ledger.Record{first}, once, nil), 1, "no other request explains the run")
 	assert.Empty(t, count.FalseNotRun([]ledger.Record{first, complete}, once, nil), "the resend ran it")
-	assert.Len(t, count.FalseNotRun([]ledger.Record{first, complete}, twice, nil), 1, "one run too many")
+	assert.Len(t, count.FalseNotRun([]ledger.Record{first, complete}, twice, nil), 1, "the resend explains only one of two runs")
 	assert.Empty(t, count.FalseNotRun([]ledger.Record{first}, nil, nil), "it did not run")
 }
 
+// TestMixedRuns guards against a run on two versions that is overlooked, and against a crash that is counted as one: a
+// crashed engine has no digest at the end.
 func TestMixedRuns(t *testing.T) {
 	lines := []outside.EngineLine{
 		{Kind: "run", Outcome: "done", DigestStart: "1", DigestEnd: "2"},
@@ -84,6 +93,8 @@
 	assert.Equal(t, 3, count.MixedRuns(lines))
 }
 
+// TestMixedLoads guards against a finished load of wrong content or of an unknown digest that is overlooked. Loads that
+// did not finish don't count.
 func TestMixedLoads(t *testing.T) {
 	content := map[string]string{"d1": "content"}
 	lines := []outside.EngineLine{
@@ -96,7 +107,9 @@
 	assert.Equal(t, 2, count.MixedLoads(lines, content))
 }
 
-func TestServeTimesTakeTheFirstFinishedLoadOfTheDigest(t *testing.T) {
+// TestServeTimesUseTheFirstFinishedLoad guards against serve times that come from a repeated load, from an unfinished
+// one or from another version's.
+func TestServeTimesUseTheFirstFinishedLoad(t *testing.T) {
 	since := time.UnixMilli(1000)
 	lines := []outside.EngineLine{
 		{Engine: "e1", Kind: "load", Outcome: "done", Digest: "d1", EndMS: 3000},
@@ -109,12 +122,15 @@
 	assert.Equal(t, want, count.ServeTimes(lines, "d1", since))
 }
 
+// TestRatio guards against a division by zero when nothing was measured before the spread.
 func TestRatio(t *testing.T) {
 	assert.InDelta(t, 1.5, count.Ratio(6*time.Second, 4*time.Second), 1e-9)
 	assert.Zero(t, count.Ratio(time.Second, 0))
 }
 
-func TestLookupTimesKeepToThePeriodAndToCompleteLookups(t *testing.T) {
+// TestLookupTimesOnlyIncludeCompleteLookupsInThePeriod guards against percentiles that mix in failed requests, other
+// kinds of requests or lookups from outside the period.
+func TestLookupTimesOnlyIncludeCompleteLookupsInThePeriod(t *testing.T) {
 	at := func(second int64) time.Time { return time.Unix(second, 0) }
 	lookup := ledger.Record{Kind: ledger.Lookup, Outcome: ledger.Complete}
 	record := func(start int64, took time.Duration) ledger.Record {
@@ -130,6 +146,8 @@
 	assert.Equal(t, []time.Duration{2, 5}, count.LookupTimes(records, at(10), at(20)))
 }
 
+// TestOutcomesAndResends guards against counts that ignore the kind or the outcome, and against a first request that is
+// counted as a resend.
 func TestOutcomesAndResends(t *testing.T) {
 	records := []ledger.Record{
 		{Kind: ledger.Lookup, Outcome: ledger.Refused},
--- a/internal/demo/count/weights.go
+++ b/internal/demo/count/engine_log.go
@@ -6,24 +6,24 @@
 	"samphireweir.example/samphireweir/internal/demo/outside"
 )
 
-// MixedRuns counts the engine runs that began with one version and ended with another.
+// MixedRuns counts the engine runs that started on one version and ended on another.
 func MixedRuns(lines []outside.EngineLine) int {
 	mixed := 0
 	for _, line := range lines {
-		if line.IsRun() && line.DigestStart != line.DigestEnd && !lostItsWeights(line) {
+		if line.IsRun() && line.DigestStart != line.DigestEnd && !crashedWithoutWeights(line) {
 			mixed++
 		}
 	}
 	return mixed
 }
 
-// lostItsWeights tells whether a run was ended by a crash, after which the engine has no version at all.
-func lostItsWeights(line outside.EngineLine) bool {
+// crashedWithoutWeights reports whether a crash ended the run. The engine then has no version, which is not a mix.
+func crashedWithoutWeights(line outside.EngineLine) bool {
 	return line.Outcome == outside.OutcomeCrashed && line.DigestEnd == ""
 }
 
-// MixedLoads counts the finished loads whose content is not that of their digest. The map gives the content's SHA-256
-// by digest; a digest that is not in it counts as mixed.
+// MixedLoads counts the finished loads whose content doesn't belong to their digest. The map holds the SHA-256 of the
+// content by digest; a load of a digest that is not in the map counts as well.
 func MixedLoads(lines []outside.EngineLine, content map[string]string) int {
 	mixed := 0
 	for _, line := range lines {
@@ -41,8 +41,8 @@
 	return line.IsLoad() && line.Outcome == outside.OutcomeDone
 }
 
-// ServeTimes gives, by engine, how long after a moment the engine finished its first load of the digest. Engines
-// without such a load are left out.
+// ServeTimes returns, by engine, the time from since to the end of the engine's first finished load of the digest.
+// Engines without such a load are left out.
 func ServeTimes(lines []outside.EngineLine, digest string, since time.Time) map[string]time.Duration {
 	times := map[string]time.Duration{}
 	for _, line := range lines {
@@ -50,14 +50,14 @@
 			continue
 		}
 		took := time.UnixMilli(line.EndMS).Sub(since)
-		if known, seen := times[line.Engine]; !seen || took < known {
+		if earliest, found := times[line.Engine]; !found || took < earliest {
 			times[line.Engine] = took
 		}
 	}
 	return times
 }
 
-// Ratio gives part/whole; 0 when the whole is 0.
+// Ratio returns part/whole; 0 when the whole is not positive.
 func Ratio(part, whole time.Duration) float64 {
 	if whole <= 0 {
 		return 0
