--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -43,10 +43,10 @@
 		fmt.Fprintln(os.Stderr, err)
 		return statusNotMade
 	}
-	for _, fault := range result.Faults() {
+	for _, fault := range result.Failures() {
 		fmt.Fprintln(os.Stderr, "did not pass:", fault)
 	}
-	if len(result.Faults()) > 0 {
+	if len(result.Failures()) > 0 {
 		return statusFailed
 	}
 	return 0
--- a/internal/demo/load/generator.go
+++ b/internal/demo/load/generator.go
@@ -1,5 +1,5 @@
-// Package load sends the live requests of a demo run, at a steady pace and from a fixed seed, and enters what came
-// back into the ledger. It retries nothing: a submission is sent again only where the plan says so.
+// Package load sends the live requests of a demo run at a constant rate and from a fixed seed, and records the results
+// in the ledger. It retries nothing: a submission is sent again only if the seed selected it for a resend.
 package load
 
 import (
@@ -20,27 +20,27 @@
 )
 
 const (
-	answerLimit = 30 * time.Second // default of Options.AnswerLimit
-	inFlightMax = 2000             // more are not sent, but counted as held back
-	idleConns   = 256
+	defaultResponseTimeout = 30 * time.Second // default of Options.AnswerLimit
+	maxInFlight            = 2000             // further requests are not sent, but counted as skipped
+	maxIdleConns           = 256              // per entry
 )
 
-// Options says what a generator sends, and where.
+// Options configures a generator.
 type Options struct {
 	Entries []string // addresses, IP:PORT
 	Digests []string // of the run's versions
 	Seed    uint64
-	Book    *ledger.Book
-	// Deadline goes with every request when it is not 0.
+	Book    *ledger.Book // where the results are recorded
+	// Deadline is sent with every request as its deadline; 0 sends none.
 	Deadline time.Duration
-	// AnswerLimit is how long callers wait for the whole answer; one that isn't there by then is lost.
+	// AnswerLimit is how long callers wait for the complete response before they count it as lost; 0 means 30 s.
 	AnswerLimit time.Duration
-	// Available plays the platform's balancer: an entry that is not available gets no request while another is.
-	// Nil means always.
+	// Available stands for the platform's load balancer: an entry that is not available gets no request as long as
+	// another one is. Nil means that all entries are always available.
 	Available func(entry int) bool
 }
 
-// Generator sends live requests to the entries.
+// Generator sends live requests to the entries until it is stopped.
 type Generator struct {
 	entries     []string // addresses, IP:PORT
 	digests     []string // of the run's versions
@@ -51,18 +51,19 @@
 	submissions atomic.Bool
 	generations atomic.Bool
 	inFlight    atomic.Int64
-	heldBack    atomic.Int64
+	skipped     atomic.Int64
 	stop        context.CancelFunc
 	streams     sync.WaitGroup
 	requests    sync.WaitGroup
 }
 
-// Start begins with lookups; submissions and model requests follow when they are opened.
+// Start returns a generator that sends lookups. Submissions and model requests follow when they are enabled with
+// OpenSubmissions and OpenGenerations.
 func Start(options Options) *Generator {
 	if options.AnswerLimit == 0 {
-		options.AnswerLimit = answerLimit
+		options.AnswerLimit = defaultResponseTimeout
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: idleConns, DisableCompression: true}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}
 	ctx, stop := context.WithCancel(context.Background())
 	generator := &Generator{
 		entries:   options.Entries,
@@ -81,19 +82,19 @@
 	return generator
 }
 
-// OpenSubmissions lets submissions flow from now on.
+// OpenSubmissions enables submissions.
 func (g *Generator) OpenSubmissions() { g.submissions.Store(true) }
 
-// OpenGenerations lets model requests flow from now on.
+// OpenGenerations enables model requests.
 func (g *Generator) OpenGenerations() { g.generations.Store(true) }
 
-// InFlight gives the number of requests that wait for their answer.
+// InFlight returns the number of requests in flight.
 func (g *Generator) InFlight() int64 { return g.inFlight.Load() }
 
-// HeldBack gives the number of requests that were not sent because too many were in flight.
-func (g *Generator) HeldBack() int64 { return g.heldBack.Load() }
+// Skipped returns the number of requests that were not sent because too many were in flight.
+func (g *Generator) Skipped() int64 { return g.skipped.Load() }
 
-// Stop sends no more and waits until every request has its answer or has run into the answer limit.
+// Stop stops sending and waits until every request in flight has its response or has run into its timeout.
 func (g *Generator) Stop() {
 	g.stop()
 	g.streams.Wait()
@@ -101,10 +102,10 @@
 	g.http.CloseIdleConnections()
 }
 
-// Poison sends a model request with a mark in its prompt, times in all, each through the next entry after the one
-// before it has its answer. All sends are one request, sent again by its caller.
+// Poison sends a model request, with mark in its prompt, the given number of times, as a caller does that retries a
+// request that crashes upstreams. Each attempt goes through the next entry when the one before has its response.
 func (g *Generator) Poison(mark string, times int) {
-	generate := generateMessage{Prompt: "Summarise " + mark, MaxTokens: fewestTokens, Stream: true}
+	generate := generateMessage{Prompt: "Summarise " + mark, MaxTokens: minTokens, Stream: true}
 	planned := request{
 		kind: ledger.Poison, id: "poison-" + mark, method: http.MethodPost, path: generatePath,
 		generate: generate, body: encode(generate),
@@ -112,13 +113,14 @@
 	g.requests.Go(func() {
 		for range times {
 			g.send(planned)
-			planned = planned.again(len(g.entries))
+			planned = planned.asResend(len(g.entries))
 		}
 	})
 }
 
+// startStream sends the requests of one kind at a constant rate while open is set.
 func (g *Generator) startStream(ctx context.Context, kind ledger.Kind, seed, perSecond uint64, open *atomic.Bool) {
-	plan := newPlanner(kind, seed, perSecond, len(g.entries))
+	planner := newPlanner(kind, seed, perSecond, len(g.entries))
 	g.streams.Go(func() {
 		ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 		defer ticker.Stop()
@@ -129,25 +131,25 @@
 			case <-ticker.C:
 			}
 			if open.Load() {
-				g.dispatch(plan.next())
+				g.dispatch(planner.next())
 			}
 		}
 	})
 }
 
-// dispatch sends a request, and its resend when it has one, without waiting for the answers.
+// dispatch sends a request, and its resend if one is planned, without waiting for the responses.
 func (g *Generator) dispatch(planned request) {
-	if g.inFlight.Load() >= inFlightMax {
-		g.heldBack.Add(1)
+	if g.inFlight.Load() >= maxInFlight {
+		g.skipped.Add(1)
 		return
 	}
-	if planned.resend == resendTogether {
-		g.requests.Go(func() { g.send(planned.again(len(g.entries))) })
+	if planned.resend == resendConcurrently {
+		g.requests.Go(func() { g.send(planned.asResend(len(g.entries))) })
 	}
 	g.requests.Go(func() {
 		g.send(planned)
-		if planned.resend == resendAfter {
-			g.send(planned.again(len(g.entries)))
+		if planned.resend == resendAfterResponse {
+			g.send(planned.asResend(len(g.entries)))
 		}
 	})
 }
--- a/internal/demo/load/request.go
+++ b/internal/demo/load/request.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	vendors        = 5000 // different vendors that lookups ask for
-	sharedPrefixes = 4    // different long prefixes that prompts repeat
-	prefixChars    = 320  // more than the 256 that an engine's prefix cache looks at
-	prefixShare    = 0.5  // share of the prompts with a repeated prefix
-	streamShare    = 0.5  // share of the model requests that are streamed
-	resendShare    = 0.05 // share of the submissions that are sent again
-	resendAtOnce   = 0.5  // share of the resends that do not wait for the first answer
-	fewestTokens   = 8
-	tokenSpread    = 24 // a model request asks for 8 to 31 tokens
-	vendorsPath    = "/" + layout.Team + "/" + layout.PlainService + "/vendors"
-	generatePath   = "/" + layout.Team + "/" + layout.ModelService + "/v1/generate"
+	vendorCount           = 5000 // different vendors that lookups ask for; also bounds a submission's credit
+	sharedPrefixes        = 4    // long prefixes that prompts have in common
+	prefixChars           = 320  // longer than the 256 characters that an engine's prefix cache compares
+	prefixShare           = 0.5  // share of the prompts that start with a shared prefix
+	streamShare           = 0.5  // share of the model requests that are streamed
+	resendShare           = 0.05 // share of the submissions that are sent again
+	concurrentResendShare = 0.5  // share of the resends that don't wait for the first response
+	minTokens             = 8
+	tokenSpread           = 24 // a model request asks for 8 to 31 tokens
+	vendorsPath           = "/" + layout.Team + "/" + layout.PlainService + "/vendors"
+	generatePath          = "/" + layout.Team + "/" + layout.ModelService + "/v1/generate"
 )
 
 // generateMessage is the body of a model request.
@@ -42,25 +42,25 @@
 type request struct {
 	kind     ledger.Kind
 	id       string
-	key      string // idempotency key
+	key      string // idempotency key; empty for none
 	method   string
 	path     string
 	body     []byte
-	entry    int // which entry it goes to
+	entry    int // index of the entry that it is sent to
 	generate generateMessage
 	resend   resend
 }
 
-// resend says whether a submission is sent again through the other entry, and when.
+// resend is whether and when a submission is sent again through the next entry.
 type resend int
 
 const (
 	noResend resend = iota
-	resendTogether
-	resendAfter
+	resendConcurrently
+	resendAfterResponse
 )
 
-// planner makes the requests of one kind; the same seed gives the same requests in the same order.
+// planner generates the requests of one kind. The same seed and stream produce the same requests in the same order.
 type planner struct {
 	kind    ledger.Kind
 	seed    uint64
@@ -93,25 +93,25 @@
 
 func (p *planner) lookup(planned *request) {
 	planned.method = http.MethodGet
-	planned.path = fmt.Sprintf("%s/%d", vendorsPath, p.random.IntN(vendors))
+	planned.path = fmt.Sprintf("%s/%d", vendorsPath, p.random.IntN(vendorCount))
 }
 
 func (p *planner) submission(planned *request) {
 	planned.method = http.MethodPost
 	planned.path = vendorsPath
 	planned.key = "key-" + planned.id
-	planned.body = encode(vendorMessage{Name: planned.id, Credit: p.random.IntN(vendors)})
+	planned.body = encode(vendorMessage{Name: planned.id, Credit: p.random.IntN(vendorCount)})
 	planned.resend = p.resend()
 }
 
 func (p *planner) resend() resend {
-	again := p.random.Float64() < resendShare
-	together := p.random.Float64() < resendAtOnce
+	resent := p.random.Float64() < resendShare
+	concurrent := p.random.Float64() < concurrentResendShare
 	switch {
-	case again && together:
-		return resendTogether
-	case again:
-		return resendAfter
+	case resent && concurrent:
+		return resendConcurrently
+	case resent:
+		return resendAfterResponse
 	default:
 		return noResend
 	}
@@ -122,28 +122,29 @@
 	planned.path = generatePath
 	planned.generate = generateMessage{
 		Prompt:    p.prompt(planned.id),
-		MaxTokens: fewestTokens + p.random.IntN(tokenSpread),
+		MaxTokens: minTokens + p.random.IntN(tokenSpread),
 		Stream:    p.random.Float64() < streamShare,
 	}
 	planned.body = encode(planned.generate)
 }
 
-func (p *planner) prompt(own string) string {
-	question := fmt.Sprintf("Summarise the account of vendor %d for %s.", p.random.IntN(vendors), own)
+// prompt returns a prompt that contains the request's id, so that no two requests have the same answer.
+func (p *planner) prompt(requestID string) string {
+	question := fmt.Sprintf("Summarise the account of vendor %d for %s.", p.random.IntN(vendorCount), requestID)
 	if p.random.Float64() >= prefixShare {
 		return question
 	}
 	return sharedPrefix(p.random.IntN(sharedPrefixes)) + question
 }
 
-// sharedPrefix gives one of the long texts that prompts have in common.
+// sharedPrefix returns one of the long texts that prompts have in common.
 func sharedPrefix(number int) string {
 	sentence := fmt.Sprintf("You answer for desk %d of the buyers' office, briefly. ", number)
 	return strings.Repeat(sentence, prefixChars/len(sentence)+1)
 }
 
-// again gives the resend of a submission: the same key and body through the next entry.
-func (r request) again(entries int) request {
+// asResend returns the same request, with its key and body, for the next entry and with an id of its own.
+func (r request) asResend(entries int) request {
 	second := r
 	second.id += "-again"
 	second.entry = (r.entry + 1) % entries
@@ -154,7 +155,7 @@
 func encode(message any) []byte {
 	body, err := json.Marshal(message)
 	if err != nil {
-		panic(err) // these messages have only strings, numbers and booleans
+		panic(err) // can't happen: the messages consist of strings, numbers and booleans
 	}
 	return body
 }
--- a/internal/demo/load/request_test.go
+++ b/internal/demo/load/request_test.go
@@ -17,6 +17,8 @@
 	return requests
 }
 
+// TestSameSeedPlansTheSameRequests guards against runs that can't be repeated because the requests don't depend on the
+// seed alone.
 func TestSameSeedPlansTheSameRequests(t *testing.T) {
 	for _, kind := range []ledger.Kind{ledger.Lookup, ledger.Submission, ledger.Generation} {
 		assert.Equal(t, plan(kind, 7, 50), plan(kind, 7, 50))
@@ -24,7 +26,9 @@
 	}
 }
 
-func TestSubmissionsHaveTheirOwnKeysAndSomeAreSentAgain(t *testing.T) {
+// TestSubmissionsHaveUniqueKeysAndSomeAreResent guards against submissions that share an idempotency key, and against a
+// load without resends, which would never exercise the idempotency of the product.
+func TestSubmissionsHaveUniqueKeysAndSomeAreResent(t *testing.T) {
 	keys := map[string]bool{}
 	resends := map[resend]int{}
 	for _, planned := range plan(ledger.Submission, 1, 2000) {
@@ -32,15 +36,17 @@
 		resends[planned.resend]++
 	}
 	assert.Len(t, keys, 2000)
-	assert.InDelta(t, 100, resends[resendTogether]+resends[resendAfter], 40)
-	assert.Positive(t, resends[resendTogether])
-	assert.Positive(t, resends[resendAfter])
+	assert.InDelta(t, 100, resends[resendConcurrently]+resends[resendAfterResponse], 40)
+	assert.Positive(t, resends[resendConcurrently])
+	assert.Positive(t, resends[resendAfterResponse])
 }
 
-func TestResendGoesThroughTheOtherEntryWithTheSameKeyAndBody(t *testing.T) {
+// TestResendKeepsKeyAndBodyAndChangesEntry guards against a resend that the product can't recognise by its key, that goes
+// through the same entry, or that is sent again itself.
+func TestResendKeepsKeyAndBodyAndChangesEntry(t *testing.T) {
 	first := plan(ledger.Submission, 1, 1)[0]
-	first.resend = resendAfter
-	second := first.again(2)
+	first.resend = resendAfterResponse
+	second := first.asResend(2)
 	assert.Equal(t, first.key, second.key)
 	assert.Equal(t, first.body, second.body)
 	assert.NotEqual(t, first.entry, second.entry)
@@ -48,11 +54,15 @@
 	assert.Equal(t, noResend, second.resend)
 }
 
+// TestSharedPrefixIsLongerThanTheEnginesPrefix guards against prompts that never hit an engine's prefix cache, which
+// compares the first 256 characters.
 func TestSharedPrefixIsLongerThanTheEnginesPrefix(t *testing.T) {
 	assert.GreaterOrEqual(t, len(sharedPrefix(0)), 256)
 	assert.NotEqual(t, sharedPrefix(0)[:256], sharedPrefix(1)[:256])
 }
 
+// TestLookupsAreReads guards against lookups that the product must not retry because they have a body, a key or another
+// method than GET.
 func TestLookupsAreReads(t *testing.T) {
 	for _, planned := range plan(ledger.Lookup, 1, 20) {
 		assert.Equal(t, http.MethodGet, planned.method)
--- a/internal/demo/load/send.go
+++ b/internal/demo/load/send.go
@@ -25,18 +25,18 @@
 	typeJSON        = "application/json"
 	typeProblem     = "application/problem+json"
 	typeStream      = "text/event-stream"
-	noteBytes       = 200 // bytes of a foreign answer that a note keeps
+	maxNoteBytes    = 200 // bytes of an unexpected response that a note quotes
 )
 
-// send sends one request, reads the whole answer and enters the record.
+// send sends one request, reads the complete response and records the outcome.
 func (g *Generator) send(planned request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	planned.entry = g.balance(planned.entry)
+	planned.entry = g.chooseEntry(planned.entry)
 	record := ledger.Record{
 		Kind: planned.kind, RequestID: planned.id, Key: planned.key, Entry: planned.entry, Start: time.Now(),
 	}
-	if err := g.exchange(planned, &record); err != nil {
+	if err := g.roundTrip(planned, &record); err != nil {
 		record.Outcome = ledger.Lost
 		record.Note = err.Error()
 	}
@@ -44,10 +44,10 @@
 	g.book.Add(record)
 }
 
-// balance gives the entry that a request goes to: the planned one, or the next one that is available.
-func (g *Generator) balance(planned int) int {
-	for step := range g.entries {
-		entry := (planned + step) % len(g.entries)
+// chooseEntry returns the index of the entry that a request is sent to: the planned one, or the next one that is available.
+func (g *Generator) chooseEntry(planned int) int {
+	for offset := range g.entries {
+		entry := (planned + offset) % len(g.entries)
 		if g.available == nil || g.available(entry) {
 			return entry
 		}
@@ -55,8 +55,10 @@
 	return planned
 }
 
-func (g *Generator) exchange(planned request, record *ledger.Record) error {
-	message, err := g.message(planned)
+// roundTrip sends a request and checks its response. An error means that the request is lost: it got no final and complete
+// response.
+func (g *Generator) roundTrip(planned request, record *ledger.Record) error {
+	message, err := g.newHTTPRequest(planned)
 	if err != nil {
 		return err
 	}
@@ -66,26 +68,26 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	record.Status = response.StatusCode
-	if named := response.Header.Get(headerRequestID); named != "" {
-		record.RequestID = named
+	if id := response.Header.Get(headerRequestID); id != "" {
+		record.RequestID = id
 	}
 	switch {
 	case response.StatusCode >= http.StatusMultipleChoices:
-		return refusal(response, record)
+		return readRefusal(response, record)
 	case planned.kind == ledger.Generation, planned.kind == ledger.Poison:
-		return g.generated(planned, response, record)
+		return g.checkModelResponse(planned, response, record)
 	default:
-		return plainAnswer(planned, response, record)
+		return checkPlainResponse(planned, response, record)
 	}
 }
 
-func (g *Generator) message(planned request) (*http.Request, error) {
+func (g *Generator) newHTTPRequest(planned request) (*http.Request, error) {
 	url := "http://" + g.entries[planned.entry] + planned.path
 	message, err := http.NewRequest(planned.method, url, bytes.NewReader(planned.body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make a request")
+		return nil, errors.Wrap(err, "creating a request")
 	}
-	forbidReplay(message)
+	disableTransportRetry(message)
 	message.Header.Set(headerRequestID, planned.id)
 	if planned.key != "" {
 		message.Header.Set(headerKey, planned.key)
@@ -99,73 +101,73 @@
 	return message, nil
 }
 
-// forbidReplay keeps the transport from sending a request a second time by itself: it does so only with a body that it
-// can read again, or without a body.
-func forbidReplay(message *http.Request) {
+// disableTransportRetry keeps the HTTP transport from retrying a request by itself when a reused connection breaks. The
+// transport retries only requests without a body or with one that it can read again.
+func disableTransportRetry(message *http.Request) {
 	message.GetBody = nil
 	if message.Body == http.NoBody {
 		message.Body = io.NopCloser(bytes.NewReader(nil))
 	}
 }
 
-// refusal reads a final answer that says no.
-func refusal(response *http.Response, record *ledger.Record) error {
+// readRefusal records a final response that refuses the request.
+func readRefusal(response *http.Response, record *ledger.Record) error {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return errors.Wrap(err, "read a refusal")
+		return errors.Wrap(err, "reading a refusal")
 	}
 	record.Outcome = ledger.Refused
 	record.Ran = ledger.Unknown
 	if contentType(response) != typeProblem {
-		record.Note = "foreign answer: " + string(body[:min(len(body), noteBytes)])
+		record.Note = "response without a problem document: " + string(body[:min(len(body), maxNoteBytes)])
 		return nil
 	}
 	var problem answer.Problem
 	if err := json.Unmarshal(body, &problem); err != nil {
-		return errors.Wrap(err, "decode a refusal")
+		return errors.Wrap(err, "decoding a refusal")
 	}
-	enterProblem(problem, record)
+	recordProblem(problem, record)
 	return nil
 }
 
-func enterProblem(problem answer.Problem, record *ledger.Record) {
+func recordProblem(problem answer.Problem, record *ledger.Record) {
 	record.Outcome = ledger.Refused
 	record.Code = problem.Code
 	record.Ran = problem.Ran
 	record.Note = problem.Title
 }
 
-// plainMessage is the part of a plain service's answer that is checked.
-type plainMessage struct {
+// plainResponse is the part of a plain service's response that is checked.
+type plainResponse struct {
 	Method     string `json:"method"`
 	Path       string `json:"path"` // without team and service
 	BodySHA256 string `json:"body_sha256"`
 }
 
-// plainAnswer checks that an answer belongs to its request.
-func plainAnswer(planned request, response *http.Response, record *ledger.Record) error {
+// checkPlainResponse reads a plain service's response and checks that it belongs to the request.
+func checkPlainResponse(planned request, response *http.Response, record *ledger.Record) error {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return errors.Wrap(err, "read an answer")
+		return errors.Wrap(err, "reading a response")
 	}
-	var message plainMessage
+	var message plainResponse
 	if err := json.Unmarshal(body, &message); err != nil {
 		record.CleanEnd = true
-		return errors.Wrap(err, "decode an answer")
+		return errors.Wrap(err, "decoding a response")
 	}
 	record.Outcome = ledger.Complete
-	if !message.answers(planned) {
+	if !message.matches(planned) {
 		record.Outcome = ledger.Garbled
 		record.Crossed = true
-		record.Note = "answer of another request: " + string(body[:min(len(body), noteBytes)])
+		record.Note = "response to another request: " + string(body[:min(len(body), maxNoteBytes)])
 	}
 	return nil
 }
 
-// answers tells whether the message is the answer to a request.
-func (m plainMessage) answers(planned request) bool {
-	own := m.Method == planned.method && m.BodySHA256 == sha256Hex(planned.body)
-	return own && strings.HasSuffix(planned.path, m.Path)
+// matches reports whether the response belongs to a request.
+func (m plainResponse) matches(planned request) bool {
+	sameContent := m.Method == planned.method && m.BodySHA256 == sha256Hex(planned.body)
+	return sameContent && strings.HasSuffix(planned.path, m.Path)
 }
 
 func sha256Hex(data []byte) string {
@@ -173,9 +175,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// generated reads a model's answer and checks all of its tokens.
-func (g *Generator) generated(planned request, response *http.Response, record *ledger.Record) error {
-	got, err := readGenerated(response)
+// checkModelResponse reads a model's answer and checks all of its tokens.
+func (g *Generator) checkModelResponse(planned request, response *http.Response, record *ledger.Record) error {
+	got, err := readModelResponse(response)
 	if err != nil {
 		var malformed *json.SyntaxError
 		record.CleanEnd = errors.As(err, &malformed)
@@ -186,19 +188,19 @@
 	case answer.Whole:
 		record.Outcome = ledger.Complete
 	case answer.Failed:
-		enterProblem(*got.Problem, record)
+		recordProblem(*got.Problem, record)
 	case answer.Truncated:
 		record.CleanEnd = true
 		return errors.Errorf("truncated: %d of %d tokens", got.Tokens, planned.generate.MaxTokens)
 	case answer.Garbled:
 		record.Outcome = ledger.Garbled
 		record.Crossed = !answer.Own(got, planned.generate.Prompt, g.digests)
-		record.Note = "garbled: digest " + got.Digest + ", text " + got.Text[:min(len(got.Text), noteBytes)]
+		record.Note = "incorrect answer: digest " + got.Digest + ", text " + got.Text[:min(len(got.Text), maxNoteBytes)]
 	}
 	return nil
 }
 
-func readGenerated(response *http.Response) (answer.Answer, error) {
+func readModelResponse(response *http.Response) (answer.Answer, error) {
 	if contentType(response) == typeStream {
 		return answer.ReadStream(response.Body)
 	}
--- a/internal/demo/load/send_test.go
+++ b/internal/demo/load/send_test.go
@@ -18,7 +18,7 @@
 
 const testDigest = "d1"
 
-// sent sends one request to a server with the given handler and gives its record.
+// sent sends one request to a server with the given handler and returns its record.
 func sent(t *testing.T, planned request, handler http.HandlerFunc) ledger.Record {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -46,6 +46,8 @@
 	_, _ = fmt.Fprintf(w, `{"method":%q,"body_sha256":%q}`, r.Method, hex.EncodeToString(sum[:]))
 }
 
+// TestCompletePlainAnswers guards against a correct response that is not counted as complete, or that is recorded without
+// the request id of the server.
 func TestCompletePlainAnswers(t *testing.T) {
 	for _, planned := range []request{lookup(), submission()} {
 		record := sent(t, planned, echo)
@@ -55,14 +57,16 @@
 	}
 }
 
-func TestAnswerOfAnotherRequestIsGarbled(t *testing.T) {
+// TestResponseToAnotherRequestIsDetected guards against a response with another body's digest that counts as complete.
+func TestResponseToAnotherRequestIsDetected(t *testing.T) {
 	record := sent(t, submission(), func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprint(w, `{"method":"POST","body_sha256":"other"}`)
 	})
 	assert.Equal(t, ledger.Garbled, record.Outcome)
 }
 
-func TestRefusal(t *testing.T) {
+// TestRefusalIsRecordedWithItsCode guards against a refusal whose code, or whose statement about execution, gets lost.
+func TestRefusalIsRecordedWithItsCode(t *testing.T) {
 	record := sent(t, lookup(), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/problem+json")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -73,7 +77,9 @@
 	assert.Equal(t, ledger.NotRun, record.Ran)
 }
 
-func TestForeignErrorIsARefusalThatSaysNothing(t *testing.T) {
+// TestErrorWithoutProblemDocumentIsRefusalWithUnknownOutcome guards against an error of another server, such as a proxy,
+// that counts as a statement of the product that the request did not run.
+func TestErrorWithoutProblemDocumentIsRefusalWithUnknownOutcome(t *testing.T) {
 	record := sent(t, lookup(), func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "oops", http.StatusBadGateway)
 	})
@@ -81,7 +87,9 @@
 	assert.Equal(t, ledger.Unknown, record.Ran)
 }
 
-func TestBrokenConnectionIsLostAndSentOnlyOnce(t *testing.T) {
+// TestRequestOnBrokenConnectionIsLostAndNotRetried guards against a retry by the generator, which would hide that a
+// request got no response.
+func TestRequestOnBrokenConnectionIsLostAndNotRetried(t *testing.T) {
 	for _, planned := range []request{lookup(), submission(), generation()} {
 		var calls atomic.Int64
 		record := sent(t, planned, func(http.ResponseWriter, *http.Request) {
@@ -93,7 +101,9 @@
 	}
 }
 
-func TestReusedConnectionThatBreaksIsNotTriedAgain(t *testing.T) {
+// TestBrokenReusedConnectionIsNotRetried guards against a retry by the HTTP transport, which by default repeats a request
+// when a reused connection breaks.
+func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	for _, planned := range []request{lookup(), submission()} {
 		var calls atomic.Int64
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -113,7 +123,8 @@
 	}
 }
 
-func TestTruncatedAnswerIsLost(t *testing.T) {
+// TestTruncatedResponseIsLost guards against a response shorter than its Content-Length that counts as complete.
+func TestTruncatedResponseIsLost(t *testing.T) {
 	record := sent(t, lookup(), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = fmt.Fprint(w, `{"method"`)
@@ -121,7 +132,9 @@
 	assert.Equal(t, ledger.Lost, record.Outcome)
 }
 
-func TestGenerations(t *testing.T) {
+// TestModelAnswersAreChecked guards against model answers that count as complete although they are too short or come
+// from a version that is not part of the run.
+func TestModelAnswersAreChecked(t *testing.T) {
 	planned := generation()
 	cases := map[string]struct {
 		digest string
@@ -143,7 +156,8 @@
 	}
 }
 
-func TestStreamWithoutItsEndIsLost(t *testing.T) {
+// TestStreamWithoutDoneEventIsLost guards against a stream that ends early and counts as complete.
+func TestStreamWithoutDoneEventIsLost(t *testing.T) {
 	record := sent(t, generation(), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = fmt.Fprintf(w, "id: 0\ndata: {\"index\":0,\"token\":\"x \"}\n\n")
@@ -151,15 +165,19 @@
 	assert.Equal(t, ledger.Lost, record.Outcome)
 }
 
-func TestAnEntryThatIsNotAvailableIsPassedOver(t *testing.T) {
+// TestUnavailableEntryIsSkipped guards against requests to an entry that a load balancer would not use, unless no entry
+// is available.
+func TestUnavailableEntryIsSkipped(t *testing.T) {
 	up := map[int]bool{1: true}
 	generator := &Generator{entries: []string{"a", "b", "c"}, available: func(entry int) bool { return up[entry] }}
-	assert.Equal(t, []int{1, 1, 1}, []int{generator.balance(0), generator.balance(1), generator.balance(2)})
+	assert.Equal(t, []int{1, 1, 1}, []int{generator.chooseEntry(0), generator.chooseEntry(1), generator.chooseEntry(2)})
 	up[1] = false
-	assert.Equal(t, 2, generator.balance(2), "none is available")
+	assert.Equal(t, 2, generator.chooseEntry(2), "none is available")
 }
 
-func TestAnswersThatEndCleanlyAndAreNotWholeAreMarked(t *testing.T) {
+// TestTruncatedResponseWithCleanEndIsMarked guards against a truncated response that its caller can't tell from a complete
+// one: the connection ended without an error. A response with a broken connection must not be marked.
+func TestTruncatedResponseWithCleanEndIsMarked(t *testing.T) {
 	record := sent(t, submission(), func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, `{"method":"PO`) })
 	assert.Equal(t, ledger.Lost, record.Outcome)
 	assert.True(t, record.CleanEnd)
@@ -172,7 +190,9 @@
 	assert.False(t, record.CleanEnd)
 }
 
-func TestAnAnswerToAnotherPathIsCrossed(t *testing.T) {
+// TestResponseForAnotherPathIsCrossed guards against a response to another request that counts as complete because
+// method and body are the same and only the path differs.
+func TestResponseForAnotherPathIsCrossed(t *testing.T) {
 	planned := lookup()
 	planned.path = vendorsPath + "/17"
 	record := sent(t, planned, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/demo/report/report.go
+++ b/internal/demo/report/report.go
@@ -1,4 +1,4 @@
-// Package report holds the figures of a demo run, prints them and tells whether the run passed.
+// Package report holds the figures of a demo run, prints them and decides whether the run passed.
 package report
 
 import (
@@ -10,31 +10,31 @@
 	"github.com/pkg/errors"
 )
 
-// Spread is how one version reached the hosts. A ratio is nil when not all live hosts serve.
+// Spread describes how one version reached the hosts. A ratio is nil unless all live hosts serve the version.
 type Spread struct {
 	Version      string   `json:"version"`
-	Serving      int      `json:"serving"`       // live hosts that serve it
-	TimeRatio    *float64 `json:"time_ratio"`    // until all serve / (size / link rate of a host)
-	P90Ratio     *float64 `json:"p90_ratio"`     // the same for the 90th percentile of the hosts
-	OriginCopies float64  `json:"origin_copies"` // data bytes from origin and store / size
-	SlowP95Ratio float64  `json:"slow_p95_ratio"`
-	P95BeforeMS  float64  `json:"p95_before_ms"` // of lookups
-	P95DuringMS  float64  `json:"p95_during_ms"` // of lookups
+	Serving      int      `json:"serving"`        // live hosts that serve the version
+	TimeRatio    *float64 `json:"time_ratio"`     // time until all live hosts serve / (size / link rate of a host)
+	P90Ratio     *float64 `json:"p90_ratio"`      // the same for the 90th percentile of the hosts
+	OriginCopies float64  `json:"origin_copies"`  // data bytes from origin and store / size
+	SlowP95Ratio float64  `json:"slow_p95_ratio"` // lookup p95 during the spread / p95 before
+	P95BeforeMS  float64  `json:"p95_before_ms"`  // of lookups before the spreads
+	P95DuringMS  float64  `json:"p95_during_ms"`  // of lookups during the spread
 	Transfers
-	ProcessorSeconds float64 `json:"processor_seconds"` // of an agent, from the acceptance until all serve
-	MemoryMB         float64 `json:"memory_mb"`         // of an agent at the end, the version's chunks included
+	ProcessorSeconds float64 `json:"processor_seconds"` // mean per live agent, from just before the setting is applied to the end of the spread
+	MemoryMB         float64 `json:"memory_mb"`         // mean per agent at the end of the spread, with the version's chunks
 }
 
-// Transfers is what moved between the hosts, from the agents' logs. Copies are of the whole version.
+// Transfers is the traffic between the hosts, from the agents' logs. Copies are multiples of the version's size.
 type Transfers struct {
-	BetweenPlaces   float64 `json:"between_places"`  // copies that crossed between places of a region
-	BetweenRegions  float64 `json:"between_regions"` // copies that crossed between regions
-	Wasted          float64 `json:"wasted"`          // copies thrown away
-	ControlBytes    float64 `json:"control_bytes"`   // of announcements, sent by a host
-	ControlMessages float64 `json:"control_messages"`
+	BetweenPlaces   float64 `json:"between_places"`   // copies sent between data centres of a region
+	BetweenRegions  float64 `json:"between_regions"`  // copies sent between regions
+	Wasted          float64 `json:"wasted"`           // copies received and discarded
+	ControlBytes    float64 `json:"control_bytes"`    // announcements sent, mean per host
+	ControlMessages float64 `json:"control_messages"` // announcements sent, mean per host
 }
 
-// Report is everything that a run has measured.
+// Report holds all results of a run.
 type Report struct {
 	Hosts int `json:"hosts"`
 	Live  int `json:"live"` // hosts that were not killed
@@ -47,22 +47,22 @@
 	RefusedByCode  map[string]int `json:"refused_by_code"`
 	Generations    int            `json:"generations"` // complete model requests, each checked token by token
 	Resends        int            `json:"resends"`
-	HeldBack       int64          `json:"held_back"` // not sent, because too many were in flight
+	Skipped        int64          `json:"held_back"` // not sent, because too many were in flight
 	Lost           int            `json:"lost"`
-	Doubled        int            `json:"doubled"`
-	FalseNotRun    int            `json:"false_not_run"`
-	Mixed          int            `json:"mixed"`
-	Died           []string       `json:"died"`   // processes that ended by themselves
-	Killed         []string       `json:"killed"` // processes that did not end on SIGTERM in time
+	Doubled        int            `json:"doubled"`       // idempotency keys that ran more than once
+	FalseNotRun    int            `json:"false_not_run"` // refusals that said "not run" although the request ran
+	Mixed          int            `json:"mixed"`         // answers, runs or loads with mixed or wrong content
+	Exited         []string       `json:"died"`          // processes that ended without being killed or stopped by the run
+	Killed         []string       `json:"killed"`        // processes that did not end in time after SIGTERM
 	Policy         string         `json:"policy"`
 	Seed           uint64         `json:"seed"`
 	SizeBytes      int64          `json:"size_bytes"`
 	LinkRate       int64          `json:"link_rate"` // bytes per second
 }
 
-// Faults lists why the run did not pass; it is empty when it did.
-func (r Report) Faults() []string {
-	var faults []string
+// Failures returns the reasons why the run did not pass; none if it passed.
+func (r Report) Failures() []string {
+	var failures []string
 	counts := []struct {
 		name  string
 		count int
@@ -72,35 +72,35 @@
 		{"false_not_run", r.FalseNotRun},
 		{"mixed", r.Mixed},
 	}
-	for _, entry := range counts {
-		if entry.count > 0 {
-			faults = append(faults, fmt.Sprintf("%s: %d", entry.name, entry.count))
+	for _, check := range counts {
+		if check.count > 0 {
+			failures = append(failures, fmt.Sprintf("%s: %d", check.name, check.count))
 		}
 	}
 	if r.Serving < r.Live {
-		faults = append(faults, fmt.Sprintf("%s serves on %d of %d live hosts", r.Version, r.Serving, r.Live))
+		failures = append(failures, fmt.Sprintf("%s serves on %d of %d live hosts", r.Version, r.Serving, r.Live))
 	}
 	if r.Second != nil && r.Second.Serving < r.Live {
-		faults = append(faults, fmt.Sprintf("%s serves on %d of %d live hosts", r.Second.Version, r.Second.Serving, r.Live))
+		failures = append(failures, fmt.Sprintf("%s serves on %d of %d live hosts", r.Second.Version, r.Second.Serving, r.Live))
 	}
-	if len(r.Died) > 0 {
-		faults = append(faults, fmt.Sprintf("ended by themselves: %v", r.Died))
+	if len(r.Exited) > 0 {
+		failures = append(failures, fmt.Sprintf("exited unexpectedly: %v", r.Exited))
 	}
-	return faults
+	return failures
 }
 
-// WriteJSON writes the report as one line.
-func (r Report) WriteJSON(to io.Writer) error {
-	return errors.Wrap(json.NewEncoder(to).Encode(r), "write the report")
+// WriteJSON writes the report as one line of JSON.
+func (r Report) WriteJSON(out io.Writer) error {
+	return errors.Wrap(json.NewEncoder(out).Encode(r), "writing the report")
 }
 
 // WriteTable writes the report as a short table.
-func (r Report) WriteTable(to io.Writer) error {
-	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+func (r Report) WriteTable(out io.Writer) error {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, row := range r.rows() {
-		_, _ = fmt.Fprintf(table, "%s\t%s\n", row[0], row[1]) // Flush tells of a failed write
+		_, _ = fmt.Fprintf(table, "%s\t%s\n", row[0], row[1]) // Flush returns a failed write
 	}
-	return errors.Wrap(table.Flush(), "write the report")
+	return errors.Wrap(table.Flush(), "writing the report")
 }
 
 func (r Report) rows() [][2]string {
@@ -115,16 +115,16 @@
 	}
 	return append(rows, [][2]string{
 		{"requests", fmt.Sprint(r.Requests)},
-		{"complete", fmt.Sprintf("%d (%d by the model)", r.Complete, r.Generations)},
+		{"complete", fmt.Sprintf("%d (%d model requests)", r.Complete, r.Generations)},
 		{"refused", fmt.Sprintf("%d (%d lookups), by code %v", r.Refused, r.RefusedLookups, r.RefusedByCode)},
 		{"resent with the same key", fmt.Sprint(r.Resends)},
-		{"held back", fmt.Sprint(r.HeldBack)},
+		{"not sent, too many in flight", fmt.Sprint(r.Skipped)},
 		{"lost", fmt.Sprint(r.Lost)},
 		{"doubled", fmt.Sprint(r.Doubled)},
 		{"false not-run", fmt.Sprint(r.FalseNotRun)},
 		{"mixed", fmt.Sprint(r.Mixed)},
-		{"ended by themselves", fmt.Sprint(r.Died)},
-		{"had to be killed", fmt.Sprint(r.Killed)},
+		{"exited unexpectedly", fmt.Sprint(r.Exited)},
+		{"killed after the stop timeout", fmt.Sprint(r.Killed)},
 	}...)
 }
 
@@ -133,9 +133,9 @@
 		{s.Version + " serving", fmt.Sprintf("%d of %d", s.Serving, live)},
 		{s.Version + " time ratio, p90", ratio(s.TimeRatio) + ", " + ratio(s.P90Ratio)},
 		{s.Version + " origin copies", fmt.Sprintf("%.2f", s.OriginCopies)},
-		{s.Version + " copies between places, regions", fmt.Sprintf("%.2f, %.2f (%.3f wasted)", s.BetweenPlaces, s.BetweenRegions, s.Wasted)},
-		{s.Version + " a host's announcements", fmt.Sprintf("%.0f bytes in %.0f messages", s.ControlBytes, s.ControlMessages)},
-		{s.Version + " an agent's processor time, memory", fmt.Sprintf("%.2f s, %.0f MB", s.ProcessorSeconds, s.MemoryMB)},
+		{s.Version + " copies between data centres, regions", fmt.Sprintf("%.2f, %.2f (%.3f wasted)", s.BetweenPlaces, s.BetweenRegions, s.Wasted)},
+		{s.Version + " announcements per host", fmt.Sprintf("%.0f bytes in %.0f messages", s.ControlBytes, s.ControlMessages)},
+		{s.Version + " processor time, memory per agent", fmt.Sprintf("%.2f s, %.0f MB", s.ProcessorSeconds, s.MemoryMB)},
 		{s.Version + " lookups' p95", fmt.Sprintf("%.1f ms before, %.1f ms during, ratio %.2f", s.P95BeforeMS, s.P95DuringMS, s.SlowP95Ratio)},
 	}
 }
