--- a/internal/demo/answer/read.go
+++ b/internal/demo/answer/read.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	longestLine = 1 << 20 // bytes of one line of a stream
-	doneEvent   = "done"
-	dataPrefix  = "data:"
-	eventPrefix = "event:"
+	maxLineBytes = 1 << 20 // bytes of one line of a stream
+	doneEvent    = "done"
+	dataPrefix   = "data:"
+	eventPrefix  = "event:"
 )
 
-// Problem is a refusal of the product (application/problem+json).
+// Problem is a refusal by the product (application/problem+json).
 type Problem struct {
 	Title string `json:"title"`
 	Code  int    `json:"code"`
 	Ran   string `json:"ran"`
 }
 
-type wholeMessage struct {
+// jsonMessage is the body of an answer that is not streamed.
+type jsonMessage struct {
 	Text   string `json:"text"`
 	Tokens int    `json:"tokens"`
 	Digest string `json:"digest"`
@@ -39,15 +40,15 @@
 	Digest string `json:"digest"`
 }
 
-// ReadWhole reads an answer that came in one piece.
-func ReadWhole(body io.Reader) (Answer, error) {
+// ReadJSON reads an answer that is not streamed.
+func ReadJSON(body io.Reader) (Answer, error) {
 	raw, err := io.ReadAll(body)
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "read a model answer")
+		return Answer{}, errors.Wrap(err, "reading a model answer")
 	}
-	var message wholeMessage
+	var message jsonMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
-		return Answer{}, errors.Wrap(err, "decode a model answer")
+		return Answer{}, errors.Wrap(err, "decoding a model answer")
 	}
 	return Answer{
 		Text:    message.Text,
@@ -58,23 +59,24 @@
 	}, nil
 }
 
-// ReadStream reads a streamed answer up to its end. An error means that the connection broke.
+// ReadStream reads a streamed answer to its end. An error means that the connection broke or that a message is malformed;
+// the answer then holds what was received before.
 func ReadStream(body io.Reader) (Answer, error) {
 	reader := &streamReader{answer: Answer{Ordered: true}}
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if err := reader.line(scanner.Text()); err != nil {
 			return reader.finish(), err
 		}
 	}
-	return reader.finish(), errors.Wrap(scanner.Err(), "read a stream")
+	return reader.finish(), errors.Wrap(scanner.Err(), "reading a stream")
 }
 
 type streamReader struct {
 	answer Answer
 	text   strings.Builder
-	event  string // name of the event that is being read; empty for a token
+	event  string // name of the current event; empty for a token
 }
 
 func (r *streamReader) line(line string) error {
@@ -106,7 +108,7 @@
 func (r *streamReader) token(data string) error {
 	var message tokenMessage
 	if err := json.Unmarshal([]byte(data), &message); err != nil {
-		return errors.Wrap(err, "decode a token")
+		return errors.Wrap(err, "decoding a token")
 	}
 	if message.Index != r.answer.Tokens || r.answer.Ended {
 		r.answer.Ordered = false
@@ -119,18 +121,18 @@
 func (r *streamReader) done(data string) error {
 	var message doneMessage
 	if err := json.Unmarshal([]byte(data), &message); err != nil {
-		return errors.Wrap(err, "decode the end of a stream")
+		return errors.Wrap(err, "decoding the end of a stream")
 	}
 	r.answer.Digest = message.Digest
 	r.answer.Ended = true
 	return nil
 }
 
-// problem reads an error message in the stream.
+// problem reads an error message in the stream. Events of other kinds, which have no code, are ignored.
 func (r *streamReader) problem(data string) error {
 	var problem Problem
 	if err := json.Unmarshal([]byte(data), &problem); err != nil {
-		return errors.Wrapf(err, "decode the event %q", r.event)
+		return errors.Wrapf(err, "decoding the event %q", r.event)
 	}
 	if problem.Code != 0 {
 		r.answer.Problem = &problem
--- a/internal/demo/burst/plot.go
+++ b/internal/demo/burst/plot.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	plotWidth  = 16 * vg.Centimeter
-	plotHeight = 10 * vg.Centimeter
-	firstPlot  = "v1"
-	// scaleMargin is what the logarithmic scale of hosts has left and right of the figures, as a factor.
+	plotWidth      = 16 * vg.Centimeter
+	plotHeight     = 10 * vg.Centimeter
+	plottedVersion = "v1"
+	// scaleMargin is the factor by which the logarithmic host axis extends beyond the smallest and largest number.
 	scaleMargin = 1.1
 )
 
-// figure is one plot: a column against the number of hosts, a line a variant.
+// figure is one plot: a column of the file over the number of hosts, with one line per variant.
 type figure struct {
 	file, title, column string
 	variants            []string
-	// most cuts the scale off, so that a baseline far off does not flatten the rest; 0 for none.
-	most float64
+	// maxY limits the vertical axis, so that a baseline with far higher values does not flatten the other lines; 0 for
+	// no limit.
+	maxY float64
 }
 
 var figures = []figure{
@@ -38,35 +39,35 @@
 	{"burst-control.svg", "Bytes of announcements a host sends in a burst", "control_bytes", []string{"origin", "time", "swarm"}, 0},
 }
 
-// drawAll draws every figure from the file of rows into a folder.
-func drawAll(path, folder string) error {
+// drawAll draws all figures from the CSV file into a directory, which it creates if necessary.
+func drawAll(path, dir string) error {
 	rows, err := readRows(path)
 	if err != nil {
 		return err
 	}
-	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return errors.Wrap(err, "make the folder of the plots")
+	if err := os.MkdirAll(dir, dirMode); err != nil {
+		return errors.Wrap(err, "creating the directory of the plots")
 	}
 	for _, f := range figures {
-		if err := f.draw(rows, filepath.Join(folder, f.file)); err != nil {
+		if err := f.draw(rows, filepath.Join(dir, f.file)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// cells are one row's cells by column.
+// cells holds one row's cells by column name.
 type cells map[string]string
 
 func readRows(path string) ([]cells, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "open the figures")
+		return nil, errors.Wrap(err, "opening the results")
 	}
 	defer func() { _ = file.Close() }()
 	lines, err := csv.NewReader(file).ReadAll()
 	if err != nil || len(lines) == 0 {
-		return nil, errors.Errorf("read %s: %d lines, %v", path, len(lines), err)
+		return nil, errors.Errorf("reading %s: %d lines, %v", path, len(lines), err)
 	}
 	var rows []cells
 	for _, line := range lines[1:] {
@@ -95,7 +96,7 @@
 		}
 		line, marks, err := plotter.NewLinePoints(points)
 		if err != nil {
-			return errors.Wrapf(err, "plot %s", name)
+			return errors.Wrapf(err, "plotting %s", name)
 		}
 		line.Color, marks.Color = plotutil.Color(i), plotutil.Color(i)
 		marks.Shape = plotutil.Shape(i)
@@ -107,12 +108,13 @@
 		p.X.Max = max(p.X.Max, t.Value*scaleMargin)
 	}
 	p.Y.Min = 0
-	if f.most > 0 {
-		p.Y.Max = min(p.Y.Max, f.most)
+	if f.maxY > 0 {
+		p.Y.Max = min(p.Y.Max, f.maxY)
 	}
-	return errors.Wrapf(p.Save(plotWidth, plotHeight, path), "write %s", path)
+	return errors.Wrapf(p.Save(plotWidth, plotHeight, path), "writing %s", path)
 }
 
+// hostTicks returns one tick for each number of hosts.
 func hostTicks(rows []cells) []plot.Tick {
 	seen := map[string]bool{}
 	var ticks []plot.Tick
@@ -127,16 +129,16 @@
 	return ticks
 }
 
-// medians gives the median of a column over the runs of a variant that reached all hosts, by number of hosts.
+// medians returns the median of a column over the runs of a variant that reached all hosts, for each number of hosts.
 func medians(rows []cells, variant, column string) plotter.XYs {
 	values := map[float64][]float64{}
 	for _, r := range rows {
-		if r["variant"] != variant || r["version"] != firstPlot {
+		if r["variant"] != variant || r["version"] != plottedVersion {
 			continue
 		}
 		hosts, err := strconv.ParseFloat(r["hosts"], 64)
 		value, err2 := strconv.ParseFloat(r[column], 64)
-		if err != nil || err2 != nil || value == notReached {
+		if err != nil || err2 != nil || value == ratioNotMeasured {
 			continue
 		}
 		values[hosts] = append(values[hosts], value)
@@ -149,7 +151,7 @@
 	return points
 }
 
-// median gives the middle value, the mean of the two in the middle of an even number.
+// median sorts the list and returns its middle value; for an even number of values, the mean of the middle two.
 func median(list []float64) float64 {
 	sort.Float64s(list)
 	n := len(list)
--- a/internal/demo/burst/row.go
+++ b/internal/demo/burst/row.go
@@ -13,12 +13,12 @@
 	"samphireweir.example/samphireweir/internal/demo/report"
 )
 
-// notReached stands for a ratio of a run in which not all hosts served.
-const notReached = -1
+// ratioNotMeasured is written as the ratio of a run in which not all hosts served the version.
+const ratioNotMeasured = -1
 
-const folderMode = 0o755
+const dirMode = 0o755
 
-// row is one version's spread in one run; columns are the names of its cells, in order.
+// row holds the results of one version in one run, in the order of columns.
 type row []string
 
 var columns = []string{
@@ -27,8 +27,8 @@
 	"control_bytes", "control_messages", "processor_seconds", "memory_mb", "lost", "mixed",
 }
 
-// newRow gives the rows of a run: one for each version.
-func newRow(variant string, o demo.Options, r report.Report) []row {
+// newRows returns the rows of a run, one for each version.
+func newRows(variant string, o demo.Options, r report.Report) []row {
 	spreads := []report.Spread{r.Spread}
 	if r.Second != nil {
 		spreads = append(spreads, *r.Second)
@@ -50,39 +50,41 @@
 
 func number(v float64) string { return strconv.FormatFloat(v, 'g', 5, 64) }
 
+// ratio formats a ratio; nil becomes ratioNotMeasured.
 func ratio(v *float64) string {
 	if v == nil {
-		return number(notReached)
+		return number(ratioNotMeasured)
 	}
 	return number(*v)
 }
 
-// appendRow adds rows to the file at path, with a head when it is new.
-func appendRow(path string, rows []row) error {
+// appendRows appends rows to the CSV file at path and writes the header if the file is empty. With an empty path it writes
+// to standard output, without a header.
+func appendRows(path string, rows []row) error {
 	if path == "" {
 		return writeRows(os.Stdout, rows, false)
 	}
-	if err := os.MkdirAll(filepath.Dir(path), folderMode); err != nil {
-		return errors.Wrap(err, "make the folder of the figures")
+	if err := os.MkdirAll(filepath.Dir(path), dirMode); err != nil {
+		return errors.Wrap(err, "creating the directory of the results")
 	}
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
-		return errors.Wrap(err, "open the figures")
+		return errors.Wrap(err, "opening the results")
 	}
 	info, err := file.Stat()
 	if err == nil {
 		err = writeRows(file, rows, info.Size() == 0)
 	}
-	if closing := file.Close(); err == nil {
-		err = closing
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
-	return errors.Wrapf(err, "write %s", path)
+	return errors.Wrapf(err, "writing %s", path)
 }
 
-func writeRows(to io.Writer, rows []row, head bool) error {
-	w := csv.NewWriter(to)
-	if head {
-		_ = w.Write(columns) // Flush keeps the error.
+func writeRows(out io.Writer, rows []row, withHeader bool) error {
+	w := csv.NewWriter(out)
+	if withHeader {
+		_ = w.Write(columns) // w.Error returns a failed write.
 	}
 	for _, r := range rows {
 		_ = w.Write(r)
--- a/internal/demo/burst/variant.go
+++ b/internal/demo/burst/variant.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// sharedPart of the chunks are the same in both versions.
-	sharedPart = 0.9
-	// killedPart of the hosts are killed in mid-burst in the variants with that name.
-	killedPart = 0.1
+	// sharedChunkShare is the share of the chunks that both versions have in common.
+	sharedChunkShare = 0.9
+	// killedHostShare is the share of the hosts that the variants with "kill" in their names kill during the burst.
+	killedHostShare = 0.1
 )
 
-// variants are what can be run at a number of hosts, by name.
+// variants holds, by name, the changes that a variant makes to the options of a run.
 var variants = map[string]func(*demo.Options){
 	"origin":      func(*demo.Options) {},
 	"time":        func(o *demo.Options) { o.Policy = "time" },
 	"swarm":       func(o *demo.Options) { o.Spread = "swarm" },
 	"direct":      func(o *demo.Options) { o.Spread = "direct" },
-	"origin-kill": func(o *demo.Options) { o.KillShare = killedPart },
-	"time-kill":   func(o *demo.Options) { o.KillShare, o.Policy = killedPart, "time" },
+	"origin-kill": func(o *demo.Options) { o.KillShare = killedHostShare },
+	"time-kill":   func(o *demo.Options) { o.KillShare, o.Policy = killedHostShare, "time" },
 	"no-yield":    func(o *demo.Options) { o.NoYield = true },
 	"second":      func(o *demo.Options) { o.Second = true },
 }
--- a/internal/demo/layout/layout.go
+++ b/internal/demo/layout/layout.go
@@ -1,4 +1,4 @@
-// Package layout plans a demo run: which hosts there are, where they stand, what they run and which settings apply.
+// Package layout defines the hosts and entries of a demo run, their data centres and services, and the settings.
 package layout
 
 import (
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Names that the whole run uses.
+// Names of the team, services and model of a run.
 const (
 	Team         = "karrakin"
 	ModelService = "summary-model"
@@ -22,20 +22,20 @@
 )
 
 const (
-	hostsPerNetwork = 250 // hosts in one 127.1.H.0/24
-	plainEvery      = 2   // every second host runs the plain service
-	unavailablePart = 4   // a quarter of the hosts may be without the service at once
-	entryCount      = 2
-	author          = "demo"
+	hostsPerNetwork       = 250 // hosts in one network 127.1.N.0/24
+	plainServiceEvery     = 2   // every second host runs the plain service
+	maxUnavailableDivisor = 4   // one host in four may be unavailable at the same time
+	entryCount            = 2
+	author                = "demo"
 )
 
-// Place is one data centre and the region that it belongs to.
+// Place is a data centre and the region that it belongs to.
 type Place struct {
 	Name   string
 	Region string
 }
 
-// Places gives the places of the run; hosts are spread over them round robin.
+// Places returns the data centres of the run; hosts are distributed over them round robin.
 func Places() []Place {
 	return []Place{
 		{Name: "perth-a", Region: "west"},
@@ -60,16 +60,16 @@
 	Place   Place
 }
 
-// Hosts plans count hosts.
+// Hosts returns the first count hosts.
 func Hosts(count int) []Host {
 	hosts := make([]Host, 0, count)
 	for index := range count {
-		hosts = append(hosts, plannedHost(index))
+		hosts = append(hosts, newHost(index))
 	}
 	return hosts
 }
 
-func plannedHost(index int) Host {
+func newHost(index int) Host {
 	places := Places()
 	host := Host{
 		Name:    fmt.Sprintf("host-%d", index+1),
@@ -77,13 +77,13 @@
 		Place:   places[index%len(places)],
 		Engine:  fmt.Sprintf("e%d", index+1),
 	}
-	if index%plainEvery == 0 {
+	if index%plainServiceEvery == 0 {
 		host.Plain = fmt.Sprintf("p%d", index+1)
 	}
 	return host
 }
 
-// Entries plans the two entries, in two regions.
+// Entries returns the two entries, each in another region.
 func Entries() []Entry {
 	places := Places()
 	entries := make([]Entry, 0, entryCount)
@@ -97,7 +97,7 @@
 	return entries
 }
 
-// EngineNames lists the engines of the hosts.
+// EngineNames returns the names of the hosts' engines.
 func EngineNames(hosts []Host) []string {
 	names := make([]string, 0, len(hosts))
 	for _, host := range hosts {
@@ -106,7 +106,7 @@
 	return names
 }
 
-// PlainNames lists the plain services of the hosts.
+// PlainNames returns the names of the plain services, on the hosts that run one.
 func PlainNames(hosts []Host) []string {
 	names := []string{}
 	for _, host := range hosts {
@@ -117,15 +117,16 @@
 	return names
 }
 
-// Upstreams gives the value of the agent's -upstreams flag, with the stand-ins' addresses (IP:PORT).
+// Upstreams returns the value of the agent's -upstreams flag for the stand-ins at these addresses (IP:PORT).
 func (h Host) Upstreams(engineAddress, plainAddress string) string {
-	parts := []string{upstream(ModelService, "engine", engineAddress, h.Engine)}
+	parts := []string{upstreamFlag(ModelService, "engine", engineAddress, h.Engine)}
 	if h.Plain != "" {
-		parts = append(parts, upstream(PlainService, "plain", plainAddress, h.Plain))
+		parts = append(parts, upstreamFlag(PlainService, "plain", plainAddress, h.Plain))
 	}
 	return strings.Join(parts, ",")
 }
 
-func upstream(service, kind, address, name string) string {
+// upstreamFlag returns one element of the -upstreams flag.
+func upstreamFlag(service, kind, address, name string) string {
 	return fmt.Sprintf("%s/%s=%s@http://%s/%s", Team, service, kind, address, name)
 }
--- a/internal/demo/layout/layout_test.go
+++ b/internal/demo/layout/layout_test.go
@@ -7,7 +7,9 @@
 	"samphireweir.example/samphireweir/internal/demo/layout"
 )
 
-func TestHostsHaveTheirOwnAddressesAndAreSpreadRoundRobin(t *testing.T) {
+// TestHostsHaveUniqueAddressesAndAlternateDataCentres guards against two processes that listen on the same address, and
+// against data centres without hosts.
+func TestHostsHaveUniqueAddressesAndAlternateDataCentres(t *testing.T) {
 	hosts := layout.Hosts(600)
 	addresses := map[string]bool{}
 	for _, host := range hosts {
@@ -23,13 +25,16 @@
 	assert.Equal(t, hosts[0].Place, hosts[3].Place)
 }
 
-func TestEntriesStandInTwoRegions(t *testing.T) {
+// TestEntriesAreInTwoRegions guards against a run in which no request enters through another region.
+func TestEntriesAreInTwoRegions(t *testing.T) {
 	entries := layout.Entries()
 	assert.Len(t, entries, 2)
 	assert.NotEqual(t, entries[0].Place.Region, entries[1].Place.Region)
 }
 
-func TestUpstreams(t *testing.T) {
+// TestUpstreamsFlagListsEngineAndPlainService guards against an agent that is started with an upstream of another host, or
+// without one of its own.
+func TestUpstreamsFlagListsEngineAndPlainService(t *testing.T) {
 	hosts := layout.Hosts(2)
 	both := "karrakin/summary-model=engine@http://127.0.0.1:1/e1,karrakin/buyer-portal=plain@http://127.0.0.1:2/p1"
 	assert.Equal(t, both, hosts[0].Upstreams("127.0.0.1:1", "127.0.0.1:2"))
@@ -38,7 +43,9 @@
 	assert.Equal(t, []string{"p1"}, layout.PlainNames(hosts))
 }
 
-func TestModelSettingAsksForOneReplicaOnEachHost(t *testing.T) {
+// TestModelSettingHasOneReplicaPerHost guards against a setting that leaves hosts without the model, or one that lets no
+// replica be unavailable and blocks every rollout.
+func TestModelSettingHasOneReplicaPerHost(t *testing.T) {
 	setting := layout.ModelSetting(layout.Hosts(5), "v1", "time")
 	assert.Equal(t, map[string]int{"perth-a": 2, "bunbury-a": 2, "karratha-a": 1}, setting.Places)
 	assert.Equal(t, 1, setting.MaxUnavailable)
--- a/internal/demo/ledger/ledger.go
+++ b/internal/demo/ledger/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger keeps what the callers of a run saw: one record for every request that they sent.
+// Package ledger records the outcome of each request of a run as its caller saw it.
 package ledger
 
 import (
@@ -6,56 +6,56 @@
 	"time"
 )
 
-// Kind is the kind of a live request.
+// Kind is the kind of a request.
 type Kind string
 
-// Kinds of live requests.
+// Kinds of requests.
 const (
-	Lookup     Kind = "lookup"
-	Submission Kind = "submission"
-	Generation Kind = "generation"
+	Lookup     Kind = "lookup"     // GET to a plain service
+	Submission Kind = "submission" // POST to a plain service, with an idempotency key
+	Generation Kind = "generation" // model request
 	// Poison is a model request that crashes each engine that runs it.
 	Poison Kind = "poison"
 )
 
-// Outcome is how a request ended for its caller.
+// Outcome is the result of a request for its caller.
 type Outcome string
 
 // Outcomes of a request.
 const (
-	Complete Outcome = "complete" // a whole and right answer
-	Refused  Outcome = "refused"  // a final answer that says no
-	Lost     Outcome = "lost"     // no final answer: a transport error, or a truncated answer
-	Garbled  Outcome = "garbled"  // a whole answer that is not the right one
+	Complete Outcome = "complete" // a complete and correct response
+	Refused  Outcome = "refused"  // a final response that refuses the request
+	Lost     Outcome = "lost"     // no final response: a transport error or a truncated response
+	Garbled  Outcome = "garbled"  // a complete response with incorrect content
 )
 
-// What a refusal says about the request.
+// What a refusal says about the execution of the request.
 const (
 	NotRun  = "not run"
 	DidRun  = "ran"
 	Unknown = "unknown"
 )
 
-// Record is one request as its caller saw it.
+// Record describes one request as its caller saw it.
 type Record struct {
 	Kind      Kind
-	RequestID string // as the answer names it, else as the caller did
+	RequestID string // from the response, or else as the caller sent it
 	Key       string // idempotency key; empty when there is none
 	Start     time.Time
-	Took      time.Duration
+	Took      time.Duration // until the response was complete or failed
 	Outcome   Outcome
-	Status    int    // HTTP status; 0 without an answer
-	Code      int    // number of the refusal; 0 when the answer carries none
-	Ran       string // what a refusal says: not run, ran or unknown
-	Note      string // why it was lost or garbled
-	Entry     int    // number of the entry that it was sent to
-	CleanEnd  bool   // the answer ended as a whole one does, but was not whole
-	Crossed   bool   // the answer is another request's
+	Status    int    // HTTP status; 0 without a response
+	Code      int    // result code of the refusal; 0 if the response has none
+	Ran       string // what a refusal says about execution: not run, ran or unknown
+	Note      string // why the request was refused or lost, or what was incorrect
+	Entry     int    // index of the entry that it was sent to
+	CleanEnd  bool   // the response ended without a transport error, but was truncated
+	Crossed   bool   // the response belongs to another request
 }
 
-// Tally counts the records by their outcome.
+// Tally counts the records by outcome.
 type Tally struct {
-	Sent, Complete, Refused, Lost, Garbled int
+	Sent, Complete, Refused, Lost, Incorrect int
 }
 
 // Book is the ledger of one run; it is safe for concurrent use.
@@ -65,7 +65,7 @@
 	tally   Tally
 }
 
-// Add enters a record.
+// Add appends a record and counts its outcome.
 func (b *Book) Add(record Record) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -79,18 +79,18 @@
 	case Lost:
 		b.tally.Lost++
 	case Garbled:
-		b.tally.Garbled++
+		b.tally.Incorrect++
 	}
 }
 
-// Tally gives the counts up to now.
+// Tally returns the counts so far.
 func (b *Book) Tally() Tally {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.tally
 }
 
-// Records gives a copy of all records up to now.
+// Records returns a copy of all records so far.
 func (b *Book) Records() []Record {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/demo/load/send.go
+++ b/internal/demo/load/send.go
@@ -185,16 +185,16 @@
 	}
 	verdict := answer.Check(got, planned.generate.Prompt, planned.generate.MaxTokens, g.digests)
 	switch verdict {
-	case answer.Whole:
+	case answer.Complete:
 		record.Outcome = ledger.Complete
 	case answer.Failed:
 		recordProblem(*got.Problem, record)
 	case answer.Truncated:
 		record.CleanEnd = true
 		return errors.Errorf("truncated: %d of %d tokens", got.Tokens, planned.generate.MaxTokens)
-	case answer.Garbled:
+	case answer.Incorrect:
 		record.Outcome = ledger.Garbled
-		record.Crossed = !answer.Own(got, planned.generate.Prompt, g.digests)
+		record.Crossed = !answer.BelongsTo(got, planned.generate.Prompt, g.digests)
 		record.Note = "incorrect answer: digest " + got.Digest + ", text " + got.Text[:min(len(got.Text), maxNoteBytes)]
 	}
 	return nil
@@ -204,7 +204,7 @@
 	if contentType(response) == typeStream {
 		return answer.ReadStream(response.Body)
 	}
-	return answer.ReadWhole(response.Body)
+	return answer.ReadJSON(response.Body)
 }
 
 func contentType(response *http.Response) string {
--- a/internal/demo/outside/client.go
+++ b/internal/demo/outside/client.go
@@ -15,65 +15,65 @@
 )
 
 const (
-	callLimit    = 20 * time.Second
-	longestLine  = 1 << 20 // bytes of one log line
-	idleConns    = 64
-	errorExcerpt = 300 // bytes of an error answer that are told
+	requestTimeout  = 20 * time.Second
+	maxLineBytes    = 1 << 20 // bytes of one log line
+	maxIdleConns    = 64
+	maxErrorExcerpt = 300 // bytes of an error response that an error quotes
 )
 
-// Client calls stand-ins on loopback.
+// Client calls the stand-ins, and the product's operator API, on loopback.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient makes a client; it uses no proxy.
+// NewClient returns a client that uses no proxy.
 func NewClient() *Client {
-	transport := &http.Transport{MaxIdleConnsPerHost: idleConns}
-	return &Client{http: &http.Client{Transport: transport, Timeout: callLimit}}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns}
+	return &Client{http: &http.Client{Transport: transport, Timeout: requestTimeout}}
 }
 
-// Register puts a host into the host list.
+// Register adds a host to the host list.
 func (c *Client) Register(ctx context.Context, hostList string, host ListedHost) error {
 	host.State = stateLive
 	body, err := json.Marshal(host)
 	if err != nil {
-		return errors.Wrap(err, "encode a listed host")
+		return errors.Wrap(err, "encoding a listed host")
 	}
 	_, err = c.call(ctx, http.MethodPut, "http://"+hostList+"/admin/hosts", body)
 	return err
 }
 
-// Unregister takes a host out of the host list.
+// Unregister removes the host with this address (IP:PORT) from the host list.
 func (c *Client) Unregister(ctx context.Context, hostList, address string) error {
 	_, err := c.call(ctx, http.MethodDelete, "http://"+hostList+"/admin/hosts?address="+address, nil)
 	return err
 }
 
-// SetFaults merges faults, a JSON object, into the present ones of a stand-in.
+// SetFaults merges faults, a JSON object, into the faults that a stand-in injects at present.
 func (c *Client) SetFaults(ctx context.Context, standIn, faults string) error {
 	_, err := c.call(ctx, http.MethodPost, "http://"+standIn+"/admin/faults", []byte(faults))
 	return err
 }
 
-// Ready asks a process of the product whether it is ready.
+// Ready reports whether the process of the product with this operator address (IP:PORT) is ready.
 func (c *Client) Ready(ctx context.Context, operators string) bool {
-	return c.Answers(ctx, "http://"+operators+"/ready")
+	return c.Succeeds(ctx, "http://"+operators+"/ready")
 }
 
-// Answers tells whether a GET of the URL succeeds.
-func (c *Client) Answers(ctx context.Context, url string) bool {
+// Succeeds reports whether a GET of the URL succeeds.
+func (c *Client) Succeeds(ctx context.Context, url string) bool {
 	_, err := c.call(ctx, http.MethodGet, url, nil)
 	return err == nil
 }
 
-// EngineState reads the state of one engine.
+// EngineState returns the state of one engine; engines is the address (IP:PORT) of the stand-in.
 func (c *Client) EngineState(ctx context.Context, engines, name string) (EngineState, error) {
 	var state EngineState
 	err := c.readJSON(ctx, "http://"+engines+"/"+name+"/state", &state)
 	return state, err
 }
 
-// Manifest reads the manifest of a version and works out its digest.
+// Manifest returns the manifest of a version with its digest, which is the SHA-256 of the manifest as it was sent.
 func (c *Client) Manifest(ctx context.Context, origin, model, adapter, version string) (Manifest, error) {
 	url := "http://" + origin + "/v1/weights/" + model + "/" + adapter + "/" + version + "/manifest"
 	body, err := c.call(ctx, http.MethodGet, url, nil)
@@ -82,14 +82,14 @@
 	}
 	var manifest Manifest
 	if err := json.Unmarshal(body, &manifest); err != nil {
-		return Manifest{}, errors.Wrap(err, "decode a manifest")
+		return Manifest{}, errors.Wrap(err, "decoding a manifest")
 	}
 	digest := sha256.Sum256(body)
 	manifest.Digest = hex.EncodeToString(digest[:])
 	return manifest, nil
 }
 
-// ObjectVersion reads the version of an object of the object API; 0 when there is none.
+// ObjectVersion returns the version of an object in the object API; 0 if there is no such object.
 func (c *Client) ObjectVersion(ctx context.Context, objectAPI, key string) (int64, error) {
 	var list objectList
 	err := c.readJSON(ctx, "http://"+objectAPI+"/v1/list?prefix="+key, &list)
@@ -101,14 +101,14 @@
 	return 0, err
 }
 
-// WeightStats reads the counters of a store or an origin.
+// WeightStats returns the counters of the store or origin at this address (IP:PORT).
 func (c *Client) WeightStats(ctx context.Context, address string) (WeightStats, error) {
 	var stats WeightStats
 	err := c.readJSON(ctx, "http://"+address+"/admin/stats", &stats)
 	return stats, err
 }
 
-// EngineLog reads the log of all engines.
+// EngineLog returns the log of all engines.
 func (c *Client) EngineLog(ctx context.Context, engines string) ([]EngineLine, error) {
 	body, err := c.call(ctx, http.MethodGet, "http://"+engines+"/admin/log", nil)
 	if err != nil {
@@ -117,7 +117,7 @@
 	return decodeLines[EngineLine](body)
 }
 
-// PlainLog reads the log of all plain services.
+// PlainLog returns the log of all plain services.
 func (c *Client) PlainLog(ctx context.Context, plain string) ([]PlainLine, error) {
 	body, err := c.call(ctx, http.MethodGet, "http://"+plain+"/admin/log", nil)
 	if err != nil {
@@ -126,21 +126,22 @@
 	return decodeLines[PlainLine](body)
 }
 
+// decodeLines decodes one JSON value per line; empty lines are skipped.
 func decodeLines[T any](body []byte) ([]T, error) {
 	var lines []T
 	scanner := bufio.NewScanner(bytes.NewReader(body))
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if len(bytes.TrimSpace(scanner.Bytes())) == 0 {
 			continue
 		}
 		var line T
 		if err := json.Unmarshal(scanner.Bytes(), &line); err != nil {
-			return nil, errors.Wrapf(err, "decode the log line %s", scanner.Text())
+			return nil, errors.Wrapf(err, "decoding the log line %s", scanner.Text())
 		}
 		lines = append(lines, line)
 	}
-	return lines, errors.Wrap(scanner.Err(), "read a log")
+	return lines, errors.Wrap(scanner.Err(), "reading a log")
 }
 
 func (c *Client) readJSON(ctx context.Context, url string, into any) error {
@@ -148,26 +149,27 @@
 	if err != nil {
 		return err
 	}
-	return errors.Wrapf(json.Unmarshal(body, into), "decode the answer of %s", url)
+	return errors.Wrapf(json.Unmarshal(body, into), "decoding the response of %s", url)
 }
 
+// call sends a request and returns the body of the response. A status of 300 or above is an error.
 func (c *Client) call(ctx context.Context, method, url string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make a request")
+		return nil, errors.Wrap(err, "creating a request")
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, errors.Wrapf(err, "read the answer of %s", url)
+		return nil, errors.Wrapf(err, "reading the response of %s", url)
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		excerpt := answer[:min(len(answer), errorExcerpt)]
+		excerpt := responseBody[:min(len(responseBody), maxErrorExcerpt)]
 		return nil, errors.Errorf("%s %s: %s: %s", method, url, response.Status, excerpt)
 	}
-	return answer, nil
+	return responseBody, nil
 }
--- a/internal/demo/outside/messages.go
+++ b/internal/demo/outside/messages.go
@@ -1,4 +1,5 @@
-// Package outside speaks with the stand-ins: it registers hosts, and reads states, manifests, counters and logs.
+// Package outside is a client of the stand-ins: it registers hosts, injects faults, and reads states, manifests, counters
+// and logs.
 package outside
 
 // Outcomes in the stand-ins' logs.
@@ -20,7 +21,7 @@
 	stateLive = "live"
 )
 
-// ListedHost is one line of the host list; the address is IP:PORT.
+// ListedHost is one entry of the host list; the address is IP:PORT.
 type ListedHost struct {
 	Address string `json:"address"`
 	Role    string `json:"role"`
@@ -29,20 +30,20 @@
 	State   string `json:"state"`
 }
 
-// EngineState is the part of an engine's state that the demo looks at.
+// EngineState is the part of an engine's state that the demo uses.
 type EngineState struct {
 	Digest  string `json:"digest"`
 	Loading bool   `json:"loading"`
 }
 
-// Manifest is the part of a version's manifest that the demo looks at; Size is in bytes.
+// Manifest is the part of a version's manifest that the demo uses; Size is in bytes.
 type Manifest struct {
 	Size   int64  `json:"size"`
-	SHA256 string `json:"sha256"` // of the whole content
-	Digest string `json:"-"`      // SHA-256 of the manifest's own bytes
+	SHA256 string `json:"sha256"` // of the complete content
+	Digest string `json:"-"`      // SHA-256 of the encoded manifest
 }
 
-// objectList is the part of a list of objects that the demo looks at.
+// objectList is the part of a list of objects that the demo uses.
 type objectList struct {
 	Items []struct {
 		Key     string `json:"key"`
@@ -57,7 +58,7 @@
 	Refused  int64 `json:"refused"`
 }
 
-// EngineLine is one line of the engines' log, a run or a load; times are wall clock, in milliseconds.
+// EngineLine is one line of the engines' log, for a run or a load; times are Unix times in milliseconds.
 type EngineLine struct {
 	Engine        string `json:"engine"`
 	Kind          string `json:"kind"`
@@ -73,13 +74,13 @@
 	EndMS         int64  `json:"end_ms"`
 }
 
-// IsRun tells whether the line is about a request.
+// IsRun reports whether the line describes the run of a request.
 func (l EngineLine) IsRun() bool { return l.Kind == kindRun }
 
-// IsLoad tells whether the line is about a load of weights.
+// IsLoad reports whether the line describes a load of weights.
 func (l EngineLine) IsLoad() bool { return l.Kind == kindLoad }
 
-// PlainLine is one line of the plain services' log; times are wall clock, in milliseconds.
+// PlainLine is one line of the plain services' log; times are Unix times in milliseconds.
 type PlainLine struct {
 	Service        string `json:"service"`
 	Kind           string `json:"kind"`
--- a/internal/demo/processes/build.go
+++ b/internal/demo/processes/build.go
@@ -1,4 +1,4 @@
-// Package processes builds, starts, watches and stops the processes of a demo run; it touches only its own children.
+// Package processes builds, starts, watches and stops the processes of a demo run. It signals only its own child processes.
 package processes
 
 import (
@@ -17,14 +17,14 @@
 
 const modulePath = "samphireweir.example/samphireweir"
 
-// Build compiles the product and the stand-ins into a folder; the working folder must be inside the module.
-func Build(ctx context.Context, folder string) error {
+// Build compiles the product and the stand-ins into a directory. The working directory must be inside the module.
+func Build(ctx context.Context, dir string) error {
 	for _, name := range []string{Product, StandIn} {
-		target := filepath.Join(folder, name)
+		target := filepath.Join(dir, name)
 		command := exec.CommandContext(ctx, "go", "build", "-o", target, modulePath+"/cmd/"+name)
 		output, err := command.CombinedOutput()
 		if err != nil {
-			return errors.Wrapf(err, "build %s: %s", name, output)
+			return errors.Wrapf(err, "building %s: %s", name, output)
 		}
 	}
 	return nil
--- a/internal/demo/processes/group.go
+++ b/internal/demo/processes/group.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Stop asks the processes to end, waits for at most the grace time in all, and then kills those that are left.
-// It gives the names of those that had to be killed.
-func Stop(group []*Process, grace time.Duration) []string {
+// Stop sends SIGTERM to all processes, waits for them for at most timeout in total, and then kills those that still run.
+// It returns the names of those that it killed.
+func Stop(group []*Process, timeout time.Duration) []string {
 	for _, process := range group {
 		process.terminate()
 	}
-	deadline := time.NewTimer(grace)
+	deadline := time.NewTimer(timeout)
 	defer deadline.Stop()
 	for _, process := range group {
 		select {
--- a/internal/demo/processes/process.go
+++ b/internal/demo/processes/process.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	folderMode      = 0o755
+	dirMode         = 0o755
 	listeningPrefix = "listening "
 )
 
-// Process is one child that this run started.
+// Process is a child process that this run started.
 type Process struct {
 	name   string
 	cmd    *exec.Cmd
 	stdout *lineWatcher
 	stderr *lineWatcher
 	ended  chan struct{}
-	err    error // how it ended; read only after ended is closed
+	err    error // result of the process; read only after ended is closed
 }
 
-// Start starts a child; its output goes to NAME.stdout and NAME.stderr in the log folder.
-func Start(name, logFolder, binary string, args ...string) (*Process, error) {
-	if err := os.MkdirAll(logFolder, folderMode); err != nil {
-		return nil, errors.Wrap(err, "make the log folder")
+// Start starts a child process. Its output goes to NAME.stdout and NAME.stderr in the log directory.
+func Start(name, logDir, binary string, args ...string) (*Process, error) {
+	if err := os.MkdirAll(logDir, dirMode); err != nil {
+		return nil, errors.Wrap(err, "creating the log directory")
 	}
-	stdout, err := newLineWatcher(filepath.Join(logFolder, name+".stdout"), isListeningLine)
+	stdout, err := newLineWatcher(filepath.Join(logDir, name+".stdout"), isListeningLine)
 	if err != nil {
 		return nil, err
 	}
-	stderr, err := newLineWatcher(filepath.Join(logFolder, name+".stderr"), isStartLine)
+	stderr, err := newLineWatcher(filepath.Join(logDir, name+".stderr"), isStartLine)
 	if err != nil {
 		stdout.close()
 		return nil, err
@@ -49,7 +49,7 @@
 	if err := process.cmd.Start(); err != nil {
 		stdout.close()
 		stderr.close()
-		return nil, errors.Wrapf(err, "start %s", name)
+		return nil, errors.Wrapf(err, "starting %s", name)
 	}
 	go process.wait()
 	return process, nil
@@ -62,13 +62,13 @@
 	close(p.ended)
 }
 
-// Name is the name that the process was started under.
+// Name returns the name that was passed to Start.
 func (p *Process) Name() string { return p.name }
 
-// PID gives the number of the process.
+// PID returns the id of the process.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Running tells whether the process has not ended yet.
+// Running reports whether the process has not ended yet.
 func (p *Process) Running() bool {
 	select {
 	case <-p.ended:
@@ -78,18 +78,18 @@
 	}
 }
 
-// Listening waits for a stand-in's first line and gives the address (IP:PORT) in it.
+// Listening waits for the line in which a stand-in prints its address (IP:PORT) and returns the address.
 func (p *Process) Listening(ctx context.Context) (string, error) {
-	line, err := p.await(ctx, p.stdout)
+	line, err := p.awaitLine(ctx, p.stdout)
 	if err != nil {
 		return "", err
 	}
 	return strings.TrimSpace(strings.TrimPrefix(line, listeningPrefix)), nil
 }
 
-// Addresses waits for the product's start line and gives the addresses in it.
+// Addresses waits for the start line in the product's log and returns the addresses in it.
 func (p *Process) Addresses(ctx context.Context) (Addresses, error) {
-	line, err := p.await(ctx, p.stderr)
+	line, err := p.awaitLine(ctx, p.stderr)
 	if err != nil {
 		return Addresses{}, err
 	}
@@ -97,18 +97,20 @@
 	return start.Addresses, nil
 }
 
-func (p *Process) await(ctx context.Context, watcher *lineWatcher) (string, error) {
+// awaitLine waits for the line that a watcher looks for. An error that reports the end of the process contains the end of
+// its error output.
+func (p *Process) awaitLine(ctx context.Context, watcher *lineWatcher) (string, error) {
 	select {
 	case line := <-watcher.found:
 		return line, nil
 	case <-p.ended:
-		return "", errors.Errorf("%s ended before it listened (%v): %s", p.name, p.err, p.tail())
+		return "", errors.Errorf("%s exited before it was listening (%v): %s", p.name, p.err, p.tail())
 	case <-ctx.Done():
-		return "", errors.Wrapf(ctx.Err(), "wait for %s to listen", p.name)
+		return "", errors.Wrapf(ctx.Err(), "waiting for %s to listen", p.name)
 	}
 }
 
-// tail gives the last bytes of the process's error output.
+// tail returns the last 600 bytes of the process's error output.
 func (p *Process) tail() string {
 	const tailBytes = 600
 	content, err := os.ReadFile(p.stderr.file.Name())
@@ -118,18 +120,18 @@
 	return string(bytes.TrimSpace(content[max(0, len(content)-tailBytes):]))
 }
 
-// Kill ends the process at once and waits until it is gone.
+// Kill sends SIGKILL and waits until the process has ended. It does nothing if the process has ended already.
 func (p *Process) Kill() {
 	if !p.Running() {
 		return
 	}
-	_ = p.cmd.Process.Kill() // an error means that it has ended by itself
+	_ = p.cmd.Process.Kill() // an error means that the process has already ended
 	<-p.ended
 }
 
 func (p *Process) terminate() { p.signal(syscall.SIGTERM) }
 
-// Terminate asks the process to end, and waits for its end until the context ends; it tells whether it has ended.
+// Terminate sends SIGTERM and waits for the process to end or for the context. It reports whether the process has ended.
 func (p *Process) Terminate(ctx context.Context) bool {
 	p.terminate()
 	select {
@@ -140,20 +142,20 @@
 	}
 }
 
-// Freeze stops the process with SIGSTOP until Thaw.
+// Freeze suspends the process with SIGSTOP until Thaw is called.
 func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process with SIGCONT.
 func (p *Process) Thaw() { p.signal(syscall.SIGCONT) }
 
-func (p *Process) signal(which syscall.Signal) {
+func (p *Process) signal(sig syscall.Signal) {
 	if !p.Running() {
 		return
 	}
-	_ = p.cmd.Process.Signal(which) // an error means that it has ended by itself
+	_ = p.cmd.Process.Signal(sig) // an error means that the process has already ended
 }
 
-// Run runs a command to its end with the given input and gives its output.
+// Run runs a command with the given input and returns its combined output. The error contains the output as well.
 func Run(ctx context.Context, input io.Reader, binary string, args ...string) (string, error) {
 	command := exec.CommandContext(ctx, binary, args...)
 	command.Stdin = input
--- a/internal/demo/progress.go
+++ b/internal/demo/progress.go
@@ -51,7 +51,7 @@
 		return line
 	}
 	return line + fmt.Sprintf("; requests %d: complete %d, refused %d, lost %d, garbled %d, in flight %d",
-		tally.Sent, tally.Complete, tally.Refused, tally.Lost, tally.Garbled, p.generator.InFlight())
+		tally.Sent, tally.Complete, tally.Refused, tally.Lost, tally.Incorrect, p.generator.InFlight())
 }
 
 func (p *progress) setPhase(name string) {
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -34,7 +34,7 @@
 		Lost:           tally.Lost,
 		Doubled:        len(count.Doubled(plain)),
 		FalseNotRun:    len(count.FalseNotRun(records, plain, engines)),
-		Mixed:          tally.Garbled + count.MixedRuns(engines) + count.MixedLoads(engines, r.contents()),
+		Mixed:          tally.Incorrect + count.MixedRuns(engines) + count.MixedLoads(engines, r.contents()),
 		Exited:         r.exited,
 		Killed:         r.killed,
 		Policy:         r.options.Policy,
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -170,7 +170,7 @@
 	timeoutCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	for _, entry := range r.fleet.callers {
-		for !r.client.Answers(timeoutCtx, "http://"+entry+probePath) {
+		for !r.client.Succeeds(timeoutCtx, "http://"+entry+probePath) {
 			if err := sleep(timeoutCtx, readyPollInterval); err != nil {
 				return errors.Wrapf(err, "waiting for the entry %s to answer lookups", entry)
 			}
