--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,5 +1,5 @@
-// Command capacity prints docs/CAPACITY.md from the sweeps in docs/data/sweep, and with -first docs/CAPACITY-FIRST.md from the
-// other measurements in docs/data.
+// Command capacity prints docs/CAPACITY.md from the sweeps in docs/data/sweep. With -first it prints
+// docs/CAPACITY-FIRST.md from the other measurements in docs/data.
 package main
 
 import (
@@ -12,10 +12,10 @@
 )
 
 func main() {
-	data := flag.String("data", "docs/data", "folder of the measurements")
-	first := flag.Bool("first", false, "print the page of the first version's path")
+	data := flag.String("data", "docs/data", "directory of the measurements")
+	first := flag.Bool("first", false, "print docs/CAPACITY-FIRST.md, on the first version of the product")
 	flag.Parse()
-	page, err := pageOf(*data, *first)
+	page, err := renderPage(*data, *first)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -23,7 +23,8 @@
 	fmt.Print(page)
 }
 
-func pageOf(data string, first bool) (string, error) {
+// renderPage returns the page from the measurements in the directory data.
+func renderPage(data string, first bool) (string, error) {
 	if first {
 		all, err := capacity.ReadAll(data)
 		return capacity.Page(all), err
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo starts samphireweir and its stand-ins on loopback, spreads a model while live requests flow, and prints
-// what happened. Its status is 1 when the run did not pass, and 2 when it could not be made.
+// Command demo starts samphireweir and its stand-ins on loopback, spreads a model to the hosts under live requests, and
+// prints a report. The exit status is 1 when the run did not pass, and 2 when it could not be carried out.
 package main
 
 import (
@@ -16,22 +16,23 @@
 )
 
 const (
-	statusFailed  = 1
-	statusNotMade = 2
+	statusFailed = 1 // the run did not pass
+	statusError  = 2 // the run could not be carried out
 )
 
 func main() {
-	os.Exit(status())
+	os.Exit(run())
 }
 
-func status() int {
+// run executes a run as the command line asks for and returns the exit status.
+func run() int {
 	options, err := demo.ParseOptions(os.Args[1:])
 	if errors.Is(err, flag.ErrHelp) {
 		return 0
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return statusNotMade
+		return statusError
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -41,10 +42,10 @@
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return statusNotMade
+		return statusError
 	}
-	for _, fault := range result.Failures() {
-		fmt.Fprintln(os.Stderr, "did not pass:", fault)
+	for _, failure := range result.Failures() {
+		fmt.Fprintln(os.Stderr, "did not pass:", failure)
 	}
 	if len(result.Failures()) > 0 {
 		return statusFailed
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,4 +1,4 @@
-// Command experiment measures samphireweir against the stand-ins and judges it under faults.
+// Command experiment measures samphireweir against the stand-ins and checks its behaviour under faults.
 package main
 
 import (
--- a/cmd/proofs/main.go
+++ b/cmd/proofs/main.go
@@ -1,5 +1,5 @@
-// Command proofs reads the output of `go test -json ./...` and prints docs/PROOFS.md, or with -platform
-// docs/PROOFS-PLATFORM.md, the part on the users' platform.
+// Command proofs reads the output of `go test -json ./...` from standard input and prints docs/PROOFS.md. With -platform
+// it prints docs/PROOFS-PLATFORM.md, the part on the users' platform.
 package main
 
 import (
@@ -11,16 +11,16 @@
 )
 
 func main() {
-	platform := flag.Bool("platform", false, "print the part on the users' platform")
+	platform := flag.Bool("platform", false, "print docs/PROOFS-PLATFORM.md, the part on the users' platform")
 	flag.Parse()
 	cells := proof.Product()
 	if *platform {
 		cells = proof.OnPlatform()
 	}
-	run, err := proof.ReadResults(os.Stdin)
+	results, err := proof.ReadResults(os.Stdin)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	fmt.Print(proof.Page(cells, run))
+	fmt.Print(proof.Page(cells, results))
 }
--- a/cmd/samphireweir/main.go
+++ b/cmd/samphireweir/main.go
@@ -1,4 +1,4 @@
-// Command samphireweir is the one binary of the product.
+// Command samphireweir is the product's only binary; each of its roles and operator tools is a subcommand.
 package main
 
 import (
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin plays the outside systems of samphireweir, for demos and tests on one machine.
+// Command standin runs stand-ins for the external systems of samphireweir, for demos and tests on one machine.
 package main
 
 import (
