--- a/internal/demo/layout/layout_test.go
+++ b/internal/demo/layout/layout_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, hosts[0].Place, hosts[3].Place)
 }
 
-// TestEntriesAreInTwoRegions guards against a run in which no request enters through another region.
+// TestEntriesAreInTwoRegions guards against a run in which all requests enter through the same region.
 func TestEntriesAreInTwoRegions(t *testing.T) {
 	entries := layout.Entries()
 	assert.Len(t, entries, 2)
@@ -43,8 +43,8 @@
 	assert.Equal(t, []string{"p1"}, layout.PlainNames(hosts))
 }
 
-// TestModelSettingHasOneReplicaPerHost guards against a setting that leaves hosts without the model, or one that lets no
-// replica be unavailable and blocks every rollout.
+// TestModelSettingHasOneReplicaPerHost guards against a setting that leaves hosts without the model, or that has no limit
+// of unavailable replicas because a small number of hosts rounds down to 0.
 func TestModelSettingHasOneReplicaPerHost(t *testing.T) {
 	setting := layout.ModelSetting(layout.Hosts(5), "v1", "time")
 	assert.Equal(t, map[string]int{"perth-a": 2, "bunbury-a": 2, "karratha-a": 1}, setting.Places)
--- a/internal/demo/load/request.go
+++ b/internal/demo/load/request.go
@@ -128,7 +128,7 @@
 	planned.body = encode(planned.generate)
 }
 
-// prompt returns a prompt that contains the request's id, so that no two requests have the same answer.
+// prompt returns a prompt that contains the request's id, so that each request has its own answer.
 func (p *planner) prompt(requestID string) string {
 	question := fmt.Sprintf("Summarise the account of vendor %d for %s.", p.random.IntN(vendorCount), requestID)
 	if p.random.Float64() >= prefixShare {
--- a/internal/demo/load/request_test.go
+++ b/internal/demo/load/request_test.go
@@ -61,7 +61,7 @@
 	assert.NotEqual(t, sharedPrefix(0)[:256], sharedPrefix(1)[:256])
 }
 
-// TestLookupsAreReads guards against lookups that the product must not retry because they have a body, a key or another
+// TestLookupsAreReads guards against lookups that are not plain reads because they have a body, a key or another
 // method than GET.
 func TestLookupsAreReads(t *testing.T) {
 	for _, planned := range plan(ledger.Lookup, 1, 20) {
