--- a/internal/proof/platform.go
+++ b/internal/proof/platform.go
@@ -45,7 +45,7 @@
 	{Concern: Platform, Fault: "an upstream says nonsense of itself", Step: "reading, and any send", Tests: []string{"TestReadHeadReadsNotices", "TestExcessiveBackoffIsProbed", "TestRetryAfterIsBoundedDespiteExcessiveBackoff"}},
 	{Concern: Platform, Fault: "upstreams name limits, leave and ask for rest amid faults", Step: "whole programs", Tests: []string{"TestSoakWhatUpstreamsSay"}},
 	{Concern: Platform, Fault: "kills, stops, freezes, outages and faults of upstreams by a seed", Step: "whole programs", Tests: []string{"TestSoak"}},
-	{Concern: Platform, Fault: "the log's reader stops", Step: "any line", Tests: []string{"TestAStoppedReaderCostsLinesAndNoTime"}},
+	{Concern: Platform, Fault: "the log's reader stops", Step: "any line", Tests: []string{"TestStoppedLogReaderDropsLinesWithoutBlocking"}},
 	{Concern: Platform, Fault: "connections to the store, to upstreams and of callers are delayed, reset, refused, silenced or cut one way", Step: "whole programs", Tests: []string{"TestSoak"}},
 	{Concern: Platform, Fault: "connections between agents, or between entries, are delayed, reset or silenced", Step: "whole programs", Open: "processes reach one another at a port of the host's own address, where the soak's proxy can't stand"},
 	{Concern: Platform, Fault: "a signal to reload comes in a process's first moments", Step: "start", Tests: []string{"TestSoak/seed-45"}},
