--- a/internal/code/code.go
+++ b/internal/code/code.go
@@ -1,5 +1,5 @@
-// Package code defines the numbered result codes of samphireweir once. The binary prints them (`samphireweir
-// codes`), docs/CODES.md lists them and a test keeps the two alike.
+// Package code is the catalogue of numbered result codes. `samphireweir codes` prints it and docs/CODES.md lists it; a test
+// checks that the two agree.
 package code
 
 import (
@@ -7,14 +7,14 @@
 	"net/http"
 )
 
-// Code is a numbered result. The thousands name the concern: 1 caller's request, 2 routing and limits,
-// 3 at-most-once, 4 upstreams and weights, 5 settings, 6 process settings, 7 messages between processes.
+// Code is the number of a result. The thousands digit is its category: 1 the caller's request, 2 routing and limits,
+// 3 at-most-once execution, 4 upstreams and weights, 5 settings, 6 process settings, 7 messages between processes.
 type Code int
 
-// Ran states whether a refused request was executed by an upstream.
+// Ran says whether an upstream executed a request that was refused.
 type Ran string
 
-// The three statements that a refusal can make.
+// The values of Ran.
 const (
 	NotRun  Ran = "not run"
 	DidRun  Ran = "ran"
@@ -83,17 +83,17 @@
 
 // Entry describes a code for the catalogue.
 type Entry struct {
-	// Code is the number.
+	// Code is the number of the result.
 	Code Code
-	// Name is the short name, in words.
+	// Name is the short name, in words, sent to callers as the problem's title.
 	Name string
-	// Status is the HTTP status of an answer with this code; 0 when the code never answers a caller.
+	// Status is the HTTP status of an answer with this code; 0 for a code that is never sent to a caller.
 	Status int
-	// Help says what it means and what to do.
+	// Help says what the code means and what to do. Callers can receive it as the problem's detail.
 	Help string
 }
 
-// Catalogue lists every code in order.
+// Catalogue lists every code, ordered by its number.
 var Catalogue = []Entry{
 	{BadPath, "bad path", http.StatusNotFound, "The path is not /{team}/{service}/... with names of a-z, 0-9 and -."},
 	{BodyTooLarge, "body too large", http.StatusRequestEntityTooLarge, "The body is over the entry's limit; send less."},
@@ -153,9 +153,9 @@
 	{NotAuthorized, "not authorized", http.StatusUnauthorized, "The message does not carry the shared secret."},
 }
 
-var byCode = index()
+var byCode = indexByCode()
 
-func index() map[Code]Entry {
+func indexByCode() map[Code]Entry {
 	m := make(map[Code]Entry, len(Catalogue))
 	for _, e := range Catalogue {
 		m[e.Code] = e
@@ -163,20 +163,20 @@
 	return m
 }
 
-// Describe returns the catalogue's entry of c.
+// Describe returns the catalogue's entry of c, or the zero Entry if c is unknown.
 func (c Code) Describe() Entry { return byCode[c] }
 
-// Error is an error with a code.
+// Error is an error with a result code.
 type Error struct {
-	// Code is the numbered result.
+	// Code is the result code.
 	Code Code
-	// Field names the field, flag or header at fault; may be empty.
+	// Field names the invalid field, flag or header; may be empty.
 	Field string
-	// Text says what is wrong and what would be right.
+	// Text says what is wrong and, for a bad value, what value is expected.
 	Text string
 }
 
-// Error formats the error as "samphireweir NNNN name: field: text".
+// Error formats the error as "samphireweir NNNN name: field: text", without "field: " if Field is empty.
 func (e *Error) Error() string {
 	name := e.Code.Describe().Name
 	if e.Field == "" {
@@ -185,7 +185,7 @@
 	return fmt.Sprintf("samphireweir %d %s: %s: %s", e.Code, name, e.Field, e.Text)
 }
 
-// Errorf makes an Error.
+// Errorf returns an Error with code c and the formatted text; field may be empty.
 func Errorf(c Code, field, format string, args ...any) *Error {
 	return &Error{Code: c, Field: field, Text: fmt.Sprintf(format, args...)}
 }
--- a/internal/code/page.go
+++ b/internal/code/page.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Page returns docs/CODES.md.
+// Page returns the content of docs/CODES.md, in Markdown.
 func Page() string {
 	var b strings.Builder
-	b.WriteString("# Result codes\n\nPrinted by `samphireweir codes`; a test keeps this page and the binary alike.\n\n")
+	b.WriteString("# Result codes\n\nPrinted by `samphireweir codes`; a test checks that this page matches the binary.\n\n")
 	b.WriteString("| code | name | HTTP | meaning |\n|---|---|---|---|\n")
 	for _, e := range Catalogue {
 		status := "-"
--- a/internal/code/page_test.go
+++ b/internal/code/page_test.go
@@ -9,18 +9,18 @@
 	"samphireweir.example/samphireweir/internal/code"
 )
 
-// TestPage keeps docs/CODES.md and the catalogue alike.
-func TestPage(t *testing.T) {
+// TestCodesPageMatchesCatalogue guards against a docs/CODES.md that was not regenerated after a change of the catalogue.
+func TestCodesPageMatchesCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CODES.md")
 	require.NoError(t, err)
 	require.Equal(t, code.Page(), string(page))
 }
 
-// TestCatalogueNumbersAreUnique keeps each number for one meaning.
+// TestCatalogueNumbersAreUnique guards against a number that is given to two results.
 func TestCatalogueNumbersAreUnique(t *testing.T) {
 	seen := map[code.Code]bool{}
 	for _, e := range code.Catalogue {
-		require.False(t, seen[e.Code], "code %d stands twice", e.Code)
+		require.False(t, seen[e.Code], "code %d is listed twice", e.Code)
 		seen[e.Code] = true
 	}
 }
--- a/internal/logevent/logevent.go
+++ b/internal/logevent/logevent.go
@@ -1,14 +1,14 @@
-// Package logevent defines the numbered events of the log once. The binary prints them (`samphireweir events`),
-// docs/EVENTS.md lists them and a test keeps the two alike.
+// Package logevent is the catalogue of numbered log events. `samphireweir events` prints it and docs/EVENTS.md lists it;
+// a test checks that the two agree.
 package logevent
 
 import "github.com/rs/zerolog"
 
-// ID numbers an event. The thousands name the concern: 1 process, 2 settings and membership, 3 weights and
-// orders, 4 requests.
+// ID is the number of an event. The thousands digit is its category: 1 process, 2 settings and membership, 3 weights and
+// load orders, 4 requests.
 type ID int
 
-// The events.
+// The event numbers.
 const (
 	Listening           ID = 1001
 	Ready               ID = 1002
@@ -57,66 +57,66 @@
 
 // Entry describes an event for the catalogue.
 type Entry struct {
-	// ID is the number.
+	// ID is the number of the event, logged in the field event.
 	ID ID
-	// Name is the short name, in words.
+	// Name is the short name, in words, logged as the message.
 	Name string
-	// Help says when it is logged and what to do.
+	// Help says when the event is logged, what its fields mean and what an operator should do.
 	Help string
 }
 
-// Catalogue lists every event in order.
+// Catalogue lists every event, ordered by its number.
 var Catalogue = []Entry{
-	{Listening, "listening", "The process listens; the fields callers, peers and operators are its addresses."},
-	{Ready, "ready", "The process has read the settings and takes work."},
-	{StopAsked, "stop asked", "A graceful shutdown began."},
-	{Stopped, "stopped", "The process ended; the field open counts requests that were cut."},
-	{PanicContained, "panic contained", "A fault of the program, contained in one request or message; the field stack says where. Report it."},
-	{ServerError, "server error", "The HTTP library's word on a connection: a malformed head, a failed handshake."},
-	{LinesDropped, "log lines dropped", "The process wrote more lines than it may, or nobody read them; the field dropped counts those left out."},
-	{SettingInForce, "setting in force", "A new revision of a setting is in force in this process."},
-	{PlatformLost, "platform lost", "The object API does not answer; the settings in force stay."},
+	{Listening, "listening", "The process accepts connections; the fields callers, peers and operators are its listen addresses."},
+	{Ready, "ready", "The process has read the settings and accepts requests."},
+	{StopAsked, "stop asked", "A graceful shutdown started."},
+	{Stopped, "stopped", "The process exits; the field open counts requests that were still open and were aborted."},
+	{PanicContained, "panic contained", "A bug caused a panic, which was recovered and affects one request or message only; the field stack is the stack trace. Report it to the maintainers."},
+	{ServerError, "server error", "The HTTP library reported an error on a connection, such as a malformed request head or a failed handshake."},
+	{LinesDropped, "log lines dropped", "The process logged more lines than its rate limit allows, or the reader of the log was too slow; the field dropped counts the lines left out."},
+	{SettingInForce, "setting in force", "A new revision of a setting came into force in this process."},
+	{PlatformLost, "platform lost", "The object API does not answer; the process keeps the settings in force."},
 	{PlatformBack, "platform back", "The object API answers again."},
-	{PeerFailed, "peer failed", "A call to another process failed."},
-	{BadRecord, "bad record", "A record or setting could not be read and was left out."},
-	{HostListLost, "host list lost", "The platform's list of hosts does not answer; the hosts that were listed last stay."},
-	{HostListBack, "host list back", "The list of hosts answers again."},
-	{BeliefChanged, "belief changed", "What the process believes of the manifest, an upstream or a version changed; revision is the store's."},
-	{BadEntry, "bad entry", "An entry of the platform's store or a datagram could not be read; what was in force before stays."},
-	{SettingsFileChanged, "settings file changed", "The platform's settings file changed and is right; it is in force from the next start on."},
-	{UpstreamSaid, "upstream said", "An upstream says something else of itself than before in the head of an answer: limited that it takes rate_limit requests a second from all entries together, garbled that it names a limit that is no number, leaving that it shuts down, retry_after_ms how long it wants nothing from this entry."},
-	{BurstStarted, "burst started", "The host begins to fetch a version."},
-	{BurstComplete, "burst complete", "The host holds every verified chunk of a version."},
-	{ChunkRefused, "chunk refused", "A chunk failed its digest or could not be had; the field from names the sender."},
-	{LoadOrdered, "load ordered", "An engine was ordered to load a version."},
-	{LoadDone, "load done", "An engine serves a version."},
-	{LoadFailed, "load failed", "An engine did not load; it is tried again."},
-	{BurstStuck, "burst stuck", "No progress on a version; the field why says what is missing."},
+	{PeerFailed, "peer failed", "A call to another process of the system failed."},
+	{BadRecord, "bad record", "A record or setting is malformed and was ignored."},
+	{HostListLost, "host list lost", "The platform's host list does not answer; the process keeps the hosts of the last list that it read."},
+	{HostListBack, "host list back", "The platform's host list answers again."},
+	{BeliefChanged, "belief changed", "What the process knows about the manifest, an upstream or a version changed; the field revision is the store's revision."},
+	{BadEntry, "bad entry", "An object of the platform's store, a datagram or the settings file could not be read or is malformed; what was in force before stays in force."},
+	{SettingsFileChanged, "settings file changed", "The platform's settings file changed and is valid; the change takes effect at the next start of the process."},
+	{UpstreamSaid, "upstream said", "The notice in an upstream's answer head differs from the previous one. limited: it accepts rate_limit requests per second from all entries together; garbled: its limit is malformed; leaving: it is shutting down; retry_after_ms: the backoff in milliseconds that it requests from this entry."},
+	{BurstStarted, "burst started", "The host started to fetch a version of weights."},
+	{BurstComplete, "burst complete", "The host holds every chunk of a version, each verified against its digest."},
+	{ChunkRefused, "chunk refused", "A chunk did not match its digest or could not be fetched; the field from names the sender."},
+	{LoadOrdered, "load ordered", "The agent sent an engine the order to load a version."},
+	{LoadDone, "load done", "An engine has loaded a version and serves it."},
+	{LoadFailed, "load failed", "An engine failed to load a version; the load is retried."},
+	{BurstStuck, "burst stuck", "The installation of a version makes no progress; the field why says what is missing."},
 	{IncarnationHeld, "incarnation held", "The agent holds a new incarnation (fencing number) of its upstreams."},
-	{IncarnationLost, "incarnation lost", "Another process took this host's incarnation; this one gives no order and takes no work. Stop one of the two."},
-	{OutOfService, "out of service", "An engine went out of service; the field why says for what."},
-	{DrainOverdue, "drain overdue", "Requests in flight keep an engine from its order; they are not cut, their deadlines bound the wait."},
-	{InstallMoved, "install moved", "A version of weights entered another phase on its way to this host's engine; the field why says for what."},
-	{EngineCallFailed, "engine call failed", "A call to this host's engine failed; it is made again."},
-	{RequestRefused, "request refused", "A request was refused; code and ran say how."},
-	{AttemptFailed, "attempt failed", "One try of a request failed; it may be tried elsewhere."},
-	{StreamResumed, "stream resumed", "A stream went on over a new connection."},
-	{AnswerWithheld, "answer withheld", "The weights changed under a request; its answer was withheld."},
+	{IncarnationLost, "incarnation lost", "Another process took over this host's incarnation; this process sends no load orders and accepts no requests. Stop one of the two."},
+	{OutOfService, "out of service", "An engine went out of service; the field why gives the reason."},
+	{DrainOverdue, "drain overdue", "A load order waits for requests in flight at the engine; they are not aborted, and their deadlines bound the wait."},
+	{InstallMoved, "install moved", "The installation of a version of weights on this host's engine entered another phase; the field why gives the reason."},
+	{EngineCallFailed, "engine call failed", "A call to this host's engine failed; it is retried."},
+	{RequestRefused, "request refused", "A request was refused; the field code is the result code, ran says whether an upstream ran it."},
+	{AttemptFailed, "attempt failed", "One attempt of a request failed; the request may be retried at another upstream."},
+	{StreamResumed, "stream resumed", "A stream was resumed over a new connection."},
+	{AnswerWithheld, "answer withheld", "The weights changed while a request ran; its answer was withheld from the caller."},
 	{ClaimFailed, "claim failed", "A claim could not be recorded in the object API."},
-	{RequestSuspect, "request suspect", "A request was in flight when an upstream died and is now a suspect."},
-	{RequestSent, "request sent", "A request was sent to an upstream; sends counts the sends, and resume says that an answer goes on."},
-	{RequestEnded, "request ended", "A request ended with an upstream's answer, or because its caller left. Of a stream, upstream_pause_ms is the longest time between two events as they were read, and caller_pause_ms the longest that a write to its caller took."},
-	{BegunLate, "begun late", "An upstream began a request on a version of weights whose time was over: late_ms says by how much, waited_ms how long it had been there."},
-	{RequestHeldBack, "request held back", "Upstreams went down under a request; from now on copies of it are refused for left_ms. told is set when another process said so; else upstream went down last. The same fingerprint stands in 4001 (why) and 4002."},
-	{CrashesDropped, "crashes dropped", "Crashes under requests were not noted, since too many requests are remembered as having been at upstreams that went down."},
-	{SlowCallerEnded, "slow caller ended", "A caller gave or took nothing for the longest time while the memory for callers was full, and its connection was ended to make room; answering is set when its answer had begun, held is what is held for callers now, in bytes."},
+	{RequestSuspect, "request suspect", "A request was in flight when an upstream crashed; it is now suspected of causing the crash."},
+	{RequestSent, "request sent", "A request was sent to an upstream; the field sends is the number of the attempt, and resume is set when the attempt resumes an answer."},
+	{RequestEnded, "request ended", "A request ended with an upstream's answer, or because its caller disconnected. For a stream, upstream_pause_ms is the longest time in milliseconds between two events as they were read from the upstream, and caller_pause_ms the longest duration of a write to the caller."},
+	{BegunLate, "begun late", "An upstream started a request on an expired version of weights: late_ms is the time in milliseconds since the version expired, waited_ms how long the request had waited at the upstream."},
+	{RequestHeldBack, "request held back", "A request is quarantined because upstreams crashed while they ran it: requests with the same fingerprint are refused for left_ms milliseconds. told is set when another process reported the quarantine; otherwise the field upstream names the upstream that crashed last. Events 4001 (field why) and 4002 have the same fingerprint."},
+	{CrashesDropped, "crashes dropped", "Crashes of upstreams were not attributed to requests, because the table of requests that were in flight at crashed upstreams is full."},
+	{SlowCallerEnded, "slow caller ended", "The memory for callers was full, and the connection of the caller that had been idle for longest was closed to free memory; answering is set when its answer had started, held is the memory in bytes that is now held for callers."},
 }
 
-// Debug starts a debug line for event id.
+// Debug starts a log line of level debug for event id.
 func Debug(l zerolog.Logger, id ID) *zerolog.Event { return l.Debug().Int("event", int(id)) }
 
-// Info starts an info line for event id.
+// Info starts a log line of level info for event id.
 func Info(l zerolog.Logger, id ID) *zerolog.Event { return l.Info().Int("event", int(id)) }
 
-// Warn starts a warning line for event id.
+// Warn starts a log line of level warn for event id.
 func Warn(l zerolog.Logger, id ID) *zerolog.Event { return l.Warn().Int("event", int(id)) }
--- a/internal/logevent/page.go
+++ b/internal/logevent/page.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Page returns docs/EVENTS.md.
+// Page returns the content of docs/EVENTS.md, in Markdown.
 func Page() string {
 	var b strings.Builder
-	b.WriteString("# Log events\n\nPrinted by `samphireweir events`; a test keeps this page and the binary alike.\n\n")
+	b.WriteString("# Log events\n\nPrinted by `samphireweir events`; a test checks that this page matches the binary.\n\n")
 	b.WriteString("| event | name | meaning |\n|---|---|---|\n")
 	for _, e := range Catalogue {
 		fmt.Fprintf(&b, "| %d | %s | %s |\n", e.ID, e.Name, e.Help)
--- a/internal/logevent/page_test.go
+++ b/internal/logevent/page_test.go
@@ -9,8 +9,8 @@
 	"samphireweir.example/samphireweir/internal/logevent"
 )
 
-// TestPage keeps docs/EVENTS.md and the catalogue alike.
-func TestPage(t *testing.T) {
+// TestEventsPageMatchesCatalogue guards against a docs/EVENTS.md that was not regenerated after a change of the catalogue.
+func TestEventsPageMatchesCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../../docs/EVENTS.md")
 	require.NoError(t, err)
 	require.Equal(t, logevent.Page(), string(page))
