--- a/internal/telemetry/bench_test.go
+++ b/internal/telemetry/bench_test.go
@@ -12,13 +12,13 @@
 	"samphireweir.example/samphireweir/internal/telemetry"
 )
 
-// discard is an answer that nobody reads.
+// discard is an http.ResponseWriter that drops the answer, so that the benchmarks measure the handler alone.
 type discard struct{ header http.Header }
 
-// Header returns the head.
+// Header returns the answer's header.
 func (d discard) Header() http.Header { return d.header }
 
-// Write drops p.
+// Write drops p and reports it as written.
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
 
 // WriteHeader drops the status.
@@ -38,28 +38,29 @@
 	}
 }
 
-// BenchmarkBare is the handler alone.
+// BenchmarkBare measures the handler without telemetry.
 func BenchmarkBare(b *testing.B) { benchmark(b, http.HandlerFunc(answer)) }
 
-// BenchmarkMetrics adds the metrics of a request.
+// BenchmarkMetrics measures the handler with the metrics of a request.
 func BenchmarkMetrics(b *testing.B) {
 	benchmark(b, telemetry.New(nil).Requests(known, http.HandlerFunc(answer)))
 }
 
-// BenchmarkTracesOff adds traces that are off.
+// BenchmarkTracesOff measures the handler with tracing turned off.
 func BenchmarkTracesOff(b *testing.B) {
 	var off *telemetry.Traces
 	benchmark(b, off.EntryServer(http.HandlerFunc(answer)))
 }
 
-// BenchmarkTracesOn adds traces that are on, to an exporter in memory.
+// BenchmarkTracesOn measures the handler with tracing to an exporter that drops the spans.
 func BenchmarkTracesOn(b *testing.B) {
 	exporter := tracetest.NewNoopExporter()
 	benchmark(b, telemetry.NewTracesTo(exporter, "entry", "entry-1").EntryServer(http.HandlerFunc(answer)))
 }
 
-// TestTracesOffCostNothing gives back the very handler and client that it was given, so that nothing is allocated.
-func TestTracesOffCostNothing(t *testing.T) {
+// TestTracingOffAllocatesNothing guards against a cost of tracing when it is off: the handler must allocate no more than without
+// tracing, and the client must keep its transport.
+func TestTracingOffAllocatesNothing(t *testing.T) {
 	var off *telemetry.Traces
 	var h http.Handler = http.HandlerFunc(answer)
 	r := httptest.NewRequest(http.MethodGet, "/karrakin/buyer-portal/lookup", nil)
@@ -72,8 +73,9 @@
 	require.Nil(t, c.Transport)
 }
 
-// TestTraceSettings refuses what clashes and what is out of range.
-func TestTraceSettings(t *testing.T) {
+// TestTraceConfigCheckRejectsInvalidSettings checks that values out of range and contradictory settings are rejected with an error
+// that names the flag.
+func TestTraceConfigCheckRejectsInvalidSettings(t *testing.T) {
 	for want, c := range map[string]telemetry.TraceConfig{
 		"6001 bad process setting: -trace-exporter": {Exporter: "jaeger"},
 		"6001 bad process setting: -trace-ratio":    {Exporter: "stdout", Ratio: 2},
@@ -85,8 +87,8 @@
 	require.NoError(t, (&telemetry.TraceConfig{Exporter: "otlp", Endpoint: "http://10.0.0.9:4318", Ratio: 0.1}).Check())
 }
 
-// TestOTLPExporter sends the span of a request to a collector.
-func TestOTLPExporter(t *testing.T) {
+// TestOTLPExporterSendsSpans checks that the span of a request is posted to the collector's default path.
+func TestOTLPExporterSendsSpans(t *testing.T) {
 	paths := make(chan string, 1)
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { paths <- r.Method + " " + r.URL.Path }))
 	defer collector.Close()
--- a/internal/telemetry/calls.go
+++ b/internal/telemetry/calls.go
@@ -9,32 +9,33 @@
 	"time"
 )
 
-// transport wraps the sending of calls by another.
+// transport is an http.RoundTripper that wraps another one, next.
 type transport struct {
-	next http.RoundTripper
-	send func(*http.Request) (*http.Response, error)
+	next      http.RoundTripper
+	roundTrip func(*http.Request) (*http.Response, error)
 }
 
-// RoundTrip sends one call.
-func (t transport) RoundTrip(r *http.Request) (*http.Response, error) { return t.send(r) }
+// RoundTrip implements http.RoundTripper with the wrapping function.
+func (t transport) RoundTrip(r *http.Request) (*http.Response, error) { return t.roundTrip(r) }
 
-// CloseIdleConnections closes those of the transport within.
+// CloseIdleConnections closes the idle connections of the wrapped transport.
 func (t transport) CloseIdleConnections() {
 	if closer, ok := t.next.(interface{ CloseIdleConnections() }); ok {
 		closer.CloseIdleConnections()
 	}
 }
 
-func base(c *http.Client) http.RoundTripper {
+// baseTransport returns the transport of c, or the default one if c has none.
+func baseTransport(c *http.Client) http.RoundTripper {
 	if c.Transport != nil {
 		return c.Transport
 	}
 	return http.DefaultTransport
 }
 
-// Platform makes c count its calls to the object API and to the host list.
+// Platform wraps the transport of c so that its calls to the object API and the host list are counted.
 func (t *Telemetry) Platform(c *http.Client) {
-	next := base(c)
+	next := baseTransport(c)
 	c.Transport = transport{next, func(r *http.Request) (*http.Response, error) {
 		kind := platformKind(r)
 		resp, err := next.RoundTrip(r)
@@ -45,7 +46,7 @@
 	}}
 }
 
-// platformKind names a call to the platform; it is empty for a call to a source of weights.
+// platformKind returns the label of a call to the platform; it is empty for a call to a source of weights.
 func platformKind(r *http.Request) string {
 	switch path := r.URL.Path; {
 	case strings.HasPrefix(path, "/v1/objects/"):
@@ -70,6 +71,7 @@
 	return "get"
 }
 
+// resultOf returns the result label of a call to the platform.
 func resultOf(resp *http.Response, err error) string {
 	switch {
 	case err != nil:
@@ -80,9 +82,10 @@
 	return outcomeOK
 }
 
-// Sources makes c count the chunks that it reads from the weight store and from the origin, given by their URLs.
+// Sources wraps the transport of c so that the chunks that it reads from the weight store and the origin are counted. Both are given
+// by URL; weightStore may be empty.
 func (t *Telemetry) Sources(c *http.Client, weightStore, origin string) {
-	next := base(c)
+	next := baseTransport(c)
 	names := map[string]string{hostOf(origin): sourceOrigin}
 	if weightStore != "" {
 		names[hostOf(weightStore)] = sourceStore
@@ -90,12 +93,13 @@
 	c.Transport = transport{next, func(r *http.Request) (*http.Response, error) {
 		resp, err := next.RoundTrip(r)
 		if err == nil && resp.StatusCode < http.StatusBadRequest && strings.HasPrefix(r.URL.Path, "/v1/weights/") && r.Header.Get("Range") != "" {
-			resp.Body = &countedBody{ReadCloser: resp.Body, left: resp.ContentLength, source: names[r.URL.Host], metrics: t.Metrics}
+			resp.Body = &countedBody{ReadCloser: resp.Body, remaining: resp.ContentLength, source: names[r.URL.Host], metrics: t.Metrics}
 		}
 		return resp, err
 	}}
 }
 
+// hostOf returns host and port of a URL, empty if it can't be parsed.
 func hostOf(raw string) string {
 	u, err := url.Parse(raw)
 	if err != nil {
@@ -104,65 +108,68 @@
 	return u.Host
 }
 
-// countedBody counts a chunk's bytes as they are read, and the chunk when all are here.
+// countedBody counts the bytes of a chunk as they are read, and the chunk itself once all its bytes are read.
 type countedBody struct {
 	io.ReadCloser
-	left    int64
-	source  string
-	metrics *Metrics
+	remaining int64
+	source    string
+	metrics   *Metrics
 }
 
-// Read reads and counts.
+// Read reads from the body and counts the bytes.
 func (b *countedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if n == 0 {
 		return n, err
 	}
 	b.metrics.ChunkBytes.Add(int64(n), b.source)
-	b.left -= int64(n)
-	if b.left == 0 {
+	b.remaining -= int64(n)
+	if b.remaining == 0 {
 		b.metrics.Chunks.Add(1, b.source)
 	}
 	return n, err
 }
 
-// Upstream names an upstream for the metrics.
+// Upstream holds the labels of an upstream's metrics.
 type Upstream struct{ Team, Service, Name string }
 
-// Upstreams makes c count and time its calls to a host's upstreams, given by their URLs.
+// Upstreams wraps the transport of c so that callers' requests to the upstreams in byURL are counted and timed. The keys of byURL are
+// the upstreams' base URLs.
 func (t *Telemetry) Upstreams(c *http.Client, byURL map[string]Upstream) {
-	next := base(c)
+	next := baseTransport(c)
 	c.Transport = transport{next, func(r *http.Request) (*http.Response, error) {
-		u, known := upstreamOf(r.URL, byURL)
-		if !known || !isCall(r) {
+		u, ok := upstreamOf(r.URL, byURL)
+		if !ok || !isCallerRequest(r) {
 			return next.RoundTrip(r)
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		resp, err := next.RoundTrip(r)
 		t.Metrics.UpstreamCalls.Add(1, u.Team, u.Service, u.Name, statusClass(resp, err))
 		if err == nil {
-			t.Metrics.UpstreamFirstByte.Observe(time.Since(began), u.Team, u.Service, u.Name)
+			t.Metrics.UpstreamFirstByte.Observe(time.Since(startedAt), u.Team, u.Service, u.Name)
 		}
 		return resp, err
 	}}
 }
 
-// requestIDHeader marks a caller's request on its way to an upstream; the agent's own calls have none.
+// requestIDHeader is set on callers' requests to an upstream and absent from the agent's own calls.
 const requestIDHeader = "Request-Id"
 
-func isCall(r *http.Request) bool { return r.Header.Get(requestIDHeader) != "" }
+// isCallerRequest reports whether r carries a caller's request, as opposed to a call of the agent itself.
+func isCallerRequest(r *http.Request) bool { return r.Header.Get(requestIDHeader) != "" }
 
-// upstreamOf finds the upstream whose URL begins the call's.
+// upstreamOf returns the upstream whose base URL is a prefix of u: scheme and host, with or without the first path segment.
 func upstreamOf(u *url.URL, byURL map[string]Upstream) (Upstream, bool) {
 	first, _, _ := strings.Cut(strings.TrimPrefix(u.Path, "/"), "/")
 	for _, prefix := range []string{u.Scheme + "://" + u.Host + "/" + first, u.Scheme + "://" + u.Host} {
-		if found, known := byURL[prefix]; known {
-			return found, true
+		if upstream, ok := byURL[prefix]; ok {
+			return upstream, true
 		}
 	}
 	return Upstream{}, false
 }
 
+// statusClass returns the class of an answer's status, such as 2xx, or error if no answer came.
 func statusClass(resp *http.Response, err error) string {
 	if err != nil {
 		return "error"
@@ -171,12 +178,12 @@
 	return strconv.Itoa(resp.StatusCode/hundred) + "xx"
 }
 
-// ControlCall counts a control call.
+// ControlCall counts a control call between processes; direction is in or out.
 func (t *Telemetry) ControlCall(method, direction string) {
 	t.Metrics.ControlCalls.Add(1, method, direction)
 }
 
-// ControlBytes counts bytes of control messages.
+// ControlBytes counts n bytes of control messages; direction is in or out.
 func (t *Telemetry) ControlBytes(direction string, n int) {
 	t.Metrics.ControlBytes.Add(int64(n), direction)
 }
--- a/internal/telemetry/definition.go
+++ b/internal/telemetry/definition.go
@@ -1,87 +1,87 @@
 package telemetry
 
-// Kind tells how a metric is to be read.
+// Kind is the type of a metric, as in the text exposition format.
 type Kind string
 
-// The kinds of metric.
+// The kinds of metrics.
 const (
-	// CounterKind only grows.
+	// CounterKind only increases.
 	CounterKind Kind = "counter"
-	// GaugeKind goes up and down.
+	// GaugeKind increases and decreases.
 	GaugeKind Kind = "gauge"
-	// HistogramKind counts observations in buckets, which can be added up over processes.
+	// HistogramKind counts observations in buckets, which can be summed across processes.
 	HistogramKind Kind = "histogram"
 )
 
-// Definition describes a metric. Each is defined once, here; the page of metrics is made from it.
+// Definition describes a metric. The text that a process serves and docs/METRICS.md are generated from it.
 type Definition struct {
-	// Name is the metric's name on the operators' endpoint.
+	// Name is the metric's name, with its unit.
 	Name string
-	// Kind tells how to read it.
+	// Kind is the type of the metric.
 	Kind Kind
-	// Labels are the names of its labels, at most maxLabels.
+	// Labels are the names of the labels, at most maxLabels.
 	Labels []string
-	// Help says what it counts.
+	// Help says what the metric counts.
 	Help string
 }
 
-// The metrics.
+// The definitions of the metrics.
 var (
 	requestsDefinition = Definition{"samphireweir_requests_total", CounterKind, []string{"team", "service", "code"},
-		"Callers' requests that ended at this entry, by outcome: ok, a result code's number, or aborted for an answer that was cut."}
+		"Callers' requests that ended at this entry, by outcome: ok, the number of a result code, or aborted for an incomplete answer."}
 	refusalsDefinition = Definition{"samphireweir_refusals_total", CounterKind, []string{"code", "ran"},
-		"Refusals given to callers, by result code and by whether the request was run."}
+		"Refusals sent to callers, by result code and by whether an upstream ran the request."}
 	inFlightDefinition = Definition{"samphireweir_requests_in_flight", GaugeKind, []string{"team", "service"},
-		"Callers' requests that are open at this entry."}
+		"Callers' requests in flight at this entry."}
 	firstByteDefinition = Definition{"samphireweir_first_byte_seconds", HistogramKind, []string{"team", "service"},
-		"Time from a request's head to the first byte of its answer's body, of complete answers."}
+		"Time from the request's head to the first byte of the answer's body, for complete answers."}
 	totalDefinition = Definition{"samphireweir_request_seconds", HistogramKind, []string{"team", "service"},
-		"Time from a request's head to the end of its answer, of complete answers."}
+		"Time from the request's head to the end of the answer, for complete answers."}
 	attemptsDefinition = Definition{"samphireweir_attempts_total", CounterKind, []string{"team", "service", "cause"},
-		"Sendings of requests to upstreams: first, retry, or resume for an answer that went on over a new connection."}
+		"Attempts to send a request to an upstream: first, retry, or resume for an answer that was resumed over a new connection."}
 	attemptsFailedDefinition = Definition{"samphireweir_attempts_failed_total", CounterKind, []string{"cause"},
-		"Attempts that ended without an answer, by the result code of the cause."}
+		"Attempts that ended without an answer, by result code."}
 	upstreamCallsDefinition = Definition{"samphireweir_upstream_calls_total", CounterKind, []string{"team", "service", "upstream", "cause"},
-		"Calls of this agent to its upstreams: the answer's class of status, or error when none came."}
+		"Calls of this agent to its upstreams, by the class of the answer's status, or error when no answer came."}
 	upstreamFirstByteDefinition = Definition{"samphireweir_upstream_first_byte_seconds", HistogramKind, []string{"team", "service", "upstream"},
-		"Time from a call to an upstream to the beginning of its answer, at the process that calls it: the first event of a stream."}
-	begunLateDefinition = Definition{"samphireweir_begun_late_total", CounterKind, nil,
-		"Requests that an upstream began on a version of weights whose time was over."}
+		"Time from a call of an upstream to the start of its answer (for a stream its first event), measured by the calling process."}
+	startedLateDefinition = Definition{"samphireweir_begun_late_total", CounterKind, nil,
+		"Requests that an upstream started on an expired version of weights."}
 	upstreamNoticesDefinition = Definition{"samphireweir_upstream_notices_total", CounterKind, nil,
-		"Changes of what upstreams say of themselves in their answers: a limit, that they shut down, how long to stay away."}
+		"Changed notices in the heads of upstreams' answers: a rate limit, a shutdown, a requested backoff."}
 	runsRefusedDefinition = Definition{"samphireweir_runs_refused_total", CounterKind, []string{"cause"},
-		"Runs that this agent refused to start, by the result code of the cause."}
+		"Runs that this agent refused to start, by result code."}
 	recordsDefinition = Definition{"samphireweir_records_total", CounterKind, []string{"way"},
-		"Records that travelled: pushed, received by push, or exchanged for repair."}
+		"Records sent between processes: pushed, received by push, or exchanged for repair."}
 	recordBytesDefinition = Definition{"samphireweir_record_bytes_total", CounterKind, []string{"way"},
-		"Bytes of the values of records that travelled."}
+		"Bytes of the values of records sent between processes."}
 	controlCallsDefinition = Definition{"samphireweir_control_calls_total", CounterKind, []string{"method", "direction"},
-		"Control calls between the system's processes, made (out) and answered (in)."}
+		"Control calls between the system's processes: sent (out) and answered (in)."}
 	controlBytesDefinition = Definition{"samphireweir_control_bytes_total", CounterKind, []string{"direction"},
 		"Bytes of control messages between the system's processes, calls and answers together."}
 	platformCallsDefinition = Definition{"samphireweir_platform_calls_total", CounterKind, []string{"kind", "result"},
-		"Calls to the platform's object API and host list: ok, refused (status 4xx or 5xx) or error."}
+		"Calls to the platform's object API and host list, by result: ok, refused (status 4xx or 5xx) or error."}
 	chunksDefinition = Definition{"samphireweir_chunks_fetched_total", CounterKind, []string{"source"},
-		"Chunks of weights that came whole, by source: peer, store or origin."}
+		"Chunks of weights that were read completely, by source: peer, store or origin."}
 	chunkBytesDefinition = Definition{"samphireweir_chunk_bytes_total", CounterKind, []string{"source"},
-		"Bytes of chunks that were read, by source: peer, store or origin."}
+		"Bytes of chunks of weights that were read, by source: peer, store or origin."}
 	chunksRefusedDefinition = Definition{"samphireweir_chunks_refused_total", CounterKind, []string{"source", "cause"},
-		"Chunks that failed: broken, busy, corrupt, changed, no-memory or missing; origin stands for both sources."}
+		"Failed fetches of chunks, by cause: broken, busy, corrupt, changed, no-memory or missing; the source origin includes the weight store."}
 	loadsDefinition = Definition{"samphireweir_loads_total", CounterKind, []string{"result"},
-		"Load and role orders to this agent's engines: ordered, done, failed, or refused for an old fencing number."}
+		"Load and role orders to this agent's engines: ordered, done, failed, or refused because of an old fencing number."}
 	settingsDefinition = Definition{"samphireweir_settings_applied_total", CounterKind, nil,
 		"Revisions of settings that came into force in this process."}
 	panicsDefinition = Definition{"samphireweir_panics_total", CounterKind, []string{"where"},
-		"Faults of the program that were contained in one request or message; report each to the maintainers."}
+		"Panics that were recovered and affect one request or message only; report each to the maintainers."}
 	goroutinesDefinition = Definition{"samphireweir_goroutines", GaugeKind, nil, "Goroutines of this process."}
 	memoryDefinition     = Definition{"samphireweir_memory_bytes", GaugeKind, []string{"kind"},
-		"Memory of this process: heap in live objects, and total obtained from the system."}
+		"Memory of this process: heap is the size of live objects, total what was obtained from the operating system."}
 )
 
-// Catalogue lists every metric in the order of the page.
+// Catalogue lists every metric, in the order of docs/METRICS.md.
 var Catalogue = []Definition{
 	requestsDefinition, refusalsDefinition, inFlightDefinition, firstByteDefinition, totalDefinition,
-	attemptsDefinition, attemptsFailedDefinition, upstreamCallsDefinition, upstreamFirstByteDefinition, begunLateDefinition, upstreamNoticesDefinition, runsRefusedDefinition,
+	attemptsDefinition, attemptsFailedDefinition, upstreamCallsDefinition, upstreamFirstByteDefinition, startedLateDefinition, upstreamNoticesDefinition, runsRefusedDefinition,
 	recordsDefinition, recordBytesDefinition, controlCallsDefinition, controlBytesDefinition, platformCallsDefinition,
 	chunksDefinition, chunkBytesDefinition, chunksRefusedDefinition, loadsDefinition, settingsDefinition,
 	panicsDefinition, goroutinesDefinition, memoryDefinition,
--- a/internal/telemetry/exchange.go
+++ b/internal/telemetry/exchange.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// outcomeOK labels a request whose answer was passed on whole.
+	// outcomeOK labels a request whose answer was forwarded completely.
 	outcomeOK = "ok"
-	// outcomeAborted labels a request whose answer was cut, so that its caller sees that it is not whole.
+	// outcomeAborted labels a request whose answer was aborted; the caller can see that it is incomplete.
 	outcomeAborted = "aborted"
-	// noService stands for a team or service without a setting in force.
+	// noService is the label of a team or service without a setting in force.
 	noService = "-"
-	// problemType is the media type of refusals.
+	// problemType is the media type of the bodies of refusals.
 	problemType = "application/problem+json"
 )
 
-// KnownService tells whether a team's service has a setting in force.
+// KnownService reports whether a team's service has a setting in force.
 type KnownService func(team, service string) bool
 
-// Requests wraps the server of callers and counts and times each request. The outcome is read from what the caller
-// gets, so it is what the caller sees.
+// Requests wraps the handler of callers' requests, and counts and times each request. The outcome is taken from the answer
+// that is written to the caller, so it matches what the caller observes.
 func (t *Telemetry) Requests(known KnownService, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		x := &exchange{ResponseWriter: w, began: time.Now()}
+		x := &exchange{ResponseWriter: w, startedAt: time.Now()}
 		x.team, x.service = t.serviceOf(known, r.URL.Path)
 		t.Metrics.InFlight.Add(1, x.team, x.service)
 		returned := false
@@ -37,27 +37,29 @@
 	})
 }
 
-// serviceOf returns the labels of a path; only services with a setting get labels of their own.
+// serviceOf returns the team and service labels of a path. Services without a setting in force share one label, so that callers
+// can't create an unbounded number of series.
 func (t *Telemetry) serviceOf(known KnownService, path string) (team, service string) {
 	team, rest, ok := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	if !ok {
 		return noService, noService
 	}
 	service, _, _ = strings.Cut(rest, "/")
-	if t.Metrics.InFlight.has(team, service) || known(team, service) {
+	if t.Metrics.InFlight.hasSeries(team, service) || known(team, service) {
 		return team, service
 	}
 	return noService, noService
 }
 
-// has tells whether there is a series of these labels.
-func (c Counter) has(values ...string) bool {
+// hasSeries reports whether a series with these labels exists.
+func (c Counter) hasSeries(values ...string) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	_, known := c.series[labelsOf(values)]
-	return known
+	_, ok := c.series[labelsOf(values)]
+	return ok
 }
 
+// count records a request that ended; returned is false if its handler panicked to abort the connection.
 func (m *Metrics) count(x *exchange, r *http.Request, returned bool) {
 	m.InFlight.Add(-1, x.team, x.service)
 	outcome := x.outcome(r, returned)
@@ -68,7 +70,7 @@
 		}
 		return
 	}
-	took := time.Since(x.began)
+	took := time.Since(x.startedAt)
 	if x.firstByte == 0 {
 		x.firstByte = took
 	}
@@ -76,21 +78,23 @@
 	m.Total.Observe(took, x.team, x.service)
 }
 
-// exchange passes an answer on and notes what a caller would see of it.
+// exchange is an http.ResponseWriter that forwards an answer and records what the caller can see of it.
 type exchange struct {
 	http.ResponseWriter
 	team, service string
-	began         time.Time
-	firstByte     time.Duration
-	refusal       refusal
+	startedAt     time.Time
+	// firstByte is the time from startedAt to the first byte of the answer's body; 0 before it.
+	firstByte time.Duration
+	refusal   refusal
 }
 
-// refusal is what is read of a refusal's body.
+// refusal holds the fields of a refusal's body that are counted.
 type refusal struct {
 	Code code.Code `json:"code"`
 	Ran  code.Ran  `json:"ran"`
 }
 
+// outcome returns the outcome label of a request: a result code, aborted or ok.
 func (x *exchange) outcome(r *http.Request, returned bool) string {
 	switch {
 	case x.refusal.Code != 0:
@@ -103,10 +107,10 @@
 	return outcomeOK
 }
 
-// Write passes bytes on and notes the time of the first.
+// Write forwards bytes. On the first one it records the time and, if the answer is a refusal, its code.
 func (x *exchange) Write(p []byte) (int, error) {
 	if x.firstByte == 0 && len(p) > 0 {
-		x.firstByte = time.Since(x.began)
+		x.firstByte = time.Since(x.startedAt)
 		if x.Header().Get("Content-Type") == problemType {
 			_ = json.Unmarshal(p, &x.refusal)
 		}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -7,9 +7,9 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// Metrics are the metrics of one process.
+// Metrics are the metrics of one process. The definitions in this package describe each of them.
 type Metrics struct {
-	// Registry holds every series of the process under its name and labels.
+	// Registry holds every series of the process, keyed by the metric's name and labels.
 	Registry gometrics.Registry
 
 	Requests, Refusals, InFlight              Counter
@@ -23,7 +23,8 @@
 	Chunks, ChunkBytes, ChunksRefused         Counter
 	Loads, Settings, Panics                   Counter
 
-	page []writable
+	// exposed lists the metrics in the order in which Write writes them.
+	exposed []exposedMetric
 }
 
 // NewMetrics returns the metrics of a process, all at zero.
@@ -38,7 +39,7 @@
 	m.AttemptsFailed = m.counter(attemptsFailedDefinition)
 	m.UpstreamCalls = m.counter(upstreamCallsDefinition)
 	m.UpstreamFirstByte = m.histogram(upstreamFirstByteDefinition)
-	m.BegunLate = m.counter(begunLateDefinition)
+	m.BegunLate = m.counter(startedLateDefinition)
 	m.UpstreamNotices = m.counter(upstreamNoticesDefinition)
 	m.RunsRefused = m.counter(runsRefusedDefinition)
 	m.Records = m.counter(recordsDefinition)
@@ -52,32 +53,32 @@
 	m.Loads = m.counter(loadsDefinition)
 	m.Settings = m.counter(settingsDefinition)
 	m.Panics = m.counter(panicsDefinition)
-	m.page = append(m.page, reading{goroutinesDefinition, readGoroutines}, reading{memoryDefinition, readMemory})
+	m.exposed = append(m.exposed, polledGauge{goroutinesDefinition, readGoroutines}, polledGauge{memoryDefinition, readMemory})
 	return m
 }
 
 func (m *Metrics) counter(d Definition) Counter {
 	c := newCounter(m.Registry, d)
-	m.page = append(m.page, c)
+	m.exposed = append(m.exposed, c)
 	return c
 }
 
 func (m *Metrics) histogram(d Definition) Histogram {
 	h := newHistogram(m.Registry, d)
-	m.page = append(m.page, h)
+	m.exposed = append(m.exposed, h)
 	return h
 }
 
 func readGoroutines() map[string]int64 { return map[string]int64{"": int64(runtime.NumGoroutine())} }
 
-// The runtime's names of the two sizes that the page shows.
+// Names of the sizes in the package runtime/metrics that are exposed, in bytes.
 const (
-	heapName   = "/memory/classes/heap/objects:bytes"
-	systemName = "/memory/classes/total:bytes"
+	heapMetric  = "/memory/classes/heap/objects:bytes"
+	totalMetric = "/memory/classes/total:bytes"
 )
 
 func readMemory() map[string]int64 {
-	samples := []metrics.Sample{{Name: heapName}, {Name: systemName}}
+	samples := []metrics.Sample{{Name: heapMetric}, {Name: totalMetric}}
 	metrics.Read(samples)
 	return map[string]int64{"heap": int64(samples[0].Value.Uint64()), "total": int64(samples[1].Value.Uint64())}
 }
--- a/internal/telemetry/page_test.go
+++ b/internal/telemetry/page_test.go
@@ -10,14 +10,15 @@
 	"samphireweir.example/samphireweir/internal/telemetry"
 )
 
-// TestPage keeps docs/METRICS.md and the definitions alike.
-func TestPage(t *testing.T) {
+// TestMetricsPageMatchesDefinitions guards against a docs/METRICS.md that was not regenerated after a change of a definition.
+func TestMetricsPageMatchesDefinitions(t *testing.T) {
 	page, err := os.ReadFile("../../docs/METRICS.md")
 	require.NoError(t, err)
 	require.Equal(t, telemetry.Page(), string(page))
 }
 
-// TestEveryMetricIsWritten finds each definition, once, on the page that a process serves.
+// TestEveryMetricIsWritten guards against a metric that is defined and listed but not exposed: each definition must appear exactly
+// once in the text that a process serves.
 func TestEveryMetricIsWritten(t *testing.T) {
 	var b strings.Builder
 	require.NoError(t, telemetry.NewMetrics().Write(&b))
--- a/internal/telemetry/path_test.go
+++ b/internal/telemetry/path_test.go
@@ -51,9 +51,9 @@
 	return resp.StatusCode, string(raw)
 }
 
-// TestOneTracePerRequest sends one caller's request through an entry and an agent: the spans of both and of the call
-// to the upstream hang together, below the caller's own span.
-func TestOneTracePerRequest(t *testing.T) {
+// TestRequestSpansFormOneTrace guards against a hop that doesn't pass the traceparent on: each span of a request, from the entry over
+// the agent to the call of the upstream, must be the child of the previous one, and the first a child of the caller's span.
+func TestRequestSpansFormOneTrace(t *testing.T) {
 	exporter := tracetest.NewInMemoryExporter()
 	seen := make(chan string, 1)
 	plain := func(_ http.ResponseWriter, r *http.Request) { seen <- r.Header.Get("Traceparent") }
@@ -82,10 +82,10 @@
 	require.Equal(t, http.StatusOK, status)
 	require.Eventually(t, func() bool { return len(spans(exporter)) == len(hops) }, 10*time.Second, 10*time.Millisecond)
 	last := spans(exporter)["upstream call"].SpanContext
-	require.Equal(t, "00-"+callerTrace+"-"+last.SpanID().String()+"-01", <-seen, "the upstream gets the last hop's span")
+	require.Equal(t, "00-"+callerTrace+"-"+last.SpanID().String()+"-01", <-seen, "the upstream receives the span of the last hop")
 }
 
-// spans returns the spans of the caller's trace by name.
+// spans returns the exported spans of the caller's trace, by name.
 func spans(e *tracetest.InMemoryExporter) map[string]tracetest.SpanStub {
 	found := map[string]tracetest.SpanStub{}
 	for _, s := range e.GetSpans() {
@@ -96,8 +96,8 @@
 	return found
 }
 
-// TestStartIsTraced finds the spans of the chunks, of the load and of the settings that a start brings.
-func TestStartIsTraced(t *testing.T) {
+// TestStartupIsTraced checks that the start of a fleet exports spans for fetched chunks, load orders and applied settings.
+func TestStartupIsTraced(t *testing.T) {
 	exporter := tracetest.NewInMemoryExporter()
 	start(t, experiment.Config{Traces: func(name string) *telemetry.Traces {
 		return telemetry.NewTracesTo(exporter, "test", name)
@@ -111,8 +111,9 @@
 	}
 }
 
-// TestMetricsOfAPath reads both processes' pages after requests that were answered and refused.
-func TestMetricsOfAPath(t *testing.T) {
+// TestMetricsCountAnsweredAndRefusedRequests checks the metrics that an entry and an agent serve after requests that were answered and
+// one that was refused.
+func TestMetricsCountAnsweredAndRefusedRequests(t *testing.T) {
 	f := start(t, experiment.Config{})
 	callers := "http://" + f.Entries[0].CallersAddress()
 	for range 3 {
--- a/internal/telemetry/series.go
+++ b/internal/telemetry/series.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// maxLabels is the most labels that a metric has.
+	// maxLabels is the maximum number of labels of a metric.
 	maxLabels = 4
-	// MaxSeries bounds the combinations of labels of one metric; further ones are counted under Other.
+	// MaxSeries is the maximum number of label combinations of one metric; further ones are counted under Other.
 	MaxSeries = 512
-	// Other stands for every label of the combinations beyond MaxSeries.
+	// Other is the value of every label for combinations beyond MaxSeries.
 	Other = "other"
 )
 
@@ -29,45 +29,46 @@
 	return l
 }
 
-// family holds the series of one metric by their labels.
+// family holds the series of one metric, keyed by their labels.
 type family[T any] struct {
 	definition Definition
-	make       func(name string) T
+	newSeries  func(name string) T
 
 	mu     sync.RWMutex
 	series map[labelValues]T
 }
 
-func newFamily[T any](d Definition, makeSeries func(name string) T) *family[T] {
-	return &family[T]{definition: d, make: makeSeries, series: map[labelValues]T{}}
+func newFamily[T any](d Definition, newSeries func(name string) T) *family[T] {
+	return &family[T]{definition: d, newSeries: newSeries, series: map[labelValues]T{}}
 }
 
-// with returns the series of these labels; it allocates only the first time.
-func (f *family[T]) with(l labelValues) T {
+// get returns the series with these labels. It allocates only when it creates the series.
+func (f *family[T]) get(l labelValues) T {
 	f.mu.RLock()
-	s, known := f.series[l]
+	s, ok := f.series[l]
 	f.mu.RUnlock()
-	if known {
+	if ok {
 		return s
 	}
 	return f.add(l)
 }
 
+// add creates the series with these labels, or returns the one labelled Other if there are MaxSeries already.
 func (f *family[T]) add(l labelValues) T {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.series) >= MaxSeries {
-		l = f.others()
+		l = f.otherLabels()
 	}
-	if s, known := f.series[l]; known {
+	if s, ok := f.series[l]; ok {
 		return s
 	}
-	s := f.make(f.definition.Name + f.definition.labelText(l, ""))
+	s := f.newSeries(f.definition.Name + f.definition.labelText(l, ""))
 	f.series[l] = s
 	return s
 }
 
-func (f *family[T]) others() labelValues {
+func (f *family[T]) otherLabels() labelValues {
 	var l labelValues
 	for i := range f.definition.Labels {
 		l[i] = Other
@@ -75,7 +76,7 @@
 	return l
 }
 
-// sorted returns the labels of all series in a stable order.
+// sorted returns the labels of all series, sorted so that the output is stable.
 func (f *family[T]) sorted() []labelValues {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -87,7 +88,7 @@
 	return list
 }
 
-// labelText writes the labels with extra after them, such as {team="a",le="1"}; nothing when there are none.
+// labelText formats the labels followed by extra, such as {team="a",le="1"}. It is empty if there are none.
 func (d Definition) labelText(l labelValues, extra string) string {
 	var parts []string
 	for i, name := range d.Labels {
@@ -102,27 +103,28 @@
 	return "{" + strings.Join(parts, ",") + "}"
 }
 
-// Counter counts by labels.
+// Counter is a counter or gauge with labels.
 type Counter struct{ *family[metrics.Counter] }
 
 func newCounter(r metrics.Registry, d Definition) Counter {
 	return Counter{newFamily(d, func(name string) metrics.Counter { return metrics.NewRegisteredCounter(name, r) })}
 }
 
-// Add adds n to the series of these labels. A gauge may go down with a negative n.
-func (c Counter) Add(n int64, values ...string) { c.with(labelsOf(values)).Inc(n) }
+// Add adds n to the series with these labels. n may be negative for a gauge only.
+func (c Counter) Add(n int64, values ...string) { c.get(labelsOf(values)).Inc(n) }
 
-// Value reads the series of these labels.
-func (c Counter) Value(values ...string) int64 { return c.with(labelsOf(values)).Count() }
+// Value returns the value of the series with these labels.
+func (c Counter) Value(values ...string) int64 { return c.get(labelsOf(values)).Count() }
 
-// buckets are the upper bounds of histograms' buckets: from a hop's own cost to a long answer.
+// buckets are the upper bounds of the buckets of histograms: from the overhead of one hop to the duration of a long answer.
 var buckets = []time.Duration{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond, 820 * time.Millisecond,
 	2 * time.Second, 5 * time.Second, 10 * time.Second, 30 * time.Second, time.Minute, 5 * time.Minute,
 }
 
-// distribution is one series of a histogram: a counter for each bucket, one for what is above, and the sum.
+// distribution is one series of a histogram: a counter for each bucket, one for durations above the last bound, and the sum in
+// nanoseconds.
 type distribution struct {
 	counts []metrics.Counter
 	sum    metrics.Counter
@@ -142,22 +144,22 @@
 	d.sum.Inc(int64(took))
 }
 
-// Histogram counts durations by labels.
+// Histogram counts durations in buckets, by labels.
 type Histogram struct{ *family[*distribution] }
 
 func newHistogram(r metrics.Registry, d Definition) Histogram {
 	return Histogram{newFamily(d, func(name string) *distribution { return newDistribution(r, name) })}
 }
 
-// Observe counts one duration.
+// Observe records one duration in the series with these labels.
 func (h Histogram) Observe(took time.Duration, values ...string) {
-	h.with(labelsOf(values)).observe(took)
+	h.get(labelsOf(values)).observe(took)
 }
 
-// Count tells how many durations were counted.
+// Count returns the number of durations recorded in the series with these labels.
 func (h Histogram) Count(values ...string) int64 {
 	n := int64(0)
-	for _, c := range h.with(labelsOf(values)).counts {
+	for _, c := range h.get(labelsOf(values)).counts {
 		n += c.Count()
 	}
 	return n
--- a/internal/telemetry/series_test.go
+++ b/internal/telemetry/series_test.go
@@ -11,8 +11,9 @@
 	"samphireweir.example/samphireweir/internal/telemetry"
 )
 
-// TestLabelsAreBounded counts what is beyond the bound under one series, and loses nothing.
-func TestLabelsAreBounded(t *testing.T) {
+// TestSeriesBeyondTheMaximumCountUnderOther guards against unbounded memory when a label takes many values. Combinations beyond
+// MaxSeries share one series, and no count is lost.
+func TestSeriesBeyondTheMaximumCountUnderOther(t *testing.T) {
 	m := telemetry.NewMetrics()
 	const n = 3 * telemetry.MaxSeries
 	for i := range n {
@@ -22,8 +23,8 @@
 	require.EqualValues(t, 1, m.AttemptsFailed.Value("0"))
 }
 
-// TestHistogramBuckets writes cumulative buckets, the sum and the count.
-func TestHistogramBuckets(t *testing.T) {
+// TestHistogramBucketsAreCumulative checks the text format of a histogram: cumulative buckets, the sum in seconds and the count.
+func TestHistogramBucketsAreCumulative(t *testing.T) {
 	m := telemetry.NewMetrics()
 	for _, took := range []time.Duration{time.Millisecond, 3 * time.Millisecond, time.Hour} {
 		m.Total.Observe(took, "karrakin", "summary-model")
@@ -43,8 +44,9 @@
 	}
 }
 
-// TestHotPathDoesNotAllocate counts and times under labels that are known already.
-func TestHotPathDoesNotAllocate(t *testing.T) {
+// TestExistingSeriesDoNotAllocate guards against allocations on the path of each request: counting and timing under labels that were
+// used before must allocate nothing.
+func TestExistingSeriesDoNotAllocate(t *testing.T) {
 	m := telemetry.NewMetrics()
 	allocations := testing.AllocsPerRun(100, func() {
 		m.Requests.Add(1, "karrakin", "summary-model", "ok")
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,6 +1,5 @@
-// Package telemetry measures and traces a process from the outside of its decisions: it watches the events and
-// effects that pass through the reducer, and wraps the servers and clients of HTTP. The code that it measures does
-// not call it.
+// Package telemetry provides the metrics and traces of a process. It observes the events and effects that pass through the
+// reducer, and wraps HTTP servers and clients, so that the measured code does not depend on it.
 package telemetry
 
 import (
@@ -9,27 +8,28 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// Telemetry is the metrics and traces of one process.
+// Telemetry holds the metrics and traces of one process.
 type Telemetry struct {
+	// Metrics are the metrics of the process.
 	Metrics *Metrics
 	// Traces is nil when tracing is off.
-	Traces *Traces
-	watch  *watcher
+	Traces  *Traces
+	watcher *watcher
 }
 
-// New returns the telemetry of a process; traces may be nil.
+// New returns the telemetry of a process; traces may be nil, which turns tracing off.
 func New(traces *Traces) *Telemetry {
 	m := NewMetrics()
-	return &Telemetry{Metrics: m, Traces: traces, watch: newWatcher(m, traces)}
+	return &Telemetry{Metrics: m, Traces: traces, watcher: newWatcher(m, traces)}
 }
 
-// Event counts an event that goes into the reducer.
-func (t *Telemetry) Event(ev step.Event) { t.watch.event(ev) }
+// Event records an event that enters the reducer.
+func (t *Telemetry) Event(ev step.Event) { t.watcher.event(ev) }
 
-// Effect counts an effect that comes out of the reducer.
-func (t *Telemetry) Effect(e step.Effect) { t.watch.effect(e) }
+// Effect records an effect that the reducer returned.
+func (t *Telemetry) Effect(e step.Effect) { t.watcher.effect(e) }
 
-// ServePage answers GET /metrics.
+// ServePage answers GET /metrics in the text exposition format.
 func (t *Telemetry) ServePage(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 	_ = t.Metrics.Write(w)
--- a/internal/telemetry/traces.go
+++ b/internal/telemetry/traces.go
@@ -23,7 +23,7 @@
 	"samphireweir.example/samphireweir/internal/core"
 )
 
-// Exporter names where traces go.
+// Exporter names the destination of traces.
 type Exporter string
 
 // The exporters.
@@ -36,25 +36,27 @@
 	OTLPExporter Exporter = "otlp"
 )
 
-// TraceConfig is the process settings of tracing.
+// TraceConfig holds the process settings of tracing.
 type TraceConfig struct {
+	// Exporter is one of the exporters; empty turns tracing off.
 	Exporter string
-	// Endpoint is the collector's URL, for OTLPExporter.
+	// Endpoint is the URL of the collector. It must be set for OTLPExporter, and only then.
 	Endpoint string
-	// Ratio is the part of traces that begin here which are kept; a caller's own decision is followed.
+	// Ratio is the fraction of the traces started by this process that are kept, 0 to 1. The sampling decision of a caller's
+	// traceparent takes precedence.
 	Ratio float64
-	// AtOnce sends each span when it ends, for commands that live shortly.
+	// AtOnce exports each span when it ends instead of in batches, for short-lived commands.
 	AtOnce bool
 }
 
-// Flags declares the flags of c on fs.
+// Flags defines the flags of c on fs.
 func (c *TraceConfig) Flags(fs *flag.FlagSet) {
-	fs.StringVar(&c.Exporter, "trace-exporter", string(NoExporter), "where traces go: none, stdout or otlp")
-	fs.StringVar(&c.Endpoint, "trace-endpoint", "", "URL of the collector of traces, for otlp, such as http://10.0.0.9:4318")
-	fs.Float64Var(&c.Ratio, "trace-ratio", 1, "part of the traces that begin here which are kept, 0 to 1; a caller's sampled traceparent is followed")
+	fs.StringVar(&c.Exporter, "trace-exporter", string(NoExporter), "destination of traces: none, stdout or otlp")
+	fs.StringVar(&c.Endpoint, "trace-endpoint", "", "URL of the trace collector, for otlp, such as http://10.0.0.9:4318")
+	fs.Float64Var(&c.Ratio, "trace-ratio", 1, "fraction of the traces started by this process that are kept, 0 to 1; the sampling decision in a caller's traceparent takes precedence")
 }
 
-// Check tells the first setting that is bad or clashes.
+// Check returns an error for the first setting that is invalid or contradicts another one.
 func (c *TraceConfig) Check() error {
 	switch Exporter(c.Exporter) {
 	case "", NoExporter, StdoutExporter, OTLPExporter:
@@ -74,14 +76,16 @@
 	return nil
 }
 
-// Traces makes and sends spans. A nil Traces does nothing.
+// Traces creates and exports spans. The methods of a nil Traces do nothing.
 type Traces struct {
 	tracer   trace.Tracer
 	provider *sdktrace.TracerProvider
-	wire     propagation.TraceContext
+	// propagator reads and writes the header traceparent.
+	propagator propagation.TraceContext
 }
 
-// NewTraces returns the traces of a process, or nil when they are off. stdout is where StdoutExporter prints.
+// NewTraces returns the traces of a process, or nil if tracing is off. StdoutExporter writes to stdout. The error is that of the
+// exporter.
 func NewTraces(c TraceConfig, process, host string, stdout io.Writer) (*Traces, error) {
 	var exporter sdktrace.SpanExporter
 	var err error
@@ -94,16 +98,16 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, errors.Wrapf(err, "make the trace exporter %s", c.Exporter)
+		return nil, errors.Wrapf(err, "create trace exporter %s", c.Exporter)
 	}
-	send := sdktrace.WithBatcher(exporter)
+	processor := sdktrace.WithBatcher(exporter)
 	if c.AtOnce {
-		send = sdktrace.WithSyncer(exporter)
+		processor = sdktrace.WithSyncer(exporter)
 	}
-	return newTraces(process, host, send, sdktrace.WithSampler(sampler(c.Ratio))), nil
+	return newTraces(process, host, processor, sdktrace.WithSampler(sampler(c.Ratio))), nil
 }
 
-// collectorPath is where collectors take spans unless the endpoint has a path of its own.
+// collectorPath is the standard OTLP path, used unless the endpoint has a path.
 const collectorPath = "/v1/traces"
 
 func collectorURL(endpoint string) string {
@@ -119,58 +123,58 @@
 	return sdktrace.ParentBased(sdktrace.TraceIDRatioBased(ratio))
 }
 
-// NewTracesTo returns traces that export each span at once, for tests.
+// NewTracesTo returns traces that export each span when it ends, for tests.
 func NewTracesTo(exporter sdktrace.SpanExporter, process, host string) *Traces {
 	return newTraces(process, host, sdktrace.WithSyncer(exporter))
 }
 
 func newTraces(process, host string, options ...sdktrace.TracerProviderOption) *Traces {
-	who := resource.NewSchemaless(attribute.String("service.name", "samphireweir-"+process), attribute.String("host.name", host))
-	p := sdktrace.NewTracerProvider(append(options, sdktrace.WithResource(who))...)
+	source := resource.NewSchemaless(attribute.String("service.name", "samphireweir-"+process), attribute.String("host.name", host))
+	p := sdktrace.NewTracerProvider(append(options, sdktrace.WithResource(source))...)
 	return &Traces{provider: p, tracer: p.Tracer("samphireweir")}
 }
 
-// Close sends what has not been sent.
+// Close exports the remaining spans and shuts the exporter down.
 func (t *Traces) Close(ctx context.Context) {
 	if t != nil {
 		_ = t.provider.Shutdown(ctx)
 	}
 }
 
-// Server wraps next so that a request on one of spans' paths gets a span, the child of the one in its traceparent;
-// the path "" stands for every other. It returns next itself when tracing is off.
-func (t *Traces) Server(spans map[string]string, next http.Handler) http.Handler {
+// Server wraps next so that requests get a span, a child of the one in their traceparent. spanNames maps a path to the name of its
+// span; the key "" is for all other paths, and a request without a name gets no span. Server returns next itself if tracing is off.
+func (t *Traces) Server(spanNames map[string]string, next http.Handler) http.Handler {
 	if t == nil {
 		return next
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		name, found := spans[r.URL.Path]
-		if !found {
-			name = spans[""]
+		name, ok := spanNames[r.URL.Path]
+		if !ok {
+			name = spanNames[""]
 		}
 		if name == "" {
 			next.ServeHTTP(w, r)
 			return
 		}
-		ctx := t.wire.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
+		ctx := t.propagator.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 		ctx, span := t.tracer.Start(ctx, name, trace.WithSpanKind(trace.SpanKindServer),
 			trace.WithAttributes(attribute.String("http.request.method", r.Method), attribute.String("url.path", r.URL.Path)))
 		defer span.End()
-		t.wire.Inject(ctx, propagation.HeaderCarrier(r.Header))
+		t.propagator.Inject(ctx, propagation.HeaderCarrier(r.Header))
 		next.ServeHTTP(w, r.WithContext(ctx))
 	})
 }
 
-// NameCall names the span of a call; an empty name means none.
+// NameCall returns the name of a call's span, or an empty name for a call without a span.
 type NameCall func(*http.Request) string
 
-// Client makes each call of c that name names a span. The parent is the span of the call's context or else that of
-// its traceparent. When tracing is off it changes nothing.
+// Client wraps the transport of c so that each call for which name returns a name gets a span. Its parent is the span in the call's
+// context, or else the one in its traceparent. If tracing is off, c stays as it is.
 func (t *Traces) Client(c *http.Client, name NameCall) {
 	if t == nil {
 		return
 	}
-	next := base(c)
+	next := baseTransport(c)
 	c.Transport = transport{next, func(r *http.Request) (*http.Response, error) {
 		spanName := name(r)
 		if spanName == "" {
@@ -183,12 +187,12 @@
 func (t *Traces) call(r *http.Request, name string, next http.RoundTripper) (*http.Response, error) {
 	ctx := r.Context()
 	if !trace.SpanContextFromContext(ctx).IsValid() {
-		ctx = t.wire.Extract(ctx, propagation.HeaderCarrier(r.Header))
+		ctx = t.propagator.Extract(ctx, propagation.HeaderCarrier(r.Header))
 	}
 	ctx, span := t.tracer.Start(ctx, name, trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("server.address", r.URL.Host), attribute.String("url.path", r.URL.Path)))
 	r = r.Clone(ctx)
-	t.wire.Inject(ctx, propagation.HeaderCarrier(r.Header))
+	t.propagator.Inject(ctx, propagation.HeaderCarrier(r.Header))
 	resp, err := next.RoundTrip(r)
 	if err != nil {
 		span.SetStatus(codes.Error, err.Error())
@@ -200,14 +204,14 @@
 	return resp, nil
 }
 
-// tracedBody ends a call's span when its answer is read or given up.
+// tracedBody is an answer's body that ends the span of its call when the body is read to its end or closed.
 type tracedBody struct {
 	io.ReadCloser
 	span trace.Span
 	once sync.Once
 }
 
-// Read reads on; the end of the answer ends the span.
+// Read reads from the body; an error, io.EOF included, ends the span.
 func (b *tracedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil {
@@ -216,7 +220,7 @@
 	return n, err
 }
 
-// Close gives the answer up.
+// Close closes the body and ends the span.
 func (b *tracedBody) Close() error {
 	b.end(io.EOF)
 	return b.ReadCloser.Close()
@@ -231,7 +235,7 @@
 	})
 }
 
-// settingInForce marks the moment at which a setting came into force in this process.
+// settingInForce records a span without duration at the time when a setting comes into force in this process.
 func (t *Traces) settingInForce(e core.SettingChanged) {
 	if t == nil {
 		return
@@ -241,7 +245,7 @@
 	span.End()
 }
 
-// The names of spans.
+// Names of spans.
 const (
 	spanEntryRequest   = "entry request"
 	spanEntryAttempt   = "entry attempt"
@@ -256,17 +260,17 @@
 	spanSettingsDelete = "settings delete"
 )
 
-// EntryServer gives each caller's request its span.
+// EntryServer wraps next so that each caller's request gets a span.
 func (t *Traces) EntryServer(next http.Handler) http.Handler {
 	return t.Server(map[string]string{"": spanEntryRequest}, next)
 }
 
-// AgentServer gives each run that an entry asks for its span.
+// AgentServer wraps next so that each run or resume that an entry requests gets a span.
 func (t *Traces) AgentServer(next http.Handler) http.Handler {
 	return t.Server(map[string]string{"/run": spanAgentRun, "/resume": spanAgentResume}, next)
 }
 
-// NamePeerCall names calls between the system's processes.
+// NamePeerCall returns the span name of a call between the system's processes.
 func NamePeerCall(r *http.Request) string {
 	switch path := r.URL.Path; {
 	case path == "/run":
@@ -279,16 +283,16 @@
 	return ""
 }
 
-// NameSend names each send of a caller's request straight to an upstream.
+// NameSend returns the span name of an attempt that sends a caller's request directly to an upstream.
 func NameSend(*http.Request) string { return spanEntryAttempt }
 
-// NameOriginCall names each call of the origin of weights.
+// NameOriginCall returns the span name of a call to the origin of weights.
 func NameOriginCall(*http.Request) string { return spanChunkFetch }
 
-// NameUpstreamCall names calls to upstreams: callers' requests and orders.
+// NameUpstreamCall returns the span name of a call to an upstream: a caller's request or an order.
 func NameUpstreamCall(r *http.Request) string {
 	switch {
-	case isCall(r):
+	case isCallerRequest(r):
 		return spanUpstreamCall
 	case strings.HasSuffix(r.URL.Path, "/orders/load"):
 		return spanLoadOrder
@@ -298,7 +302,7 @@
 	return ""
 }
 
-// NameOutsideCall names calls to the platform and the sources of weights.
+// NameOutsideCall returns the span name of a call to the platform or to a source of weights.
 func NameOutsideCall(r *http.Request) string {
 	switch path := r.URL.Path; {
 	case strings.HasPrefix(path, "/v1/weights/") && r.Header.Get("Range") != "":
--- a/internal/telemetry/watcher.go
+++ b/internal/telemetry/watcher.go
@@ -14,25 +14,26 @@
 	"samphireweir.example/samphireweir/internal/core/weights"
 )
 
-// The values of the label source.
+// Values of the label source.
 const (
 	sourcePeer   = "peer"
 	sourceStore  = "store"
 	sourceOrigin = "origin"
 )
 
-// watcher counts what passes through the reducer. It is called under the loop's lock and does little.
+// watcher counts the events and effects that pass through the reducer. It is called while the event loop's lock is held, so it must
+// return quickly.
 type watcher struct {
 	metrics *Metrics
 	traces  *Traces
 
 	mu sync.Mutex
-	// fetches are the sizes of the chunks that are being fetched from peers.
-	fetches map[uint64]int64
+	// fetchSizes holds the sizes in bytes of the chunks that are being fetched from peers, by the fetch's id.
+	fetchSizes map[uint64]int64
 }
 
 func newWatcher(m *Metrics, t *Traces) *watcher {
-	return &watcher{metrics: m, traces: t, fetches: map[uint64]int64{}}
+	return &watcher{metrics: m, traces: t, fetchSizes: map[uint64]int64{}}
 }
 
 func codeText(c code.Code) string { return strconv.Itoa(int(c)) }
@@ -49,7 +50,7 @@
 	case weights.ChunkStored:
 		w.chunkStored(ev)
 	case weights.ChunkFailed:
-		w.forget(ev.Fetch)
+		w.fetchEnded(ev.Fetch)
 		m.ChunksRefused.Add(1, sourceOf(ev.From), reasonText(ev.Reason))
 	case rollout.OrderEnded:
 		m.Loads.Add(1, outcomeText(ev.Outcome))
@@ -74,9 +75,9 @@
 	case record.CompareAnswer:
 		w.records("exchanged", e.Records)
 	case weights.FetchChunk:
-		w.remember(e)
+		w.fetchStarted(e)
 	case weights.CancelFetch:
-		w.forget(e.ID)
+		w.fetchEnded(e.ID)
 	case rollout.Load:
 		m.Loads.Add(1, "ordered")
 	case rollout.SetRole:
@@ -96,25 +97,26 @@
 	w.metrics.RecordBytes.Add(int64(bytes), way)
 }
 
-func (w *watcher) remember(e weights.FetchChunk) {
+func (w *watcher) fetchStarted(e weights.FetchChunk) {
 	if e.From == weights.Origin {
-		return // Chunks from the sources are counted where they are read, since there store and origin differ.
+		return // Chunks from the weight store and the origin are counted as they are read: only there are the two told apart.
 	}
 	w.mu.Lock()
-	w.fetches[e.ID] = e.Chunk.Size
+	w.fetchSizes[e.ID] = e.Chunk.Size
 	w.mu.Unlock()
 }
 
-func (w *watcher) forget(id uint64) int64 {
+// fetchEnded removes a fetch and returns the size of its chunk, 0 if the chunk doesn't come from a peer.
+func (w *watcher) fetchEnded(id uint64) int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	size := w.fetches[id]
-	delete(w.fetches, id)
+	size := w.fetchSizes[id]
+	delete(w.fetchSizes, id)
 	return size
 }
 
 func (w *watcher) chunkStored(ev weights.ChunkStored) {
-	size := w.forget(ev.Fetch)
+	size := w.fetchEnded(ev.Fetch)
 	if ev.From == weights.Origin {
 		return
 	}
