--- a/internal/story/fuzz_test.go
+++ b/internal/story/fuzz_test.go
@@ -9,22 +9,23 @@
 	"samphireweir.example/samphireweir/internal/story"
 )
 
-// FuzzRead reads anything as a log: each line is read or counted, and whatever was read can be explained and printed.
+// FuzzRead guards against panics and lost lines on arbitrary input. Each line must be parsed or counted as malformed, and whatever was
+// parsed must be explainable and printable.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(line(28, "entry", "edge-1", sent) + line(29, "entry", "edge-1", broken) + line(30, "entry", "edge-1", refused)))
 	f.Add([]byte("12.5 edge-1 {\"event\":4008,\"request\":\"abc\"}\n{\"event\":\"x\"}\n{\"time\":7}\n{\n\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		l, err := story.Read(bytes.NewReader(raw))
 		if err != nil {
-			return // A line of over a megabyte.
+			return // A line is longer than maxLineBytes.
 		}
-		filled := 0
+		nonEmpty := 0
 		for _, text := range bytes.Split(raw, []byte("\n")) {
 			if len(bytes.TrimSpace(text)) > 0 {
-				filled++
+				nonEmpty++
 			}
 		}
-		require.Equal(t, filled, len(l.Lines)+l.Bad)
+		require.Equal(t, nonEmpty, len(l.Lines)+l.Bad)
 		var out bytes.Buffer
 		for _, id := range l.Failures() {
 			v, ok := l.Explain(id)
--- a/internal/story/installs.go
+++ b/internal/story/installs.go
@@ -11,33 +11,37 @@
 	"samphireweir.example/samphireweir/internal/logevent"
 )
 
-// Step is one step on the way of a version to the engines: when hosts took it, in time after Installs.Begin, the earliest first.
+// Step is one step of the installation of a version on the engines.
 type Step struct {
-	Name  string
+	// Name is the phase of the installation and the reason for it, or a step before the installation.
+	Name string
+	// Times are the times at which hosts reached the step, after Installs.Begin, sorted. They are negative before it.
 	Times []time.Duration
 }
 
-// Installs is how a version came to the engines.
+// Installs describes how a version of a model was installed on the engines.
 type Installs struct {
 	Model   string
 	Version int64
-	// Begin is when the first host heard of it, or started if it heard of the version before it had started.
+	// Begin is the earliest time at which a host logged a phase of the version's installation.
 	Begin time.Time
-	// Hosts counts the hosts that heard of it. Each counts from its last start on.
+	// Hosts is the number of hosts that logged a phase of the installation. Only lines after a host's last start count.
 	Hosts int
+	// Steps are sorted by the median of their times.
 	Steps []Step
 }
 
-// The steps of a version before its install begins.
+// Steps before the installation of a version starts.
 const (
-	stepStarted  = "its agent listens"
-	stepManifest = "it knows the manifest"
+	stepStarted  = "agent started"
+	stepManifest = "manifest received"
 )
 
-// Installs tells how a version of a model came to the engines, from the logs of the agents. The hosts' clocks may differ.
+// Installs returns how a version of a model was installed, from the logs of the agents. Times are those of the hosts' clocks, which may
+// differ from each other.
 func (l *Log) Installs(model string, version int64) Installs {
 	out := Installs{Model: model, Version: version}
-	hosts := map[string]map[string]time.Time{}
+	hosts := map[string]map[string]time.Time{} // When a step was first reached, by host and step.
 	for _, line := range l.Lines {
 		if line.Process != "agent" {
 			continue
@@ -53,7 +57,7 @@
 		if hosts[line.Name] == nil {
 			hosts[line.Name] = map[string]time.Time{}
 		}
-		if _, taken := hosts[line.Name][name]; !taken {
+		if _, ok := hosts[line.Name][name]; !ok {
 			hosts[line.Name][name] = line.Time
 		}
 	}
@@ -61,7 +65,7 @@
 	return out
 }
 
-// stepOf names the step that a line tells of, empty for none.
+// stepOf returns the name of the step that a line reports, or an empty string if it reports none.
 func stepOf(line Line, model string, version int64) string {
 	switch {
 	case line.Event == logevent.BeliefChanged && line.What == "manifest":
@@ -72,36 +76,37 @@
 	return ""
 }
 
-// add gathers the steps of the hosts that heard of the version.
+// add collects the steps of the hosts that logged a phase of the installation.
 func (i *Installs) add(hosts map[string]map[string]time.Time) {
 	times := map[string][]time.Time{}
 	for _, steps := range hosts {
-		heard := time.Time{}
+		installStart := time.Time{}
 		for name, at := range steps {
-			if name != stepStarted && name != stepManifest && (heard.IsZero() || at.Before(heard)) {
-				heard = at
+			if name != stepStarted && name != stepManifest && (installStart.IsZero() || at.Before(installStart)) {
+				installStart = at
 			}
 		}
-		if heard.IsZero() {
+		if installStart.IsZero() {
 			continue
 		}
 		i.Hosts++
-		i.begin(heard)
+		i.beginAt(installStart)
 		for name, at := range steps {
 			times[name] = append(times[name], at)
 		}
 	}
-	i.order(times)
+	i.setSteps(times)
 }
 
-func (i *Installs) begin(heard time.Time) {
-	if i.Begin.IsZero() || heard.Before(i.Begin) {
-		i.Begin = heard
+// beginAt moves Begin to t if t is earlier.
+func (i *Installs) beginAt(t time.Time) {
+	if i.Begin.IsZero() || t.Before(i.Begin) {
+		i.Begin = t
 	}
 }
 
-// order sorts the steps by when the middle host took them.
-func (i *Installs) order(times map[string][]time.Time) {
+// setSteps fills in Steps from the times of each step, sorted by their median.
+func (i *Installs) setSteps(times map[string][]time.Time) {
 	for name, list := range times {
 		step := Step{Name: name}
 		for _, at := range list {
@@ -112,15 +117,15 @@
 	}
 	sort.Slice(i.Steps, func(a, b int) bool {
 		x, y := i.Steps[a], i.Steps[b]
-		mx, my := x.Times[len(x.Times)/2], y.Times[len(y.Times)/2]
-		return mx < my || mx == my && x.Name < y.Name
+		medianX, medianY := x.Times[len(x.Times)/2], y.Times[len(y.Times)/2]
+		return medianX < medianY || medianX == medianY && x.Name < y.Name
 	})
 }
 
-// Print writes the steps as a table.
+// Print writes the steps as a table to w, with times in seconds. It returns the error of w.
 func (i Installs) Print(w io.Writer) error {
 	var out strings.Builder
-	fmt.Fprintf(&out, "version %d of %s came to %d hosts; seconds after the first of them heard of it, at %s\n",
+	fmt.Fprintf(&out, "version %d of %s on %d hosts; seconds after the first of them started its installation, at %s\n",
 		i.Version, i.Model, i.Hosts, i.Begin.Format(time.RFC3339Nano))
 	fmt.Fprintf(&out, "%6s %8s %8s %8s  %s\n", "hosts", "first", "middle", "last", "step")
 	for _, s := range i.Steps {
--- a/internal/story/installs_test.go
+++ b/internal/story/installs_test.go
@@ -11,26 +11,27 @@
 	"samphireweir.example/samphireweir/internal/story"
 )
 
-// TestInstallsTellAVersionsWay has two hosts take a version, one of which starts again in between, and a third that hears of another version only.
-func TestInstallsTellAVersionsWay(t *testing.T) {
+// TestInstallsOfAVersion checks the steps of a version that two hosts install, one of which restarts in between; lines before its restart
+// must not count. A third host installs another version only and must not count either.
+func TestInstallsOfAVersion(t *testing.T) {
 	var log strings.Builder
-	moved := func(second int, host string, version int, phase string) {
+	phaseChanged := func(second int, host string, version int, phase string) {
 		log.WriteString(line(second, "agent", host, fmt.Sprintf(`"event":3012,"model":"m","version":%d,"phase":%q,"why":"so"`, version, phase)))
 	}
 	log.WriteString(line(1, "agent", "side-1", `"event":1001`))
-	moved(2, "side-1", 2, "resolving")
-	moved(4, "side-1", 2, "whole")
-	moved(3, "side-2", 2, "resolving")
-	moved(5, "side-2", 1, "whole")
+	phaseChanged(2, "side-1", 2, "resolving")
+	phaseChanged(4, "side-1", 2, "whole")
+	phaseChanged(3, "side-2", 2, "resolving")
+	phaseChanged(5, "side-2", 1, "whole")
 	log.WriteString(line(6, "agent", "side-2", `"event":1001`))
-	moved(7, "side-2", 2, "resolving")
-	moved(9, "side-2", 2, "whole")
-	moved(8, "side-3", 1, "whole")
+	phaseChanged(7, "side-2", 2, "resolving")
+	phaseChanged(9, "side-2", 2, "whole")
+	phaseChanged(8, "side-3", 1, "whole")
 	i := read(t, log.String(), "").Installs("m", 2)
 	require.Equal(t, 2, i.Hosts)
 	require.Equal(t, []story.Step{
 		{Name: "resolving (so)", Times: []time.Duration{0, 5 * time.Second}},
-		{Name: "its agent listens", Times: []time.Duration{-time.Second, 4 * time.Second}},
+		{Name: "agent started", Times: []time.Duration{-time.Second, 4 * time.Second}},
 		{Name: "whole (so)", Times: []time.Duration{2 * time.Second, 7 * time.Second}},
 	}, sorted(i.Steps))
 	var out strings.Builder
@@ -38,9 +39,9 @@
 	require.Contains(t, out.String(), "     2     2.00     7.00     7.00  whole (so)")
 }
 
-// sorted puts the steps in the order in which the last host took them; the middle of two is the later.
+// sorted returns the steps in the order that the test expects: the median of two times is the later one.
 func sorted(steps []story.Step) []story.Step {
-	order := map[string]int{"resolving (so)": 0, "its agent listens": 1, "whole (so)": 2}
+	order := map[string]int{"resolving (so)": 0, "agent started": 1, "whole (so)": 2}
 	list := make([]story.Step, len(order))
 	for _, s := range steps {
 		list[order[s.Name]] = s
--- a/internal/story/losses.go
+++ b/internal/story/losses.go
@@ -10,55 +10,56 @@
 	"samphireweir.example/samphireweir/internal/logevent"
 )
 
-// Loss is a reason for which requests were not answered in time, and how many it took.
+// Loss is a reason why requests were not answered in time.
 type Loss struct {
-	Reason   string
+	Reason string
+	// Requests is the number of requests with this reason.
 	Requests int
 }
 
-// Losses are the requests of the logs by what became of them. A caller that comes back counts as another request.
+// Losses counts the requests of the logs by how they ended. A caller that returns after a refusal counts as another request.
 type Losses struct {
-	// Ended counts the requests that ended at an entry, InTime those whose first byte came within their objective.
+	// Ended is the number of requests that ended at an entry, InTime the number of those that met their latency objectives.
 	Ended, InTime int
-	// Losses are ordered by the requests that they took, the most first.
+	// Losses are sorted by their number of requests, in descending order.
 	Losses []Loss
 }
 
-// The reasons.
+// Reasons why requests were not answered in time.
 const (
-	refusedFirst   = "refused: no room"
-	refusedAgain   = "refused again after coming back: no room"
-	refusedNone    = "refused: no upstream with the weights, or all are avoided"
-	refusedStart   = "refused: the entry is starting or stopping"
-	refusedCaller  = "refused: the caller's own doing (key, route, size)"
-	failedUnknown  = "failed: it may have run"
-	lateBack       = "late: it came back after a refusal"
-	lateWait       = "late: it waited for room for over a tenth of its objective"
-	lateAgain      = "late: it was sent more than once"
-	lateUpstream   = "late: at its upstream"
-	latePause      = "late: its upstream paused between two events"
-	lateCaller     = "late: its caller took an event slowly"
-	cutPause       = "cut midway: its upstream went silent"
-	failedUpstream = "failed by the upstream"
-	cutMidway      = "cut midway"
-	callerGone     = "its caller left"
+	refusedCapacity   = "refused: no capacity"
+	refusedReturned   = "refused: no capacity, caller had been refused before"
+	refusedNoUpstream = "refused: no upstream with the weights, or all in backoff"
+	refusedNotReady   = "refused: the entry is starting or stopping"
+	refusedInvalid    = "refused: invalid request (key, route, size)"
+	failedUnknown     = "failed: unknown outcome, an upstream may have run it"
+	lateReturned      = "late: caller had been refused before"
+	lateWait          = "late: waited for capacity for over a tenth of its objective"
+	lateRetried       = "late: more than one attempt"
+	lateUpstream      = "late: at the upstream"
+	lateUpstreamPause = "late: upstream paused between two events"
+	lateCaller        = "late: slow write to the caller"
+	abortedSilent     = "aborted midway: upstream stopped sending"
+	failedUpstream    = "failed by the upstream"
+	aborted           = "aborted midway"
+	callerGone        = "caller disconnected"
 )
 
-// Losses sorts the requests of the logs by what became of them.
+// Losses counts the requests of the logs by how they ended.
 func (l *Log) Losses() Losses {
-	last := map[string]Line{}
+	lastAttempt := map[string]Line{} // The last attempt of a request, by its id.
 	var out Losses
 	reasons := map[string]int{}
 	for _, line := range l.Lines {
 		switch line.Event {
 		case logevent.RequestSent:
-			last[line.Request] = line
+			lastAttempt[line.Request] = line
 		case logevent.RequestRefused:
 			out.Ended++
 			reasons[refusalReason(line)]++
 		case logevent.RequestEnded:
 			out.Ended++
-			if reason := endReason(line, last[line.Request]); reason != "" {
+			if reason := endReason(line, lastAttempt[line.Request]); reason != "" {
 				reasons[reason]++
 			} else {
 				out.InTime++
@@ -75,59 +76,61 @@
 	return out
 }
 
+// refusalReason returns the reason of a refused request.
 func refusalReason(line Line) string {
 	switch c := code.Code(line.Code); {
 	case c == code.NotReady || c == code.Stopping:
-		return refusedStart
+		return refusedNotReady
 	case c == code.NoUpstream:
-		return refusedNone
+		return refusedNoUpstream
 	case c == code.Overloaded && line.CameBack:
-		return refusedAgain
+		return refusedReturned
 	case c == code.Overloaded:
-		return refusedFirst
+		return refusedCapacity
 	case line.Ran == string(code.NotRun):
-		return refusedCaller
+		return refusedInvalid
 	}
 	return failedUnknown
 }
 
-// endReason returns why a request that ended was not answered in time, empty when it was. sent is the line of its last send.
-func endReason(line, sent Line) string {
+// endReason returns the reason why a request was not answered in time, or an empty string if it was. line is the end of the request and
+// attempt its last attempt.
+func endReason(line, attempt Line) string {
 	switch {
 	case line.Outcome == "caller gone":
 		return callerGone
 	case line.Outcome == "failed by the upstream":
 		return failedUpstream
 	case line.Outcome != "answered" && line.paused():
-		return cutPause
+		return abortedSilent
 	case line.Outcome != "answered":
-		return cutMidway
+		return aborted
 	case line.GapObjectiveMS > 0 && line.CallerPauseMS > line.GapObjectiveMS:
 		return lateCaller
 	case line.paused():
-		return latePause
-	case line.ObjectiveMS <= 0 || line.FirstMS <= line.ObjectiveMS && !sent.CameBack:
+		return lateUpstreamPause
+	case line.ObjectiveMS <= 0 || line.FirstMS <= line.ObjectiveMS && !attempt.CameBack:
 		return ""
-	case sent.CameBack:
-		return lateBack
-	case sent.Sends > 1:
-		return lateAgain
-	case sent.WaitedMS > line.ObjectiveMS/10:
+	case attempt.CameBack:
+		return lateReturned
+	case attempt.Sends > 1:
+		return lateRetried
+	case attempt.WaitedMS > line.ObjectiveMS/10:
 		return lateWait
 	}
 	return lateUpstream
 }
 
-// paused tells whether the request's upstream paused for longer than a stream that is in time may.
+// paused reports whether the upstream's longest pause between two events exceeds the gap objective.
 func (l Line) paused() bool { return l.GapObjectiveMS > 0 && l.UpstreamPauseMS > l.GapObjectiveMS }
 
-// Print writes the losses as a table.
+// Print writes the losses as a table to w. It returns the error of w.
 func (l Losses) Print(w io.Writer) error {
 	var out strings.Builder
-	share := func(n int) float64 { return 100 * float64(n) / float64(max(1, l.Ended)) }
-	fmt.Fprintf(&out, "%7d requests ended\n%7d %5.1f%%  answered in time\n", l.Ended, l.InTime, share(l.InTime))
+	percent := func(n int) float64 { return 100 * float64(n) / float64(max(1, l.Ended)) }
+	fmt.Fprintf(&out, "%7d requests ended\n%7d %5.1f%%  answered in time\n", l.Ended, l.InTime, percent(l.InTime))
 	for _, loss := range l.Losses {
-		fmt.Fprintf(&out, "%7d %5.1f%%  %s\n", loss.Requests, share(loss.Requests), loss.Reason)
+		fmt.Fprintf(&out, "%7d %5.1f%%  %s\n", loss.Requests, percent(loss.Requests), loss.Reason)
 	}
 	_, err := io.WriteString(w, out.String())
 	return err
--- a/internal/story/losses_test.go
+++ b/internal/story/losses_test.go
@@ -10,8 +10,8 @@
 	"samphireweir.example/samphireweir/internal/story"
 )
 
-// TestLossesSayWhatBecameOfEachRequest has a request for each way to end.
-func TestLossesSayWhatBecameOfEachRequest(t *testing.T) {
+// TestLossesCountEachReason checks that requests with different ends are counted under different reasons.
+func TestLossesCountEachReason(t *testing.T) {
 	var log strings.Builder
 	request := 0
 	add := func(sent, end string) {
@@ -43,9 +43,9 @@
 	losses := read(t, log.String(), "").Losses()
 	require.Equal(t, 15, losses.Ended)
 	require.Equal(t, 1, losses.InTime)
-	require.Equal(t, story.Loss{Reason: "refused: no room", Requests: 2}, losses.Losses[0])
+	require.Equal(t, story.Loss{Reason: "refused: no capacity", Requests: 2}, losses.Losses[0])
 	require.Len(t, losses.Losses, 13)
 	var out strings.Builder
 	require.NoError(t, losses.Print(&out))
-	require.Contains(t, out.String(), "      2  13.3%  refused: no room")
+	require.Contains(t, out.String(), "      2  13.3%  refused: no capacity")
 }
--- a/internal/story/read.go
+++ b/internal/story/read.go
@@ -1,5 +1,5 @@
-// Package story reads the logs of several processes and tells from them what became of one request, how one belief spread, and
-// what the failed requests failed of. It needs nothing but the log lines.
+// Package story reads the logs of several processes. From the log lines alone it explains the outcome of a request, how a change of
+// the known state spread, how a version was installed, and why requests were not answered in time.
 package story
 
 import (
@@ -15,8 +15,8 @@
 	"samphireweir.example/samphireweir/internal/logevent"
 )
 
-// maxLine bounds a line in bytes; a process writes none that is longer.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a line; processes write no longer ones.
+const maxLineBytes = 1 << 20
 
 // Line is one line of a log.
 type Line struct {
@@ -24,23 +24,24 @@
 	Event   logevent.ID `json:"event"`
 	Level   string      `json:"level"`
 	Message string      `json:"message"`
-	// Process is the role and Name the host.
+	// Process is the role of the process, Name its host.
 	Process string `json:"process"`
 	Name    string `json:"name"`
-	// Request is the id that the caller gave.
+	// Request is the request's id, as its caller gave it.
 	Request string `json:"request"`
-	// Dropped is how many lines the process dropped before this one.
+	// Dropped is the number of lines that the process dropped before this one.
 	Dropped int64 `json:"dropped"`
-	// What, Of, Value and Revision are a belief.
+	// What, Of, Value and Revision describe a change of the known state: the topic, the upstream or model, the new value and the
+	// store's revision.
 	What     string `json:"what"`
 	Of       string `json:"of"`
 	Value    string `json:"value"`
 	Revision int64  `json:"revision"`
-	// Model, Version and Phase are a version's on its way to an engine.
+	// Model, Version and Phase describe the installation of a version on an engine.
 	Model   string `json:"model"`
 	Version int64  `json:"version"`
 	Phase   string `json:"phase"`
-	// Upstream is an upstream's id, and Sends counts the sends of a request.
+	// Upstream is an upstream's id, Sends the number of the request's attempt.
 	Upstream string `json:"upstream"`
 	Sends    int    `json:"sends"`
 	Outcome  string `json:"outcome"`
@@ -48,36 +49,38 @@
 	Ran      string `json:"ran"`
 	Why      string `json:"why"`
 	Error    string `json:"error"`
-	// CameBack is set when the caller was refused before.
+	// CameBack is set if the caller was probably refused before.
 	CameBack bool `json:"came_back"`
-	// ObjectiveMS, FirstMS and WaitedMS are a request's latency objective, the time to its first byte and its wait for room.
+	// ObjectiveMS, FirstMS and WaitedMS are a request's latency objective, the time to its first byte and its wait for capacity, in
+	// milliseconds.
 	ObjectiveMS float64 `json:"objective_ms"`
 	FirstMS     float64 `json:"first_ms"`
-	// GapObjectiveMS bounds the pauses of a stream that is in time; UpstreamPauseMS and CallerPauseMS are the longest at its upstream and in a write to
-	// its caller.
+	// GapObjectiveMS is the latency objective for the time between two events of a stream. UpstreamPauseMS is the longest time between
+	// two events from the upstream, CallerPauseMS the longest duration of a write to the caller. All are in milliseconds.
 	GapObjectiveMS  float64 `json:"gap_objective_ms"`
 	UpstreamPauseMS float64 `json:"upstream_pause_ms"`
 	CallerPauseMS   float64 `json:"caller_pause_ms"`
 	WaitedMS        float64 `json:"waited_ms"`
-	// Kind is a kind of object in the store.
+	// Kind is the kind of an object in the store.
 	Kind string `json:"kind"`
-	// Raw is the line as it was written.
+	// Raw is the JSON of the line as it was written.
 	Raw json.RawMessage `json:"-"`
-	// order keeps lines with the same time as they were read.
-	order int
+	// readOrder is the position in which the line was read; it orders lines with the same time.
+	readOrder int
 }
 
-// Log is what was read, ordered by time.
+// Log holds the lines of all logs that were read.
 type Log struct {
+	// Lines are sorted by time.
 	Lines []Line
-	// Bad counts lines that could not be read.
+	// Bad is the number of malformed lines.
 	Bad int
-	// Dropped counts lines that processes say they dropped.
+	// Dropped is the number of lines that the processes report as dropped.
 	Dropped int64
 }
 
-// Read reads logs. A line may have something before its JSON, as collectors write it. One that can't be read is counted. The error is
-// that of a reader.
+// Read reads logs. A line may have a prefix before its JSON, as log collectors add it. Malformed lines are counted. Read returns an error
+// if a reader fails or a line is longer than 1 MiB.
 func Read(readers ...io.Reader) (*Log, error) {
 	l := &Log{}
 	for _, r := range readers {
@@ -90,18 +93,18 @@
 		if !a.Time.Equal(b.Time) {
 			return a.Time.Before(b.Time)
 		}
-		return a.order < b.order
+		return a.readOrder < b.readOrder
 	})
 	return l, nil
 }
 
 func (l *Log) read(r io.Reader) error {
 	in := bufio.NewScanner(r)
-	in.Buffer(nil, maxLine)
+	in.Buffer(nil, maxLineBytes)
 	for in.Scan() {
 		l.add(in.Bytes())
 	}
-	return errors.Wrap(in.Err(), "read a log")
+	return errors.Wrap(in.Err(), "read log")
 }
 
 func (l *Log) add(raw []byte) {
@@ -114,7 +117,7 @@
 		l.Bad++
 		return
 	}
-	line := Line{Raw: bytes.Clone(text[begin:]), order: len(l.Lines)}
+	line := Line{Raw: bytes.Clone(text[begin:]), readOrder: len(l.Lines)}
 	if err := json.Unmarshal(line.Raw, &line); err != nil {
 		l.Bad++
 		return
--- a/internal/story/request.go
+++ b/internal/story/request.go
@@ -10,30 +10,32 @@
 	"samphireweir.example/samphireweir/internal/logevent"
 )
 
-// lookBack is how long before the end of a request lines of its entry and its upstreams can have decided it: longer than an
-// upstream is avoided after failures, and than a version may be late.
-const lookBack = 10 * time.Second
+// contextWindow is how long before the end of a request other lines can explain its outcome. It is longer than the backoff of an upstream
+// after failures, and than the time that a version may be late.
+const contextWindow = 10 * time.Second
 
-// Verdict is what became of one request.
+// Verdict is the outcome of one request.
 type Verdict struct {
+	// Request is the request's id.
 	Request string
-	// Outcome says how it ended, empty when no line says so.
+	// Outcome says how the request ended; empty if no line says so.
 	Outcome string
-	// Cause says of what, in words, empty when the logs don't show it.
+	// Cause is the reason for the outcome, in words; empty if the logs don't show it.
 	Cause string
-	// Entry is the host that took it.
+	// Entry is the host of the entry that received the request.
 	Entry string
-	// Missing are the lines that should be there and are not.
+	// Missing describes the expected lines that the logs don't have.
 	Missing []string
-	// Lines are its own lines, and Around those of others that decided it.
-	Lines  []Line
+	// Lines are the lines of the request itself.
+	Lines []Line
+	// Around are other lines that can explain the outcome.
 	Around []Line
 }
 
-// Failed tells whether the caller did not get an upstream's whole answer.
+// Failed reports whether the request ended without a complete answer from an upstream, unless its caller disconnected.
 func (v Verdict) Failed() bool { return v.Outcome != "answered" && v.Outcome != "caller gone" }
 
-// Explain tells what became of a request. ok is false when no line names it.
+// Explain returns the outcome of a request. ok is false if no line has its id.
 func (l *Log) Explain(id string) (v Verdict, ok bool) {
 	v.Request = id
 	for _, line := range l.Lines {
@@ -46,7 +48,7 @@
 	}
 	last := v.Lines[len(v.Lines)-1]
 	v.Entry = last.Name
-	v.missing(last)
+	v.findMissing(last)
 	switch last.Event {
 	case logevent.RequestRefused:
 		v.Outcome = fmt.Sprintf("refused with code %d (%s), ran: %s", last.Code, code.Code(last.Code).Describe().Name, last.Ran)
@@ -57,23 +59,23 @@
 	if v.Cause == "" {
 		v.Cause = v.lastFailure()
 	}
-	l.around(&v, last)
+	l.findAround(&v, last)
 	return v, true
 }
 
-// lastFailure is how the last send failed, for a request whose end says no more.
+// lastFailure returns how the last failed attempt failed; empty if none did. It is the cause of a request whose last line gives none.
 func (v *Verdict) lastFailure() string {
 	cause := ""
 	for _, line := range v.Lines {
 		if line.Event == logevent.AttemptFailed {
-			cause = fmt.Sprintf("send %d to %s: %s: %s", line.Sends, line.Upstream, line.Outcome, line.Error)
+			cause = fmt.Sprintf("attempt %d at %s: %s: %s", line.Sends, line.Upstream, line.Outcome, line.Error)
 		}
 	}
 	return cause
 }
 
-// byUpstreams tells whether a refusal with a code came of the state of the upstreams, and not of what was asked.
-func byUpstreams(c int) bool {
+// causedByUpstreams reports whether a refusal with code c depends on the state of the upstreams, and not on the request alone.
+func causedByUpstreams(c int) bool {
 	switch code.Code(c) {
 	case code.NoUpstream, code.Overloaded, code.RetriesExhausted, code.DeadlinePassed, code.HeldBack:
 		return true
@@ -81,41 +83,41 @@
 	return false
 }
 
-// missing notes what is not there of a request whose last line is known.
-func (v *Verdict) missing(last Line) {
-	sent := 0
+// findMissing adds the expected lines that are missing; last is the request's last line.
+func (v *Verdict) findMissing(last Line) {
+	attempts := 0
 	for _, line := range v.Lines {
 		if line.Event == logevent.RequestSent {
-			sent++
+			attempts++
 		}
 	}
 	if last.Event != logevent.RequestRefused && last.Event != logevent.RequestEnded {
-		v.Missing = append(v.Missing, "its end: the process was killed, or the line was dropped")
+		v.Missing = append(v.Missing, "the end of the request: the process was killed, or the line was dropped")
 	}
-	if last.Event == logevent.RequestEnded && sent == 0 {
-		v.Missing = append(v.Missing, "a send: the line was dropped")
+	if last.Event == logevent.RequestEnded && attempts == 0 {
+		v.Missing = append(v.Missing, "an attempt: the line was dropped")
 	}
 	for _, line := range v.Lines {
-		if line.Event == logevent.AttemptFailed && line.Sends > sent {
-			v.Missing = append(v.Missing, fmt.Sprintf("send %d: the line was dropped", line.Sends))
+		if line.Event == logevent.AttemptFailed && line.Sends > attempts {
+			v.Missing = append(v.Missing, fmt.Sprintf("attempt %d: the line was dropped", line.Sends))
 		}
 	}
 }
 
-// around finds the lines of others that decided a request: failures and changes of the upstreams that it met, what its entry believed and
-// could reach, and starts of hosts.
-func (l *Log) around(v *Verdict, last Line) {
-	met := map[string]bool{}
+// findAround adds the other lines that can explain the outcome: failures and changes of the upstreams to which the request was sent, the
+// state that its entry knew, the platform's availability there, and starts of hosts.
+func (l *Log) findAround(v *Verdict, last Line) {
+	tried := map[string]bool{} // The upstreams to which the request was sent.
 	for _, line := range v.Lines {
 		if line.Upstream != "" {
-			met[line.Upstream] = true
+			tried[line.Upstream] = true
 		}
 	}
 	refused := last.Event == logevent.RequestRefused
-	upstreams := refused && byUpstreams(last.Code)
+	allUpstreams := refused && causedByUpstreams(last.Code)
 	failures := map[string]int{}
 	for _, line := range l.Lines {
-		if line.Request == v.Request || line.Time.Before(last.Time.Add(-lookBack)) || line.Time.After(last.Time) {
+		if line.Request == v.Request || line.Time.Before(last.Time.Add(-contextWindow)) || line.Time.After(last.Time) {
 			continue
 		}
 		switch line.Event {
@@ -124,15 +126,15 @@
 				v.Around = append(v.Around, line)
 			}
 		case logevent.BeliefChanged:
-			if line.Name == v.Entry && (met[line.Of] || upstreams || refused && line.What == "manifest") {
+			if line.Name == v.Entry && (tried[line.Of] || allUpstreams || refused && line.What == "manifest") {
 				v.Around = append(v.Around, line)
 			}
 		case logevent.AttemptFailed:
-			if line.Name == v.Entry && (met[line.Upstream] || upstreams) {
+			if line.Name == v.Entry && (tried[line.Upstream] || allUpstreams) {
 				failures[line.Upstream+": "+line.Outcome]++
 			}
 		case logevent.Listening:
-			if line.Process == "agent" && upstreams {
+			if line.Process == "agent" && allUpstreams {
 				failures["agents that started"]++
 			}
 		}
@@ -140,17 +142,18 @@
 	v.addCounts(failures)
 }
 
+// addCounts appends the numbers of failures in the context window to the cause.
 func (v *Verdict) addCounts(failures map[string]int) {
 	var parts []string
 	for _, what := range sortedKeys(failures) {
 		parts = append(parts, fmt.Sprintf("%s (%d)", what, failures[what]))
 	}
 	if len(parts) > 0 && v.Cause != "" {
-		v.Cause += fmt.Sprintf("; in the %v before: %s", lookBack, strings.Join(parts, ", "))
+		v.Cause += fmt.Sprintf("; in the %v before: %s", contextWindow, strings.Join(parts, ", "))
 	}
 }
 
-// Print writes the story of a request.
+// Print writes the request's lines, the lines around it and its outcome to w. It returns the error of w.
 func (v Verdict) Print(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "request %s at %s\n\n", v.Request, v.Entry)
@@ -158,7 +161,7 @@
 		b.WriteString(line.short())
 	}
 	if len(v.Around) > 0 {
-		b.WriteString("\nwhat its entry learned in the time before:\n")
+		b.WriteString("\nevents at its entry in the time before:\n")
 		for _, line := range v.Around {
 			b.WriteString(line.short())
 		}
@@ -172,6 +175,7 @@
 	return err
 }
 
+// orUnknown returns s, or a text that says that the logs don't show it.
 func orUnknown(s string) string {
 	if s == "" {
 		return "not in these logs"
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -11,25 +11,25 @@
 	"samphireweir.example/samphireweir/internal/logevent"
 )
 
-// leftOut are the fields of a line that its short form has elsewhere, or that every line has.
-var leftOut = map[string]bool{"time": true, "event": true, "level": true, "message": true, "process": true, "name": true, "request": true}
+// omittedFields are the fields that the short form of a line shows elsewhere or not at all, since every line has them.
+var omittedFields = map[string]bool{"time": true, "event": true, "level": true, "message": true, "process": true, "name": true, "request": true}
 
-// short is a line for a reader: time, host, event and its fields.
+// short formats a line for people: time, process, host, event and the remaining fields.
 func (l Line) short() string {
 	var fields map[string]any
 	if err := json.Unmarshal(l.Raw, &fields); err != nil {
-		return string(l.Raw) + "\n" // It was read before, so that this does not happen; the raw line says as much.
+		return string(l.Raw) + "\n" // Not expected, since Read parsed the line already.
 	}
 	var parts []string
 	for _, name := range sortedKeys(fields) {
-		if !leftOut[name] && fields[name] != "" {
+		if !omittedFields[name] && fields[name] != "" {
 			parts = append(parts, fmt.Sprintf("%s=%v", name, fields[name]))
 		}
 	}
 	return fmt.Sprintf("  %s %-6s %-18s %d %s  %s\n", l.Time.Format("15:04:05.000"), l.Process, l.Name, l.Event, l.Message, strings.Join(parts, " "))
 }
 
-// Failures returns the ids of the requests that failed or were refused, in the order of their last lines.
+// Failures returns the ids of the requests that failed or were refused, in the order in which they ended.
 func (l *Log) Failures() []string {
 	var ids []string
 	for _, line := range l.Lines {
@@ -42,7 +42,7 @@
 	return ids
 }
 
-// Sample draws up to n of the failed requests by a seed, so that the same logs give the same ones.
+// Sample returns up to n random ids of Failures. The same logs and seed give the same ids.
 func (l *Log) Sample(n int, seed uint64) []string {
 	ids := l.Failures()
 	r := rand.New(rand.NewPCG(seed, 0))
@@ -50,14 +50,16 @@
 	return ids[:min(n, len(ids))]
 }
 
-// Belief is how one belief went through the processes.
+// Belief describes how a part of the known state changed at the processes.
 type Belief struct {
+	// Lines are the lines that report a change.
 	Lines []Line
-	// Silent are the processes of the logs that have no line on it.
+	// Silent are the processes of the logs that reported no change, as role and host.
 	Silent []string
 }
 
-// Belief returns the lines on a belief: a topic as in the field what, and the upstream or model it is of, or empty for all of the topic.
+// Belief returns how the known state of a topic changed: manifest, upstreams, versions or source, as in the log field what. of is the
+// upstream or model, or empty for all of the topic.
 func (l *Log) Belief(topic, of string) Belief {
 	var b Belief
 	silent := map[string]bool{}
@@ -76,19 +78,20 @@
 	return b
 }
 
-// Print writes the story of a belief.
+// Print writes the changes and the silent processes to w. It returns the error of w.
 func (b Belief) Print(w io.Writer) error {
 	var out strings.Builder
 	for _, line := range b.Lines {
 		out.WriteString(line.short())
 	}
-	for _, who := range b.Silent {
-		fmt.Fprintf(&out, "missing: no line of %s\n", who)
+	for _, process := range b.Silent {
+		fmt.Fprintf(&out, "missing: no line of %s\n", process)
 	}
 	_, err := io.WriteString(w, out.String())
 	return err
 }
 
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys[T any](m map[string]T) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -10,18 +10,19 @@
 	"samphireweir.example/samphireweir/internal/story"
 )
 
-// line is a log line at a second, of a process.
+// line returns a log line of a process at 10:00 and the given second; rest holds its other JSON fields.
 func line(second int, process, name, rest string) string {
 	return fmt.Sprintf(`{"level":"info","time":"2026-12-02T10:00:%02d.5Z","process":%q,"name":%q,%s}`+"\n", second, process, name, rest)
 }
 
+// read parses the log of an entry and the logs of other processes.
 func read(t *testing.T, logs ...string) *story.Log {
 	t.Helper()
 	var readers []*strings.Reader
 	for _, l := range logs {
 		readers = append(readers, strings.NewReader(l))
 	}
-	require.Len(t, readers, 2, "the tests read an entry's log and others'")
+	require.Len(t, readers, 2, "want the log of an entry and the logs of other processes")
 	l, err := story.Read(readers[0], readers[1])
 	require.NoError(t, err)
 	return l
@@ -34,7 +35,9 @@
 	ended   = `"event":4008,"request":"abc","outcome":"answered","message":"request ended"`
 )
 
-func TestTheStoryOfARequestIsInOrderAndSaysWhatDecidedIt(t *testing.T) {
+// TestExplainOrdersLinesAndNamesTheCause guards against an explanation that mixes in unrelated lines: those of other entries and those
+// outside the context window. The lines are read out of order.
+func TestExplainOrdersLinesAndNamesTheCause(t *testing.T) {
 	entry := line(30, "entry", "edge-1", refused) + line(28, "entry", "edge-1", sent) + line(29, "entry", "edge-1", broken) +
 		line(27, "entry", "edge-1", `"event":4002,"request":"other","upstream":"i-2","outcome":"not sent","message":"attempt failed"`) +
 		line(10, "entry", "edge-1", `"event":4002,"request":"old","upstream":"i-3","outcome":"silent","message":"attempt failed"`) +
@@ -56,7 +59,9 @@
 	require.NotContains(t, out.String(), "missing")
 }
 
-func TestARefusalForWhatWasAskedNamesTheManifestAndNoUpstreams(t *testing.T) {
+// TestInvalidRequestIsExplainedByTheManifestOnly guards against an explanation that blames upstreams for a refusal that depends on the
+// request and the manifest alone.
+func TestInvalidRequestIsExplainedByTheManifestOnly(t *testing.T) {
 	entry := line(20, "entry", "edge-1", `"event":2008,"what":"manifest","value":"in force","revision":7`) +
 		line(21, "entry", "edge-1", `"event":2008,"what":"upstreams","of":"i-2","value":"gone","revision":8`) +
 		line(22, "entry", "edge-1", `"event":4002,"request":"other","upstream":"i-2","outcome":"not sent"`) +
@@ -67,40 +72,47 @@
 	require.Equal(t, "manifest", v.Around[0].What)
 }
 
-func TestAnUpstreamsOwnFailureIsTheCause(t *testing.T) {
+// TestFailureAtTheUpstreamIsTheCause checks that the last failed attempt is the cause if the end of the request gives none.
+func TestFailureAtTheUpstreamIsTheCause(t *testing.T) {
 	entry := line(28, "entry", "edge-1", sent) +
 		line(29, "entry", "edge-1", `"event":4002,"request":"abc","upstream":"i-1","sends":1,"outcome":"failed by the upstream","error":"status 500"`) +
 		line(29, "entry", "edge-1", `"event":4008,"request":"abc","outcome":"failed by the upstream"`)
 	v, _ := read(t, entry, "").Explain("abc")
-	require.Equal(t, "send 1 to i-1: failed by the upstream: status 500", v.Cause)
+	require.Equal(t, "attempt 1 at i-1: failed by the upstream: status 500", v.Cause)
 }
 
-func TestWhatIsMissingIsSaid(t *testing.T) {
+// TestMissingLinesAreReported guards against an explanation that looks complete although the log lost lines: the end of a request, or
+// an attempt.
+func TestMissingLinesAreReported(t *testing.T) {
 	l := read(t, line(28, "entry", "edge-1", sent), "")
 	v, _ := l.Explain("abc")
-	require.Equal(t, []string{"its end: the process was killed, or the line was dropped"}, v.Missing)
+	require.Equal(t, []string{"the end of the request: the process was killed, or the line was dropped"}, v.Missing)
 	var out strings.Builder
 	require.NoError(t, v.Print(&out))
 	require.Contains(t, out.String(), "outcome: not in these logs")
 
 	v, _ = read(t, line(29, "entry", "edge-1", broken)+line(30, "entry", "edge-1", ended), "").Explain("abc")
-	require.Equal(t, []string{"a send: the line was dropped", "send 1: the line was dropped"}, v.Missing)
+	require.Equal(t, []string{"an attempt: the line was dropped", "attempt 1: the line was dropped"}, v.Missing)
 	_, ok := l.Explain("unknown")
 	require.False(t, ok)
 }
 
-func TestLinesThatCannotBeReadAreCounted(t *testing.T) {
+// TestMalformedLinesAreCounted checks that lines without valid JSON are counted, that a collector's prefix before the JSON is accepted,
+// and that the lines dropped by processes are added up.
+func TestMalformedLinesAreCounted(t *testing.T) {
 	l := read(t, "no JSON\n{broken\n\n12.5 edge-1 "+line(30, "entry", "edge-1", ended), line(31, "entry", "edge-1", `"event":1007,"dropped":40`))
 	require.Equal(t, 2, l.Bad)
 	require.Equal(t, int64(40), l.Dropped)
 	v, ok := l.Explain("abc")
-	require.True(t, ok, "what stands before the JSON does not matter")
+	require.True(t, ok, "a prefix before the JSON is ignored")
 	require.False(t, v.Failed())
 }
 
-func TestABeliefIsFollowedThroughTheProcesses(t *testing.T) {
-	said := `"event":2008,"what":"versions","of":"m","value":"2","revision":7,"message":"belief changed"`
-	l := read(t, line(31, "entry", "edge-1", said), line(30, "agent", "side-1", said)+line(1, "agent", "side-2", `"event":1001`)+
+// TestStateChangeIsTracedAcrossProcesses checks that the changes of one topic are found in the order of time, and that processes without
+// one are named.
+func TestStateChangeIsTracedAcrossProcesses(t *testing.T) {
+	changed := `"event":2008,"what":"versions","of":"m","value":"2","revision":7,"message":"belief changed"`
+	l := read(t, line(31, "entry", "edge-1", changed), line(30, "agent", "side-1", changed)+line(1, "agent", "side-2", `"event":1001`)+
 		line(30, "agent", "side-2", `"event":2008,"what":"versions","of":"n","value":"2"`))
 	b := l.Belief("versions", "m")
 	require.Len(t, b.Lines, 2)
@@ -109,7 +121,8 @@
 	require.Len(t, l.Belief("versions", "").Lines, 3)
 }
 
-func TestASampleIsTheSameForTheSameSeed(t *testing.T) {
+// TestSampleIsReproducible checks that a seed determines the sample, and that only failed and refused requests are drawn.
+func TestSampleIsReproducible(t *testing.T) {
 	var log strings.Builder
 	for i := range 50 {
 		log.WriteString(line(i, "entry", "edge-1", fmt.Sprintf(`"event":4001,"request":"r%d","code":2003`, i)))
