--- a/internal/operator/commit.go
+++ b/internal/operator/commit.go
@@ -15,129 +15,139 @@
 )
 
 const (
-	// tryTimeout bounds one call of a write; a call that hangs is given up and made again.
-	tryTimeout = 3 * time.Second
-	// firstPause and lastPause bound the wait between two tries.
-	firstPause = 100 * time.Millisecond
-	lastPause  = 2 * time.Second
+	// attemptTimeout is the timeout of one attempt of a write; a call that hangs is cancelled and retried.
+	attemptTimeout = 3 * time.Second
+	// initialBackoff and maxBackoff bound the wait between two attempts.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 2 * time.Second
 )
 
-// Applied says what an accepted change is.
+// Applied describes an accepted change.
 type Applied struct {
+	// Key is the setting's key in the object API.
 	Key string
-	// Revision is the object's version that the change took effect with.
+	// Revision is the version of the object that the change created.
 	Revision uint64
-	Digest   string
-	Change   string
-	// Settled is set when the write's answer was lost and the outcome was found by reading back.
+	// Digest is the digest of the setting's weights; empty for a setting without weights.
+	Digest string
+	// Change is the id of the change.
+	Change string
+	// Settled is set if the answer to a write was lost and the outcome was determined by a later attempt.
 	Settled bool
-	// Over lists later changes, when another operator's came on top before this one's answer was settled.
+	// Over lists later changes, if other operators made some before the outcome of this one was known.
 	Over []setting.Past
 }
 
-// write is one change on its way to the object API.
-type write struct {
-	key   string
+// pendingWrite is a conditional write of one change to the object API.
+type pendingWrite struct {
+	key string
+	// seen is the object's version that the write requires.
 	seen  uint64
 	stamp setting.Stamp
 	value []byte
-	// unsure is set when a try may have taken effect without an answer.
-	unsure bool
+	// outcomeUnknown is set if an attempt may have taken effect although no answer was received.
+	outcomeUnknown bool
 }
 
-// change writes s (nil for a deletion) on top of the version seen.
+// change writes s, nil for a deletion, on condition that the object's version is seen. It returns a SettingConflict error if it isn't, and
+// a PlatformDown error if the outcome is unknown when ctx ends.
 func (e *Editor) change(ctx context.Context, team, service string, s *setting.Setting, seen uint64) (Applied, error) {
-	base, err := e.Read(ctx, team, service)
+	present, err := e.Read(ctx, team, service)
 	if err != nil {
 		return Applied{}, err
 	}
-	if base.Version != seen {
-		return Applied{}, conflict(base, seen)
+	if present.Version != seen {
+		return Applied{}, conflictError(present, seen)
 	}
-	w := &write{key: base.Key, seen: seen, stamp: e.stamp()}
-	next := base.Object.Next(seen, s, w.stamp)
+	w := &pendingWrite{key: present.Key, seen: seen, stamp: e.stamp()}
+	next := present.Object.Next(seen, s, w.stamp)
 	if w.value, err = json.Marshal(next); err != nil {
-		return Applied{}, errors.Wrap(err, "encode the setting")
+		return Applied{}, errors.Wrap(err, "encode setting")
 	}
 	applied, err := e.commit(ctx, w)
 	applied.Digest = next.Digest
 	return applied, err
 }
 
+// stamp returns the id, author and time of a new change.
 func (e *Editor) stamp() setting.Stamp {
 	return setting.Stamp{Change: uuid.NewString(), Author: e.Author, At: time.Now().UTC().Format(time.RFC3339)}
 }
 
-// commit makes the same conditional write until its outcome is known. That is safe: the condition lets at most
-// one of the tries take effect, and a try that is still under way finds the version moved.
-func (e *Editor) commit(ctx context.Context, w *write) (Applied, error) {
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
-		item, err := e.try(ctx, w)
+// commit repeats a conditional write until its outcome is known or ctx ends. Repeating it is safe: the condition lets at most one attempt
+// take effect, since an attempt that arrives late finds another version.
+func (e *Editor) commit(ctx context.Context, w *pendingWrite) (Applied, error) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		item, err := e.attempt(ctx, w)
 		var conflicted *objectapi.ConflictError
 		switch {
 		case err == nil:
-			return Applied{Key: w.key, Revision: item.Version, Change: w.stamp.Change, Settled: w.unsure}, nil
+			return Applied{Key: w.key, Revision: item.Version, Change: w.stamp.Change, Settled: w.outcomeUnknown}, nil
 		case errors.As(err, &conflicted):
-			return w.settle(conflicted.Present)
+			return w.resolveConflict(conflicted.Present)
 		}
-		w.unsure = w.unsure || !refused(err)
-		if !rest(ctx, max(pause, retryAfter(err))) {
-			return Applied{}, w.unknown(err)
+		w.outcomeUnknown = w.outcomeUnknown || !refusedWithoutEffect(err)
+		if !sleep(ctx, max(backoff, retryAfter(err))) {
+			return Applied{}, w.unconfirmedError(err)
 		}
 	}
 }
 
-func (e *Editor) try(ctx context.Context, w *write) (objectapi.Item, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+// attempt makes the write once.
+func (e *Editor) attempt(ctx context.Context, w *pendingWrite) (objectapi.Item, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return e.Objects.Put(ctx, w.key, w.value, w.seen)
 }
 
-// settle finds out what became of the write from the object that stands in its way.
-func (w *write) settle(item objectapi.Item) (Applied, error) {
+// resolveConflict determines the outcome of the write from the present object, whose version differs from the required one: an earlier
+// attempt may have created that version or one before it. Otherwise another operator changed the setting, which is a SettingConflict error.
+func (w *pendingWrite) resolveConflict(item objectapi.Item) (Applied, error) {
 	item.Key = w.key
 	present, err := stateOf(item)
 	if err != nil {
 		return Applied{}, err
 	}
-	revision, held := present.Object.Holds(w.stamp.Change, present.Version)
-	if held {
+	revision, ok := present.Object.Holds(w.stamp.Change, present.Version)
+	if ok {
 		return Applied{
-			Key: w.key, Revision: revision, Change: w.stamp.Change, Settled: true, Over: since(present, revision),
+			Key: w.key, Revision: revision, Change: w.stamp.Change, Settled: true, Over: statesSince(present, revision),
 		}, nil
 	}
-	if w.unsure && !present.Object.ReachesBack(w.seen) {
+	if w.outcomeUnknown && !present.Object.ReachesBack(w.seen) {
 		return Applied{}, code.Errorf(code.PlatformDown, w.key,
-			"the answer was lost and so many changes came on top that the history does not reach back: whether change %s took effect is not known", w.stamp.Change)
+			"the answer to the write was lost, and later changes have pushed its version out of the history: whether change %s took effect is unknown", w.stamp.Change)
 	}
-	return Applied{}, conflict(present, w.seen)
+	return Applied{}, conflictError(present, w.seen)
 }
 
-func (w *write) unknown(cause error) error {
-	if !w.unsure {
+// unconfirmedError returns the error of a write whose last attempt failed with cause.
+func (w *pendingWrite) unconfirmedError(cause error) error {
+	if !w.outcomeUnknown {
 		return code.Errorf(code.PlatformDown, w.key, "nothing was changed: %v", cause)
 	}
 	return code.Errorf(code.PlatformDown, w.key,
-		"the platform did not answer (%v): whether change %s took effect is not known; `settings history` shows it when it did", cause, w.stamp.Change)
+		"the platform did not confirm the write (%v): whether change %s took effect is unknown; `settings history` lists it if it did", cause, w.stamp.Change)
 }
 
-// refused tells whether the platform said that it did nothing. A 503 may come from something before it, after the
-// effect; only the refusal for rate is taken at its word.
-func refused(err error) bool {
+// refusedWithoutEffect reports whether the platform certainly didn't carry out a write. Only status 429 proves that: a 503 may come from
+// a proxy in front of the platform after the write took effect.
+func refusedWithoutEffect(err error) bool {
 	var r *objectapi.RefusedError
 	return errors.As(err, &r) && r.Status == http.StatusTooManyRequests
 }
 
+// retryAfter returns the Retry-After delay of a refusal, at most maxBackoff; 0 if err is none.
 func retryAfter(err error) time.Duration {
 	var r *objectapi.RefusedError
 	if errors.As(err, &r) {
-		return min(r.RetryAfter, lastPause)
+		return min(r.RetryAfter, maxBackoff)
 	}
 	return 0
 }
 
-// rest waits for d; it reports false when ctx ends first.
-func rest(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/operator/conflict.go
+++ b/internal/operator/conflict.go
@@ -8,8 +8,8 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// since lists the states that came after version, the latest first, the present one among them.
-func since(s *State, version uint64) []setting.Past {
+// statesSince returns the states after version, the latest first, including the present one.
+func statesSince(s *State, version uint64) []setting.Past {
 	if s.Version <= version {
 		return nil
 	}
@@ -28,34 +28,35 @@
 	return list
 }
 
-// conflict tells an operator what others changed since the version that it saw.
-func conflict(present *State, seen uint64) error {
+// conflictError returns a SettingConflict error that lists what others changed since the version that the operator saw.
+func conflictError(present *State, seen uint64) error {
 	if present.Version == 0 {
-		return code.Errorf(code.SettingConflict, present.Key, "you saw version %d and there is no setting now; nothing was changed", seen)
+		return code.Errorf(code.SettingConflict, present.Key, "you saw version %d, but the setting doesn't exist any more; nothing was changed", seen)
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "you saw version %d, it is now at version %d; nothing of yours was changed. Since then:", seen, present.Version)
+	fmt.Fprintf(&text, "you saw version %d, but the present version is %d; your change was not made. Changes since then:", seen, present.Version)
 	before, known := present.Object.PastAt(seen)
-	list := since(present, seen)
+	list := statesSince(present, seen)
 	for i := len(list) - 1; i >= 0; i-- {
-		fmt.Fprintf(&text, "\n  version %d by %s at %s", list[i].Version, orUnnamed(list[i].Author), orUnnamed(list[i].At))
+		fmt.Fprintf(&text, "\n  version %d by %s at %s", list[i].Version, orNotRecorded(list[i].Author), orNotRecorded(list[i].At))
 		if known || seen == 0 {
 			text.WriteString(Lines(setting.Diff(before.Setting, list[i].Setting), "\n    "))
 		}
 		before, known = list[i], list[i].Setting != nil || list[i].Deleted
 	}
-	fmt.Fprintf(&text, "\n  Read it with `settings get`, make your change again and apply it with -if-version %d.", present.Version)
+	fmt.Fprintf(&text, "\n  Read the setting with `settings get`, repeat your change and apply it with -if-version %d.", present.Version)
 	return code.Errorf(code.SettingConflict, present.Key, "%s", text.String())
 }
 
-func orUnnamed(s string) string {
+// orNotRecorded returns s, or a placeholder if s is empty.
+func orNotRecorded(s string) string {
 	if s == "" {
-		return "(not named)"
+		return "(not recorded)"
 	}
 	return s
 }
 
-// Lines formats changes, each after the separator.
+// Lines formats each change as "field: old -> new", preceded by the separator.
 func Lines(changes []setting.FieldChange, separator string) string {
 	var text strings.Builder
 	for _, c := range changes {
@@ -64,10 +65,10 @@
 	return text.String()
 }
 
-// Show returns a state's versions, the latest first.
+// Show returns the present and the earlier states of a setting, the latest first; nil if it never existed.
 func Show(s *State) []setting.Past {
 	if s.Version == 0 {
 		return nil
 	}
-	return since(s, 0)
+	return statesSince(s, 0)
 }
--- a/internal/operator/editor.go
+++ b/internal/operator/editor.go
@@ -1,4 +1,5 @@
-// Package operator is what operators do to settings: read, check, apply, roll back, delete.
+// Package operator implements the operators' actions on settings (read, preview, apply, roll back, delete) and asks processes for the
+// state of the whole system.
 package operator
 
 import (
@@ -14,25 +15,27 @@
 	"samphireweir.example/samphireweir/internal/source"
 )
 
-// Editor changes settings in the object API.
+// Editor reads and changes settings in the object API.
 type Editor struct {
+	// Objects is the client of the object API.
 	Objects *objectapi.Client
-	// Sources resolve versions, in order.
+	// Sources are the sources of weights that resolve versions, in the order in which they are asked.
 	Sources []*source.Client
-	// Author is written into each change.
+	// Author is recorded in each change.
 	Author string
 }
 
-// State is a service's setting as it was read.
+// State is a service's setting and its history, as read from the object API.
 type State struct {
+	// Key is the object's key.
 	Key string
-	// Version is the object's version; 0 when there is none.
+	// Version is the object's version; 0 if the object doesn't exist.
 	Version uint64
-	// Object holds the setting and its history; never nil.
+	// Object holds the setting and its history. It is never nil.
 	Object *setting.Object
 }
 
-// Setting returns the setting of the state; nil when there is none.
+// Setting returns the setting, or nil if it doesn't exist or was deleted.
 func (s *State) Setting() *setting.Setting {
 	if s.Version == 0 || s.Object.Deleted {
 		return nil
@@ -40,7 +43,8 @@
 	return &s.Object.Setting
 }
 
-// Read reads a service's setting and its history.
+// Read reads a service's setting and its history. A setting that doesn't exist is no error; its state has version 0. If the object API
+// doesn't answer, the error has code PlatformDown.
 func (e *Editor) Read(ctx context.Context, team, service string) (*State, error) {
 	key := setting.Key(team, service)
 	item, err := e.Objects.Get(ctx, key)
@@ -48,11 +52,12 @@
 		return &State{Key: key, Object: &setting.Object{}}, nil
 	}
 	if err != nil {
-		return nil, code.Errorf(code.PlatformDown, key, "can't be read: %v", err)
+		return nil, code.Errorf(code.PlatformDown, key, "read failed: %v", err)
 	}
 	return stateOf(item)
 }
 
+// stateOf decodes an object of the object API.
 func stateOf(item objectapi.Item) (*State, error) {
 	s := &State{Key: item.Key, Version: item.Version, Object: &setting.Object{}}
 	if item.Version == 0 {
@@ -60,10 +65,10 @@
 	}
 	var err error
 	s.Object, err = setting.ParseObject(item.Value)
-	return s, errors.Wrapf(err, "read %s", item.Key)
+	return s, errors.Wrapf(err, "decode %s", item.Key)
 }
 
-// Resolve returns the digest of the version that s names.
+// Resolve returns the digest of the version of weights that s names. If no source has it, the error has code VersionUnknown.
 func (e *Editor) Resolve(ctx context.Context, s *setting.Setting) (string, error) {
 	m, digest, err := e.manifest(ctx, s)
 	if m == nil {
@@ -72,7 +77,7 @@
 	return digest, err
 }
 
-// Size returns the bytes of the version that s names.
+// Size returns the size in bytes of the version of weights that s names. If no source has it, the error has code VersionUnknown.
 func (e *Editor) Size(ctx context.Context, s *setting.Setting) (int64, error) {
 	m, _, err := e.manifest(ctx, s)
 	if err != nil {
@@ -81,13 +86,14 @@
 	return m.Size, nil
 }
 
+// manifest returns the manifest of the version that s names and its digest, from the first source that has it.
 func (e *Editor) manifest(ctx context.Context, s *setting.Setting) (*manifest.Manifest, string, error) {
 	ref := weights.Ref{Model: s.Model, Adapter: s.Adapter, Version: s.Version}
-	var last error
+	var lastErr error
 	for _, src := range e.Sources {
 		raw, err := src.Manifest(ctx, ref)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		m, err := manifest.Parse(raw)
@@ -97,10 +103,11 @@
 		return m, manifest.Digest(raw), nil
 	}
 	return nil, "", code.Errorf(code.VersionUnknown, "version",
-		"neither weight store nor origin has %s/%s/%s (last answer: %v); want a version that was uploaded", s.Model, s.Adapter, s.Version, last)
+		"neither weight store nor origin has %s/%s/%s (last answer: %v); want a version that was uploaded", s.Model, s.Adapter, s.Version, lastErr)
 }
 
-// Apply puts s in force on condition that the version seen is still the present one.
+// Apply puts s in force on condition that the present version is seen; otherwise the error has code SettingConflict. For an engine it
+// resolves the version of weights first and sets the digest of s.
 func (e *Editor) Apply(ctx context.Context, team, service string, s *setting.Setting, seen uint64) (Applied, error) {
 	if s.Kind == setting.Engine {
 		digest, err := e.Resolve(ctx, s)
@@ -112,21 +119,22 @@
 	return e.change(ctx, team, service, s, seen)
 }
 
-// Rollback puts the setting of an earlier version in force again, with the digest that it had then.
+// Rollback puts the setting of the earlier version to in force again, with the digest that it had then, on condition that the present
+// version is seen. If the history doesn't hold that setting in full, the error has code SettingMissing.
 func (e *Editor) Rollback(ctx context.Context, team, service string, to, seen uint64) (Applied, error) {
 	present, err := e.Read(ctx, team, service)
 	if err != nil {
 		return Applied{}, err
 	}
-	past, found := present.Object.PastAt(to)
-	if !found || past.Setting == nil {
+	past, ok := present.Object.PastAt(to)
+	if !ok || past.Setting == nil {
 		return Applied{}, code.Errorf(code.SettingMissing, present.Key,
-			"version %d is not kept whole; `settings history` lists those that are", to)
+			"the history doesn't hold version %d in full; `settings history` lists the versions that it holds", to)
 	}
 	return e.change(ctx, team, service, past.Setting, seen)
 }
 
-// Delete takes a setting out of force. A tombstone with the history stays in its place.
+// Delete takes a setting out of force on condition that the present version is seen. A tombstone that holds the history replaces it.
 func (e *Editor) Delete(ctx context.Context, team, service string, seen uint64) (Applied, error) {
 	present, err := e.Read(ctx, team, service)
 	if err != nil {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -28,6 +28,7 @@
 	service = "buyer-portal"
 )
 
+// platform starts a stand-in of the object API.
 func platform(t *testing.T) *httptest.Server {
 	t.Helper()
 	s := httptest.NewServer(standin.NewServer(standin.Config{History: 1000}))
@@ -35,6 +36,7 @@
 	return s
 }
 
+// faults turns faults of the stand-in on or off with a JSON patch.
 func faults(t *testing.T, s *httptest.Server, patch string) {
 	t.Helper()
 	resp, err := http.Post(s.URL+"/admin/faults", "application/json", bytes.NewBufferString(patch))
@@ -51,7 +53,8 @@
 	return &setting.Setting{Kind: setting.Plain, Places: map[string]int{"perth-a": replicas}, NonIdempotent: []string{"POST"}}
 }
 
-func limited(t *testing.T, d time.Duration) context.Context {
+// withTimeout returns a context that ends after d.
+func withTimeout(t *testing.T, d time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
@@ -66,8 +69,10 @@
 	return coded
 }
 
-func TestAppliesOnTopOfTheVersionSeenOnly(t *testing.T) {
-	ctx := limited(t, 10*time.Second)
+// TestApplyOfAnOutdatedVersionConflicts guards against a change that overwrites another operator's change unseen. The error must name the
+// author and the fields that changed.
+func TestApplyOfAnOutdatedVersionConflicts(t *testing.T) {
+	ctx := withTimeout(t, 10*time.Second)
 	s := platform(t)
 	ann, bob := editor(s, "ann"), editor(s, "bob")
 	first, err := ann.Apply(ctx, team, service, plain(1), 0)
@@ -85,8 +90,10 @@
 	require.Equal(t, "ann", state.Object.History[0].Author)
 }
 
-func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
-	ctx := limited(t, 10*time.Second)
+// TestLostAnswerIsResolved guards against a change that is reported as failed or made twice when the write took effect and its answer was
+// lost.
+func TestLostAnswerIsResolved(t *testing.T) {
+	ctx := withTimeout(t, 10*time.Second)
 	s := platform(t)
 	ann := editor(s, "ann")
 	faults(t, s, `{"lose_next_answers":1}`)
@@ -96,15 +103,16 @@
 	state, err := ann.Read(ctx, team, service)
 	require.NoError(t, err)
 	require.Equal(t, applied.Revision, state.Version)
-	require.Empty(t, state.Object.History, "one change only was made")
+	require.Empty(t, state.Object.History, "only one change was made")
 }
 
-// TestLostAnswerUnderALaterChange has another operator's change come between the lost answer and the reading back.
-func TestLostAnswerUnderALaterChange(t *testing.T) {
-	ctx := limited(t, 20*time.Second)
+// TestLostAnswerBeforeALaterChangeIsResolved guards against a change that is reported as a conflict when it took effect, its answer was
+// lost and another operator changed the setting before the next attempt.
+func TestLostAnswerBeforeALaterChangeIsResolved(t *testing.T) {
+	ctx := withTimeout(t, 20*time.Second)
 	s := platform(t)
 	bob := editor(s, "bob")
-	var over atomic.Bool
+	var answerLost atomic.Bool
 	proxy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body := new(bytes.Buffer)
 		_, _ = body.ReadFrom(r.Body)
@@ -116,7 +124,7 @@
 			return
 		}
 		defer func() { _ = resp.Body.Close() }()
-		if r.Method == http.MethodPut && over.CompareAndSwap(false, true) {
+		if r.Method == http.MethodPut && answerLost.CompareAndSwap(false, true) {
 			state, _ := bob.Read(ctx, team, service)
 			_, err := bob.Apply(ctx, team, service, plain(7), state.Version)
 			if err == nil {
@@ -138,53 +146,57 @@
 	require.Equal(t, "bob", applied.Over[0].Author)
 	state, err := bob.Read(ctx, team, service)
 	require.NoError(t, err)
-	require.Equal(t, 7, state.Setting().Places["perth-a"], "bob's change stands")
-	require.Equal(t, applied.Revision, state.Object.History[0].Version, "ann's is in the history")
+	require.Equal(t, 7, state.Setting().Places["perth-a"], "bob's change is in force")
+	require.Equal(t, applied.Revision, state.Object.History[0].Version, "ann's change is in the history")
 }
 
-func TestPlatformDownInAChange(t *testing.T) {
+// TestChangeFailsWhilePlatformIsDown checks that a change fails with its code while the object API refuses or doesn't answer, and that the
+// same change succeeds afterwards.
+func TestChangeFailsWhilePlatformIsDown(t *testing.T) {
 	for name, patch := range map[string]string{"outage": `{"outage":true}`, "hang": `{"hang":true}`} {
 		t.Run(name, func(t *testing.T) {
 			s := platform(t)
 			ann := editor(s, "ann")
-			first, err := ann.Apply(limited(t, 5*time.Second), team, service, plain(1), 0)
+			first, err := ann.Apply(withTimeout(t, 5*time.Second), team, service, plain(1), 0)
 			require.NoError(t, err)
 			faults(t, s, patch)
-			_, err = ann.Apply(limited(t, 300*time.Millisecond), team, service, plain(2), first.Revision)
+			_, err = ann.Apply(withTimeout(t, 300*time.Millisecond), team, service, plain(2), first.Revision)
 			requireCode(t, code.PlatformDown, err)
-			back := time.AfterFunc(400*time.Millisecond, func() { faults(t, s, `{"outage":false,"hang":false}`) })
-			defer back.Stop()
+			recovery := time.AfterFunc(400*time.Millisecond, func() { faults(t, s, `{"outage":false,"hang":false}`) })
+			defer recovery.Stop()
 			time.Sleep(450 * time.Millisecond)
-			second, err := ann.Apply(limited(t, 10*time.Second), team, service, plain(2), first.Revision)
+			second, err := ann.Apply(withTimeout(t, 10*time.Second), team, service, plain(2), first.Revision)
 			require.NoError(t, err)
 			require.Greater(t, second.Revision, first.Revision)
 		})
 	}
 }
 
-func TestDeleteIsATombstoneAndRollbackBringsItBack(t *testing.T) {
-	ctx := limited(t, 10*time.Second)
+// TestRollbackRestoresADeletedSetting guards against a deletion that loses the history: a tombstone must keep it.
+func TestRollbackRestoresADeletedSetting(t *testing.T) {
+	ctx := withTimeout(t, 10*time.Second)
 	s := platform(t)
 	ann := editor(s, "ann")
 	first, err := ann.Apply(ctx, team, service, plain(1), 0)
 	require.NoError(t, err)
-	deleted, err := ann.Delete(ctx, team, service, first.Revision)
+	deletion, err := ann.Delete(ctx, team, service, first.Revision)
 	require.NoError(t, err)
 	item, err := ann.Objects.Get(ctx, setting.Key(team, service))
-	require.NoError(t, err, "the tombstone and its history stay")
-	value, gone := setting.Relayed(item.Value)
-	require.True(t, gone)
+	require.NoError(t, err, "the tombstone exists")
+	value, deleted := setting.Relayed(item.Value)
+	require.True(t, deleted)
 	require.Nil(t, value)
-	back, err := ann.Rollback(ctx, team, service, first.Revision, deleted.Revision)
+	restored, err := ann.Rollback(ctx, team, service, first.Revision, deletion.Revision)
 	require.NoError(t, err)
 	state, err := ann.Read(ctx, team, service)
 	require.NoError(t, err)
-	require.Equal(t, back.Revision, state.Version)
+	require.Equal(t, restored.Revision, state.Version)
 	require.Equal(t, 1, state.Setting().Places["perth-a"])
 	require.Len(t, state.Object.History, 2)
 }
 
-func TestHistoryStaysBounded(t *testing.T) {
+// TestHistoryIsBounded guards against an object that outgrows the platform's maximum size after many changes.
+func TestHistoryIsBounded(t *testing.T) {
 	o := &setting.Object{}
 	for version := uint64(0); version < 200; version++ {
 		o = o.Next(version, plain(int(version)), setting.Stamp{Change: fmt.Sprint(version)})
@@ -193,33 +205,34 @@
 	raw, err := json.Marshal(o)
 	require.NoError(t, err)
 	require.Less(t, len(raw), setting.MaxBytes)
-	_, held := o.Holds("150", 200)
-	require.True(t, held)
+	_, ok := o.Holds("150", 200)
+	require.True(t, ok)
 	require.False(t, o.ReachesBack(100))
 	require.True(t, o.ReachesBack(150))
 }
 
-// TestOperatorsRace lets operators make changes on one setting at once while answers get lost, and checks the
-// history as one register with compare-and-set per setting.
-func TestOperatorsRace(t *testing.T) {
+// TestConcurrentChangesAreLinearizable guards against lost or duplicate changes when operators change the same settings concurrently and
+// answers get lost. Each setting is checked as a register with compare-and-set.
+func TestConcurrentChangesAreLinearizable(t *testing.T) {
 	for _, operators := range []int{2, 10} {
 		for _, services := range []int{1, 3} {
 			t.Run(fmt.Sprintf("%d operators, %d settings", operators, services), func(t *testing.T) {
-				race(t, operators, services)
+				requireLinearizable(t, operators, services)
 			})
 		}
 	}
 }
 
-func race(t *testing.T, operators, services int) {
-	ctx := limited(t, 25*time.Second)
+// requireLinearizable has operators change settings concurrently and checks the results.
+func requireLinearizable(t *testing.T, operators, services int) {
+	ctx := withTimeout(t, 25*time.Second)
 	s := platform(t)
 	var (
 		mu      sync.Mutex
 		history []porcupine.Operation
 		wg      sync.WaitGroup
 	)
-	begin := time.Now()
+	startedAt := time.Now()
 	for id := range operators {
 		wg.Go(func() {
 			e := editor(s, fmt.Sprintf("operator-%d", id))
@@ -234,9 +247,9 @@
 					return
 				}
 				in := casInput{key: name, seen: state.Version}
-				start := time.Since(begin)
+				start := time.Since(startedAt)
 				applied, err := e.Apply(ctx, team, name, plain(10*id+n), state.Version)
-				end := time.Since(begin)
+				end := time.Since(startedAt)
 				var coded *code.Error
 				if err != nil && (!errors.As(err, &coded) || coded.Code != code.SettingConflict) {
 					t.Error(err)
@@ -255,7 +268,7 @@
 	requireNoneLost(t, ctx, editor(s, ""), services, history)
 }
 
-// requireNoneLost checks that each accepted change is the present state of its setting or in its history.
+// requireNoneLost checks that the accepted changes are exactly the present states of the settings and their histories.
 func requireNoneLost(t *testing.T, ctx context.Context, e *operator.Editor, services int, history []porcupine.Operation) {
 	t.Helper()
 	kept := map[uint64]bool{}
@@ -270,10 +283,10 @@
 	for _, op := range history {
 		if out := op.Output.(casOutput); out.ok {
 			accepted++
-			require.True(t, kept[out.revision], "revision %d was accepted and is lost", out.revision)
+			require.True(t, kept[out.revision], "revision %d was accepted but is lost", out.revision)
 		}
 	}
-	require.Len(t, kept, accepted, "a change is kept that nobody was told of")
+	require.Len(t, kept, accepted, "a change took effect that was not reported as accepted")
 }
 
 type casInput struct {
@@ -286,7 +299,7 @@
 	revision uint64
 }
 
-// casModel is a register whose state is its version: a change succeeds if and only if it saw that version.
+// casModel models a setting as a register whose state is its version: a change succeeds if and only if it saw that version.
 var casModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := map[string][]porcupine.Operation{}
