--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -11,30 +11,30 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// checkCommand checks files of settings offline.
+// checkCommand checks settings files without the platform.
 type checkCommand struct{}
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*checkCommand) Name() string { return "check" }
 
-// Synopsis describes the command in a line.
-func (*checkCommand) Synopsis() string { return "check files of settings, without the platform" }
+// Synopsis implements subcommands.Command.
+func (*checkCommand) Synopsis() string { return "check settings files, without the platform" }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*checkCommand) Usage() string {
 	return `check FILE...
   samphireweir check karrakin/summary-model.json karrakin/buyer-portal.json
-  Says for each file whether apply would take it, else the file, the field and a right value. - is standard input.
+  Reports for each file whether apply would accept it; if not, names the field and a valid value. - is standard input.
 `
 }
 
-// SetFlags declares no flags.
+// SetFlags defines no flags.
 func (*checkCommand) SetFlags(*flag.FlagSet) {}
 
 // Execute checks each file.
 func (*checkCommand) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() == 0 {
-		_, _ = fmt.Fprintln(os.Stderr, "check wants one file or more, such as: samphireweir check setting.json")
+		_, _ = fmt.Fprintln(os.Stderr, "check wants at least one file, such as: samphireweir check setting.json")
 		return subcommands.ExitUsageError
 	}
 	status := subcommands.ExitSuccess
@@ -43,7 +43,7 @@
 			status = fail(os.Stderr, err)
 			continue
 		}
-		_, _ = fmt.Fprintf(os.Stdout, "%s: right\n", name)
+		_, _ = fmt.Fprintf(os.Stdout, "%s: valid setting\n", name)
 	}
 	return status
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of the one binary, on google/subcommands.
+// Package cli implements the commands of the samphireweir binary with google/subcommands.
 package cli
 
 import (
@@ -19,29 +19,29 @@
 	"samphireweir.example/samphireweir/internal/config"
 )
 
-// graceTime is how long a graceful shutdown waits for open requests.
-const graceTime = 30 * time.Second
+// shutdownGracePeriod is how long a graceful shutdown waits for requests in flight.
+const shutdownGracePeriod = 30 * time.Second
 
-// group is a set of commands under a heading of the help.
+// group is a list of commands that the help shows under one heading.
 type group struct {
 	heading  string
 	commands []subcommands.Command
 }
 
-// groups lists every command, in the order of the help.
+// groups returns every command, in the order of the help.
 func groups() []group {
 	return []group{
-		{"Look at and change what services run (see docs/operators/)", []subcommands.Command{newSettingsCommand(), &checkCommand{}, &statusCommand{}, &weightsCommand{}}},
+		{"Read and change what services run (see docs/operators/)", []subcommands.Command{newSettingsCommand(), &checkCommand{}, &statusCommand{}, &weightsCommand{}}},
 		{"Run a process of the system", []subcommands.Command{&entryCommand{}, &agentCommand{}}},
 		{"Run a process of the system on the users' platform", []subcommands.Command{&platformEntryCommand{}, &platformAgentCommand{}}},
 		{"Operate the users' platform (see docs/operators/evacuations.md)", []subcommands.Command{&evacuateCommand{}}},
-		{"Look things up", []subcommands.Command{
+		{"Reference and diagnosis", []subcommands.Command{
 			&explainCommand{}, &codesCommand{}, &eventsCommand{}, &metricsCommand{}, &flagsCommand{}, &versionCommand{},
 		}},
 	}
 }
 
-// Register adds every command to the commander.
+// Register registers every command at c.
 func Register(c *subcommands.Commander) {
 	c.Register(c.HelpCommand(), "")
 	for _, g := range groups() {
@@ -49,15 +49,15 @@
 			c.Register(command, g.heading)
 		}
 	}
-	c.Explain = explain
+	c.Explain = writeHelp
 }
 
-// explain writes the help of the binary as a whole.
-func explain(w io.Writer) {
-	_, _ = fmt.Fprint(w, `samphireweir spreads model weights onto many hosts at once, while live requests keep flowing to those hosts.
+// writeHelp writes the help of the whole binary.
+func writeHelp(w io.Writer) {
+	_, _ = fmt.Fprint(w, `samphireweir distributes model weights to many hosts at once, while these hosts keep serving requests.
 
 Usage: samphireweir COMMAND [FLAGS]
-       samphireweir help COMMAND      what a command does, its flags, and an example
+       samphireweir help COMMAND      what a command does, its flags and an example
 `)
 	for _, g := range groups() {
 		_, _ = fmt.Fprintf(w, "\n%s:\n", g.heading)
@@ -66,44 +66,45 @@
 		}
 	}
 	_, _ = fmt.Fprintf(w, `
-Each flag may be given as a variable too: -object-api is %s. The flag wins.
-New here? Begin with docs/operators/first-week.md. A number in an error is explained by: samphireweir codes
+Each flag can also be set by an environment variable: -object-api by %s. The flag takes precedence.
+New operators start with docs/operators/first-week.md. The numbers in errors are explained by: samphireweir codes
 `, config.Variable("object-api"))
 }
 
-// fail prints err and returns the exit status of a failed command.
+// fail writes err to w and returns the exit status of a failed command.
 func fail(w io.Writer, err error) subcommands.ExitStatus {
 	_, _ = fmt.Fprintln(w, err)
 	return subcommands.ExitFailure
 }
 
-// checked is a set of process settings that can be checked.
-type checked interface{ Check() error }
+// checker is a set of flags that can be validated.
+type checker interface{ Check() error }
 
-// load fills in flags from the environment and checks them.
-func load(fs *flag.FlagSet, c checked) error { return loadFrom(fs, os.Environ(), c) }
+// loadFlags sets the flags that were not given from the environment and validates them.
+func loadFlags(fs *flag.FlagSet, c checker) error { return loadFlagsFrom(fs, os.Environ(), c) }
 
-func loadFrom(fs *flag.FlagSet, environ []string, c checked) error {
+// loadFlagsFrom is loadFlags for the environment environ, a list of NAME=value.
+func loadFlagsFrom(fs *flag.FlagSet, environ []string, c checker) error {
 	if fs.NArg() > 0 {
 		return code.Errorf(code.BadProcess, "arguments", "%q, want flags only, such as -name host-17", strings.Join(fs.Args(), " "))
 	}
-	if err := config.FromEnvironment(fs, environ, variables()); err != nil {
+	if err := config.FromEnvironment(fs, environ, knownVariables()); err != nil {
 		return err
 	}
 	return c.Check()
 }
 
-// untilSignal returns a context that ends on SIGTERM or SIGINT.
+// untilSignal returns a context that is cancelled on SIGTERM or SIGINT.
 func untilSignal(ctx context.Context) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 }
 
-// logger returns the log of a process; level is empty for the default.
+// logger returns the logger of a process, which writes to standard error. The level is info if level is empty or unknown.
 func logger(process, name, level string) zerolog.Logger {
-	least, err := zerolog.ParseLevel(level)
+	minLevel, err := zerolog.ParseLevel(level)
 	if err != nil || level == "" {
-		least = zerolog.InfoLevel
+		minLevel = zerolog.InfoLevel
 	}
 	zerolog.TimeFieldFormat = time.RFC3339Nano
-	return zerolog.New(os.Stderr).Level(least).With().Timestamp().Str("process", process).Str("name", name).Logger()
+	return zerolog.New(os.Stderr).Level(minLevel).With().Timestamp().Str("process", process).Str("name", name).Logger()
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -14,24 +14,24 @@
 	"samphireweir.example/samphireweir/internal/config"
 )
 
-// TestFlagsPage keeps docs/FLAGS.md and the commands alike.
-func TestFlagsPage(t *testing.T) {
+// TestFlagsPageMatchesCommands guards against a docs/FLAGS.md that was not regenerated after a change of a flag.
+func TestFlagsPageMatchesCommands(t *testing.T) {
 	page, err := os.ReadFile("../../docs/FLAGS.md")
 	require.NoError(t, err)
 	require.Equal(t, FlagsPage(), string(page))
 }
 
-// TestEveryCommandHasHelp walks the commands: each says what it is for and gives an example whose flags exist, and
-// each flag says what it is and which variable it reads.
+// TestEveryCommandHasHelp checks that each command has a synopsis and an example whose flags exist, and that the help of each flag
+// describes it and names its environment variable.
 func TestEveryCommandHasHelp(t *testing.T) {
 	for _, c := range allCommands() {
-		t.Run(c.title, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			require.NotEmpty(t, c.command.Synopsis())
-			require.False(t, strings.HasSuffix(c.command.Synopsis(), "."), "a synopsis is no sentence")
+			require.False(t, strings.HasSuffix(c.command.Synopsis(), "."), "a synopsis has no full stop")
 			usage := c.command.Usage()
 			first, rest, _ := strings.Cut(strings.ReplaceAll(usage, "\\\n", " "), "\n")
-			require.True(t, strings.HasPrefix(first, c.command.Name()), "the usage begins with the command's name: %s", first)
-			require.Regexp(t, `(?m)^  \S.{10,}`, rest, "an indented line explains")
+			require.True(t, strings.HasPrefix(first, c.command.Name()), "the usage must begin with the name of the command: %s", first)
+			require.Regexp(t, `(?m)^  \S.{10,}`, rest, "the usage must have an indented line that explains the command")
 			requireFlagsExist(t, c.command, usage)
 			flagsOf(c.command).VisitAll(func(f *flag.Flag) {
 				require.Greater(t, len(f.Usage), 20, f.Name)
@@ -41,23 +41,25 @@
 	}
 }
 
+// exampleFlag matches a flag in an example.
 var exampleFlag = regexp.MustCompile(`(?:^|[\s\[])-([a-z][a-z-]*)`)
 
+// requireFlagsExist checks that c defines each flag in the examples of usage.
 func requireFlagsExist(t *testing.T, c subcommands.Command, usage string) {
 	t.Helper()
 	fs := flagsOf(c)
 	if c.Name() == settingsName {
-		return // Its examples are those of the commands below it.
+		return // Its examples are those of its subcommands.
 	}
 	for _, found := range exampleFlag.FindAllStringSubmatch(usage, -1) {
 		require.NotNil(t, fs.Lookup(found[1]), "the example has -%s", found[1])
 	}
 }
 
-// TestHelpNamesEveryCommand reads the help of the binary as a whole.
+// TestHelpNamesEveryCommand checks that the help of the whole binary lists each command and fits into 120 columns.
 func TestHelpNamesEveryCommand(t *testing.T) {
 	var b bytes.Buffer
-	explain(&b)
+	writeHelp(&b)
 	for _, g := range groups() {
 		for _, c := range g.commands {
 			require.Contains(t, b.String(), "\n  "+c.Name()+" ", c.Name())
@@ -68,8 +70,8 @@
 	}
 }
 
-// TestBadFlagHasItsCode numbers what the flag library refuses.
-func TestBadFlagHasItsCode(t *testing.T) {
+// TestInvalidFlagErrorHasItsCode checks that the errors of package flag are printed with their result code.
+func TestInvalidFlagErrorHasItsCode(t *testing.T) {
 	for _, args := range [][]string{{"-deadline", "soon"}, {"-no-such-flag"}, {"-name"}, {"-profile=maybe"}} {
 		var out bytes.Buffer
 		fs := flag.NewFlagSet("entry", flag.ContinueOnError)
@@ -81,25 +83,26 @@
 	}
 }
 
-// base are settings that a process starts with.
-var base = []string{"-name", "host-1", "-place", "perth-a", "-region", "west", "-object-api", "http://10.0.0.1:1", "-host-list", "http://10.0.0.1:2", "-secret", "s"}
+// validArgs are flags with which a process can start.
+var validArgs = []string{"-name", "host-1", "-place", "perth-a", "-region", "west", "-object-api", "http://10.0.0.1:1", "-host-list", "http://10.0.0.1:2", "-secret", "s"}
 
-// refused parses args on top of base, reads environ, and returns the refusal at start.
-func refused(t *testing.T, c subcommands.Command, settings checked, environ []string, args ...string) error {
+// startError returns the error of c at start, with args after validArgs and with the environment environ.
+func startError(t *testing.T, c subcommands.Command, settings checker, environ []string, args ...string) error {
 	t.Helper()
 	fs := flagsOf(c)
-	require.NoError(t, fs.Parse(append(append([]string{}, base...), args...)))
-	return loadFrom(fs, environ, settings)
+	require.NoError(t, fs.Parse(append(append([]string{}, validArgs...), args...)))
+	return loadFlagsFrom(fs, environ, settings)
 }
 
-// badStart is a start that is refused: the code and the field that the refusal must name.
-type badStart struct {
+// invalidStart is a start that must fail; want is part of its error: the code and the field.
+type invalidStart struct {
 	args    []string
 	environ []string
 	want    string
 }
 
-var badStarts = []badStart{
+// invalidStarts are the starts that must fail for each kind of process.
+var invalidStarts = []invalidStart{
 	{args: []string{"-name", "Host 1"}, want: `6001 bad process setting: -name: "Host 1", want a name`},
 	{args: []string{"-place", ""}, want: "6001 bad process setting: -place"},
 	{args: []string{"-region", "_"}, want: "6001 bad process setting: -region"},
@@ -121,9 +124,10 @@
 	{environ: []string{"SAMPHIREWEIR_PROFILE=maybe"}, want: "6001 bad process setting: SAMPHIREWEIR_PROFILE"},
 }
 
-// TestBadStartsOfEntries refuses each with its code, the field and a right value.
-func TestBadStartsOfEntries(t *testing.T) {
-	own := []badStart{
+// TestInvalidFlagsOfEntriesAreRejected guards against an entry that starts with an invalid flag or variable. The error must name the code,
+// the field and a valid value.
+func TestInvalidFlagsOfEntriesAreRejected(t *testing.T) {
+	own := []invalidStart{
 		{args: []string{"-callers-listen", "x"}, want: "6001 bad process setting: -callers-listen"},
 		{args: []string{"-callers-listen", "10.0.0.5:1", "-peers-listen", "10.0.0.5:1"}, want: "6003 process settings clash: -callers-listen and -peers-listen"},
 		{args: []string{"-callers-listen", "10.0.0.5:1", "-operators-listen", "10.0.0.5:1"}, want: "6003 process settings clash: -callers-listen and -operators-listen"},
@@ -134,19 +138,20 @@
 		{environ: []string{"SAMPHIREWEIR_MAX_BODY=big"}, want: "6001 bad process setting: SAMPHIREWEIR_MAX_BODY"},
 	}
 	c := &entryCommand{}
-	require.NoError(t, refused(t, c, &c.config, []string{"SAMPHIREWEIR_ORIGIN=http://10.0.0.1:3", "PATH=/bin"}))
-	for _, b := range append(own, badStarts...) {
+	require.NoError(t, startError(t, c, &c.config, []string{"SAMPHIREWEIR_ORIGIN=http://10.0.0.1:3", "PATH=/bin"}))
+	for _, start := range append(own, invalidStarts...) {
 		c := &entryCommand{}
-		err := refused(t, c, &c.config, b.environ, b.args...)
-		require.ErrorContains(t, err, b.want, "%v %v", b.args, b.environ)
+		err := startError(t, c, &c.config, start.environ, start.args...)
+		require.ErrorContains(t, err, start.want, "%v %v", start.args, start.environ)
 		require.Regexp(t, "want |see ", err.Error())
 	}
 }
 
-// TestBadStartsOfAgents refuses each with its code, the field and a right value.
-func TestBadStartsOfAgents(t *testing.T) {
-	good := []string{"-origin", "http://10.0.0.1:3", "-upstreams", "karrakin/summary-model=engine@http://127.0.0.1:4000/e1"}
-	own := []badStart{
+// TestInvalidFlagsOfAgentsAreRejected guards against an agent that starts with an invalid flag or variable. The error must name the code
+// and the field.
+func TestInvalidFlagsOfAgentsAreRejected(t *testing.T) {
+	valid := []string{"-origin", "http://10.0.0.1:3", "-upstreams", "karrakin/summary-model=engine@http://127.0.0.1:4000/e1"}
+	own := []invalidStart{
 		{args: []string{"-origin", ""}, want: "6003 process settings clash: -weight-store and -origin"},
 		{args: []string{"-link-rate", "-1"}, want: "6001 bad process setting: -link-rate"},
 		{args: []string{"-chunk-memory", "0"}, want: "6001 bad process setting: -chunk-memory"},
@@ -158,10 +163,10 @@
 		{environ: []string{"SAMPHIREWEIR_LINK_RATE=fast"}, want: "6001 bad process setting: SAMPHIREWEIR_LINK_RATE"},
 	}
 	c := &agentCommand{}
-	require.NoError(t, refused(t, c, &c.config, []string{"SAMPHIREWEIR_DEADLINE=1s"}, good...))
-	for _, b := range append(own, badStarts...) {
+	require.NoError(t, startError(t, c, &c.config, []string{"SAMPHIREWEIR_DEADLINE=1s"}, valid...))
+	for _, start := range append(own, invalidStarts...) {
 		c := &agentCommand{}
-		err := refused(t, c, &c.config, b.environ, append(append([]string{}, good...), b.args...)...)
-		require.ErrorContains(t, err, b.want, "%v %v", b.args, b.environ)
+		err := startError(t, c, &c.config, start.environ, append(append([]string{}, valid...), start.args...)...)
+		require.ErrorContains(t, err, start.want, "%v %v", start.args, start.environ)
 	}
 }
--- a/internal/cli/evacuate.go
+++ b/internal/cli/evacuate.go
@@ -19,10 +19,10 @@
 	"samphireweir.example/samphireweir/platform"
 )
 
-// evacuateTimeout bounds the command.
+// evacuateTimeout is the timeout of the command.
 const evacuateTimeout = 10 * time.Second
 
-// evacuateCommand asks, as the operator, that nothing more be sent to a data centre, or takes that back.
+// evacuateCommand requests the evacuation of a data centre, so that no new requests are sent there, or ends it.
 type evacuateCommand struct {
 	store      string
 	dataCentre string
@@ -30,34 +30,34 @@
 	dryRun     bool
 }
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*evacuateCommand) Name() string { return "evacuate" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*evacuateCommand) Synopsis() string {
-	return "have nothing more sent to a data centre of the users' platform, or take that back"
+	return "stop new requests to a data centre of the users' platform, or end that evacuation"
 }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*evacuateCommand) Usage() string {
 	return `evacuate -store IP:PORT -data-centre perth-a [-dry-run | -end]
-  Asks that nothing more be sent to the engines and services of a data centre; what runs there goes on to its end. The store's answer
-  confirms it, and the command returns when it is there. Prints how many places of each service are in the data centre and how many are left elsewhere;
-  -dry-run prints that and asks for nothing. Requests that are bound to regions of which only this one has upstreams are refused meanwhile.
-  -end takes the evacuation back.
+  Stops new requests to the engines and services of a data centre; requests in flight there run to their end.
+  The command returns when the store has confirmed the evacuation. It prints how many slots of each service are in the data centre
+  and how many remain elsewhere; -dry-run prints this only. During an evacuation, requests that are bound to regions without
+  upstreams in other data centres are refused. -end ends the evacuation.
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags defines the command's flags.
 func (c *evacuateCommand) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.store, "store", "", "address of the platform's store, IP:PORT")
 	fs.StringVar(&c.dataCentre, "data-centre", "", "name of the data centre")
-	fs.BoolVar(&c.end, "end", false, "take the evacuation back")
-	fs.BoolVar(&c.dryRun, "dry-run", false, "print what would move and ask for nothing")
+	fs.BoolVar(&c.end, "end", false, "end the evacuation")
+	fs.BoolVar(&c.dryRun, "dry-run", false, "print the affected slots and change nothing")
 	config.Describe(fs)
 }
 
-// Check refuses flags that can't work.
+// Check returns an error for the first flag that is invalid or contradicts another one.
 func (c *evacuateCommand) Check() error {
 	if _, err := netip.ParseAddrPort(c.store); err != nil {
 		return code.Errorf(code.BadProcess, "-store", "%q, want IP:PORT", c.store)
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// Execute carries the command out.
+// Execute starts or ends the evacuation.
 func (c *evacuateCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := load(fs, c); err != nil {
+	if err := loadFlags(fs, c); err != nil {
 		return fail(os.Stderr, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, evacuateTimeout)
@@ -84,6 +84,7 @@
 	return subcommands.ExitSuccess
 }
 
+// run carries the command out and writes the result to out.
 func (c *evacuateCommand) run(ctx context.Context, out io.Writer) error {
 	store := platform.NewStore(c.store, &http.Client{})
 	if c.end {
@@ -93,7 +94,7 @@
 		_, err := fmt.Fprintf(out, "%s is in use again: confirmed\n", c.dataCentre)
 		return err
 	}
-	services, err := c.places(ctx, store)
+	services, err := c.countSlots(ctx, store)
 	if err != nil {
 		return err
 	}
@@ -112,48 +113,50 @@
 	return err
 }
 
-// servicePlaces is what an evacuation takes of a service.
-type servicePlaces struct {
+// serviceSlots counts the upstreams of a service and their slots, inside and outside an evacuated data centre.
+type serviceSlots struct {
 	service string
-	// moving and left count the upstreams in the data centre and elsewhere, and the requests that they work on at once.
-	moving, left placeCount
+	// evacuated counts those in the data centre, remaining those elsewhere.
+	evacuated, remaining slotCount
 }
 
-type placeCount struct{ upstreams, places int }
+// slotCount is a number of upstreams, and of the requests that they can process at once.
+type slotCount struct{ upstreams, slots int }
 
-// String says it in a line.
-func (s servicePlaces) String() string {
-	line := fmt.Sprintf("%s: %d upstreams with %d places are in the data centre, %d with %d places elsewhere",
-		s.service, s.moving.upstreams, s.moving.places, s.left.upstreams, s.left.places)
-	if s.moving.upstreams > 0 && s.left.upstreams == 0 {
+// String formats the counts in one line.
+func (s serviceSlots) String() string {
+	line := fmt.Sprintf("%s: %d upstreams with %d slots are in the data centre, %d with %d slots elsewhere",
+		s.service, s.evacuated.upstreams, s.evacuated.slots, s.remaining.upstreams, s.remaining.slots)
+	if s.evacuated.upstreams > 0 && s.remaining.upstreams == 0 {
 		line += "; all its requests will be refused"
 	}
 	return line
 }
 
-// places counts the upstreams of each service that take work, in the data centre and elsewhere.
-func (c *evacuateCommand) places(ctx context.Context, store *platform.Store) ([]servicePlaces, error) {
+// countSlots counts the upstreams that accept requests, by service, in the data centre and elsewhere. It is an error if the data centre
+// has none.
+func (c *evacuateCommand) countSlots(ctx context.Context, store *platform.Store) ([]serviceSlots, error) {
 	objects, _, err := store.List(ctx, platform.ServerKind, false)
 	if err != nil {
 		return nil, code.Errorf(code.PlatformDown, "", "%v", err)
 	}
-	var list []servicePlaces
+	var list []serviceSlots
 	found := false
 	for _, o := range objects {
 		u, err := platform.DecodeUpstream(o)
 		if err != nil || u.Draining {
-			continue // It takes no work.
+			continue // It accepts no requests.
 		}
-		i := slices.IndexFunc(list, func(s servicePlaces) bool { return s.service == u.Service })
+		i := slices.IndexFunc(list, func(s serviceSlots) bool { return s.service == u.Service })
 		if i < 0 {
-			list, i = append(list, servicePlaces{service: u.Service}), len(list)
+			list, i = append(list, serviceSlots{service: u.Service}), len(list)
 		}
-		count := &list[i].left
+		count := &list[i].remaining
 		if u.DataCentre == c.dataCentre {
-			count, found = &list[i].moving, true
+			count, found = &list[i].evacuated, true
 		}
 		count.upstreams++
-		count.places += u.Slots
+		count.slots += u.Slots
 	}
 	if !found {
 		return nil, code.Errorf(code.BadProcess, "-data-centre", "%q has no upstream; is the name right?", c.dataCentre)
--- a/internal/cli/evacuate_test.go
+++ b/internal/cli/evacuate_test.go
@@ -11,7 +11,7 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// evacuated lists the data centres that are being evacuated.
+// evacuated returns the names of the data centres that are being evacuated.
 func evacuated(t *testing.T, fleet *standin.Fleet) []string {
 	t.Helper()
 	objects, _, err := fleet.Client().List(t.Context(), platform.EvacuationKind, false)
@@ -23,7 +23,9 @@
 	return list
 }
 
-func TestEvacuateSaysWhatMovesAndIsConfirmed(t *testing.T) {
+// TestEvacuateCountsSlotsAndIsConfirmed checks the command against a stand-in store: it counts slots, a dry run changes nothing, starting
+// and ending are idempotent, and an unknown data centre and a store that is down are reported with their codes.
+func TestEvacuateCountsSlotsAndIsConfirmed(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.AddService("i-1")
@@ -38,8 +40,8 @@
 		require.NoError(t, c.run(context.Background(), &out))
 		return out.String()
 	}
-	require.Equal(t, "desk: 2 upstreams with 8 places are in the data centre, 1 with 4 places elsewhere\n", run(evacuateCommand{dataCentre: "bunbury-a", dryRun: true}))
-	require.Empty(t, evacuated(t, fleet), "a dry run asks for nothing")
+	require.Equal(t, "desk: 2 upstreams with 8 slots are in the data centre, 1 with 4 slots elsewhere\n", run(evacuateCommand{dataCentre: "bunbury-a", dryRun: true}))
+	require.Empty(t, evacuated(t, fleet), "a dry run must not change the store")
 	for range 2 {
 		require.Contains(t, run(evacuateCommand{dataCentre: "bunbury-a"}), "bunbury-a is evacuated: confirmed")
 		require.Equal(t, []string{"bunbury-a"}, evacuated(t, fleet))
@@ -48,8 +50,8 @@
 		require.Contains(t, run(evacuateCommand{dataCentre: "bunbury-a", end: true}), "in use again")
 		require.Empty(t, evacuated(t, fleet))
 	}
-	wrong := evacuateCommand{store: store, dataCentre: "nowhere"}
-	require.ErrorContains(t, wrong.run(context.Background(), &bytes.Buffer{}), "6001")
+	unknown := evacuateCommand{store: store, dataCentre: "nowhere"}
+	require.ErrorContains(t, unknown.run(context.Background(), &bytes.Buffer{}), "6001")
 	fleet.Store.SetDown(true)
 	down := evacuateCommand{store: store, dataCentre: "bunbury-a", end: true}
 	require.ErrorContains(t, down.run(context.Background(), &bytes.Buffer{}), "5006")
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -17,7 +17,8 @@
 	"samphireweir.example/samphireweir/internal/story"
 )
 
-// explainCommand tells from logs what became of a request or how a belief spread.
+// explainCommand explains from logs the outcome of a request, how a change of the known state spread, how a version was installed, or
+// why requests were not answered in time.
 type explainCommand struct {
 	request string
 	belief  string
@@ -27,15 +28,15 @@
 	install string
 }
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*explainCommand) Name() string { return "explain" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*explainCommand) Synopsis() string {
-	return "tell from the logs of several processes what became of a request, or how a belief spread"
+	return "explain from logs the outcome of a request, or how a change of the known state spread"
 }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*explainCommand) Usage() string {
 	return `explain -request 3c67139be7bbc25e FILE...
   explain -belief manifest FILE...
@@ -43,33 +44,34 @@
   explain -sample 20 -seed 1 FILE...
   explain -losses FILE...
   explain -install MODEL/VERSION FILE...
-  Reads log files, or standard input when none is named. -request prints the lines of one request, what its entry learned in the ten
-  seconds before its end, and what is missing. -belief prints how a manifest, an upstream or a version went through the processes. -sample
-  draws failed and refused requests and prints a line on each. -losses counts the requests that were not answered in time, by reason. -install tells when hosts took each step of a version's way to
-  their engines. Lines that can't be read are counted.
+  Reads log files, or standard input if no file is given. -request prints the lines of one request, related events at its entry in
+  the 10 seconds before its end, and which lines are missing. -belief prints when the processes learned of a change of the manifest,
+  an upstream or a version. -sample draws failed and refused requests and prints the outcome and the cause of each. -losses counts
+  the requests that were not answered in time, by reason. -install prints when hosts reached each step of a version's installation.
+  Malformed lines are counted.
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags defines the command's flags.
 func (c *explainCommand) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.request, "request", "", "id of a request, as its caller gave it")
-	fs.StringVar(&c.belief, "belief", "", "manifest, upstreams, versions or source, with /NAME for one upstream or model")
-	fs.IntVar(&c.sample, "sample", 0, "how many failed requests to draw")
-	fs.Uint64Var(&c.seed, "seed", 1, "seed of the draw; the same logs give the same requests")
+	fs.StringVar(&c.belief, "belief", "", "topic of the known state: manifest, upstreams, versions or source, with /NAME for one upstream or model")
+	fs.IntVar(&c.sample, "sample", 0, "number of failed and refused requests to draw")
+	fs.Uint64Var(&c.seed, "seed", 1, "seed of -sample; the same logs and seed give the same requests")
 	fs.BoolVar(&c.losses, "losses", false, "count the requests that were not answered in time, by reason")
-	fs.StringVar(&c.install, "install", "", "MODEL/VERSION whose way to the engines is told")
+	fs.StringVar(&c.install, "install", "", "MODEL/VERSION whose installation is printed")
 	describeFlags(fs)
 }
 
-// Check refuses flags that don't say what to explain.
+// Check returns an error unless exactly one of the flags says what to explain.
 func (c *explainCommand) Check() error {
-	asked := 0
+	given := 0
 	for _, set := range []bool{c.request != "", c.belief != "", c.sample != 0, c.losses, c.install != ""} {
 		if set {
-			asked++
+			given++
 		}
 	}
-	if asked != 1 || c.sample < 0 {
+	if given != 1 || c.sample < 0 {
 		return code.Errorf(code.BadProcess, "-request, -belief, -sample, -losses, -install", "want one of them, and a positive number for -sample")
 	}
 	if _, _, err := c.version(); c.install != "" && err != nil {
@@ -78,16 +80,16 @@
 	return nil
 }
 
-// version is the model and the version of -install.
+// version returns the model and the version of -install.
 func (c *explainCommand) version() (string, int64, error) {
 	model, text, _ := strings.Cut(c.install, "/")
 	number, err := strconv.ParseInt(text, 10, 64)
-	return model, number, errors.Wrap(err, "read a version")
+	return model, number, errors.Wrap(err, "parse version")
 }
 
-// Execute prints the story.
+// Execute reads the logs and prints the explanation.
 func (c *explainCommand) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	err := config.FromEnvironment(fs, os.Environ(), variables())
+	err := config.FromEnvironment(fs, os.Environ(), knownVariables())
 	if err == nil {
 		err = c.Check()
 	}
@@ -104,7 +106,7 @@
 	return subcommands.ExitSuccess
 }
 
-// readLogs reads files, or standard input when there are none.
+// readLogs reads log files, or standard input if names is empty.
 func readLogs(names []string) (*story.Log, error) {
 	if len(names) == 0 {
 		return story.Read(os.Stdin)
@@ -113,7 +115,7 @@
 	for _, name := range names {
 		f, err := os.Open(name)
 		if err != nil {
-			return nil, errors.Wrap(err, "open a log")
+			return nil, errors.Wrap(err, "open log")
 		}
 		defer func() { _ = f.Close() }()
 		readers = append(readers, f)
@@ -121,13 +123,14 @@
 	return story.Read(readers...)
 }
 
+// print writes the explanation for which the flags ask.
 func (c *explainCommand) print(w io.Writer, log *story.Log) error {
-	_, _ = fmt.Fprintf(w, "%d lines, %d that can't be read, %d dropped by their processes\n\n", len(log.Lines), log.Bad, log.Dropped)
+	_, _ = fmt.Fprintf(w, "%d lines, %d malformed lines, %d lines dropped by their processes\n\n", len(log.Lines), log.Bad, log.Dropped)
 	switch {
 	case c.request != "":
 		v, ok := log.Explain(c.request)
 		if !ok {
-			return errors.Errorf("no line names request %s: it came to no entry of these logs, or its lines were dropped", c.request)
+			return errors.Errorf("no line has request id %s: no entry of these logs received the request, or its lines were dropped", c.request)
 		}
 		return v.Print(w)
 	case c.losses:
@@ -145,6 +148,7 @@
 	return c.printSample(w, log)
 }
 
+// printSample writes the outcome and the cause of each request of a sample.
 func (c *explainCommand) printSample(w io.Writer, log *story.Log) error {
 	ids := log.Sample(c.sample, c.seed)
 	explained := 0
@@ -158,6 +162,6 @@
 			_, _ = fmt.Fprintf(w, "    missing: %s\n", m)
 		}
 	}
-	_, err := fmt.Fprintf(w, "\n%d of %d drawn lead to a cause, of %d that failed or were refused\n", explained, len(ids), len(log.Failures()))
+	_, err := fmt.Fprintf(w, "\n%d of %d drawn requests have a known cause; %d failed or were refused in total\n", explained, len(ids), len(log.Failures()))
 	return err
 }
--- a/internal/cli/flags.go
+++ b/internal/cli/flags.go
@@ -12,21 +12,21 @@
 	"samphireweir.example/samphireweir/internal/config"
 )
 
-// titled is a command with its name on the command line.
-type titled struct {
-	title   string
+// namedCommand is a command with its full name on the command line, such as "settings get".
+type namedCommand struct {
+	name    string
 	command subcommands.Command
 }
 
-// allCommands lists every command, with the commands below `settings`.
-func allCommands() []titled {
-	var list []titled
+// allCommands returns every command, including the subcommands of `settings`.
+func allCommands() []namedCommand {
+	var list []namedCommand
 	for _, g := range groups() {
 		for _, command := range g.commands {
-			list = append(list, titled{command.Name(), command})
+			list = append(list, namedCommand{command.Name(), command})
 			if command.Name() == settingsName {
-				for _, below := range settingsSubcommands() {
-					list = append(list, titled{settingsName + " " + below.Name(), below})
+				for _, sub := range settingsSubcommands() {
+					list = append(list, namedCommand{settingsName + " " + sub.Name(), sub})
 				}
 			}
 		}
@@ -41,8 +41,8 @@
 	return fs
 }
 
-// variables are those that any command reads.
-func variables() map[string]bool {
+// knownVariables returns the environment variables that any command reads.
+func knownVariables() map[string]bool {
 	known := map[string]bool{}
 	for _, c := range allCommands() {
 		flagsOf(c.command).VisitAll(func(f *flag.Flag) { known[config.Variable(f.Name)] = true })
@@ -50,18 +50,19 @@
 	return known
 }
 
-// FlagsPage returns docs/FLAGS.md.
+// FlagsPage returns the content of docs/FLAGS.md, in Markdown.
 func FlagsPage() string {
 	var b strings.Builder
-	b.WriteString("# Flags and variables\n\nPrinted by `samphireweir flags`; a test keeps this page and the binary alike. Each flag may be given as a variable\n")
-	b.WriteString("too; the flag wins. A variable that begins with " + config.EnvPrefix + " and that no command reads is refused at start (6002).\n")
+	b.WriteString("# Flags and variables\n\nPrinted by `samphireweir flags`; a test checks that this page matches the binary. Each flag can also be set by an environment\n")
+	b.WriteString("variable; the flag takes precedence. A variable that begins with " + config.EnvPrefix + " and that no command reads is rejected at start (6002).\n")
 	for _, c := range allCommands() {
 		writeFlags(&b, c)
 	}
 	return b.String()
 }
 
-func writeFlags(b *strings.Builder, c titled) {
+// writeFlags writes the flags of a command as a table; nothing if it has none.
+func writeFlags(b *strings.Builder, c namedCommand) {
 	fs := flagsOf(c.command)
 	rows := ""
 	fs.VisitAll(func(f *flag.Flag) {
@@ -75,21 +76,21 @@
 	if rows == "" {
 		return
 	}
-	_, _ = fmt.Fprintf(b, "\n## samphireweir %s\n\n%s.\n\n| flag | variable | default | meaning |\n|---|---|---|---|\n%s", c.title, c.command.Synopsis(), rows)
+	_, _ = fmt.Fprintf(b, "\n## samphireweir %s\n\n%s.\n\n| flag | variable | default | meaning |\n|---|---|---|---|\n%s", c.name, c.command.Synopsis(), rows)
 }
 
 type flagsCommand struct{}
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*flagsCommand) Name() string { return "flags" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*flagsCommand) Synopsis() string { return "print every flag and variable of every command" }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*flagsCommand) Usage() string { return "flags\n  Prints docs/FLAGS.md.\n" }
 
-// SetFlags declares no flags.
+// SetFlags defines no flags.
 func (*flagsCommand) SetFlags(*flag.FlagSet) {}
 
 // Execute prints the page.
--- a/internal/cli/pages_test.go
+++ b/internal/cli/pages_test.go
@@ -15,30 +15,31 @@
 	"samphireweir.example/samphireweir/internal/code"
 )
 
-// TestFirstWeekExplainsEveryRefusal finds each code that a caller or an operator can meet on the page for new staff.
-func TestFirstWeekExplainsEveryRefusal(t *testing.T) {
+// TestFirstWeekPageExplainsEveryCode guards against a result code that callers or operators can receive and that docs/operators/first-week.md
+// doesn't explain.
+func TestFirstWeekPageExplainsEveryCode(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/first-week.md")
 	require.NoError(t, err)
-	const firstOfOperators = 5000
+	const firstOperatorCode = 5000
 	for _, e := range code.Catalogue {
-		if e.Status != 0 || e.Code >= firstOfOperators {
+		if e.Status != 0 || e.Code >= firstOperatorCode {
 			require.Contains(t, string(page), strconv.Itoa(int(e.Code)), e.Name)
 		}
 	}
 }
 
 var (
-	// pageCommand finds the commands of the binary in a page's examples, up to a comment or a redirection.
+	// pageCommand matches the commands of the binary in a page's examples, up to a comment or a redirection.
 	pageCommand = regexp.MustCompile("(?m)^ {4}(?:bin/)?samphireweir ([^#>&`\n]*)")
-	// pageFlag finds a flag in a command.
+	// pageFlag matches a flag in a command.
 	pageFlag = regexp.MustCompile(`(?:^|\s)-([a-z][a-z-]*)`)
 )
 
-// TestPagesNameRealCommands finds each command and each flag of the operators' examples in the binary.
-func TestPagesNameRealCommands(t *testing.T) {
-	commands := map[string]titled{}
+// TestPagesUseExistingCommandsAndFlags guards against examples in docs/operators with commands or flags that the binary doesn't have.
+func TestPagesUseExistingCommandsAndFlags(t *testing.T) {
+	commands := map[string]namedCommand{}
 	for _, c := range allCommands() {
-		commands[c.title] = c
+		commands[c.name] = c
 	}
 	pages, err := filepath.Glob("../../docs/operators/*.md")
 	require.NoError(t, err)
@@ -52,12 +53,12 @@
 			if words[0] == "help" {
 				continue
 			}
-			title := words[0]
-			if title == settingsName {
-				title += " " + words[1]
+			name := words[0]
+			if name == settingsName {
+				name += " " + words[1]
 			}
-			c, known := commands[title]
-			require.True(t, known, "%s: samphireweir %s", path, m[1])
+			c, ok := commands[name]
+			require.True(t, ok, "%s: samphireweir %s", path, m[1])
 			for _, f := range pageFlag.FindAllStringSubmatch(m[1], -1) {
 				require.NotNil(t, flagsOf(c.command).Lookup(f[1]), "%s: -%s in samphireweir %s", path, f[1], m[1])
 			}
@@ -67,8 +68,8 @@
 	require.Greater(t, found, 10)
 }
 
-// TestChangeIsTraced sends a change of a setting with a traceparent when tracing is on, and with none when it is off.
-func TestChangeIsTraced(t *testing.T) {
+// TestSettingChangeIsTraced checks that a change of a setting is sent with a traceparent if tracing is on, and without one if it is off.
+func TestSettingChangeIsTraced(t *testing.T) {
 	parents := make(chan string, 2)
 	platform := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { parents <- r.Header.Get("Traceparent") }))
 	defer platform.Close()
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -25,33 +25,34 @@
 )
 
 const (
-	// memoryShare is the part of a process's memory limit that the collector keeps to.
-	memoryShare = 0.5
-	// metricsPath is where a process on the platform serves its metrics.
+	// memoryFraction is the fraction of the process's memory limit that is set as the soft limit of Go's garbage collector.
+	memoryFraction = 0.5
+	// metricsPath is the URL path of the metrics of a process on the platform.
 	metricsPath = "/metrics"
-	// metricsHeadTime bounds the reading of the head of a request for metrics.
-	metricsHeadTime = 5 * time.Second
+	// metricsHeaderTimeout is the timeout for reading the head of a request for metrics.
+	metricsHeaderTimeout = 5 * time.Second
 )
 
-// platformConfig holds the process settings of the roles on the platform; the rest is in the platform's own file.
+// platformConfig holds the process settings of the roles on the platform. All others are in the platform's settings file.
 type platformConfig struct {
 	// boot is the path of the platform's settings file.
 	boot string
-	// metricsPort is where metrics are served on the host's address; 0 for nowhere.
+	// metricsPort is the port for metrics on the host's address; 0 turns them off.
 	metricsPort int
 	logLevel    string
 	trace       telemetry.TraceConfig
 }
 
+// flags defines the flags of c on fs.
 func (c *platformConfig) flags(fs *flag.FlagSet) {
 	fs.StringVar(&c.boot, "boot", "", "path of the platform's settings file")
-	fs.IntVar(&c.metricsPort, "metrics-port", 0, "port of the metrics on the host's address; 0 for none")
-	fs.StringVar(&c.logLevel, "log-level", "info", "least level of log lines: debug, info, warn or error")
+	fs.IntVar(&c.metricsPort, "metrics-port", 0, "port for metrics on the host's address; 0 turns them off")
+	fs.StringVar(&c.logLevel, "log-level", "info", "minimum level of log lines: debug, info, warn or error")
 	c.trace.Flags(fs)
 	config.Describe(fs)
 }
 
-// Check refuses settings that can't work.
+// Check returns an error for the first setting that is missing or invalid.
 func (c *platformConfig) Check() error {
 	if c.boot == "" {
 		return code.Errorf(code.BadProcess, "-boot", "empty, want the path of the platform's settings file")
@@ -65,24 +66,26 @@
 	return c.trace.Check()
 }
 
-// platformProcess is what the roles on the platform have in common.
+// platformProcess holds what both roles on the platform need to run.
 type platformProcess struct {
 	host    hostconfig.Host
 	log     zerolog.Logger
 	metrics *telemetry.Metrics
-	// traces is nil when tracing is off.
+	// traces is nil if tracing is off.
 	traces *telemetry.Traces
-	// closeLog writes the last lines.
+	// closeLog writes the remaining log lines and stops the log writer.
 	closeLog func()
 }
 
+// start reads the platform's settings file and starts what both roles have in common: the log, metrics, traces, and the watch of the
+// settings file.
 func (c *platformConfig) start(role string, reload <-chan os.Signal) (*platformProcess, error) {
 	host, err := platform.ReadSettings(c.boot)
 	if err != nil {
 		return nil, err
 	}
 	if host.Memory > 0 {
-		debug.SetMemoryLimit(int64(float64(host.Memory) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(host.Memory) * memoryFraction))
 	}
 	lines := boundedlog.New(os.Stdout, role, host.Name)
 	stop, done := make(chan struct{}), make(chan struct{})
@@ -115,39 +118,40 @@
 	return p, nil
 }
 
+// serveMetrics serves the metrics on address; a failure is logged and doesn't end the process.
 func (p *platformProcess) serveMetrics(address string) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+metricsPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		_ = p.metrics.Write(w) // A reader that left misses a page.
+		_ = p.metrics.Write(w) // The error means that the client disconnected.
 	})
-	server := &http.Server{Addr: address, Handler: mux, ReadHeaderTimeout: metricsHeadTime}
+	server := &http.Server{Addr: address, Handler: mux, ReadHeaderTimeout: metricsHeaderTimeout}
 	if err := server.ListenAndServe(); err != nil {
-		logevent.Warn(p.log, logevent.ServerError).Str("address", address).Err(err).Msg("metrics are not served")
+		logevent.Warn(p.log, logevent.ServerError).Str("address", address).Err(err).Msg("failed to serve metrics")
 	}
 }
 
 type platformEntryCommand struct{ config platformConfig }
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*platformEntryCommand) Name() string { return "platform-entry" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*platformEntryCommand) Synopsis() string {
 	return "run the process that callers reach, on the users' platform"
 }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*platformEntryCommand) Usage() string {
 	return `platform-entry -boot FILE
-  Runs the process that callers reach. FILE is the platform's settings file. SIGTERM is a graceful shutdown.
+  Runs the process that callers reach. FILE is the platform's settings file. SIGTERM starts a graceful shutdown.
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags defines the command's flags.
 func (c *platformEntryCommand) SetFlags(fs *flag.FlagSet) { c.config.flags(fs) }
 
-// Execute runs the process until it is told to stop.
+// Execute runs the process until SIGTERM or SIGINT.
 func (c *platformEntryCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return c.config.run(ctx, fs, "entry", func(ctx context.Context, p *platformProcess) error {
 		return gateway.New(p.host, p.log, p.metrics, p.traces).Run(ctx)
@@ -156,36 +160,36 @@
 
 type platformAgentCommand struct{ config platformConfig }
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*platformAgentCommand) Name() string { return "platform-agent" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*platformAgentCommand) Synopsis() string {
 	return "run the process beside a model engine, on the users' platform"
 }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*platformAgentCommand) Usage() string {
 	return `platform-agent -boot FILE
-  Runs the process beside a model engine: it brings the weights in force to the engine and tells entries of its load.
-  FILE is the platform's settings file. SIGTERM ends it at once.
+  Runs the process beside a model engine: it installs the weights in force on the engine and reports its load to entries.
+  FILE is the platform's settings file. SIGTERM ends the process at once.
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags defines the command's flags.
 func (c *platformAgentCommand) SetFlags(fs *flag.FlagSet) { c.config.flags(fs) }
 
-// Execute runs the process until it is told to stop.
+// Execute runs the process until SIGTERM or SIGINT.
 func (c *platformAgentCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return c.config.run(ctx, fs, "agent", func(ctx context.Context, p *platformProcess) error {
 		return hostagent.New(p.host, p.log, p.metrics, p.traces).Run(ctx)
 	})
 }
 
-// run runs a role until it ends or is told to stop.
+// run runs work as the process of a role until it ends, or until SIGTERM or SIGINT.
 func (c *platformConfig) run(ctx context.Context, fs *flag.FlagSet, role string, work func(context.Context, *platformProcess) error) subcommands.ExitStatus {
-	reload := reloads() // First of all: a signal that nobody asked for ends a process.
-	if err := load(fs, c); err != nil {
+	reload := notifyReload() // Must come first: without a handler, SIGHUP terminates the process.
+	if err := loadFlags(fs, c); err != nil {
 		return fail(os.Stderr, err)
 	}
 	p, err := c.start(role, reload)
--- a/internal/cli/reference.go
+++ b/internal/cli/reference.go
@@ -13,24 +13,24 @@
 	"samphireweir.example/samphireweir/internal/telemetry"
 )
 
-// Version is the product's version.
+// Version is the version of the binary.
 const Version = "0.1.0"
 
 type codesCommand struct{}
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*codesCommand) Name() string { return "codes" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*codesCommand) Synopsis() string { return "print the numbered result codes" }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*codesCommand) Usage() string { return "codes\n  Prints docs/CODES.md.\n" }
 
-// SetFlags declares no flags.
+// SetFlags defines no flags.
 func (*codesCommand) SetFlags(*flag.FlagSet) {}
 
-// Execute prints the page.
+// Execute prints the page to standard output.
 func (*codesCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	_, _ = fmt.Fprint(os.Stdout, code.Page())
 	return subcommands.ExitSuccess
@@ -38,19 +38,19 @@
 
 type eventsCommand struct{}
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*eventsCommand) Name() string { return "events" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*eventsCommand) Synopsis() string { return "print the numbered log events" }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*eventsCommand) Usage() string { return "events\n  Prints docs/EVENTS.md.\n" }
 
-// SetFlags declares no flags.
+// SetFlags defines no flags.
 func (*eventsCommand) SetFlags(*flag.FlagSet) {}
 
-// Execute prints the page.
+// Execute prints the page to standard output.
 func (*eventsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	_, _ = fmt.Fprint(os.Stdout, logevent.Page())
 	return subcommands.ExitSuccess
@@ -58,19 +58,19 @@
 
 type metricsCommand struct{}
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*metricsCommand) Name() string { return "metrics" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*metricsCommand) Synopsis() string { return "print the list of metrics" }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*metricsCommand) Usage() string { return "metrics\n  Prints docs/METRICS.md.\n" }
 
-// SetFlags declares no flags.
+// SetFlags defines no flags.
 func (*metricsCommand) SetFlags(*flag.FlagSet) {}
 
-// Execute prints the page.
+// Execute prints the page to standard output.
 func (*metricsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	_, _ = fmt.Fprint(os.Stdout, telemetry.Page())
 	return subcommands.ExitSuccess
@@ -78,16 +78,16 @@
 
 type versionCommand struct{}
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*versionCommand) Name() string { return "version" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*versionCommand) Synopsis() string { return "print the version" }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*versionCommand) Usage() string { return "version\n  Prints the name and the version.\n" }
 
-// SetFlags declares no flags.
+// SetFlags defines no flags.
 func (*versionCommand) SetFlags(*flag.FlagSet) {}
 
 // Execute prints the version.
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -10,35 +10,36 @@
 	"samphireweir.example/samphireweir/platform"
 )
 
-// settingsPoll is how often the settings file is read: it may change without a signal.
-const settingsPoll = 5 * time.Second
+// settingsPollInterval is how often the settings file is read, since it can change without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// reloads returns the signals to read the settings file again.
-func reloads() <-chan os.Signal {
+// notifyReload returns a channel that receives SIGHUP, the signal to read the settings file again. From then on SIGHUP no longer terminates
+// the process.
+func notifyReload() <-chan os.Signal {
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	return reload
 }
 
-// watchSettings reads the settings file on SIGHUP and now and then. What a process takes from it is fixed for its life, so a
-// change is checked and logged, and in force from the next start on.
+// watchSettings reads the settings file on SIGHUP and every settingsPollInterval. A process applies the settings at its start only, so a
+// change is validated and logged, and takes effect at the next start.
 func (p *platformProcess) watchSettings(path string, reload <-chan os.Signal) {
-	known, err := os.ReadFile(path)
+	last, err := os.ReadFile(path)
 	if err != nil {
-		logevent.Warn(p.log, logevent.BadEntry).Err(err).Msg("settings file can't be read")
+		logevent.Warn(p.log, logevent.BadEntry).Err(err).Msg("failed to read settings file")
 	}
 	for {
 		select {
 		case <-reload:
-		case <-time.After(settingsPoll):
+		case <-time.After(settingsPollInterval):
 		}
 		raw, err := os.ReadFile(path)
-		if err != nil || string(raw) == string(known) {
+		if err != nil || string(raw) == string(last) {
 			continue
 		}
-		known = raw
+		last = raw
 		if _, err := platform.DecodeSettings(string(raw)); err != nil {
-			logevent.Warn(p.log, logevent.BadEntry).Err(err).Msg("changed settings refused")
+			logevent.Warn(p.log, logevent.BadEntry).Err(err).Msg("changed settings file is invalid")
 			continue
 		}
 		logevent.Info(p.log, logevent.SettingsFileChanged).Msg("settings file changed")
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -20,26 +20,26 @@
 	"samphireweir.example/samphireweir/internal/telemetry"
 )
 
-// operatorTimeout bounds a command of an operator.
+// operatorTimeout is the timeout of a command that reads or changes settings.
 const operatorTimeout = 30 * time.Second
 
-// settingsName is the name of the command that has commands of its own.
+// settingsName is the name of the command that has subcommands.
 const settingsName = "settings"
 
-// newSettingsCommand returns `settings` with its own subcommands.
+// newSettingsCommand returns the command `settings`.
 func newSettingsCommand() subcommands.Command { return &settingsCommand{} }
 
 type settingsCommand struct{}
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*settingsCommand) Name() string { return settingsName }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*settingsCommand) Synopsis() string {
 	return "read and change what services run (get, apply, diff, history, rollback, delete)"
 }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*settingsCommand) Usage() string {
 	return `settings get|apply|diff|history|rollback|delete [flags]
   samphireweir settings get -object-api URL -team karrakin -service summary-model > setting.json
@@ -48,7 +48,7 @@
 `
 }
 
-// SetFlags declares no flags; each subcommand has its own.
+// SetFlags defines no flags; each subcommand has its own.
 func (*settingsCommand) SetFlags(*flag.FlagSet) {}
 
 // Execute runs the subcommand.
@@ -65,36 +65,40 @@
 	return commander.Execute(ctx)
 }
 
+// settingsSubcommands returns the subcommands of `settings`.
 func settingsSubcommands() []subcommands.Command {
 	return []subcommands.Command{
 		&getCommand{}, &applyCommand{}, &diffCommand{}, &historyCommand{}, &rollbackCommand{}, &deleteCommand{},
 	}
 }
 
-// target is the service that a settings command is about, and where the platform is.
+// target holds the flags that name the service of a settings command and the platform's addresses.
 type target struct {
 	objectAPI string
 	team      string
 	service   string
-	asTeam    string
-	process   string
-	// weightStore and origin resolve versions.
+	// asTeam is the operator's own team.
+	asTeam string
+	// process is the URL of any process's address for operators.
+	process string
+	// weightStore and origin are the URLs of the sources that resolve versions.
 	weightStore string
 	origin      string
 	trace       telemetry.TraceConfig
 }
 
+// flags defines the flags of t on fs.
 func (t *target) flags(fs *flag.FlagSet) {
 	fs.StringVar(&t.objectAPI, "object-api", "", "URL of the platform's object API")
-	fs.StringVar(&t.team, "team", "", "the service's team; your own (-as-team) when absent")
-	fs.StringVar(&t.service, "service", "", "the service")
-	fs.StringVar(&t.asTeam, "as-team", "", "the team that you belong to")
+	fs.StringVar(&t.team, "team", "", "the service's team; your own team (-as-team) if empty")
+	fs.StringVar(&t.service, "service", "", "name of the service")
+	fs.StringVar(&t.asTeam, "as-team", "", "your own team")
 	fs.StringVar(&t.weightStore, "weight-store", "", "URL of the weight store")
 	fs.StringVar(&t.origin, "origin", "", "URL of the origin of weights")
 	fs.StringVar(&t.process, "process", "", "operators' address of any process of the system, as a URL")
 }
 
-// Check tells the first flag that is missing or bad.
+// Check returns an error for the first flag that is missing or invalid.
 func (t *target) Check() error {
 	if err := node.CheckURL("object-api", t.objectAPI); err != nil {
 		return err
@@ -115,18 +119,19 @@
 
 func (t *target) key() string { return setting.Key(t.team, t.service) }
 
-// client returns a client of the platform, which traces what changes a setting.
+// client returns an HTTP client for the platform that traces changes of settings.
 func (t *target) client() *http.Client {
 	client := &http.Client{Timeout: operatorTimeout}
 	t.trace.AtOnce = true
 	traces, err := telemetry.NewTraces(t.trace, "operator", t.asTeam, os.Stderr)
 	if err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "goes on without traces:", err)
+		_, _ = fmt.Fprintln(os.Stderr, "tracing is off, exporter failed:", err)
 	}
 	traces.Client(client, telemetry.NameOutsideCall)
 	return client
 }
 
+// editor returns an editor of settings for the flags of t.
 func (t *target) editor() *operator.Editor {
 	client := t.client()
 	e := &operator.Editor{Objects: objectapi.NewClient(t.objectAPI, client)}
@@ -138,7 +143,7 @@
 	return e
 }
 
-// change is a target that is to be changed: whose it is, and how long to wait for the effect.
+// change holds the flags of a command that changes a setting.
 type change struct {
 	target
 	otherTeam string
@@ -148,17 +153,19 @@
 	waitFor   time.Duration
 }
 
+// flags defines the flags of c on fs.
 func (c *change) flags(fs *flag.FlagSet) {
 	c.target.flags(fs)
 	c.trace.Flags(fs)
-	fs.StringVar(&c.otherTeam, "other-team", "", "name another team here to change its setting")
-	fs.StringVar(&c.author, "author", "", "who makes the change; the variable USER when absent")
-	fs.Var(&c.ifVersion, "if-version", "the version that you saw; the change is refused when another came between")
-	fs.BoolVar(&c.wait, "wait", false, "wait until every process has the change in force (wants -process)")
-	fs.DurationVar(&c.waitFor, "wait-for", operatorTimeout, "the longest wait")
+	fs.StringVar(&c.otherTeam, "other-team", "", "another team's name, required to change its setting")
+	fs.StringVar(&c.author, "author", "", "author of the change; the variable USER if empty")
+	fs.Var(&c.ifVersion, "if-version", "the version that you saw; the change is refused if the setting changed since")
+	fs.BoolVar(&c.wait, "wait", false, "wait until every process has the change in force (requires -process)")
+	fs.DurationVar(&c.waitFor, "wait-for", operatorTimeout, "timeout of -wait")
 }
 
-// Check tells the first flag that is missing or bad, and refuses another team's subtree unless it is named.
+// Check returns an error for the first flag that is missing or invalid, and for another team's setting unless -other-team names the
+// team.
 func (c *change) Check() error {
 	if err := c.target.Check(); err != nil {
 		return err
@@ -172,10 +179,11 @@
 	if c.asTeam == "" || c.team == c.asTeam || c.team == c.otherTeam {
 		return nil
 	}
-	return code.Errorf(code.OtherTeam, "-team", "%s belongs to team %q and you are in %q; nothing was changed. To change it all the same, name the team once more: -other-team %s",
+	return code.Errorf(code.OtherTeam, "-team", "%s belongs to team %q and you are in %q; nothing was changed. To change it anyway, add -other-team %s",
 		c.key(), c.team, c.asTeam, c.team)
 }
 
+// editor returns an editor of settings that records the author.
 func (c *change) editor() *operator.Editor {
 	e := c.target.editor()
 	e.Author = c.author
@@ -185,14 +193,14 @@
 	return e
 }
 
-// finish reports an accepted change and waits for its effect when asked.
+// finish prints an accepted change and, with -wait, waits until it is in force everywhere.
 func (c *change) finish(ctx context.Context, verb string, a operator.Applied) subcommands.ExitStatus {
 	_, _ = fmt.Fprintf(os.Stdout, "%s %s at revision %d %s\n", verb, a.Key, a.Revision, a.Digest)
 	if a.Settled {
-		_, _ = fmt.Fprintln(os.Stdout, "  the platform's first answer was lost; the outcome was found by reading back")
+		_, _ = fmt.Fprintln(os.Stdout, "  the platform's answer was lost; a later attempt confirmed the change")
 	}
-	for _, over := range a.Over {
-		_, _ = fmt.Fprintf(os.Stdout, "  another change came on top: version %d by %s\n", over.Version, over.Author)
+	for _, later := range a.Over {
+		_, _ = fmt.Fprintf(os.Stdout, "  a later change followed: version %d by %s\n", later.Version, later.Author)
 	}
 	if !c.wait {
 		return subcommands.ExitSuccess
@@ -200,10 +208,10 @@
 	return c.awaitInForce(ctx, a)
 }
 
-// optionalVersion is a version flag that may be absent; 0 means that there must be no setting yet.
+// optionalVersion is a version flag that may be absent. Version 0 means that the setting must not exist yet.
 type optionalVersion struct{ value *uint64 }
 
-// String formats the value.
+// String implements flag.Value.
 func (o *optionalVersion) String() string {
 	if o.value == nil {
 		return ""
@@ -211,7 +219,7 @@
 	return fmt.Sprint(*o.value)
 }
 
-// Set reads the value.
+// Set implements flag.Value.
 func (o *optionalVersion) Set(text string) error {
 	var v uint64
 	if _, err := fmt.Sscan(text, &v); err != nil {
@@ -221,18 +229,19 @@
 	return nil
 }
 
-// loadTarget fills in flags from the environment, checks them, and bounds the command.
-func loadTarget(ctx context.Context, fs *flag.FlagSet, c checked) (context.Context, context.CancelFunc, error) {
-	if err := load(fs, c); err != nil {
+// loadTarget calls loadFlags and returns a context with the timeout of the command.
+func loadTarget(ctx context.Context, fs *flag.FlagSet, c checker) (context.Context, context.CancelFunc, error) {
+	if err := loadFlags(fs, c); err != nil {
 		return ctx, func() {}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	return ctx, cancel, nil
 }
 
+// describeFlags adds the name of its environment variable to the help of each flag.
 func describeFlags(fs *flag.FlagSet) { config.Describe(fs) }
 
-// versionSeen is the version that the operator saw, which these commands don't have from a file.
+// versionSeen returns the version that the operator saw, from -if-version. If it is absent, the error names the present version.
 func (c *change) versionSeen(ctx context.Context) (uint64, error) {
 	if c.ifVersion.value != nil {
 		return *c.ifVersion.value, nil
@@ -242,5 +251,5 @@
 		return 0, err
 	}
 	return 0, code.Errorf(code.SettingConflict, c.key(),
-		"say which version you saw: -if-version; the present one is %d, by %s at %s", state.Version, state.Object.Author, state.Object.At)
+		"-if-version is missing, want the version that you saw; the present version is %d, by %s at %s", state.Version, state.Object.Author, state.Object.At)
 }
--- a/internal/cli/settings_read.go
+++ b/internal/cli/settings_read.go
@@ -17,23 +17,22 @@
 
 type getCommand struct{ target }
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*getCommand) Name() string { return "get" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*getCommand) Synopsis() string {
 	return "print a service's setting, ready to be edited and applied"
 }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*getCommand) Usage() string {
 	return `get -object-api URL -team karrakin -service summary-model > setting.json
-  Prints the setting with the version that you saw (if_version), so that apply refuses to overwrite a change that
-  comes between.
+  Prints the setting with its version (if_version), so that apply refuses to overwrite a change that was made since.
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags defines the command's flags.
 func (c *getCommand) SetFlags(fs *flag.FlagSet) {
 	c.flags(fs)
 	describeFlags(fs)
@@ -56,13 +55,14 @@
 	return printJSON(setting.File{Setting: editable(state.Setting()), IfVersion: &state.Version})
 }
 
-// editable leaves out what apply fills in itself.
+// editable returns a copy of s without the fields that apply sets.
 func editable(s *setting.Setting) setting.Setting {
 	out := *s
 	out.Digest, out.Change, out.Author, out.At = "", "", "", ""
 	return out
 }
 
+// printJSON prints v as indented JSON.
 func printJSON(v any) subcommands.ExitStatus {
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
@@ -77,22 +77,22 @@
 	json bool
 }
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*historyCommand) Name() string { return "history" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*historyCommand) Synopsis() string {
 	return "list the changes of a service's setting, the latest first"
 }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*historyCommand) Usage() string {
 	return `history -object-api URL -team karrakin -service summary-model
-  The latest 10 earlier states are kept whole (rollback and diff can use them), 50 more by id, author and version.
+  The latest 10 earlier states are kept in full, for rollback and diff; 50 more with id, author and version only.
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags defines the command's flags.
 func (c *historyCommand) SetFlags(fs *flag.FlagSet) {
 	c.flags(fs)
 	fs.BoolVar(&c.json, "json", false, "print JSON")
@@ -118,11 +118,12 @@
 	return subcommands.ExitSuccess
 }
 
+// printHistory prints the changes as a table.
 func printHistory(list []setting.Past) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "VERSION\tAUTHOR\tAT\tCHANGE\tWHAT")
 	for i, p := range list {
-		what := "(kept by id only)"
+		what := "(setting not kept)"
 		switch {
 		case p.Deleted:
 			what = "deleted"
@@ -143,28 +144,28 @@
 	to   optionalVersion
 }
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*diffCommand) Name() string { return "diff" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*diffCommand) Synopsis() string {
-	return "compare a file, or an earlier version, with what is in force"
+	return "compare a file, or an earlier version, with the setting in force"
 }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*diffCommand) Usage() string {
 	return `diff -object-api URL -team karrakin -service summary-model -file setting.json
   diff -object-api URL -team karrakin -service summary-model -from 17 [-to 23]
-  Prints one line for each field that differs. Nothing is changed.
+  Prints one line for each field that differs. Changes nothing.
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags defines the command's flags.
 func (c *diffCommand) SetFlags(fs *flag.FlagSet) {
 	c.flags(fs)
-	fs.StringVar(&c.file, "file", "", "file with a setting, compared with what is in force; - for standard input")
-	fs.Var(&c.from, "from", "an earlier version; the present one when absent")
-	fs.Var(&c.to, "to", "a version to compare with; the present one when absent")
+	fs.StringVar(&c.file, "file", "", "file with a setting to compare with the one in force; - for standard input")
+	fs.Var(&c.from, "from", "an earlier version; the present version if empty")
+	fs.Var(&c.to, "to", "a version to compare with; the present version if empty")
 	describeFlags(fs)
 }
 
@@ -179,11 +180,11 @@
 	if err != nil {
 		return fail(os.Stderr, err)
 	}
-	from, err := at(state, c.from)
+	from, err := settingAt(state, c.from)
 	if err != nil {
 		return fail(os.Stderr, err)
 	}
-	to, err := at(state, c.to)
+	to, err := settingAt(state, c.to)
 	if c.file != "" {
 		to, err = fileSetting(c.file, state)
 	}
@@ -194,19 +195,19 @@
 	return subcommands.ExitSuccess
 }
 
-// at returns the setting of a version; the present one when none is named.
-func at(state *operator.State, version optionalVersion) (*setting.Setting, error) {
+// settingAt returns the setting of a version, or the present setting if version is absent. It is nil for a deleted setting.
+func settingAt(state *operator.State, version optionalVersion) (*setting.Setting, error) {
 	if version.value == nil || *version.value == state.Version {
 		return state.Setting(), nil
 	}
-	past, found := state.Object.PastAt(*version.value)
-	if !found || (past.Setting == nil && !past.Deleted) {
-		return nil, code.Errorf(code.SettingMissing, state.Key, "version %d is not kept whole; `settings history` lists those that are", *version.value)
+	past, ok := state.Object.PastAt(*version.value)
+	if !ok || (past.Setting == nil && !past.Deleted) {
+		return nil, code.Errorf(code.SettingMissing, state.Key, "the history doesn't hold version %d in full; `settings history` lists the versions that it holds", *version.value)
 	}
 	return past.Setting, nil
 }
 
-// fileSetting reads a file; the digest is taken from what is in force when the weights are the same.
+// fileSetting reads a setting from a file. If it names the same weights as the setting in force, it gets that setting's digest.
 func fileSetting(name string, state *operator.State) (*setting.Setting, error) {
 	raw, err := readFile(name)
 	if err != nil {
--- a/internal/cli/settings_write.go
+++ b/internal/cli/settings_write.go
@@ -24,25 +24,25 @@
 	dryRun bool
 }
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*applyCommand) Name() string { return "apply" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*applyCommand) Synopsis() string { return "put a setting in force" }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*applyCommand) Usage() string {
 	return `apply -object-api URL -origin URL -team karrakin -service summary-model -file setting.json [-dry-run] [-wait -process URL]
-  Checks the file, resolves its version to exact bytes, and writes it on condition that the version you saw
-  (if_version in the file, or -if-version) is still the present one. A service without a setting needs neither.
+  Checks the file, resolves its version of weights to a digest, and writes the setting on condition that the version you
+  saw (if_version in the file, or -if-version) is still the present one. A service without a setting needs neither.
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags defines the command's flags.
 func (c *applyCommand) SetFlags(fs *flag.FlagSet) {
 	c.flags(fs)
 	fs.StringVar(&c.file, "file", "-", "file with the setting; - for standard input")
-	fs.BoolVar(&c.dryRun, "dry-run", false, "say what would change, and change nothing (with -process: which hosts)")
+	fs.BoolVar(&c.dryRun, "dry-run", false, "print what would change and change nothing (with -process: at which hosts)")
 	describeFlags(fs)
 }
 
@@ -80,7 +80,7 @@
 	return c.finish(ctx, "applied", applied)
 }
 
-// seen is the version that the operator saw.
+// seen returns the version that the operator saw: from the flag, from the file, or the present one if there is no setting yet.
 func (c *applyCommand) seen(state *operator.State, file *setting.File) (uint64, error) {
 	switch {
 	case c.ifVersion.value != nil:
@@ -91,10 +91,10 @@
 		return state.Version, nil
 	}
 	return 0, code.Errorf(code.SettingConflict, state.Key,
-		"the setting exists and the file does not say which version you saw; start from `settings get`, or look at `settings diff` and give -if-version %d", state.Version)
+		"the setting exists and the file has no if_version; start from `settings get`, or review `settings diff` and add -if-version %d", state.Version)
 }
 
-// preview says what the setting would change.
+// preview prints what the setting would change.
 func (c *applyCommand) preview(ctx context.Context, editor *operator.Editor, state *operator.State, s *setting.Setting) subcommands.ExitStatus {
 	size := int64(0)
 	if s.Kind == setting.Engine {
@@ -111,33 +111,36 @@
 	_, _ = fmt.Fprintf(os.Stdout, "dry run, nothing is changed\nservice %s, version %d: %d fields differ%s\n",
 		state.Key, state.Version, len(changes), operator.Lines(changes, "\n  "))
 	if c.process == "" {
-		_, _ = fmt.Fprintln(os.Stdout, "give -process URL to see which hosts would change")
+		_, _ = fmt.Fprintln(os.Stdout, "add -process URL to see which hosts would change")
 		return subcommands.ExitSuccess
 	}
-	found, err := c.fleet().Preview(ctx, state.Key, s)
+	preview, err := c.fleet().Preview(ctx, state.Key, s)
 	if err != nil {
 		return fail(os.Stderr, err)
 	}
-	printPreview(os.Stdout, found, size)
+	printPreview(os.Stdout, preview, size)
 	return subcommands.ExitSuccess
 }
 
+// fleet returns a client of the process of -process.
 func (t *target) fleet() *operator.Fleet {
 	return &operator.Fleet{Base: strings.TrimSuffix(t.process, "/"), HTTP: &http.Client{Timeout: operatorTimeout}}
 }
 
+// printPreview writes what a setting would change at the hosts; size is the size of its weights in bytes.
 func printPreview(w io.Writer, p fleet.Preview, size int64) {
 	_, _ = fmt.Fprintf(w, "copies: %d hosts would fetch %d bytes each\n", p.Hosts, size)
-	_, _ = fmt.Fprintf(w, "upstreams: %d load%s\n  %d stop serving it%s\n  %d stay\n", len(p.Load), names(p.Load), len(p.Drop), names(p.Drop), p.Keep)
+	_, _ = fmt.Fprintf(w, "upstreams: %d would load the version%s\n  %d would stop serving the service%s\n  %d unchanged\n", len(p.Load), formatNames(p.Load), len(p.Drop), formatNames(p.Drop), p.Keep)
 	for _, s := range p.Short {
-		_, _ = fmt.Fprintf(w, "too few in %s: %d asked for, %d there\n", s.Place, s.Want, s.Have)
+		_, _ = fmt.Fprintf(w, "too few upstreams in %s: %d required, %d available\n", s.Place, s.Want, s.Have)
 	}
 	if len(p.Services) > 0 {
 		_, _ = fmt.Fprintf(w, "services that share these hosts: %s\n", strings.Join(p.Services, ", "))
 	}
 }
 
-func names(list []string) string {
+// formatNames formats a list of at most fleet.MaxNames names, preceded by a colon; it is empty for an empty list.
+func formatNames(list []string) string {
 	if len(list) == 0 {
 		return ""
 	}
@@ -149,18 +152,18 @@
 	return text
 }
 
-// awaitInForce waits until every process has a change in force, and names those that lag.
+// awaitInForce waits until every process has a change in force. On timeout it prints the processes that don't have it.
 func (c *change) awaitInForce(ctx context.Context, a operator.Applied) subcommands.ExitStatus {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.waitFor)
 	defer cancel()
-	found, err := c.fleet().Wait(ctx, a.Key, a.Revision, func(f fleet.InForce) {
+	inForce, err := c.fleet().Wait(ctx, a.Key, a.Revision, func(f fleet.InForce) {
 		_, _ = fmt.Fprintf(os.Stdout, "in force on %d of %d processes\n", f.Current, f.Processes)
 	})
 	if err == nil {
 		return subcommands.ExitSuccess
 	}
-	_, _ = fmt.Fprintf(os.Stderr, "accepted, and not yet in force everywhere: %d of %d; lagging %d%s; no answer %d%s\n",
-		found.Current, found.Processes, found.LaggingCount, names(found.Lagging), found.SilentCount, names(found.Silent))
+	_, _ = fmt.Fprintf(os.Stderr, "accepted, but not in force everywhere yet: %d of %d processes; %d lagging%s; %d without an answer%s\n",
+		inForce.Current, inForce.Processes, inForce.LaggingCount, formatNames(inForce.Lagging), inForce.SilentCount, formatNames(inForce.Silent))
 	return fail(os.Stderr, err)
 }
 
@@ -169,29 +172,29 @@
 	to optionalVersion
 }
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*rollbackCommand) Name() string { return "rollback" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*rollbackCommand) Synopsis() string {
 	return "put an earlier version of a setting in force again"
 }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*rollbackCommand) Usage() string {
 	return `rollback -object-api URL -team karrakin -service summary-model -to 17 -if-version 23
-  Writes the setting of that version again as a new change, with the very bytes of weights that it named then.
+  Writes the setting of that version as a new change, with the same digest of weights that it had then.
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags defines the command's flags.
 func (c *rollbackCommand) SetFlags(fs *flag.FlagSet) {
 	c.flags(fs)
-	fs.Var(&c.to, "to", "the version to go back to; see `settings history`")
+	fs.Var(&c.to, "to", "the version to restore; see `settings history`")
 	describeFlags(fs)
 }
 
-// Execute rolls back.
+// Execute restores the earlier version.
 func (c *rollbackCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	ctx, cancel, err := loadTarget(ctx, fs, &c.change)
 	defer cancel()
@@ -199,7 +202,7 @@
 		return fail(os.Stderr, err)
 	}
 	if c.to.value == nil {
-		return fail(os.Stderr, code.Errorf(code.BadProcess, "-to", "absent, want a version that `settings history` lists"))
+		return fail(os.Stderr, code.Errorf(code.BadProcess, "-to", "missing, want a version that `settings history` lists"))
 	}
 	seen, err := c.versionSeen(ctx)
 	if err != nil {
@@ -214,20 +217,20 @@
 
 type deleteCommand struct{ change }
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*deleteCommand) Name() string { return "delete" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*deleteCommand) Synopsis() string { return "take a service's setting out of force" }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*deleteCommand) Usage() string {
 	return `delete -object-api URL -team karrakin -service summary-model -if-version 23
-  The service gets no more requests. Its history stays, and rollback brings it back.
+  The service gets no more requests. Its history is kept, and rollback restores the setting.
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags defines the command's flags.
 func (c *deleteCommand) SetFlags(fs *flag.FlagSet) {
 	c.flags(fs)
 	describeFlags(fs)
@@ -251,6 +254,7 @@
 	return c.finish(ctx, "deleted", applied)
 }
 
+// readFile reads a file of settings, or standard input if name is -.
 func readFile(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(io.LimitReader(os.Stdin, setting.MaxBytes+1))
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -22,11 +22,11 @@
 	"samphireweir.example/samphireweir/internal/operator"
 )
 
-// statusTimeout bounds the question to one process.
+// statusTimeout is the timeout of a call to one process.
 const statusTimeout = 5 * time.Second
 
-// statusTries is how many processes of the host list are asked before status gives up.
-const statusTries = 5
+// maxStatusAttempts is the maximum number of processes of the host list that are called.
+const maxStatusAttempts = 5
 
 type statusCommand struct {
 	process  string
@@ -35,32 +35,32 @@
 	json     bool
 }
 
-// Name returns the command's name.
+// Name implements subcommands.Command.
 func (*statusCommand) Name() string { return "status" }
 
-// Synopsis describes the command in a line.
+// Synopsis implements subcommands.Command.
 func (*statusCommand) Synopsis() string {
-	return "one screen: what should run, what runs, what is wrong, what to do next"
+	return "show what should run, what runs, what is wrong and what to do next"
 }
 
-// Usage gives an example.
+// Usage implements subcommands.Command.
 func (*statusCommand) Usage() string {
 	return `status -process http://10.0.0.5:7071 [-json]
   status -host-list URL -secret S [-json]
-  Asks one process, by its operators' address or any live entry of the host list, what it knows of all.
+  Asks one process what it knows of the whole system: the one at the operators' address, or a live one of the host list.
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags defines the command's flags.
 func (c *statusCommand) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.process, "process", "", "operators' address of any process of the system, as a URL")
-	fs.StringVar(&c.hostList, "host-list", "", "URL of the platform's list of hosts")
-	fs.StringVar(&c.secret, "secret", "", "secret shared by the system's processes; better given as a variable")
+	fs.StringVar(&c.hostList, "host-list", "", "URL of the platform's host list")
+	fs.StringVar(&c.secret, "secret", "", "secret shared by the system's processes; preferably set by its variable")
 	fs.BoolVar(&c.json, "json", false, "print JSON")
 	describeFlags(fs)
 }
 
-// Check tells the first flag that is missing or bad.
+// Check returns an error for the first flag that is missing or invalid.
 func (c *statusCommand) Check() error {
 	if c.process != "" {
 		return node.CheckURL("process", c.process)
@@ -73,7 +73,7 @@
 
 // Execute prints the status.
 func (c *statusCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := load(fs, c); err != nil {
+	if err := loadFlags(fs, c); err != nil {
 		return fail(os.Stderr, err)
 	}
 	status, err := c.read(ctx)
@@ -87,6 +87,7 @@
 	return subcommands.ExitSuccess
 }
 
+// read gets the status from the process of -process, or from the first process of the host list that answers.
 func (c *statusCommand) read(ctx context.Context) (fleet.Status, error) {
 	client := &http.Client{Timeout: statusTimeout}
 	if c.process != "" {
@@ -96,10 +97,10 @@
 	if err != nil {
 		return fleet.Status{}, err
 	}
-	// Entries know what all engines do; agents only what should run.
+	// Entries first: they know what all engines run, while agents only know what should run.
 	sort.SliceStable(hosts, func(i, j int) bool { return hosts[i].Role == member.Entry && hosts[j].Role != member.Entry })
-	err = code.Errorf(code.SettingMissing, "-host-list", "the list names no process")
-	for _, h := range hosts[:min(len(hosts), statusTries)] {
+	err = code.Errorf(code.SettingMissing, "-host-list", "the host list is empty")
+	for _, h := range hosts[:min(len(hosts), maxStatusAttempts)] {
 		var status fleet.Status
 		status, err = (&operator.Fleet{Base: "http://" + h.Address, HTTP: client, Secret: c.secret}).Status(ctx)
 		if err == nil {
@@ -109,15 +110,16 @@
 	return fleet.Status{}, err
 }
 
+// printStatus writes the status as text.
 func printStatus(w io.Writer, s fleet.Status) {
 	p := s.Process
 	ready := "ready"
 	if !p.Ready {
 		ready = "NOT READY"
 	}
-	_, _ = fmt.Fprintf(w, "asked %s %s in %s (%s): %s; settings complete to revision %d, platform read %v ago\n",
+	_, _ = fmt.Fprintf(w, "answer of %s %s in %s (%s): %s; settings complete up to revision %d, platform last read %v ago\n",
 		p.Role, p.Name, p.Place, p.Region, ready, p.CompleteTo, (time.Duration(p.PlatformSilentMS) * time.Millisecond).Round(100*time.Millisecond))
-	_, _ = fmt.Fprintf(w, "hosts: %d live, %d leaving, %d not heard of yet\n\n", s.Hosts.Live, s.Hosts.Leaving, s.Hosts.Unheard)
+	_, _ = fmt.Fprintf(w, "hosts: %d live, %d shutting down, %d without a report yet\n\n", s.Hosts.Live, s.Hosts.Leaving, s.Hosts.Unheard)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "SERVICE\tREVISION\tWEIGHTS\tPLACE\tWANT\tSERVING\tLOADING\tOTHER VERSION")
 	for _, service := range s.Services {
@@ -125,15 +127,16 @@
 	}
 	_ = t.Flush()
 	if len(s.Problems) == 0 {
-		_, _ = fmt.Fprintln(w, "\nnothing is wrong")
+		_, _ = fmt.Fprintln(w, "\nno problems")
 		return
 	}
-	_, _ = fmt.Fprintln(w, "\nwhat is wrong, and what to do next")
+	_, _ = fmt.Fprintln(w, "\nproblems, and what to do next")
 	for _, problem := range s.Problems {
 		_, _ = fmt.Fprintf(w, "- %s\n    next: %s\n", problem.What, problem.Next)
 	}
 }
 
+// printService writes the rows of a service, one for each data centre.
 func printService(w io.Writer, s fleet.Service) {
 	for i, c := range s.Places {
 		key, revision, weights := s.Key, fmt.Sprint(s.Revision), s.Weights
--- a/internal/cli/weights_test.go
+++ b/internal/cli/weights_test.go
@@ -15,8 +15,9 @@
 	"samphireweir.example/samphireweir/internal/node"
 )
 
-// TestWeightsShowsABurst prints places, rates, sources and what is stuck and why.
-func TestWeightsShowsABurst(t *testing.T) {
+// TestWeightsPrintsABurst checks the output for a burst: a row for each data centre with its sources and the expected time, and the hosts
+// that are stuck with the reason.
+func TestWeightsPrintsABurst(t *testing.T) {
 	view := core.BurstView{Bursts: []core.FleetBurst{{
 		Services: []string{"karrakin/summary-model"}, Model: "summary", Adapter: "none", Version: "v1", Digest: "abcdef", Policy: "time",
 		Places: []core.PlaceBurst{
