--- a/internal/cli/evacuate.go
+++ b/internal/cli/evacuate.go
@@ -159,7 +159,7 @@
 		count.slots += u.Slots
 	}
 	if !found {
-		return nil, code.Errorf(code.BadProcess, "-data-centre", "%q has no upstream; is the name right?", c.dataCentre)
+		return nil, code.Errorf(code.BadProcess, "-data-centre", "%q has no upstream that accepts requests, want the name of a data centre", c.dataCentre)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].service < list[j].service })
 	return list, nil
--- a/internal/story/losses.go
+++ b/internal/story/losses.go
@@ -29,7 +29,7 @@
 const (
 	refusedCapacity   = "refused: no capacity"
 	refusedReturned   = "refused: no capacity, caller had been refused before"
-	refusedNoUpstream = "refused: no upstream with the weights, or all in backoff"
+	refusedNoUpstream = "refused: no upstream with the weights, or all are avoided"
 	refusedNotReady   = "refused: the entry is starting or stopping"
 	refusedInvalid    = "refused: invalid request (key, route, size)"
 	failedUnknown     = "failed: unknown outcome, an upstream may have run it"
--- a/internal/telemetry/bench_test.go
+++ b/internal/telemetry/bench_test.go
@@ -24,10 +24,13 @@
 // WriteHeader drops the status.
 func (discard) WriteHeader(int) {}
 
+// answer is the handler that is measured.
 func answer(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("whole")) }
 
+// known is a KnownService that knows every service.
 func known(string, string) bool { return true }
 
+// benchmark measures a request to h.
 func benchmark(b *testing.B, h http.Handler) {
 	r := httptest.NewRequest(http.MethodGet, "/karrakin/buyer-portal/lookup", nil)
 	var w http.ResponseWriter = discard{http.Header{}}
--- a/internal/telemetry/path_test.go
+++ b/internal/telemetry/path_test.go
@@ -23,6 +23,7 @@
 	generatePath = "/" + experiment.Team + "/" + experiment.ModelService + "/v1/generate"
 )
 
+// start starts a fleet of one entry, one agent and one engine.
 func start(t *testing.T, c experiment.Config) *experiment.Fleet {
 	t.Helper()
 	c.Entries, c.Agents, c.EnginesPerAgent = 1, 1, 1
@@ -34,6 +35,7 @@
 	return f
 }
 
+// call sends a request and returns the status and the body of its answer.
 func call(t *testing.T, method, url, body string, header http.Header) (int, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -141,6 +143,7 @@
 	)
 }
 
+// requireLines waits until the metrics of the process at address have each of the lines.
 func requireLines(t *testing.T, address string, lines ...string) {
 	t.Helper()
 	page := ""
