--- a/internal/emulator/caller.go
+++ b/internal/emulator/caller.go
@@ -7,49 +7,49 @@
 	"samphireweir.example/samphireweir/internal/code"
 )
 
-// RequestKind is a kind of request that callers send.
+// RequestKind describes one kind of request that callers send.
 type RequestKind struct {
 	Name string
-	// Share is its part of all requests.
+	// Share is its fraction of all requests.
 	Share float64
-	// Prompt and Events are the means of the tokens in and of the events out.
+	// Prompt and Events are the mean number of prompt tokens and of answer events.
 	Prompt, Events int
-	// Objective bounds the time to the first event, and Pause the time between two.
+	// Objective bounds the time to the first event, and Pause the time between two events.
 	Objective, Pause time.Duration
-	// Limit is how long a caller waits in all.
+	// Limit is the total time that a caller waits.
 	Limit time.Duration
 }
 
 const (
-	// firstPatience is how long a caller waits for the first event.
-	firstPatience = 2 * time.Second
-	// waitPart is the part of the time left that a refused caller stays away at most.
-	waitPart = 3
-	// sizeSpread is the standard deviation of the logarithm of sizes.
-	sizeSpread = 0.4
+	// firstEventTimeout is how long a caller waits for the first event.
+	firstEventTimeout = 2 * time.Second
+	// maxWaitDivisor bounds how long a refused caller waits before its retry: a third of its remaining time.
+	maxWaitDivisor = 3
+	// sizeSigma is the standard deviation of the logarithm of request sizes.
+	sizeSigma = 0.4
 )
 
-// request is what a caller wants, over all its tries.
+// request is one request of a caller, over all its tries.
 type request struct {
-	fleet  *fleet
-	kind   *RequestKind
-	prompt int
-	events int
-	first  time.Duration
-	centre int
-	// entry draws the entry of the first try; the next goes to another.
+	fleet     *fleet
+	kind      *RequestKind
+	prompt    int
+	events    int
+	startedAt time.Duration
+	centre    int
+	// entry selects the entry of the first try; each retry goes to the next one.
 	entry   uint64
 	retries int
-	// refusals counts the refusals it got.
+	// refusals counts how often the request was refused.
 	refusals int
 	done     bool
 	outcome  outcome
 }
 
-// outcome tells how a request ended.
+// outcome is how a request ended.
 type outcome int
 
-// The outcomes of a request.
+// Outcomes of a request.
 const (
 	unanswered outcome = iota
 	inTime
@@ -58,33 +58,33 @@
 	failedOutcome
 )
 
-// try is one try of a caller.
+// try is one try of a request.
 type try struct {
-	request  *request
-	exchange *exchange
-	by       time.Duration
-	events   int
-	lastAt   time.Duration
-	slow     bool
-	over     bool
+	request         *request
+	exchange        *exchange
+	deadline        time.Duration
+	events          int
+	lastAt          time.Duration
+	missedObjective bool
+	finished        bool
 }
 
-// spread draws a size about a mean.
-func (w *world) spread(mean int) int {
-	return max(1, int(float64(mean)*math.Exp(sizeSpread*w.demand.NormFloat64()-sizeSpread*sizeSpread/2)))
+// sampleSize draws a log-normally distributed size with the given mean.
+func (w *simulation) sampleSize(mean int) int {
+	return max(1, int(float64(mean)*math.Exp(sizeSigma*w.demand.NormFloat64()-sizeSigma*sizeSigma/2)))
 }
 
-// ask has a caller of a data centre ask for something.
-func (f *fleet) ask(centre int) {
-	w := f.world
-	r := &request{fleet: f, kind: f.drawKind(), first: w.now, centre: centre, retries: 1}
-	r.prompt, r.events, r.entry = w.spread(r.kind.Prompt), w.spread(r.kind.Events), w.demand.Uint64()
+// newRequest creates a request of a caller in a data centre and starts its first try.
+func (f *fleet) newRequest(centre int) {
+	w := f.simulation
+	r := &request{fleet: f, kind: f.drawKind(), startedAt: w.now, centre: centre, retries: 1}
+	r.prompt, r.events, r.entry = w.sampleSize(r.kind.Prompt), w.sampleSize(r.kind.Events), w.demand.Uint64()
 	f.requests = append(f.requests, r)
-	r.send(w.now + r.kind.Limit)
+	r.startTry(w.now + r.kind.Limit)
 }
 
 func (f *fleet) drawKind() *RequestKind {
-	at := f.world.demand.Float64()
+	at := f.simulation.demand.Float64()
 	for i := range f.setup.Kinds {
 		if at -= f.setup.Kinds[i].Share; at < 0 {
 			return &f.setup.Kinds[i]
@@ -93,18 +93,18 @@
 	return &f.setup.Kinds[len(f.setup.Kinds)-1]
 }
 
-// send makes a try at an entry of the caller's data centre.
-func (r *request) send(by time.Duration) {
+// startTry sends the request to an entry of the caller's data centre.
+func (r *request) startTry(deadline time.Duration) {
 	f := r.fleet
-	t := &try{request: r, by: by, lastAt: f.world.now}
+	t := &try{request: r, deadline: deadline, lastAt: f.simulation.now}
 	entries := f.entriesOf[r.centre]
 	e := entries[(r.entry+uint64(r.refusals))%uint64(len(entries))]
-	f.world.after(callerWay, func() { e.arrive(t) })
-	f.world.after(firstPatience, func() {
-		if t.events == 0 && !t.over {
-			t.over = true
+	f.simulation.after(callerLatency, func() { e.arrive(t) })
+	f.simulation.after(firstEventTimeout, func() {
+		if t.events == 0 && !t.finished {
+			t.finished = true
 			if t.exchange != nil {
-				e.leave(t.exchange)
+				e.callerGone(t.exchange)
 			}
 			r.end(failedOutcome)
 		}
@@ -112,23 +112,23 @@
 }
 
 func (t *try) event() {
-	now := t.request.fleet.world.now
+	now := t.request.fleet.simulation.now
 	bound := t.request.kind.Pause
 	since := now - t.lastAt
 	if t.events == 0 {
-		bound, since = t.request.kind.Objective, now-t.request.first
+		bound, since = t.request.kind.Objective, now-t.request.startedAt
 	}
-	t.slow = t.slow || since > bound
+	t.missedObjective = t.missedObjective || since > bound
 	t.events++
 	t.lastAt = now
 }
 
 func (t *try) answered() {
-	if t.over {
+	if t.finished {
 		return
 	}
-	t.over = true
-	if t.slow {
+	t.finished = true
+	if t.missedObjective {
 		t.request.end(late)
 		return
 	}
@@ -136,18 +136,18 @@
 }
 
 func (t *try) failed() {
-	if !t.over {
-		t.over = true
+	if !t.finished {
+		t.finished = true
 		t.request.end(failedOutcome)
 	}
 }
 
-// refused has the caller come back once, as late as it was asked to, if it has the time.
+// refused retries the request once if it did not run and a retry is left. The caller waits as long as the entry asked, up to its maximum.
 func (t *try) refused(after time.Duration, ran code.Ran) {
-	if t.over {
+	if t.finished {
 		return
 	}
-	t.over = true
+	t.finished = true
 	r := t.request
 	r.refusals++
 	if ran != code.NotRun || r.retries == 0 {
@@ -155,8 +155,8 @@
 		return
 	}
 	r.retries--
-	left := t.by - r.fleet.world.now
-	r.fleet.world.after(min(after, left/waitPart), func() { r.send(t.by) })
+	left := t.deadline - r.fleet.simulation.now
+	r.fleet.simulation.after(min(after, left/maxWaitDivisor), func() { r.startTry(t.deadline) })
 }
 
 func (r *request) end(o outcome) {
--- a/internal/emulator/command.go
+++ b/internal/emulator/command.go
@@ -15,35 +15,35 @@
 	"github.com/pkg/errors"
 )
 
-// command is the subcommand policy.
+// command is the policy subcommand.
 type command struct {
 	seeds, jobs int
 	out, plot   string
 }
 
-// NewCommand returns the subcommand policy.
+// NewCommand returns the policy subcommand.
 func NewCommand() subcommands.Command { return &command{} }
 
-// Name is the word on the command line.
+// Name returns the subcommand's name.
 func (*command) Name() string { return "policy" }
 
-// Synopsis says in a line what is done.
-func (*command) Synopsis() string { return "compares ways of deciding on emulated loads" }
+// Synopsis returns a one-line description.
+func (*command) Synopsis() string { return "compares routing policies on emulated loads" }
 
-// Usage gives an example.
+// Usage returns an example invocation.
 func (*command) Usage() string {
 	return "experiment policy -seeds 3 -jobs 6 -out policy.csv -plot policy.svg\n"
 }
 
-// SetFlags declares the flags.
+// SetFlags declares the subcommand's flags.
 func (c *command) SetFlags(fs *flag.FlagSet) {
-	fs.IntVar(&c.seeds, "seeds", 3, "plays of each way on each pattern")
-	fs.IntVar(&c.jobs, "jobs", 0, "plays at once; 0 for as many as there are processors")
+	fs.IntVar(&c.seeds, "seeds", 3, "simulations of each policy variant on each load pattern")
+	fs.IntVar(&c.jobs, "jobs", 0, "simulations at once; 0 for one per processor")
 	fs.StringVar(&c.out, "out", "", "file for the rows as CSV; none when empty")
 	fs.StringVar(&c.plot, "plot", "", "file for the plot as SVG; none when empty")
 }
 
-// Execute compares and prints the table.
+// Execute runs the comparison and prints its table.
 func (c *command) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	if err := c.run(os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -53,11 +53,11 @@
 }
 
 func (c *command) run(out, progress io.Writer) error {
-	ways := Ways()
-	var played atomic.Int64
-	all := len(Patterns) * len(ways) * c.seeds
-	rows := Compare(Streams(), Patterns, ways, c.seeds, c.jobs, func() {
-		fmt.Fprintf(progress, "\r%d of %d plays", played.Add(1), all)
+	variants := Variants()
+	var finished atomic.Int64
+	all := len(Patterns) * len(variants) * c.seeds
+	rows := Compare(Streams(), Patterns, variants, c.seeds, c.jobs, func() {
+		fmt.Fprintf(progress, "\r%d of %d simulations", finished.Add(1), all)
 	})
 	fmt.Fprintln(progress)
 	if err := printTable(out, rows); err != nil {
@@ -77,8 +77,8 @@
 var columns = []string{"pattern", "way", "in time", "spread", "bound", "late", "refused", "refused twice", "failed", "worst second", "worst centre"}
 
 func (r Row) cells() []string {
-	cells := []string{r.Pattern, r.Way}
-	for _, v := range []float64{r.InTime, r.Spread, r.Bound, r.Late, r.Refused, r.Twice, r.Failed, r.WorstSecond, r.WorstCentre} {
+	cells := []string{r.Pattern, r.Variant}
+	for _, v := range []float64{r.InTime, r.StdDev, r.Bound, r.Late, r.Refused, r.Twice, r.Failed, r.WorstSecond, r.WorstCentre} {
 		cells = append(cells, strconv.FormatFloat(v, 'f', 4, 64))
 	}
 	return cells
@@ -88,7 +88,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	line := func(cells []string) {
 		for _, cell := range cells {
-			_, _ = fmt.Fprintf(w, "%s\t", cell) // Flush tells of an error.
+			_, _ = fmt.Fprintf(w, "%s\t", cell) // Flush returns the error.
 		}
 		_, _ = fmt.Fprintln(w)
 	}
@@ -96,18 +96,18 @@
 	for _, r := range rows {
 		line(r.cells())
 	}
-	return errors.Wrap(w.Flush(), "print the table")
+	return errors.Wrap(w.Flush(), "printing the table")
 }
 
 func writeRows(path string, rows []Row) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return errors.Wrap(err, "make the file of rows")
+		return errors.Wrap(err, "creating the CSV file")
 	}
 	w := csv.NewWriter(file)
 	err = w.Write(columns)
 	for _, r := range rows {
-		err = errors.Wrap(firstError(err, w.Write(r.cells())), "write the rows")
+		err = errors.Wrap(firstError(err, w.Write(r.cells())), "writing the CSV rows")
 	}
 	w.Flush()
 	return firstError(err, w.Error(), file.Close())
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -6,62 +6,63 @@
 	"samphireweir.example/samphireweir/internal/core/catalog"
 )
 
-// EngineTerms say how fast an engine works. It works in passes: each reads prompts, one after the other, and makes one event of each answer that is
-// being written.
-type EngineTerms struct {
-	// Slots is how many requests it works on at once, and Queue how many more it keeps.
+// EngineModel holds the parameters of the engine model. An engine works in passes: each pass processes prompts one after the other and generates one
+// event of each answer that is in progress.
+type EngineModel struct {
+	// Slots is how many requests an engine processes at once, and Queue how many more it queues.
 	Slots, Queue int
-	// Step is the time of one token for all answers, PerSequence what each answer that is written adds, and Stride the tokens of an event.
-	Step, PerSequence time.Duration
-	Stride            int
-	// ReadRate is in tokens of prompts a second, and Chunk how many of them one pass reads at most.
+	// PassTime is the base time of one token for all answers, PerSequence what each answer in progress adds to it, and TokensPerEvent the tokens of
+	// an event.
+	PassTime, PerSequence time.Duration
+	TokensPerEvent        int
+	// ReadRate is the prompt processing rate in tokens a second, and Chunk the maximum number of prompt tokens in one pass.
 	ReadRate float64
 	Chunk    int
 }
 
 // task is a request at an engine.
 type task struct {
-	// unread are the tokens of the prompt that were not read yet, and unwritten the events that are to come.
-	unread, unwritten int
-	// event is told of each event, and end of the end; both run at the engine's time.
-	event     func()
-	end       func()
+	// promptLeft is how many prompt tokens are not processed yet, and eventsLeft how many events are not generated yet.
+	promptLeft, eventsLeft int
+	// onEvent is called for each event and onEnd after the last one, both at the engine's time.
+	onEvent   func()
+	onEnd     func()
 	cancelled bool
 }
 
-// engine is an engine of the fleet.
+// engine is a simulated engine.
 type engine struct {
-	world    *world
-	terms    EngineTerms
-	upstream *catalog.Upstream
-	// slow is how many times as long its passes take.
-	slow    float64
-	batch   []*task
-	waiting []*task
-	busy    bool
-	// taken counts the requests that it took.
-	taken int
-	// notice is what it says of itself; away is set while it takes nothing, as when it loads.
-	notice catalog.Notice
-	away   bool
+	simulation *simulation
+	model      EngineModel
+	upstream   *catalog.Upstream
+	// slowdown is the factor by which its passes take longer; 1 is normal speed.
+	slowdown float64
+	batch    []*task
+	waiting  []*task
+	busy     bool
+	// accepted counts the requests that it accepted.
+	accepted int
+	// notice is what it reports in its answers; notAccepting is set while it declines all requests, such as during a load of weights.
+	notice       catalog.Notice
+	notAccepting bool
 }
 
-// occupied counts the requests that it works on or has queued.
+// occupied counts the requests that are processed or queued.
 func (e *engine) occupied() int { return len(e.batch) + len(e.waiting) }
 
-// take takes a request, or reports that it turns it away.
-func (e *engine) take(t *task) bool {
-	if e.away || e.notice.RetryAfter > 0 || len(e.batch) >= e.terms.Slots && len(e.waiting) >= e.terms.Queue {
+// accept queues a request and reports whether the engine accepted it.
+func (e *engine) accept(t *task) bool {
+	if e.notAccepting || e.notice.RetryAfter > 0 || len(e.batch) >= e.model.Slots && len(e.waiting) >= e.model.Queue {
 		return false
 	}
-	e.taken++
+	e.accepted++
 	e.waiting = append(e.waiting, t)
-	e.work()
+	e.startPass()
 	return true
 }
 
-// work begins the next pass unless one is going on.
-func (e *engine) work() {
+// startPass starts the next pass unless one is running.
+func (e *engine) startPass() {
 	if e.busy {
 		return
 	}
@@ -70,21 +71,21 @@
 		return
 	}
 	e.busy = true
-	read := e.read()
-	writers := 0
+	prefill := e.prefill()
+	decoding := 0
 	for _, t := range e.batch {
-		if t.unread == 0 {
-			writers++
+		if t.promptLeft == 0 {
+			decoding++
 		}
 	}
-	took := time.Duration(float64(read) / e.terms.ReadRate * float64(time.Second))
-	if writers > 0 {
-		took += time.Duration(e.terms.Stride) * (e.terms.Step + time.Duration(writers)*e.terms.PerSequence)
+	passTime := time.Duration(float64(prefill) / e.model.ReadRate * float64(time.Second))
+	if decoding > 0 {
+		passTime += time.Duration(e.model.TokensPerEvent) * (e.model.PassTime + time.Duration(decoding)*e.model.PerSequence)
 	}
-	e.world.after(time.Duration(float64(took)*e.slow), e.passed)
+	e.simulation.after(time.Duration(float64(passTime)*e.slowdown), e.passEnded)
 }
 
-// admit moves waiting requests to free places and drops those that were taken back.
+// admit moves queued requests into free slots and drops the cancelled ones.
 func (e *engine) admit() {
 	var batch []*task
 	for _, t := range append(e.batch, e.waiting...) {
@@ -92,38 +93,38 @@
 			batch = append(batch, t)
 		}
 	}
-	n := min(len(batch), e.terms.Slots)
+	n := min(len(batch), e.model.Slots)
 	e.batch, e.waiting = batch[:n:n], batch[n:]
 }
 
-// read reads prompts in the order in which they came, and returns how many tokens.
-func (e *engine) read() (read int) {
+// prefill processes prompts in the order of their arrival, and returns the number of tokens.
+func (e *engine) prefill() (prefill int) {
 	for _, t := range e.batch {
-		n := min(t.unread, e.terms.Chunk-read)
-		t.unread -= n
-		read += n
+		n := min(t.promptLeft, e.model.Chunk-prefill)
+		t.promptLeft -= n
+		prefill += n
 	}
-	return read
+	return prefill
 }
 
-// passed ends a pass: each answer that is written has one more event.
-func (e *engine) passed() {
+// passEnded completes a pass: each answer in progress has one more event.
+func (e *engine) passEnded() {
 	e.busy = false
-	var rest []*task
+	var remaining []*task
 	for _, t := range e.batch {
 		if t.cancelled {
 			continue
 		}
-		if t.unread == 0 {
-			t.unwritten--
-			t.event()
+		if t.promptLeft == 0 {
+			t.eventsLeft--
+			t.onEvent()
 		}
-		if t.unwritten > 0 {
-			rest = append(rest, t)
+		if t.eventsLeft > 0 {
+			remaining = append(remaining, t)
 		} else {
-			t.end()
+			t.onEnd()
 		}
 	}
-	e.batch = rest
-	e.work()
+	e.batch = remaining
+	e.startPass()
 }
--- a/internal/emulator/entry.go
+++ b/internal/emulator/entry.go
@@ -9,62 +9,63 @@
 )
 
 const (
-	// tick is the time between two looks of an entry at what waits.
-	tick = 20 * time.Millisecond
-	// nearWay and farWay are the times that a message takes within a data centre and between two, and callerWay that to a caller.
-	nearWay   = 500 * time.Microsecond
-	farWay    = 2800 * time.Microsecond
-	callerWay = 3 * time.Millisecond
+	// tickInterval is the time between two ticks of an entry's reducer.
+	tickInterval = 20 * time.Millisecond
+	// localLatency and remoteLatency are the one-way latencies within a data centre and between two, and callerLatency that between callers and
+	// entries.
+	localLatency  = 500 * time.Microsecond
+	remoteLatency = 2800 * time.Microsecond
+	callerLatency = 3 * time.Millisecond
 )
 
-// entry is an entry of the fleet: the product's reducer, and what its shell would do.
+// entry is a simulated entry: the product's reducer, and a shell that carries out its effects.
 type entry struct {
 	fleet      *fleet
 	dataCentre string
 	state      *forward.State
 	next       uint64
-	open       map[uint64]*exchange
+	inFlight   map[uint64]*exchange
 }
 
-// exchange is a request at an entry.
+// exchange is a request in flight at an entry.
 type exchange struct {
 	try   *try
 	entry *entry
 	id    uint64
-	// send is the present send, made at sentAt, and task what the engine has of it; began is set with its first event.
-	send   forward.Send
-	sentAt time.Duration
-	task   *task
-	began  bool
-	// partial is set once an event of any send was passed on, the last at lastAt.
+	// attempt is the current attempt, made at sentAt, and task its state at the engine. started is set with its first event.
+	attempt forward.Send
+	sentAt  time.Duration
+	task    *task
+	started bool
+	// partial is set once an event of any attempt was forwarded, the last of them at lastAt.
 	partial bool
 	lastAt  time.Duration
-	// written are the events that were passed on.
-	written int
+	// forwarded counts the events that were forwarded to the caller.
+	forwarded int
 }
 
 func (e *entry) step(ev step.Event) {
-	w := e.fleet.world
+	w := e.fleet.simulation
 	in := step.Input{Now: w.time(), Rand: w.random.Uint64(), Event: ev}
 	effects := e.state.Catalog.Reduce(in)
 	for _, eff := range append(effects, e.state.Reduce(in)...) {
-		e.carry(eff)
+		e.carryOut(eff)
 	}
 }
 
-func (e *entry) carry(eff step.Effect) {
+func (e *entry) carryOut(eff step.Effect) {
 	switch eff := eff.(type) {
 	case forward.Admitted:
-		if x := e.open[eff.ID]; x != nil {
-			e.fleet.world.after(eff.By.Sub(e.fleet.world.time()), func() { x.timedOut() })
+		if x := e.inFlight[eff.ID]; x != nil {
+			e.fleet.simulation.after(eff.By.Sub(e.fleet.simulation.time()), func() { x.timedOut() })
 		}
 	case forward.Send:
-		if x := e.open[eff.ID]; x != nil {
-			x.make(eff)
+		if x := e.inFlight[eff.ID]; x != nil {
+			x.startAttempt(eff)
 		}
 	case forward.Withdraw:
-		if x := e.open[eff.ID]; x != nil && x.send.Number == eff.Number && !x.began {
-			x.ended(forward.Withdrawn)
+		if x := e.inFlight[eff.ID]; x != nil && x.attempt.Number == eff.Number && !x.started {
+			x.attemptEnded(forward.Withdrawn)
 		}
 	case forward.Refuse:
 		e.finish(eff.ID, func(t *try) { t.refused(eff.RetryAfter, eff.Ran) })
@@ -75,34 +76,34 @@
 	}
 }
 
-// finish ends a request and tells its caller.
-func (e *entry) finish(id uint64, tell func(*try)) {
-	x := e.open[id]
+// finish removes a request and notifies its caller.
+func (e *entry) finish(id uint64, notify func(*try)) {
+	x := e.inFlight[id]
 	if x == nil {
 		return
 	}
-	delete(e.open, id)
-	e.fleet.world.after(callerWay, func() { tell(x.try) })
+	delete(e.inFlight, id)
+	e.fleet.simulation.after(callerLatency, func() { notify(x.try) })
 }
 
-// arrive takes a caller's try.
+// arrive receives a try from a caller.
 func (e *entry) arrive(t *try) {
 	e.next++
 	x := &exchange{try: t, entry: e, id: e.next}
 	t.exchange = x
-	e.open[x.id] = x
+	e.inFlight[x.id] = x
 	e.step(forward.Arrived{
-		ID: x.id, Host: host, Path: "/" + t.request.kind.Name + "/x", Model: model, Budget: t.by - e.fleet.world.now, Prompt: t.request.prompt,
+		ID: x.id, Host: host, Path: "/" + t.request.kind.Name + "/x", Model: modelName, Budget: t.deadline - e.fleet.simulation.now, Prompt: t.request.prompt,
 	})
 }
 
-// leave ends a request whose caller has gone.
-func (e *entry) leave(x *exchange) {
-	if e.open[x.id] == nil {
+// callerGone ends a request whose caller has disconnected.
+func (e *entry) callerGone(x *exchange) {
+	if e.inFlight[x.id] == nil {
 		return
 	}
 	x.cancel()
-	delete(e.open, x.id)
+	delete(e.inFlight, x.id)
 	e.step(forward.CallerGone{ID: x.id})
 }
 
@@ -114,57 +115,57 @@
 }
 
 func (x *exchange) timedOut() {
-	if x.entry.open[x.id] == x {
+	if x.entry.inFlight[x.id] == x {
 		x.cancel()
 		x.entry.step(forward.TimedOut{ID: x.id, Partial: x.partial})
 	}
 }
 
-// way is how long a message takes to an upstream.
-func (x *exchange) way(u *catalog.Upstream) time.Duration {
+// latency returns the one-way latency to an upstream.
+func (x *exchange) latency(u *catalog.Upstream) time.Duration {
 	if u.DataCentre == x.entry.dataCentre {
-		return nearWay
+		return localLatency
 	}
-	return farWay
+	return remoteLatency
 }
 
-// make makes a send: a connection, the request and its answer.
-func (x *exchange) make(send forward.Send) {
-	w, engine := x.entry.fleet.world, x.entry.fleet.engineOf(send.Upstream)
-	x.send, x.began, x.sentAt = send, false, w.now
+// startAttempt sends the request to an upstream over a new connection.
+func (x *exchange) startAttempt(attempt forward.Send) {
+	w, engine := x.entry.fleet.simulation, x.entry.fleet.engineOf(attempt.Upstream)
+	x.attempt, x.started, x.sentAt = attempt, false, w.now
 	t := x.newTask(engine)
 	x.task = t
-	if send.Patience > 0 {
-		w.after(send.Patience, func() {
-			if x.current(t) && !x.began {
-				x.ended(forward.Silent)
+	if attempt.Patience > 0 {
+		w.after(attempt.Patience, func() {
+			if x.current(t) && !x.started {
+				x.attemptEnded(forward.Silent)
 			}
 		})
 	}
-	way := x.way(send.Upstream)
-	w.after(3*way, func() { // A round trip for the connection comes first.
-		if t.cancelled || engine.take(t) {
+	latency := x.latency(attempt.Upstream)
+	w.after(3*latency, func() { // A round trip to open the connection precedes the request.
+		if t.cancelled || engine.accept(t) {
 			return
 		}
 		notice := engine.notice
-		w.after(way, func() { x.declined(t, notice) })
+		w.after(latency, func() { x.declined(t, notice) })
 	})
 }
 
-// newTask is the present send as its engine sees it: what the engine does reaches the entry a way later.
+// newTask returns the current attempt as its engine sees it. What the engine does reaches the entry after the one-way latency.
 func (x *exchange) newTask(engine *engine) *task {
-	w, way := x.entry.fleet.world, x.way(engine.upstream)
-	t := &task{unread: x.try.request.prompt, unwritten: max(1, x.try.request.events-x.written)}
-	t.event = func() {
+	w, latency := x.entry.fleet.simulation, x.latency(engine.upstream)
+	t := &task{promptLeft: x.try.request.prompt, eventsLeft: max(1, x.try.request.events-x.forwarded)}
+	t.onEvent = func() {
 		notice := engine.notice
-		w.after(way, func() {
+		w.after(latency, func() {
 			if x.current(t) {
 				x.event(notice)
 			}
 		})
 	}
-	t.end = func() {
-		w.after(way, func() {
+	t.onEnd = func() {
+		w.after(latency, func() {
 			if x.current(t) {
 				x.answered()
 			}
@@ -173,34 +174,34 @@
 	return t
 }
 
-// current tells whether a task is the present send's.
-func (x *exchange) current(t *task) bool { return x.task == t && x.entry.open[x.id] == x }
+// current reports whether a task belongs to the current attempt.
+func (x *exchange) current(t *task) bool { return x.task == t && x.entry.inFlight[x.id] == x }
 
-// noticed tells the reducer of the head of an answer.
-func (x *exchange) noticed(o forward.Outcome, notice catalog.Notice) {
-	x.entry.step(forward.Noticed{Upstream: x.send.Upstream.Life(), Sent: epoch.Add(x.sentAt), Outcome: o, Notice: notice})
+// headReceived reports the head of an answer to the reducer.
+func (x *exchange) headReceived(o forward.Outcome, notice catalog.Notice) {
+	x.entry.step(forward.Noticed{Upstream: x.attempt.Upstream.Life(), Sent: epoch.Add(x.sentAt), Outcome: o, Notice: notice})
 }
 
-// declined ends a send that its engine turned away.
+// declined ends an attempt that the engine declined.
 func (x *exchange) declined(t *task, notice catalog.Notice) {
 	if x.current(t) {
-		x.noticed(forward.Declined, notice)
-		x.ended(forward.Declined)
+		x.headReceived(forward.Declined, notice)
+		x.attemptEnded(forward.Declined)
 	}
 }
 
-// event passes an event on.
+// event forwards an event to the caller.
 func (x *exchange) event(notice catalog.Notice) {
-	w := x.entry.fleet.world
-	if !x.began {
-		x.began = true
-		x.noticed(forward.Answered, notice)
+	w := x.entry.fleet.simulation
+	if !x.started {
+		x.started = true
+		x.headReceived(forward.Answered, notice)
 		x.entry.step(forward.Began{ID: x.id, Version: 1})
 	}
 	x.partial, x.lastAt = true, w.now
-	x.written++
+	x.forwarded++
 	t := x.try
-	w.after(callerWay, t.event)
+	w.after(callerLatency, t.event)
 }
 
 func (x *exchange) answered() {
@@ -210,12 +211,12 @@
 	e.finish(x.id, func(t *try) { t.answered() })
 }
 
-// ended ends the present send without an answer.
-func (x *exchange) ended(o forward.Outcome) {
+// attemptEnded ends the current attempt without an answer.
+func (x *exchange) attemptEnded(o forward.Outcome) {
 	x.cancel()
 	ev := forward.SendEnded{ID: x.id, Outcome: o, Partial: x.partial}
 	if x.partial {
-		ev.Quiet = x.entry.fleet.world.now - x.lastAt
+		ev.Quiet = x.entry.fleet.simulation.now - x.lastAt
 	}
 	x.entry.step(ev)
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -10,48 +10,48 @@
 )
 
 const (
-	host    = "h"
-	model   = "m"
-	service = "engines"
-	// readEvery is how often an agent reads its engine; nearEvery and farEvery are the least times between two reports of a change, and nearCalm
-	// and farCalm between two without.
-	readEvery = 100 * time.Millisecond
-	nearEvery = 90 * time.Millisecond
-	farEvery  = 400 * time.Millisecond
-	nearCalm  = 300 * time.Millisecond
-	farCalm   = 900 * time.Millisecond
+	host      = "h"
+	modelName = "m"
+	service   = "engines"
+	// readInterval is how often an agent reads its engine. localMinInterval and remoteMinInterval are the minimum times between two reports when the
+	// load changes; localIdleInterval and remoteIdleInterval are the times between two reports when it doesn't.
+	readInterval       = 100 * time.Millisecond
+	localMinInterval   = 90 * time.Millisecond
+	remoteMinInterval  = 400 * time.Millisecond
+	localIdleInterval  = 300 * time.Millisecond
+	remoteIdleInterval = 900 * time.Millisecond
 )
 
-// Setup is a fleet and its work.
+// Setup describes a fleet and its callers.
 type Setup struct {
-	// Centres is how many data centres there are; each has as many entries and engines.
+	// Centres is the number of data centres. Entries and Engines are the numbers in each of them.
 	Centres, Entries, Engines int
-	Terms                     EngineTerms
+	EngineModel               EngineModel
 	Kinds                     []RequestKind
-	// ReportLoss is the part of the agents' reports that are lost.
+	// ReportLoss is the fraction of the agents' load reports that are lost.
 	ReportLoss float64
-	// Policy is how entries decide.
+	// Policy is the policy by which entries choose upstreams.
 	Policy forward.Policy
 }
 
-// fleet is a play.
+// fleet is a simulated fleet with its callers.
 type fleet struct {
-	setup     Setup
-	world     *world
-	engines   []*engine
-	byID      map[string]*engine
-	entries   []*entry
-	entriesOf [][]*entry
-	requests  []*request
-	// rates are the requests a second of each data centre.
+	setup      Setup
+	simulation *simulation
+	engines    []*engine
+	byID       map[string]*engine
+	entries    []*entry
+	entriesOf  [][]*entry
+	requests   []*request
+	// rates are the requests a second from each data centre.
 	rates []float64
 }
 
 func centreName(i int) string { return fmt.Sprintf("centre-%d", i) }
 
-// newFleet returns a fleet in which nothing has happened.
+// newFleet returns a fleet at the start of a simulation, before any request.
 func newFleet(setup Setup, seed uint64) *fleet {
-	f := &fleet{setup: setup, world: newWorld(seed), byID: map[string]*engine{}, entriesOf: make([][]*entry, setup.Centres), rates: make([]float64, setup.Centres)}
+	f := &fleet{setup: setup, simulation: newSimulation(seed), byID: map[string]*engine{}, entriesOf: make([][]*entry, setup.Centres), rates: make([]float64, setup.Centres)}
 	for c := range setup.Centres {
 		for i := range setup.Entries {
 			f.addEntry(c, i)
@@ -63,7 +63,7 @@
 		}
 	}
 	for _, e := range f.entries {
-		f.world.every(tick, func() { e.step(tickEvent) })
+		f.simulation.every(tickInterval, func() { e.step(tickEvent) })
 	}
 	for c := range setup.Centres {
 		f.arrivals(c)
@@ -78,7 +78,7 @@
 	}
 	state := catalog.NewState()
 	e := &entry{
-		fleet: f, dataCentre: centreName(centre), open: map[uint64]*exchange{},
+		fleet: f, dataCentre: centreName(centre), inFlight: map[uint64]*exchange{},
 		state: forward.NewState(forward.Self{
 			Name: fmt.Sprintf("entry-%d-%d", centre, i), DataCentre: centreName(centre), Region: centreName(centre), Regions: regions,
 			Retries: hostconfig.Retries{Ratio: 0.2, Extra: 136, Window: 10 * time.Second}, VersionTime: 10300 * time.Millisecond, Policy: f.setup.Policy,
@@ -97,91 +97,92 @@
 	for _, k := range f.setup.Kinds {
 		routes = append(routes, &catalog.Route{
 			Name: k.Name, Host: host, Prefix: "/" + k.Name + "/", Kind: catalog.Streaming, Resumable: true, MaxUpstreams: 2,
-			Shares: []catalog.Share{{Service: service, Weight: 1}}, Timeout: k.Limit, Objective: k.Objective, CallerPatience: firstPatience,
+			Shares: []catalog.Share{{Service: service, Weight: 1}}, Timeout: k.Limit, Objective: k.Objective, CallerPatience: firstEventTimeout,
 		})
 		prompt += k.Share * float64(k.Prompt)
 	}
 	m := catalog.NewManifest(1, routes, nil)
 	m.Services[service] = &catalog.Service{Name: service, Engine: &catalog.Engine{
-		Slots: f.setup.Terms.Slots, ReadRate: f.setup.Terms.ReadRate, UsualPrompt: prompt, Models: []string{model},
+		Slots: f.setup.EngineModel.Slots, ReadRate: f.setup.EngineModel.ReadRate, UsualPrompt: prompt, Models: []string{modelName},
 	}}
 	return m
 }
 
-// addEngine adds an engine that all entries know at once.
+// addEngine adds an engine, which all entries know at once.
 func (f *fleet) addEngine(centre int, id string) *engine {
 	u := &catalog.Upstream{
-		ID: id, Born: 1, Service: service, Address: id, DataCentre: centreName(centre), Slots: f.setup.Terms.Slots, Versions: map[string]int64{model: 1},
+		ID: id, Born: 1, Service: service, Address: id, DataCentre: centreName(centre), Slots: f.setup.EngineModel.Slots, Versions: map[string]int64{modelName: 1},
 		Revision: int64(len(f.engines) + 1),
 	}
-	e := &engine{world: f.world, terms: f.setup.Terms, upstream: u, slow: 1}
+	e := &engine{simulation: f.simulation, model: f.setup.EngineModel, upstream: u, slowdown: 1}
 	f.engines = append(f.engines, e)
 	f.byID[id] = e
 	for _, entry := range f.entries {
 		entry.step(catalog.UpstreamChanged{Upstream: u})
 	}
-	f.report(e)
+	f.startReports(e)
 	return e
 }
 
 func (f *fleet) engineOf(u *catalog.Upstream) *engine { return f.byID[u.ID] }
 
-// report has the agent beside an engine tell entries of its load.
-func (f *fleet) report(e *engine) {
+// startReports has the agent of an engine report its load to the entries.
+func (f *fleet) startReports(e *engine) {
 	type listener struct {
-		told forward.LoadTold
-		at   time.Duration
+		loadReport forward.LoadTold
+		at         time.Duration
 	}
 	listeners := make([]listener, len(f.entries))
-	f.world.every(readEvery, func() {
-		told := forward.LoadTold{
-			Address: e.upstream.Address, Born: 1, Occupied: e.occupied(), Closing: e.away, Versions: map[string]int64{model: 1},
+	f.simulation.every(readInterval, func() {
+		loadReport := forward.LoadTold{
+			Address: e.upstream.Address, Born: 1, Occupied: e.occupied(), Closing: e.notAccepting, Versions: map[string]int64{modelName: 1},
 			Leaving: e.notice.Leaving, Entries: len(f.entries), Near: f.setup.Entries,
 		}
 		if e.notice.Limited {
 			limit := e.notice.RateLimit
-			told.RateLimit = &limit
+			loadReport.RateLimit = &limit
 		}
 		for i, entry := range f.entries {
 			l := &listeners[i]
-			way, least, calm := farWay, farEvery, farCalm
+			latency, minInterval, idleInterval := remoteLatency, remoteMinInterval, remoteIdleInterval
 			if entry.dataCentre == e.upstream.DataCentre {
-				way, least, calm = nearWay, nearEvery, nearCalm
+				latency, minInterval, idleInterval = localLatency, localMinInterval, localIdleInterval
 			}
-			since := f.world.now - l.at
-			urgent := told.Closing != l.told.Closing || told.Leaving != l.told.Leaving
-			if !urgent && since < calm && (told.Occupied == l.told.Occupied || since < least) {
+			since := f.simulation.now - l.at
+			urgent := loadReport.Closing != l.loadReport.Closing || loadReport.Leaving != l.loadReport.Leaving
+			if !urgent && since < idleInterval && (loadReport.Occupied == l.loadReport.Occupied || since < minInterval) {
 				continue
 			}
-			l.told, l.at = told, f.world.now
-			if f.world.random.Float64() < f.setup.ReportLoss {
+			l.loadReport, l.at = loadReport, f.simulation.now
+			if f.simulation.random.Float64() < f.setup.ReportLoss {
 				continue
 			}
-			f.world.after(way, func() { entry.step(told) })
+			f.simulation.after(latency, func() { entry.step(loadReport) })
 		}
 	})
 }
 
-// arrivals has callers of a data centre ask, at random moments.
+// arrivals creates the requests of a data centre as a Poisson process.
 func (f *fleet) arrivals(centre int) {
 	var next func()
 	next = func() {
 		rate := f.rates[centre]
 		if rate <= 0 {
-			f.world.after(50*time.Millisecond, next)
+			f.simulation.after(50*time.Millisecond, next)
 			return
 		}
-		f.world.after(time.Duration(f.world.demand.ExpFloat64()/rate*float64(time.Second)), func() {
-			f.ask(centre)
+		f.simulation.after(time.Duration(f.simulation.demand.ExpFloat64()/rate*float64(time.Second)), func() {
+			f.newRequest(centre)
 			next()
 		})
 	}
-	f.world.after(0, next)
+	f.simulation.after(0, next)
 }
 
-// load sets the requests a second of all data centres together, as a part of what the engines can do, with their shares of it.
-func (f *fleet) load(part float64, shares ...float64) {
-	all := part * f.setup.Capacity()
+// load sets the request rate of all data centres together, as a fraction of the engines' capacity, and each data centre's share of it. Without shares
+// it is the same for all.
+func (f *fleet) load(utilization float64, shares ...float64) {
+	all := utilization * f.setup.Capacity()
 	for c := range f.rates {
 		share := 1 / float64(f.setup.Centres)
 		if len(shares) > 0 {
--- a/internal/emulator/plot.go
+++ b/internal/emulator/plot.go
@@ -13,36 +13,36 @@
 	plotHeight = 14 * vg.Centimeter
 )
 
-// drawRows plots what each way answers in time on each pattern, beside the bound.
+// drawRows plots the fraction that each variant answers in time on each pattern, beside the bound.
 func drawRows(rows []Row, path string) error {
 	p := plot.New()
-	p.Title.Text = "Part of the callers answered in time"
+	p.Title.Text = "Fraction of requests answered in time"
 	p.Y.Min, p.Y.Max = 0.5, 1
 	p.Legend.Top = true
 	var names []string
-	byWay, order := map[string]plotter.XYs{}, []string{}
+	byVariant, order := map[string]plotter.XYs{}, []string{}
 	bound := plotter.XYs{}
 	for _, r := range rows {
 		if len(names) == 0 || names[len(names)-1] != r.Pattern {
 			names = append(names, r.Pattern)
 			bound = append(bound, plotter.XY{X: float64(len(names) - 1), Y: r.Bound})
 		}
-		if byWay[r.Way] == nil {
-			order = append(order, r.Way)
+		if byVariant[r.Variant] == nil {
+			order = append(order, r.Variant)
 		}
-		byWay[r.Way] = append(byWay[r.Way], plotter.XY{X: float64(len(names) - 1), Y: r.InTime})
+		byVariant[r.Variant] = append(byVariant[r.Variant], plotter.XY{X: float64(len(names) - 1), Y: r.InTime})
 	}
-	byWay["bound"] = bound
-	for i, way := range append(order, "bound") {
-		marks, err := plotter.NewScatter(byWay[way])
+	byVariant["bound"] = bound
+	for i, variant := range append(order, "bound") {
+		marks, err := plotter.NewScatter(byVariant[variant])
 		if err != nil {
-			return errors.Wrap(err, "plot a way")
+			return errors.Wrap(err, "plotting a variant")
 		}
 		marks.Color, marks.Shape = plotutil.Color(i), plotutil.Shape(i)
 		p.Add(marks)
-		p.Legend.Add(way, marks)
+		p.Legend.Add(variant, marks)
 	}
 	p.NominalX(names...)
 	p.X.Tick.Label.Rotation = 0.4
-	return errors.Wrap(p.Save(plotWidth, plotHeight, path), "save the plot")
+	return errors.Wrap(p.Save(plotWidth, plotHeight, path), "saving the plot")
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -6,47 +6,47 @@
 	"samphireweir.example/samphireweir/internal/core/forward"
 )
 
-// Result is what became of the callers of a play.
+// Result counts the outcomes of the requests of a simulation.
 type Result struct {
-	Asked, InTime, Late, Refused, Failed int
-	// RefusedTwice counts those that came back after a refusal and were refused again.
+	Total, InTime, Late, Refused, Failed int
+	// RefusedTwice counts the requests that were refused again after a retry.
 	RefusedTwice int
-	// Bound is how many one who knows the future could have answered in time at most.
+	// Bound is how many requests a scheduler with knowledge of the future could answer in time.
 	Bound int
-	// WorstSecond is the least part of a second's callers that were answered in time, and WorstCentre that of a data centre's.
+	// WorstSecond is the lowest fraction of a second's requests that were answered in time, and WorstCentre the lowest of a data centre's.
 	WorstSecond, WorstCentre float64
 }
 
-// Play plays a pattern with a policy.
-func Play(setup Setup, pattern Pattern, policy forward.Policy, seed uint64) Result {
+// Simulate runs a load pattern with a policy.
+func Simulate(setup Setup, pattern Pattern, policy forward.Policy, seed uint64) Result {
 	setup.Policy = policy
 	f := newFleet(setup, seed)
-	pattern.Play(f)
-	f.world.run(warmUp + playTime)
-	to := f.world.now
+	pattern.Apply(f)
+	f.simulation.run(warmUp + measuredTime)
+	to := f.simulation.now
 	for c := range f.rates {
 		f.rates[c] = 0
 	}
-	f.world.run(to + 8*time.Second)
+	f.simulation.run(to + 8*time.Second)
 	return f.result(warmUp, to, pattern)
 }
 
-// part counts some callers.
-type part struct{ asked, inTime int }
+// counts counts a group of requests.
+type counts struct{ total, inTime int }
 
-func (p part) share() float64 { return float64(p.inTime) / float64(max(1, p.asked)) }
+func (p counts) share() float64 { return float64(p.inTime) / float64(max(1, p.total)) }
 
 func (f *fleet) result(from, to time.Duration, pattern Pattern) Result {
 	var r Result
-	seconds, centres := map[time.Duration]part{}, map[int]part{}
+	seconds, centres := map[time.Duration]counts{}, map[int]counts{}
 	for _, q := range f.requests {
-		if q.first < from || q.first >= to {
+		if q.startedAt < from || q.startedAt >= to {
 			continue
 		}
-		r.Asked++
-		second, centre := seconds[q.first/time.Second], centres[q.centre]
-		second.asked++
-		centre.asked++
+		r.Total++
+		second, centre := seconds[q.startedAt/time.Second], centres[q.centre]
+		second.total++
+		centre.total++
 		switch q.outcome {
 		case inTime:
 			r.InTime++
@@ -62,7 +62,7 @@
 		if q.refusals > 1 {
 			r.RefusedTwice++
 		}
-		seconds[q.first/time.Second], centres[q.centre] = second, centre
+		seconds[q.startedAt/time.Second], centres[q.centre] = second, centre
 	}
 	r.WorstSecond, r.WorstCentre = 1, 1
 	for _, p := range seconds {
--- a/internal/emulator/setups.go
+++ b/internal/emulator/setups.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Streams is a fleet of three data centres with engines that take prompts of some hundred tokens and answer in some twenty events.
+// Streams returns a fleet of three data centres whose engines process prompts of several hundred tokens and answer in about twenty events.
 func Streams() Setup {
 	return Setup{
 		Centres: 3, Entries: 5, Engines: 13, ReportLoss: 0.01,
-		Terms: EngineTerms{
-			Slots: 12, Queue: 24, Step: 8870 * time.Microsecond, PerSequence: 60 * time.Microsecond, Stride: 5, ReadRate: 19100, Chunk: 2048,
+		EngineModel: EngineModel{
+			Slots: 12, Queue: 24, PassTime: 8870 * time.Microsecond, PerSequence: 60 * time.Microsecond, TokensPerEvent: 5, ReadRate: 19100, Chunk: 2048,
 		},
 		Kinds: []RequestKind{
 			{Name: "long", Share: 0.34, Prompt: 1330, Events: 22, Objective: 500 * time.Millisecond, Pause: 400 * time.Millisecond, Limit: 6 * time.Second},
--- a/internal/emulator/ways.go
+++ b/internal/emulator/variants.go
@@ -6,19 +6,19 @@
 	"samphireweir.example/samphireweir/internal/core/forward"
 )
 
-// Way is a way of deciding with a name.
-type Way struct {
+// Variant is a named policy.
+type Variant struct {
 	Name   string
 	Policy forward.Policy
 }
 
-// Ways are the product's way and others that differ from it in one figure.
-func Ways() []Way {
-	ways := []Way{{Name: "stands", Policy: forward.DefaultPolicy()}}
+// Variants returns the default policy and variants of it that each differ in one parameter.
+func Variants() []Variant {
+	variants := []Variant{{Name: "stands", Policy: forward.DefaultPolicy()}}
 	with := func(name string, change func(*forward.Policy)) {
 		p := forward.DefaultPolicy()
 		change(&p)
-		ways = append(ways, Way{Name: name, Policy: p})
+		variants = append(variants, Variant{Name: name, Policy: p})
 	}
 	with("oldest first", func(p *forward.Policy) { p.OldestFirst = true })
 	with("wait 0.3 of the objective", func(p *forward.Policy) { p.WaitShare = 0.3 })
@@ -31,5 +31,5 @@
 	with("keep places free 1 s", func(p *forward.Policy) { p.KeepFree = time.Second })
 	with("look at one upstream", func(p *forward.Policy) { p.Choices = 1 })
 	with("look at four upstreams", func(p *forward.Policy) { p.Choices = 4 })
-	return ways
+	return variants
 }
