--- a/internal/experiment/bench_test.go
+++ b/internal/experiment/bench_test.go
@@ -10,8 +10,8 @@
 	"samphireweir.example/samphireweir/internal/experiment"
 )
 
-// BenchmarkRequest sends one lookup after the other through entry and agent to a plain service, all in this process:
-// the figures are those of the whole path, caller and service included.
+// BenchmarkRequest sends one request after the other through an entry and an agent to a plain service, all in this process. The result covers the
+// whole path, including the caller and the service.
 func BenchmarkRequest(b *testing.B) {
 	f, err := experiment.Start(experiment.Config{Entries: 1, Agents: 1, EnginesPerAgent: 1, Grace: time.Second})
 	if err != nil {
--- a/internal/experiment/intake_test.go
+++ b/internal/experiment/caller_input_test.go
@@ -21,23 +21,23 @@
 	modelBase = "/" + experiment.Team + "/" + experiment.ModelService
 )
 
-// seen is what an upstream got of a request.
-type seen struct {
+// receivedRequest is what an upstream received of a request.
+type receivedRequest struct {
 	Target string      `json:"target"`
 	Header http.Header `json:"header"`
 }
 
-// echo answers with what it got.
+// echo answers with the request that it received, and paths that end in /away with a redirect.
 func echo(w http.ResponseWriter, r *http.Request) {
 	if strings.HasSuffix(r.URL.Path, "/away") {
 		http.Redirect(w, r, "http://127.0.0.1:1/elsewhere", http.StatusTemporaryRedirect)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(seen{Target: r.RequestURI, Header: r.Header})
+	_ = json.NewEncoder(w).Encode(receivedRequest{Target: r.RequestURI, Header: r.Header})
 }
 
-// ask sends a request and returns its status and body.
-func ask(t *testing.T, method, url string, header http.Header, body io.Reader) (int, string) {
+// sendRequest sends a request and returns the status and body of its answer.
+func sendRequest(t *testing.T, method, url string, header http.Header, body io.Reader) (int, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -54,8 +54,8 @@
 	return resp.StatusCode, string(raw)
 }
 
-// askOnce sends a request and follows no redirect.
-func askOnce(t *testing.T, url string) (int, string) {
+// getWithoutRedirect sends a GET request without following redirects. It returns the status and the Location header.
+func getWithoutRedirect(t *testing.T, url string) (int, string) {
 	t.Helper()
 	client := &http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	resp, err := client.Get(url)
@@ -64,9 +64,9 @@
 	return resp.StatusCode, resp.Header.Get("Location")
 }
 
-// TestCallersGiveNoOrders sends what only the system may say: no header of it reaches an upstream, no order an engine,
-// and no address of callers serves what peers or operators call.
-func TestCallersGiveNoOrders(t *testing.T) {
+// TestCallersCannotControlTheSystem guards against callers that forge what only the system may send: no reserved header reaches an upstream, no order
+// reaches an engine, and the callers' address serves no endpoint of peers or operators.
+func TestCallersCannotControlTheSystem(t *testing.T) {
 	f := fleet(t, experiment.Config{Entries: 1, Agents: 1, EnginesPerAgent: 1, Plain: http.HandlerFunc(echo)})
 	callers := "http://" + f.Entries[0].CallersAddress()
 	forged := http.Header{
@@ -74,47 +74,48 @@
 		"Samphireweir-From": {"127.0.0.1:1"}, "Weights-Digest": {"d"}, "Fencing-Number": {"999"}, "Load-Generation": {"9"}, "X-Own": {"kept"},
 		"Traceparent": {"00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"},
 	}
-	status, body := ask(t, http.MethodGet, callers+plainBase+"/a%2Fb%3Fc?q=%20", forged, nil)
+	status, body := sendRequest(t, http.MethodGet, callers+plainBase+"/a%2Fb%3Fc?q=%20", forged, nil)
 	require.Equal(t, http.StatusOK, status)
-	var got seen
+	var got receivedRequest
 	require.NoError(t, json.Unmarshal([]byte(body), &got))
-	require.Equal(t, "/p0/a%2Fb%3Fc?q=%20", got.Target, "the target is passed on as the caller wrote it")
+	require.Equal(t, "/p0/a%2Fb%3Fc?q=%20", got.Target, "the request target must be forwarded unchanged")
 	require.Equal(t, "kept", got.Header.Get("X-Own"))
-	require.Equal(t, forged.Get("Traceparent"), got.Header.Get("Traceparent"), "without tracing it is passed on untouched")
-	status, _ = askOnce(t, callers+plainBase+"/away")
-	require.Equal(t, http.StatusTemporaryRedirect, status, "a redirect is the caller's to follow")
+	require.Equal(t, forged.Get("Traceparent"), got.Header.Get("Traceparent"), "without tracing, traceparent must be forwarded unchanged")
+	status, _ = getWithoutRedirect(t, callers+plainBase+"/away")
+	require.Equal(t, http.StatusTemporaryRedirect, status, "a redirect must be returned to the caller")
 	for name := range forged {
 		if name != "X-Own" && name != "Traceparent" {
 			require.Empty(t, got.Header.Get(name), name)
 		}
 	}
 	for _, path := range []string{"/orders/load", "/orders/role", "/state", "/events", "/v1/kv", "/v1/cancel", "/%6frders/load", "//orders/load"} {
-		status, body = ask(t, http.MethodPut, callers+modelBase+path, nil, strings.NewReader("{}"))
+		status, body = sendRequest(t, http.MethodPut, callers+modelBase+path, nil, strings.NewReader("{}"))
 		require.Equal(t, http.StatusForbidden, status, path)
 		require.Contains(t, body, `"code":1008`, path)
 	}
 	for _, path := range []string{"/run", "/resume", "/fence", "/control", "/chunks/0", "/metrics", "/ready", "/debug/pprof/"} {
-		status, _ = ask(t, http.MethodGet, callers+path, nil, nil)
+		status, _ = sendRequest(t, http.MethodGet, callers+path, nil, nil)
 		require.Equal(t, http.StatusNotFound, status, path)
 	}
 }
 
-// TestBadCallers sends what is malformed or forbidden to one fleet, which goes on to answer others.
-func TestBadCallers(t *testing.T) {
+// TestMalformedRequestsAreIsolated sends malformed and forbidden requests to one fleet and checks that it continues to answer others.
+func TestMalformedRequestsAreIsolated(t *testing.T) {
 	f := fleet(t, experiment.Config{Entries: 1, Agents: 1, EnginesPerAgent: 1})
-	t.Run("PeersWantTheSecret", func(t *testing.T) { peersWantTheSecret(t, f) })
+	t.Run("PeersWantTheSecret", func(t *testing.T) { peersRequireTheSecret(t, f) })
 	t.Run("MalformedRequests", func(t *testing.T) { malformedRequests(t, f) })
 	t.Run("BrokenConnections", func(t *testing.T) { brokenConnections(t, f) })
 	t.Run("MalformedHeads", func(t *testing.T) { malformedHeads(t, f) })
 }
 
-// peersWantTheSecret refuses peers' calls, and operators' addresses serve none of them.
-func peersWantTheSecret(t *testing.T, f *experiment.Fleet) {
+// peersRequireTheSecret checks that peers' calls without the right secret are refused, and that operators' addresses serve none of the peers'
+// endpoints.
+func peersRequireTheSecret(t *testing.T, f *experiment.Fleet) {
 	t.Helper()
 	for _, address := range []string{f.Entries[0].Address(), f.Agents[0].Address()} {
 		for _, path := range []string{"/run", "/resume", "/fence", "/control", "/chunks/0", "/manifests/0"} {
 			for _, secret := range []string{"", "Bearer wrong", "Bearer "} {
-				status, body := ask(t, http.MethodPost, "http://"+address+path, http.Header{"Authorization": {secret}}, nil)
+				status, body := sendRequest(t, http.MethodPost, "http://"+address+path, http.Header{"Authorization": {secret}}, nil)
 				require.Equal(t, http.StatusUnauthorized, status, path)
 				require.Contains(t, body, "7002", path)
 			}
@@ -122,13 +123,13 @@
 	}
 	for _, address := range []string{f.Entries[0].OperatorsAddress(), f.Agents[0].OperatorsAddress()} {
 		for _, path := range []string{"/run", "/control", "/chunks/0", plainBase + "/x", "/debug/pprof/"} {
-			status, _ := ask(t, http.MethodPost, "http://"+address+path, nil, nil)
+			status, _ := sendRequest(t, http.MethodPost, "http://"+address+path, nil, nil)
 			require.Equal(t, http.StatusNotFound, status, path)
 		}
 	}
 }
 
-// malformedRequests refuses each with its number; the requests after it are answered by the same fleet.
+// malformedRequests checks that each request is refused with its result code, and that the fleet answers the request after it.
 func malformedRequests(t *testing.T, f *experiment.Fleet) {
 	t.Helper()
 	callers := "http://" + f.Entries[0].CallersAddress()
@@ -150,16 +151,16 @@
 		{path: plainBase + "/", number: "1002", body: strings.NewReader(strings.Repeat("b", 2<<20))},
 		{path: "/nobody/nothing/", number: "2001"},
 	} {
-		status, body := ask(t, http.MethodPost, callers+c.path, c.header, c.body)
+		status, body := sendRequest(t, http.MethodPost, callers+c.path, c.header, c.body)
 		require.GreaterOrEqual(t, status, 400, c.path)
 		require.Contains(t, body, `"code":`+c.number, c.path)
 		require.Contains(t, body, `"ran":"not run"`, c.path)
-		status, _ = ask(t, http.MethodGet, callers+plainBase+"/after", nil, nil)
+		status, _ = sendRequest(t, http.MethodGet, callers+plainBase+"/after", nil, nil)
 		require.Equal(t, http.StatusOK, status)
 	}
 }
 
-// brokenConnections sends heads that are not HTTP and bodies that break off; others are answered.
+// brokenConnections sends heads that are not HTTP and bodies that end early, and checks that the fleet continues to answer others.
 func brokenConnections(t *testing.T, f *experiment.Fleet) {
 	t.Helper()
 	for _, text := range []string{
@@ -171,14 +172,14 @@
 		"GET " + plainBase + "/x HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("v", 100<<10) + "\r\n\r\n",
 	} {
 		for _, address := range []string{f.Entries[0].CallersAddress(), f.Entries[0].Address(), f.Agents[0].Address(), f.Agents[0].OperatorsAddress()} {
-			breakOff(t, address, text)
+			sendAndCloseWrite(t, address, text)
 		}
-		status, _ := ask(t, http.MethodGet, "http://"+f.Entries[0].CallersAddress()+plainBase+"/after", nil, nil)
+		status, _ := sendRequest(t, http.MethodGet, "http://"+f.Entries[0].CallersAddress()+plainBase+"/after", nil, nil)
 		require.Equal(t, http.StatusOK, status, text[:min(len(text), 40)])
 	}
 }
 
-// malformedHeads answers what net/http itself refuses like every other refusal.
+// malformedHeads checks that requests which net/http itself refuses get the same problem document as other refusals.
 func malformedHeads(t *testing.T, f *experiment.Fleet) {
 	t.Helper()
 	for text, status := range map[string]string{
@@ -187,7 +188,7 @@
 		"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip\r\n\r\n":                  "501",
 		"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab": "400",
 	} {
-		answer := breakOff(t, f.Entries[0].CallersAddress(), text)
+		answer := sendAndCloseWrite(t, f.Entries[0].CallersAddress(), text)
 		resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(answer)), nil)
 		require.NoError(t, err, text)
 		require.Equal(t, status, resp.Status[:3], text)
@@ -199,8 +200,8 @@
 	}
 }
 
-// breakOff sends text and ends the sending side. It returns what came back.
-func breakOff(t *testing.T, address, text string) string {
+// sendAndCloseWrite sends text, closes the sending side and returns the answer.
+func sendAndCloseWrite(t *testing.T, address, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
--- a/internal/experiment/command.go
+++ b/internal/experiment/command.go
@@ -13,25 +13,26 @@
 	"github.com/pkg/errors"
 )
 
-// Row is one figure.
+// Row is one measured value.
 type Row struct {
 	Scenario string
 	Variant  string
-	// Load is the offered load, as a part of the capacity.
+	// Load is the offered load as a fraction of the capacity.
 	Load   float64
 	Metric string
 	Value  float64
 }
 
-// scenario measures one matter and hands out its rows.
+// scenario runs one kind of measurement and passes its rows to out.
 type scenario func(o options, out func(Row)) error
 
-// options of a run.
+// options are the options of a run.
 type options struct {
 	seed  uint64
 	runs  int
 	scale float64
-	// unlimited measures overload without limits, too. Its callers' timeouts use up the machine's ports for a minute.
+	// unlimited also measures overload without limits. The timeouts of its callers leave so many closing connections that ephemeral ports are
+	// exhausted for a minute.
 	unlimited bool
 }
 
@@ -43,38 +44,38 @@
 	"restart":  restart,
 }
 
-// command is the subcommand routing.
+// command is the routing subcommand.
 type command struct {
 	options
 	only string
 	out  string
 }
 
-// NewCommand returns the subcommand routing.
+// NewCommand returns the routing subcommand.
 func NewCommand() subcommands.Command { return &command{} }
 
-// Name is the word on the command line.
+// Name returns the subcommand's name.
 func (*command) Name() string { return "routing" }
 
-// Synopsis says in a line what is measured.
-func (*command) Synopsis() string { return "measures routing, admission and stopping" }
+// Synopsis returns a one-line description.
+func (*command) Synopsis() string { return "measures routing, admission control and shutdown" }
 
-// Usage gives an example.
+// Usage returns an example invocation.
 func (*command) Usage() string {
 	return "experiment routing -only overload,flood,policies,brownout,restart -runs 3 -out routing.csv\n"
 }
 
-// SetFlags declares the flags.
+// SetFlags declares the subcommand's flags.
 func (c *command) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&c.only, "only", "overload,flood,policies,brownout,restart", "scenarios, with commas between")
+	fs.StringVar(&c.only, "only", "overload,flood,policies,brownout,restart", "comma-separated scenarios")
 	fs.StringVar(&c.out, "out", "", "file for the rows as CSV; standard output when empty")
-	fs.IntVar(&c.runs, "runs", 3, "runs of each scenario, with seeds that follow each other")
+	fs.IntVar(&c.runs, "runs", 3, "runs of each scenario, with consecutive seeds")
 	fs.Uint64Var(&c.seed, "seed", 1, "first seed")
-	fs.BoolVar(&c.unlimited, "unlimited", true, "measure overload without limits, too")
-	fs.Float64Var(&c.scale, "scale", 1, "multiplies the time of each load")
+	fs.BoolVar(&c.unlimited, "unlimited", true, "also measure overload without limits")
+	fs.Float64Var(&c.scale, "scale", 1, "factor for the duration of each load")
 }
 
-// Execute runs the scenarios.
+// Execute runs the selected scenarios.
 func (c *command) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	if err := c.run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -88,7 +89,7 @@
 	if c.out != "" {
 		f, err := os.Create(c.out)
 		if err != nil {
-			return errors.Wrap(err, "create the file of figures")
+			return errors.Wrap(err, "creating the CSV file")
 		}
 		defer func() { _ = f.Close() }()
 		out = f
@@ -98,7 +99,7 @@
 	for _, name := range strings.Split(c.only, ",") {
 		s := scenarios[name]
 		if s == nil {
-			return errors.Errorf("no scenario %q", name)
+			return errors.Errorf("unknown scenario %q", name)
 		}
 		for run := range c.runs {
 			o := c.options
@@ -109,7 +110,7 @@
 		}
 	}
 	w.Flush()
-	return errors.Wrap(w.Error(), "write the figures")
+	return errors.Wrap(w.Error(), "writing the CSV file")
 }
 
 func writeRow(w *csv.Writer, run int, r Row) {
--- a/internal/experiment/failure_test.go
+++ b/internal/experiment/failure_test.go
@@ -20,7 +20,7 @@
 	"samphireweir.example/samphireweir/internal/standin/engine"
 )
 
-// noMark is that of an entry that heard nothing of a cache.
+// noMark is the cache mark of an entry that has not received any cache event.
 var noMark routing.CacheMark
 
 func load(rate float64, duration time.Duration) experiment.Load {
@@ -41,9 +41,9 @@
 	return n
 }
 
-// TestLeavingAgentWhileTheListLags stops an agent that the list of hosts goes on showing: nothing is cut or refused,
-// and the agent gets nothing more.
-func TestLeavingAgentWhileTheListLags(t *testing.T) {
+// TestDrainingAgentStillInHostList guards against requests that are cut, refused or sent to an agent after its shutdown starts, while the host list
+// still shows the agent as live.
+func TestDrainingAgentStillInHostList(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, experiment.Config{Entries: 2, Agents: 3, EnginesPerAgent: 1, Unlimited: true})
 	go func() {
@@ -51,13 +51,13 @@
 		f.Agents[0].Stop()
 	}()
 	l := load(40, 2*time.Second)
-	s := experiment.Sum(f.Run(l), 0, l.Duration, experiment.All)
-	require.Equal(t, s.Requests, s.Whole, "%+v", s)
+	s := experiment.Summarize(f.Run(l), 0, l.Duration, experiment.All)
+	require.Equal(t, s.Requests, s.Complete, "%+v", s)
 }
 
-// TestListedAsLeaving refuses new work at an agent that the list shows as leaving, before anyone stops it, and takes
-// it again when the list takes that back.
-func TestListedAsLeaving(t *testing.T) {
+// TestAgentListedAsLeavingGetsNoRequests guards against new requests to an agent that the host list shows as leaving although it has not been
+// stopped. The agent is used again once the list shows it as live.
+func TestAgentListedAsLeavingGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, experiment.Config{Entries: 1, Agents: 2, EnginesPerAgent: 1})
 	require.NoError(t, f.List(f.Agents[0].Address(), "agent", "leaving"))
@@ -72,23 +72,23 @@
 	require.Eventually(t, func() bool { return f.Serving(experiment.ModelService) == 2 && !leaving() }, 10*time.Second, 20*time.Millisecond)
 }
 
-// TestLongStreamIsHandedOver stops an agent for longer than its grace under a stream: the caller gets the whole
-// answer, without a seam.
+// TestLongStreamIsHandedOver guards against streams that break when an agent's shutdown grace period is shorter than the stream: another engine
+// continues it, and the caller receives the complete answer without a gap.
 func TestLongStreamIsHandedOver(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, experiment.Config{Entries: 1, Agents: 2, EnginesPerAgent: 1, Grace: 200 * time.Millisecond, Unlimited: true})
 	l := load(12, time.Second)
-	l.Tokens = 400 // Two seconds, ten times the grace.
+	l.Tokens = 400 // Two seconds, ten times the grace period.
 	go func() {
 		time.Sleep(700 * time.Millisecond)
 		f.Agents[0].Stop()
 	}()
-	s := experiment.Sum(f.Run(l), 0, l.Duration, experiment.All)
-	require.Equal(t, s.Requests, s.Whole, "%+v", s)
-	require.Greater(t, runs(t, f), s.Requests, "some streams ran on two engines")
+	s := experiment.Summarize(f.Run(l), 0, l.Duration, experiment.All)
+	require.Equal(t, s.Requests, s.Complete, "%+v", s)
+	require.Greater(t, runs(t, f), s.Requests, "some streams must have run on two engines")
 }
 
-// TestRollingRestartCutsNothing restarts every entry and agent under load.
+// TestRollingRestartCutsNothing guards against answers that are cut while every entry and agent is restarted in turn under load.
 func TestRollingRestartCutsNothing(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, experiment.Config{Entries: 2, Agents: 3, EnginesPerAgent: 1, Settle: 1500 * time.Millisecond, Grace: time.Minute, Unlimited: true})
@@ -97,64 +97,65 @@
 	done := make(chan error, 1)
 	go func() { done <- f.RollingRestart() }()
 	l := load(30, 10*time.Second)
-	s := experiment.Sum(f.RunAt(l, b.Pick), 0, l.Duration, experiment.All)
+	s := experiment.Summarize(f.RunAt(l, b.Pick), 0, l.Duration, experiment.All)
 	require.NoError(t, <-done)
-	require.Equal(t, s.Requests, s.Whole, "%+v", s)
+	require.Equal(t, s.Requests, s.Complete, "%+v", s)
 }
 
-// The tests of overload do not run beside others: they need the machine's speed to be steady.
+// The overload tests don't run in parallel with others, because they need a steady machine speed.
 
-// TestOverload asks for three times the capacity: each request is answered whole, or refused as not run with a
-// Retry-After, and the engines run nothing that was refused.
+// TestOverload sends three times the capacity. Each request must be answered completely or be refused as not run with a Retry-After header, and the
+// engines must not run any refused request.
 func TestOverload(t *testing.T) {
 	f := fleet(t, experiment.Config{Entries: 2, Agents: 2, EnginesPerAgent: 1, Engine: engine.Config{Batch: 4}})
 	l := load(3*2*4/(8*0.005), 2*time.Second)
 	results := f.Run(l)
-	s := experiment.Sum(results, 0, l.Duration, experiment.All)
-	require.Equal(t, s.Requests, s.Whole+s.Refused, "%+v", s)
+	s := experiment.Summarize(results, 0, l.Duration, experiment.All)
+	require.Equal(t, s.Requests, s.Complete+s.Refused, "%+v", s)
 	require.NotZero(t, s.Refused)
-	require.NotZero(t, s.Whole)
+	require.NotZero(t, s.Complete)
 	for _, r := range results {
-		if !r.Whole {
+		if !r.Complete {
 			require.Equal(t, code.NotRun, r.Ran)
 			seconds, err := strconv.Atoi(r.RetryAfter)
 			require.NoError(t, err)
 			require.GreaterOrEqual(t, seconds, 1)
 		}
 	}
-	require.Equal(t, s.Whole, runs(t, f), "what was refused was not run")
+	require.Equal(t, s.Complete, runs(t, f), "refused requests must not run")
 }
 
-// TestFloodLeavesSmallClientsTheirShare floods the service from one account while a small one stays under its share.
-// How much of that is answered exactly depends on the machine's speed; TestFloodGivesWay and TestFloodInSteadyState
-// prove it with a clock of their own.
+// TestFloodLeavesSmallClientsTheirShare floods the service from one client account while a small one stays within its share. The exact fraction of
+// the small account's requests that is answered depends on the machine's speed; TestSmallAccountIsServedBeforeFlood and TestFloodInSteadyState prove
+// it with a simulated clock.
 func TestFloodLeavesSmallClientsTheirShare(t *testing.T) {
 	f := fleet(t, experiment.Config{Entries: 1, Agents: 2, EnginesPerAgent: 1, Engine: engine.Config{Batch: 4}})
 	l := load(0, 3*time.Second)
 	l.Clients = []experiment.Client{{Name: "large", Rate: 600, Priority: 0}, {Name: "small", Rate: 8, Priority: 5}}
 	results := f.Run(l)
-	large := experiment.Sum(results, 0, l.Duration, experiment.Of("large"))
-	small := experiment.Sum(results, 0, l.Duration, experiment.Of("small"))
+	large := experiment.Summarize(results, 0, l.Duration, experiment.Of("large"))
+	small := experiment.Summarize(results, 0, l.Duration, experiment.Of("small"))
 	require.NotZero(t, large.Refused)
-	smallShare := float64(small.Whole) / float64(small.Requests)
-	largeShare := float64(large.Whole) / float64(large.Requests)
+	smallShare := float64(small.Complete) / float64(small.Requests)
+	largeShare := float64(large.Complete) / float64(large.Requests)
 	require.Greater(t, smallShare, 2*largeShare, "small %+v large %+v", small, large)
 }
 
-// TestBrownoutIsNotAmplified slows a third of the engines: each request runs once.
+// TestBrownoutIsNotAmplified guards against retries that multiply the load when a third of the engines are slow: the number of runs stays within 1.1
+// times the number of requests.
 func TestBrownoutIsNotAmplified(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, experiment.Config{Entries: 2, Agents: 6, EnginesPerAgent: 1, Unlimited: true})
 	require.NoError(t, f.EngineFaults(map[string]map[string]any{"e0-0": {"slow_factor": 40}, "e1-0": {"slow_factor": 40}}))
 	l := load(60, 3*time.Second)
-	s := experiment.Sum(f.Run(l), 0, l.Duration, experiment.All)
-	require.Equal(t, s.Requests, s.Whole, "%+v", s)
+	s := experiment.Summarize(f.Run(l), 0, l.Duration, experiment.All)
+	require.Equal(t, s.Requests, s.Complete, "%+v", s)
 	require.LessOrEqual(t, float64(runs(t, f)), 1.1*float64(s.Requests))
 	stats, err := f.EngineStats()
 	require.NoError(t, err)
 	slow := stats["e0-0"].Runs + stats["e1-0"].Runs
-	require.Less(t, 5*slow, int64(s.Requests), "the slow third gets much less than its third; runs by engine %v, first bytes %v in the middle, %v for one in twenty",
-		runsByEngine(stats), s.FirstByte50, s.FirstByte95)
+	require.Less(t, 5*slow, int64(s.Requests), "the slow third must get much less than a third of the runs; runs by engine %v, first byte p50 %v, p95 %v",
+		runsByEngine(stats), s.FirstByteP50, s.FirstByteP95)
 }
 
 func runsByEngine(stats map[string]engine.Stats) map[string]int64 {
@@ -165,31 +166,31 @@
 	return runs
 }
 
-// TestStaleLoadAndLostCacheEvents runs with engines whose word on their load is seconds old and most of whose cache
-// events are lost: answers stay whole.
+// TestStaleLoadAndLostCacheEvents guards against incomplete answers when engines' load reports are seconds old and most of their cache events are
+// lost.
 func TestStaleLoadAndLostCacheEvents(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, experiment.Config{Entries: 2, Agents: 3, EnginesPerAgent: 1, Engine: engine.Config{EventGap: 0.9}, Unlimited: true})
 	l := load(40, 2*time.Second)
-	s := experiment.Sum(f.Run(l), 0, l.Duration, experiment.All)
-	require.Equal(t, s.Requests, s.Whole, "%+v", s)
+	s := experiment.Summarize(f.Run(l), 0, l.Duration, experiment.All)
+	require.Equal(t, s.Requests, s.Complete, "%+v", s)
 	stats, err := f.EngineStats()
 	require.NoError(t, err)
 	misses := int64(0)
 	for _, e := range stats {
 		misses += e.PrefixMisses
 	}
-	require.LessOrEqual(t, misses, int64(3*l.Prefixes), "prefixes stay where they are")
+	require.LessOrEqual(t, misses, int64(3*l.Prefixes), "a prefix must stay at its engine")
 }
 
-// TestFleetWideLimit bounds a client's requests in flight over all entries together.
+// TestFleetWideLimit checks that a client account's limit on requests in flight holds over all entries together.
 func TestFleetWideLimit(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, experiment.Config{
 		Entries: 2, Agents: 2, EnginesPerAgent: 1, Clients: map[string]setting.Limits{"a": {Concurrency: 4}},
 	})
 	waitForPeers(t, f, 3)
-	most := 0
+	maxRunning := 0
 	stop := make(chan struct{})
 	sampled := make(chan struct{})
 	go func() {
@@ -203,17 +204,17 @@
 				for _, a := range f.Agents {
 					a.Loop.View(func(s *core.State) { n += len(s.Runs.Running) })
 				}
-				most = max(most, n)
+				maxRunning = max(maxRunning, n)
 			}
 		}
 	}()
 	l := load(150, 2*time.Second)
-	s := experiment.Sum(f.Run(l), 0, l.Duration, experiment.All)
+	s := experiment.Summarize(f.Run(l), 0, l.Duration, experiment.All)
 	close(stop)
 	<-sampled
-	require.NotZero(t, s.Whole)
+	require.NotZero(t, s.Complete)
 	require.NotZero(t, s.Codes[code.ClientOverShare])
-	require.LessOrEqual(t, most, 8, "at most twice the limit while demands cross")
+	require.LessOrEqual(t, maxRunning, 8, "concurrent changes of the entries' shares may allow up to twice the limit")
 }
 
 func waitForPeers(t *testing.T, f *experiment.Fleet, n int) {
@@ -230,7 +231,8 @@
 	}, 10*time.Second, 20*time.Millisecond)
 }
 
-// TestStoppingEntryServesWhileItSettles shows an entry as not ready before it refuses anything.
+// TestStoppingEntryServesWhileItSettles guards against an entry that refuses requests while the balancer still sends them: it reports itself as not
+// ready first, and serves until its settle time is over.
 func TestStoppingEntryServesWhileItSettles(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, experiment.Config{Entries: 1, Agents: 1, EnginesPerAgent: 1, Settle: 2 * time.Second})
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -1,5 +1,5 @@
-// Package experiment runs entries and agents in one process against the stand-ins, for failure tests and for the
-// figures of routing and admission. It is never linked into the product.
+// Package experiment runs entries and agents in one process against the stand-ins, for failure tests and for measurements of routing and admission.
+// It is never linked into the product.
 package experiment
 
 import (
@@ -35,7 +35,7 @@
 	"samphireweir.example/samphireweir/internal/telemetry"
 )
 
-// Names in the fleet.
+// Names used in the fleet.
 const (
 	Team         = "karrakin"
 	ModelService = "summary-model"
@@ -43,7 +43,7 @@
 	Place        = "perth-a"
 	Region       = "west"
 
-	// listenOn is a loopback address of the fleet's own: ports of 127.0.0.1 may be used up by connections of other tests.
+	// listenOn is a loopback address that only these fleets use: the ports of 127.0.0.1 may be exhausted by connections of other tests.
 	listenOn    = "127.8.0.1:0"
 	weightsSize = 64 << 10
 	readyPoll   = 20 * time.Millisecond
@@ -51,7 +51,7 @@
 	readyTimeout = 20 * time.Second
 )
 
-// Config sets up a fleet.
+// Config configures a fleet.
 type Config struct {
 	Entries int
 	// Agents is the number of hosts with an agent; each has EnginesPerAgent engines and one plain service.
@@ -59,19 +59,19 @@
 	EnginesPerAgent int
 	Engine          engine.Config
 	PlainWork       time.Duration
-	// HostLag is how late the list of hosts shows changes.
+	// HostLag is the delay with which the host list shows changes.
 	HostLag time.Duration
 	Policy  routing.Policy
 	Clients map[string]setting.Limits
-	// Settle and Grace are those of a planned stop.
+	// Settle and Grace are the times of a graceful shutdown.
 	Settle time.Duration
 	Grace  time.Duration
-	// Unlimited takes away the agents' limits, which adapt to how quick the engines are: for tests of promises that hold
-	// however slow the machine is.
+	// Unlimited removes the agents' concurrency limits, which adapt to the speed of the engines. It is meant for tests of guarantees that must hold
+	// on a machine of any speed.
 	Unlimited bool
-	// Plain, when set, plays the plain services in place of the stand-in.
+	// Plain, when set, handles the requests to the plain services in place of the stand-in.
 	Plain http.Handler
-	// Traces, when set, gives each process, by its name, where its spans go.
+	// Traces, when set, returns the trace exporter of the process with the given name.
 	Traces func(name string) *telemetry.Traces
 }
 
@@ -88,7 +88,7 @@
 	origin  string
 	engines string
 	plains  string
-	// secret is this fleet's own: an address that the kernel gave to a process of another fleet must not join the two.
+	// secret is unique to this fleet. It keeps two fleets apart when the kernel reuses the address of a process of one for a process of the other.
 	secret  string
 	stop    context.CancelFunc
 	mu      sync.Mutex
@@ -108,13 +108,13 @@
 	index int
 }
 
-// Process can be stopped as by SIGTERM.
+// Process is a running entry or agent that can be stopped as by SIGTERM.
 type Process struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// Stop asks for a graceful shutdown and waits for its end.
+// Stop requests a graceful shutdown and waits until it has ended.
 func (p *Process) Stop() {
 	p.cancel()
 	<-p.done
@@ -134,7 +134,7 @@
 func Start(c Config) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{config: c, client: node.NewHTTPClient(), stop: cancel, secret: rand.Text()}
-	if err := f.startOutside(ctx); err != nil {
+	if err := f.startStandIns(ctx); err != nil {
 		f.Close()
 		return nil, err
 	}
@@ -145,11 +145,11 @@
 	return f, nil
 }
 
-func (f *Fleet) startOutside(ctx context.Context) error {
+func (f *Fleet) startStandIns(ctx context.Context) error {
 	shape := weights.Shape{Size: weightsSize, ChunkSize: weightsSize / 4, Seed: 1}
 	origin, err := weights.NewServer(weights.Config{Shape: shape})
 	if err != nil {
-		return errors.Wrap(err, "make the origin")
+		return errors.Wrap(err, "starting the origin stand-in")
 	}
 	var engines, plains []string
 	for i := range f.config.Agents {
@@ -198,12 +198,12 @@
 	for service, text := range map[string]string{ModelService: model, PlainService: `{"kind":"plain","non_idempotent":["PUT"]}`} {
 		s, err := setting.Parse([]byte(text))
 		if err != nil {
-			return errors.Wrap(err, "make a setting")
+			return errors.Wrap(err, "parsing a setting")
 		}
 		s.Clients = f.config.Clients
 		applied, err := ed.Apply(ctx, Team, service, s, 0)
 		if err != nil {
-			return errors.Wrap(err, "apply a setting")
+			return errors.Wrap(err, "applying a setting")
 		}
 		if applied.Digest != "" {
 			f.Digest = applied.Digest
@@ -226,7 +226,7 @@
 	return f.awaitServing()
 }
 
-// StartEntry starts entry i, in the place of one that was stopped or as the next one.
+// StartEntry starts entry i: either a replacement of one that was stopped, or the next one.
 func (f *Fleet) StartEntry(i int) error {
 	c := entry.Config{
 		Config: f.nodeConfig(fmt.Sprintf("entry-%d", i)), CallersListen: listenOn, Deadline: time.Minute,
@@ -254,14 +254,14 @@
 	return f.List(e.Address(), "entry", "live")
 }
 
-// entries returns the present entries.
+// entries returns the current entries.
 func (f *Fleet) entries() []*EntryProcess {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*EntryProcess(nil), f.Entries...)
 }
 
-// StartAgent starts agent i, in the place of one that was stopped or as the next one.
+// StartAgent starts agent i: either a replacement of one that was stopped, or the next one.
 func (f *Fleet) StartAgent(i int) error {
 	upstreams := []string{Team + "/" + PlainService + "=plain@" + f.plains + "/" + plainName(i)}
 	for _, name := range f.engineNames(i) {
@@ -279,7 +279,7 @@
 		return err
 	}
 	if f.config.Unlimited {
-		unlimited(a)
+		removeLimits(a)
 	}
 	p := &AgentProcess{Agent: a, Process: start(func(ctx context.Context) { a.Run(ctx, f.config.Grace) }), index: i}
 	if i < len(f.Agents) {
@@ -311,23 +311,23 @@
 
 func plainName(agent int) string { return fmt.Sprintf("p%d", agent) }
 
-// List puts a process into the list of hosts.
+// List adds a process to the host list.
 func (f *Fleet) List(address, role, state string) error {
 	h := hostlist.Host{Address: address, Role: role, Place: Place, Region: Region, State: state}
 	return f.send(http.MethodPut, f.hosts+"/admin/hosts", h)
 }
 
-// Unlist takes a process out of the list of hosts.
+// Unlist removes a process from the host list.
 func (f *Fleet) Unlist(address string) error {
 	return f.send(http.MethodDelete, f.hosts+"/admin/hosts?address="+address, nil)
 }
 
-// EngineFaults sets faults of engines, by name; "*" for all.
+// EngineFaults sets faults of engines by name; "*" stands for all.
 func (f *Fleet) EngineFaults(faults map[string]map[string]any) error {
 	return f.send(http.MethodPost, f.engines+"/admin/faults", faults)
 }
 
-// PlainFaults sets faults of plain services, by name; "*" for all.
+// PlainFaults sets faults of plain services by name; "*" stands for all.
 func (f *Fleet) PlainFaults(faults map[string]map[string]any) error {
 	return f.send(http.MethodPost, f.plains+"/admin/faults", faults)
 }
@@ -339,7 +339,7 @@
 	}
 	req, err := http.NewRequest(method, url, bytes.NewReader(raw))
 	if err != nil {
-		return errors.Wrap(err, "build a call")
+		return errors.Wrap(err, "building a request")
 	}
 	resp, err := f.client.Do(req)
 	if err != nil {
@@ -352,13 +352,13 @@
 	return nil
 }
 
-// EngineStats returns what each engine has done.
+// EngineStats returns the counters of each engine by name.
 func (f *Fleet) EngineStats() (map[string]engine.Stats, error) {
 	stats := map[string]engine.Stats{}
 	return stats, f.read(f.engines+"/admin/stats", &stats)
 }
 
-// PlainStats returns what each plain service has done.
+// PlainStats returns the counters of each plain service by name.
 func (f *Fleet) PlainStats() (map[string]plain.Stats, error) {
 	stats := map[string]plain.Stats{}
 	return stats, f.read(f.plains+"/admin/stats", &stats)
@@ -367,13 +367,13 @@
 func (f *Fleet) read(url string, into any) error {
 	resp, err := f.client.Get(url)
 	if err != nil {
-		return errors.Wrapf(err, "read %s", url)
+		return errors.Wrapf(err, "reading %s", url)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return errors.Wrapf(json.NewDecoder(resp.Body).Decode(into), "decode %s", url)
+	return errors.Wrapf(json.NewDecoder(resp.Body).Decode(into), "decoding %s", url)
 }
 
-// Close stops everything at once.
+// Close stops all processes and stand-ins concurrently.
 func (f *Fleet) Close() {
 	var all sync.WaitGroup
 	for _, p := range f.Entries {
--- a/internal/experiment/fleet_test.go
+++ b/internal/experiment/fleet_test.go
@@ -9,7 +9,7 @@
 	"samphireweir.example/samphireweir/internal/experiment"
 )
 
-// fleet starts a small fleet that ends with the test.
+// fleet starts a small fleet and closes it when the test ends.
 func fleet(t *testing.T, c experiment.Config) *experiment.Fleet {
 	t.Helper()
 	c.Engine.Step = 5 * time.Millisecond
@@ -29,14 +29,14 @@
 	return f
 }
 
-// TestFleetAnswers sends a light load: every answer is whole.
-func TestFleetAnswers(t *testing.T) {
+// TestFleetAnswersCompletely checks that every request of a light load gets a complete answer.
+func TestFleetAnswersCompletely(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, experiment.Config{Entries: 2, Agents: 3, EnginesPerAgent: 1, Unlimited: true})
 	l := experiment.Load{
 		Clients: []experiment.Client{{Name: "a", Rate: 40}}, Duration: time.Second, Seed: 1, Prefixes: 4,
 		PromptChars: 300, Tokens: 8, Deadline: time.Minute,
 	}
-	s := experiment.Sum(f.Run(l), 0, l.Duration, experiment.All)
-	require.Equal(t, s.Requests, s.Whole, "%+v", s)
+	s := experiment.Summarize(f.Run(l), 0, l.Duration, experiment.All)
+	require.Equal(t, s.Requests, s.Complete, "%+v", s)
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -19,15 +19,15 @@
 	"samphireweir.example/samphireweir/internal/standin/engine"
 )
 
-// Client is one account's part of a load.
+// Client is a client account and its part of a load.
 type Client struct {
 	Name string
-	// Rate is its requests a second.
+	// Rate is its number of requests a second.
 	Rate     float64
 	Priority int
 }
 
-// Load is an open load: requests arrive at their times whether or not earlier ones are answered.
+// Load is an open-loop load: requests arrive at their times whether or not earlier ones have been answered.
 type Load struct {
 	Clients  []Client
 	Duration time.Duration
@@ -36,31 +36,31 @@
 	Prefixes int
 	// PromptChars is the length of a prompt; the first 256 characters are its prefix.
 	PromptChars int
-	// Tokens is the length of an answer.
+	// Tokens is the number of tokens of an answer.
 	Tokens int
-	// Deadline is what callers wait at most.
+	// Deadline is the maximum time that callers wait.
 	Deadline time.Duration
-	// Plain sends to the plain service instead of the engines.
+	// Plain sends the requests to the plain service instead of the engines.
 	Plain bool
-	// oneAccount sends all requests under one account's name, as a baseline.
+	// oneAccount sends all requests under the name of one client account, as a baseline.
 	oneAccount bool
 }
 
-// Result is how one request went.
+// Result is the outcome of one request.
 type Result struct {
 	Client string
-	// At is the arrival, from the start of the load.
+	// At is the time of arrival since the start of the load.
 	At        time.Duration
 	FirstByte time.Duration
 	Total     time.Duration
 	Status    int
 	Code      code.Code
 	Ran       code.Ran
-	// RetryAfter is the header of a refusal.
+	// RetryAfter is the Retry-After header of a refusal.
 	RetryAfter string
-	// Whole says that the whole, right answer came in time.
-	Whole bool
-	// Cut says that an answer began and did not end as it should, or that the connection failed.
+	// Complete is set when the complete and correct answer arrived in time.
+	Complete bool
+	// Cut is set when an answer started but did not end properly, or when the connection failed.
 	Cut bool
 }
 
@@ -73,7 +73,7 @@
 	entry  int
 }
 
-// plan draws the arrivals of a load: exponential gaps for each client, merged.
+// plan draws the arrivals of a load, with exponentially distributed gaps for each client account.
 func (l Load) plan(entries int) []arrival {
 	var list []arrival
 	for i, c := range l.Clients {
@@ -92,7 +92,7 @@
 	return list
 }
 
-// Run sends the load to the fleet's entries, one after the other at random, and returns the results.
+// Run sends the load to randomly chosen entries and returns the results.
 func (f *Fleet) Run(l Load) []Result {
 	addresses := make([]string, 0, len(f.Entries))
 	for _, e := range f.Entries {
@@ -101,7 +101,7 @@
 	return f.RunAt(l, func(a int) string { return addresses[a%len(addresses)] })
 }
 
-// RunAt is Run with a balancer: pick returns the address for a random number.
+// RunAt is Run with a balancer: pick returns the address of an entry for a random number.
 func (f *Fleet) RunAt(l Load, pick func(random int) string) []Result {
 	plan := l.plan(1 << 20)
 	results := make([]Result, len(plan))
@@ -151,11 +151,11 @@
 	r.Total = time.Since(start)
 	body := append(first[:n], rest...)
 	if resp.StatusCode != http.StatusOK {
-		r.refused(resp, body)
+		r.parseRefusal(resp, body)
 		return r
 	}
-	r.Whole = err == nil && restErr == nil && (l.Plain || wholeAnswer(string(body), f.Digest, prompt, l.Tokens))
-	r.Cut = !r.Whole && ctx.Err() == nil
+	r.Complete = err == nil && restErr == nil && (l.Plain || completeAnswer(string(body), f.Digest, prompt, l.Tokens))
+	r.Cut = !r.Complete && ctx.Err() == nil
 	return r
 }
 
@@ -166,7 +166,7 @@
 	}
 	body, err := json.Marshal(engine.GenerateCall{Prompt: prompt, MaxTokens: l.Tokens, Stream: true})
 	if err != nil {
-		return nil, errors.Wrap(err, "encode a request")
+		return nil, errors.Wrap(err, "encoding a request")
 	}
 	method := http.MethodPost
 	if l.Plain {
@@ -174,7 +174,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "build a request")
+		return nil, errors.Wrap(err, "building a request")
 	}
 	if !l.oneAccount {
 		req.Header.Set(entry.HeaderClient, a.client.Name)
@@ -184,7 +184,7 @@
 	return req, nil
 }
 
-func (r *Result) refused(resp *http.Response, body []byte) {
+func (r *Result) parseRefusal(resp *http.Response, body []byte) {
 	var p entry.Problem
 	if json.Unmarshal(body, &p) != nil {
 		r.Cut = true
@@ -194,13 +194,13 @@
 	r.RetryAfter = resp.Header.Get("Retry-After")
 }
 
-// wholeAnswer checks a stream token by token: the answer to this prompt by these weights, to its end, once.
-func wholeAnswer(stream, digest, prompt string, tokens int) bool {
+// completeAnswer checks a stream token by token: it must hold the answer to this prompt by these weights exactly once, up to its end.
+func completeAnswer(stream, digest, prompt string, tokens int) bool {
 	var want strings.Builder
 	for i := range tokens {
 		fmt.Fprintf(&want, "id: %d\ndata: {\"index\":%d,\"token\":%q}\n\n", i, i, engine.Token(digest, prompt, i))
 	}
-	// Comments keep the stream of a slow answer alive; a reader of events passes over them.
+	// Comments keep the connection of a slow answer alive; readers of event streams ignore them.
 	stream = strings.ReplaceAll(stream, "\n\n: waiting\n\n", "\n\n")
 	rest, ok := strings.CutPrefix(stream, want.String())
 	return ok && strings.HasPrefix(rest, "event: done\n")
--- a/internal/experiment/ready.go
+++ b/internal/experiment/ready.go
@@ -8,7 +8,7 @@
 	"samphireweir.example/samphireweir/internal/core"
 )
 
-// awaitServing waits until every entry sees every upstream that the settings ask for.
+// awaitServing waits until every entry knows every upstream that the settings request.
 func (f *Fleet) awaitServing() error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
@@ -17,10 +17,10 @@
 		}
 		time.Sleep(readyPoll)
 	}
-	return errors.Errorf("%d engines and %d plain services serve", f.Serving(ModelService), f.Serving(PlainService))
+	return errors.Errorf("timed out waiting for the fleet: %d engines and %d plain services serve", f.Serving(ModelService), f.Serving(PlainService))
 }
 
-// ready tells whether every entry shows itself as ready to the balancer.
+// ready reports whether every entry reports itself as ready to the balancer.
 func (f *Fleet) ready() bool {
 	for _, e := range f.entries() {
 		ready := false
@@ -32,9 +32,9 @@
 	return true
 }
 
-// Serving returns how many upstreams of a service the entry that sees the fewest sees.
+// Serving returns the lowest number of usable upstreams of a service that any entry knows.
 func (f *Fleet) Serving(service string) int {
-	least := -1
+	minServing := -1
 	for _, e := range f.entries() {
 		n := 0
 		e.Loop.View(func(s *core.State) {
@@ -42,9 +42,9 @@
 				n = len(s.Members.Candidates(time.Now(), Team, service))
 			}
 		})
-		if least < 0 || n < least {
-			least = n
+		if minServing < 0 || n < minServing {
+			minServing = n
 		}
 	}
-	return least
+	return minServing
 }
--- a/internal/experiment/realfleet.go
+++ b/internal/experiment/realfleet.go
@@ -19,7 +19,7 @@
 	"samphireweir.example/samphireweir/internal/operator"
 )
 
-// realFleet is a set of real processes of the product with the platform's stand-ins.
+// realFleet is a fleet of separate product processes and platform stand-ins.
 type realFleet struct {
 	folder    string
 	client    *outside.Client
@@ -40,8 +40,8 @@
 	}
 	f.addresses = make([]processes.Addresses, n)
 	f.procs = make([]*processes.Process, n)
-	for from := 0; from < n; from += startAtOnce {
-		if err := f.startSome(ctx, from, min(from+startAtOnce, n)); err != nil {
+	for from := 0; from < n; from += startBatch {
+		if err := f.startRange(ctx, from, min(from+startBatch, n)); err != nil {
 			return err
 		}
 	}
@@ -58,11 +58,11 @@
 	return p.Listening(ctx)
 }
 
-func (f *realFleet) startSome(ctx context.Context, from, to int) error {
+func (f *realFleet) startRange(ctx context.Context, from, to int) error {
 	var wg sync.WaitGroup
 	failed := make([]error, to-from)
 	for i := from; i < to; i++ {
-		wg.Go(func() { failed[i-from] = f.startOne(ctx, i) })
+		wg.Go(func() { failed[i-from] = f.startProcess(ctx, i) })
 	}
 	wg.Wait()
 	for _, err := range failed {
@@ -73,14 +73,14 @@
 	return nil
 }
 
-func (f *realFleet) startOne(ctx context.Context, i int) error {
-	place := settingsPlaces[i%len(settingsPlaces)]
+func (f *realFleet) startProcess(ctx context.Context, i int) error {
+	dataCentre := settingsDataCentres[i%len(settingsDataCentres)]
 	role := outside.RoleAgent
 	args := []string{
-		"-name", fmt.Sprintf("host-%d", i), "-place", place.name, "-region", place.region, "-secret", "experiment",
+		"-name", fmt.Sprintf("host-%d", i), "-place", dataCentre.name, "-region", dataCentre.region, "-secret", "experiment",
 		"-object-api", "http://" + f.objects, "-host-list", "http://" + f.hosts,
 	}
-	if i%entryEvery == 0 {
+	if i%processesPerEntry == 0 {
 		role = outside.RoleEntry
 		args = append([]string{"entry", "-callers-listen", "127.0.0.1:0"}, args...)
 	} else {
@@ -95,7 +95,7 @@
 	if f.addresses[i], err = p.Addresses(ctx); err != nil {
 		return err
 	}
-	return f.client.Register(ctx, f.hosts, outside.ListedHost{Address: f.addresses[i].Peers, Role: role, Place: place.name, Region: place.region})
+	return f.client.Register(ctx, f.hosts, outside.ListedHost{Address: f.addresses[i].Peers, Role: role, Place: dataCentre.name, Region: dataCentre.region})
 }
 
 func (f *realFleet) awaitReady(ctx context.Context) error {
@@ -123,16 +123,16 @@
 	processes.Stop(f.standIns, stopGrace)
 }
 
-// cost is what a process has used so far.
-type cost struct {
+// usage is the resources that a process has used since its start.
+type usage struct {
 	cpu      time.Duration
 	resident int64
 	control  int64
 }
 
-// idle measures what the processes and the platform spend in a window without changes.
-func (f *realFleet) idle(ctx context.Context, window time.Duration) ([]figure, error) {
-	before, err := f.costs(ctx)
+// idle measures what the processes and the platform use in a window without changes.
+func (f *realFleet) idle(ctx context.Context, window time.Duration) ([]measurement, error) {
+	before, err := f.usages(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -140,18 +140,18 @@
 	if err != nil {
 		return nil, err
 	}
-	begin := time.Now()
+	startedAt := time.Now()
 	time.Sleep(window)
-	seconds := time.Since(begin).Seconds()
+	seconds := time.Since(startedAt).Seconds()
 	callsAfter, err := f.calls()
 	if err != nil {
 		return nil, err
 	}
-	after, err := f.costs(ctx)
+	after, err := f.usages(ctx)
 	if err != nil {
 		return nil, err
 	}
-	rows := []figure{
+	rows := []measurement{
 		{"objectapi_calls_per_s", (callsAfter[0] - calls[0]) / seconds},
 		{"hostlist_calls_per_s", (callsAfter[1] - calls[1]) / seconds},
 	}
@@ -161,30 +161,30 @@
 		resident = append(resident, float64(after[i].resident)/(1<<20))
 		bytes = append(bytes, float64(after[i].control-before[i].control)/seconds)
 	}
-	rows = append(rows, spread("cpu_percent", cpu)...)
-	rows = append(rows, spread("resident_mib", resident)...)
-	return append(rows, spread("control_bytes_per_s", bytes)...), nil
+	rows = append(rows, meanAndMax("cpu_percent", cpu)...)
+	rows = append(rows, meanAndMax("resident_mib", resident)...)
+	return append(rows, meanAndMax("control_bytes_per_s", bytes)...), nil
 }
 
-// spread is the mean and the greatest of values.
-func spread(name string, values []float64) []figure {
-	sum, most := 0.0, 0.0
+// meanAndMax returns the mean and the maximum of values.
+func meanAndMax(name string, values []float64) []measurement {
+	sum, maxValue := 0.0, 0.0
 	for _, v := range values {
 		sum += v
-		most = max(most, v)
+		maxValue = max(maxValue, v)
 	}
-	return []figure{{name + "_mean", sum / float64(len(values))}, {name + "_max", most}}
+	return []measurement{{name + "_mean", sum / float64(len(values))}, {name + "_max", maxValue}}
 }
 
-func (f *realFleet) costs(ctx context.Context) ([]cost, error) {
-	list := make([]cost, len(f.procs))
+func (f *realFleet) usages(ctx context.Context) ([]usage, error) {
+	list := make([]usage, len(f.procs))
 	for i, p := range f.procs {
-		ask := &operator.Fleet{Base: "http://" + f.addresses[i].Operators, HTTP: http.DefaultClient}
-		status, err := ask.Status(ctx)
+		fleetClient := &operator.Fleet{Base: "http://" + f.addresses[i].Operators, HTTP: http.DefaultClient}
+		status, err := fleetClient.Status(ctx)
 		if err != nil {
 			return nil, err
 		}
-		if list[i], err = processCost(p.PID()); err != nil {
+		if list[i], err = processUsage(p.PID()); err != nil {
 			return nil, err
 		}
 		list[i].control = status.Process.ControlIn + status.Process.ControlOut
@@ -192,34 +192,34 @@
 	return list, nil
 }
 
-// clockTick is the unit of the processor time in /proc.
+// clockTick is the unit of processor time in /proc.
 const clockTick = 10 * time.Millisecond
 
-func processCost(pid int) (cost, error) {
+func processUsage(pid int) (usage, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return cost{}, errors.Wrap(err, "read a process's processor time")
+		return usage{}, errors.Wrap(err, "reading a process's processor time")
 	}
 	fields := strings.Fields(string(raw[strings.LastIndexByte(string(raw), ')')+1:]))
 	user, _ := strconv.ParseInt(fields[11], 10, 64)
 	system, _ := strconv.ParseInt(fields[12], 10, 64)
 	pages, _ := strconv.ParseInt(fields[21], 10, 64)
-	return cost{cpu: time.Duration(user+system) * clockTick, resident: pages * int64(os.Getpagesize())}, nil
+	return usage{cpu: time.Duration(user+system) * clockTick, resident: pages * int64(os.Getpagesize())}, nil
 }
 
-// calls returns the calls that the object API and the host list have had.
+// calls returns the number of calls that the object API and the host list have received.
 func (f *realFleet) calls() ([2]float64, error) {
 	var out [2]float64
 	for i, address := range []string{f.objects, f.hosts} {
 		resp, err := http.Get("http://" + address + "/admin/stats")
 		if err != nil {
-			return out, errors.Wrap(err, "read a stand-in's counters")
+			return out, errors.Wrap(err, "reading a stand-in's counters")
 		}
 		var stats struct{ Reads, Writes, Watches float64 }
 		err = json.NewDecoder(resp.Body).Decode(&stats)
 		_ = resp.Body.Close()
 		if err != nil {
-			return out, errors.Wrap(err, "decode a stand-in's counters")
+			return out, errors.Wrap(err, "decoding a stand-in's counters")
 		}
 		out[i] = stats.Reads + stats.Writes + stats.Watches
 	}
--- a/internal/experiment/restart.go
+++ b/internal/experiment/restart.go
@@ -8,12 +8,12 @@
 	"samphireweir.example/samphireweir/internal/core/routing"
 )
 
-// Balancer sends callers to the entries that are ready, as the platform's balancer does: it checks them at times.
+// Balancer sends callers to ready entries. Like the platform's balancer it checks their readiness periodically.
 type Balancer struct {
 	fleet *Fleet
 	mu    sync.Mutex
 	ready []string
-	// checkedAt is when the last check began.
+	// checkedAt is when the last check started.
 	checkedAt time.Time
 	stop      chan struct{}
 }
@@ -21,12 +21,12 @@
 const (
 	// checkInterval is the time between two checks of the balancer.
 	checkInterval = 200 * time.Millisecond
-	// maxStale is how old its knowledge may be; when a busy machine holds up the checks it looks before it picks. An entry
-	// that stops counts on being left alone after its settling time, which must be longer.
+	// maxStale is the maximum age of the balancer's readiness data. If checks are late on a busy machine, the balancer checks again before it picks
+	// an entry. An entry's settle time must be longer, because a stopping entry expects no more requests after it.
 	maxStale = 3 * checkInterval
 )
 
-// NewBalancer starts a balancer before the fleet's entries.
+// NewBalancer starts a balancer for the fleet's entries.
 func NewBalancer(f *Fleet) *Balancer {
 	b := &Balancer{fleet: f, stop: make(chan struct{})}
 	b.check()
@@ -45,11 +45,11 @@
 	return b
 }
 
-// Close ends the checks.
+// Close stops the checks.
 func (b *Balancer) Close() { close(b.stop) }
 
 func (b *Balancer) check() {
-	began := time.Now()
+	startedAt := time.Now()
 	var ready []string
 	for _, e := range b.fleet.entries() {
 		resp, err := b.fleet.client.Get("http://" + e.OperatorsAddress() + "/ready")
@@ -63,12 +63,12 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if began.After(b.checkedAt) {
-		b.ready, b.checkedAt = ready, began
+	if startedAt.After(b.checkedAt) {
+		b.ready, b.checkedAt = ready, startedAt
 	}
 }
 
-// Pick returns a ready entry.
+// Pick returns the address of a ready entry, or "" if there is none.
 func (b *Balancer) Pick(random int) string {
 	b.mu.Lock()
 	stale := time.Since(b.checkedAt) > maxStale
@@ -84,33 +84,33 @@
 	return b.ready[random%len(b.ready)]
 }
 
-// restart restarts every entry and agent, one after the other, under load.
+// restart measures a load while every entry and agent is restarted in turn.
 func restart(o options, out func(Row)) error {
-	f, err := Start(figureConfig(routing.Affinity))
+	f, err := Start(benchmarkConfig(routing.Affinity))
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	b := NewBalancer(f)
 	defer b.Close()
-	l := figureLoad(o, 0.4*nominal(), 30)
+	l := benchmarkLoad(o, 0.4*nominalRate(), 30)
 	done := make(chan error, 1)
 	go func() { done <- f.RollingRestart() }()
 	results := f.RunAt(l, b.Pick)
 	if err := <-done; err != nil {
 		return err
 	}
-	s := Sum(results, 0, l.Duration, All)
+	s := Summarize(results, 0, l.Duration, All)
 	row := func(metric string, v float64) { out(Row{"restart", "every process", 0.4, metric, v}) }
 	row("requests", float64(s.Requests))
-	row("whole", float64(s.Whole))
+	row("whole", float64(s.Complete))
 	row("cut", float64(s.Cut))
 	row("refused or late", float64(s.Refused+s.Late))
-	row("first byte p95 ms", ms(s.FirstByte95))
+	row("first byte p95 ms", ms(s.FirstByteP95))
 	return nil
 }
 
-// RollingRestart stops and starts every process in turn, waiting until each new one serves.
+// RollingRestart stops and starts every process in turn, and waits until each new one serves.
 func (f *Fleet) RollingRestart() error {
 	for i := range f.config.Entries {
 		old := f.entries()[i]
--- a/internal/experiment/scenarios.go
+++ b/internal/experiment/scenarios.go
@@ -10,61 +10,61 @@
 	"samphireweir.example/samphireweir/internal/standin/engine"
 )
 
-// The fleet of the figures: 8 engines beside 4 agents, and 2 entries.
+// The fleet of the measurements: 8 engines on 4 hosts with an agent, and 2 entries.
 const (
-	figureAgents  = 4
-	figureEngines = 2
-	figureEntries = 2
-	figureBatch   = 8
-	figureStep    = 9 * time.Millisecond
-	figureTokens  = 12
-	// figureMissUS is the prefill of one character whose prefix is not in the cache, in microseconds.
-	figureMissUS      = 20
-	figurePromptChars = 600
-	figureCache       = 24
-	// figurePrefixes is more than one engine's cache holds and less than all hold together.
-	figurePrefixes = 64
-	figureDeadline = 1500 * time.Millisecond
-	figureLoadLag  = 500 * time.Millisecond
-	figureEventLag = 200 * time.Millisecond
-	figureEventGap = 0.1
-	// capacityShare is the part of the nominal rate that the fleet reaches with affinity; see the scenario overload.
+	benchmarkAgents  = 4
+	benchmarkEngines = 2
+	benchmarkEntries = 2
+	benchmarkBatch   = 8
+	benchmarkStep    = 9 * time.Millisecond
+	benchmarkTokens  = 12
+	// benchmarkMissUS is the prefill time in microseconds of one character whose prefix is not in the cache.
+	benchmarkMissUS      = 20
+	benchmarkPromptChars = 600
+	benchmarkCache       = 24
+	// benchmarkPrefixes is more than the cache of one engine holds and less than all caches hold together.
+	benchmarkPrefixes = 64
+	benchmarkDeadline = 1500 * time.Millisecond
+	benchmarkLoadLag  = 500 * time.Millisecond
+	benchmarkEventLag = 200 * time.Millisecond
+	benchmarkEventGap = 0.1
+	// capacityShare is the fraction of the nominal rate that the fleet reaches with affinity, as the overload scenario measures it.
 	capacityShare = 0.83
-	// slowEngines is the engines that a brownout slows: about a third.
+	// slowEngines is the number of engines that a brownout slows down, about a third.
 	slowEngines = 3
-	// warmShare is the part of each load that is not counted.
-	warmShare = 0.4
+	// warmUpShare is the fraction of each load that is not measured.
+	warmUpShare = 0.4
 )
 
-func figureConfig(policy routing.Policy) Config {
+func benchmarkConfig(policy routing.Policy) Config {
 	return Config{
-		Entries: figureEntries, Agents: figureAgents, EnginesPerAgent: figureEngines, Policy: policy,
+		Entries: benchmarkEntries, Agents: benchmarkAgents, EnginesPerAgent: benchmarkEngines, Policy: policy,
 		Engine: engine.Config{
-			Step: figureStep, Batch: figureBatch, PrefillUSPerChar: figureMissUS, CacheEntries: figureCache,
-			LoadLag: figureLoadLag, EventLag: figureEventLag, EventGap: figureEventGap,
+			Step: benchmarkStep, Batch: benchmarkBatch, PrefillUSPerChar: benchmarkMissUS, CacheEntries: benchmarkCache,
+			LoadLag: benchmarkLoadLag, EventLag: benchmarkEventLag, EventGap: benchmarkEventGap,
 		},
 		PlainWork: 2 * time.Millisecond, Grace: 5 * time.Second, Settle: time.Second,
 		HostLag: 2 * time.Second,
 	}
 }
 
-// nominal is the rate that the engines could serve at full batches with every prefix in a cache.
-func nominal() float64 {
-	engines := float64(figureAgents * figureEngines)
-	return engines * figureBatch / (figureTokens * figureStep.Seconds())
+// nominalRate is the rate in requests a second that the engines could serve with full batches and every prefix in a cache.
+func nominalRate() float64 {
+	engines := float64(benchmarkAgents * benchmarkEngines)
+	return engines * benchmarkBatch / (benchmarkTokens * benchmarkStep.Seconds())
 }
 
-func figureLoad(o options, rate float64, seconds float64) Load {
+func benchmarkLoad(o options, rate float64, seconds float64) Load {
 	return Load{
-		Clients: []Client{{Name: "all", Rate: rate, Priority: 5}}, Seed: o.seed, Prefixes: figurePrefixes,
-		PromptChars: figurePromptChars, Tokens: figureTokens, Deadline: figureDeadline,
+		Clients: []Client{{Name: "all", Rate: rate, Priority: 5}}, Seed: o.seed, Prefixes: benchmarkPrefixes,
+		PromptChars: benchmarkPromptChars, Tokens: benchmarkTokens, Deadline: benchmarkDeadline,
 		Duration: time.Duration(seconds * o.scale * float64(time.Second)),
 	}
 }
 
-func (l Load) warm() time.Duration { return time.Duration(warmShare * float64(l.Duration)) }
+func (l Load) warmUp() time.Duration { return time.Duration(warmUpShare * float64(l.Duration)) }
 
-// measure runs one load on a fresh fleet and returns its sum and the prefix hit rate of the part that counts.
+// measure runs one load on a new fleet. It returns the summary and the prefix hit rate after the warm-up, and all results.
 func measure(c Config, l Load, prepare func(*Fleet) error) (Summary, float64, []Result, error) {
 	f, err := Start(c)
 	if err != nil {
@@ -77,11 +77,11 @@
 		}
 	}
 	var before map[string]engine.Stats
-	timer := time.AfterFunc(l.warm(), func() { before, _ = f.EngineStats() })
+	timer := time.AfterFunc(l.warmUp(), func() { before, _ = f.EngineStats() })
 	defer timer.Stop()
 	results := f.Run(l)
 	after, err := f.EngineStats()
-	return Sum(results, l.warm(), l.Duration, All), hitRate(before, after), results, err
+	return Summarize(results, l.warmUp(), l.Duration, All), hitRate(before, after), results, err
 }
 
 func hitRate(before, after map[string]engine.Stats) float64 {
@@ -94,7 +94,7 @@
 	return float64(hits) / float64(max(1, all))
 }
 
-// overload compares the goodput at three times the capacity with the best that was reached, with and without limits.
+// overload compares the goodput at three times the capacity with the best goodput at lower loads, with and without limits.
 func overload(o options, out func(Row)) error {
 	variants := []string{"admission"}
 	if o.unlimited {
@@ -103,25 +103,25 @@
 	for _, variant := range variants {
 		prepare := func(f *Fleet) error {
 			if variant == "no limits" {
-				f.unlimited()
+				f.removeLimits()
 			}
 			return nil
 		}
 		best := 0.0
 		for _, load := range []float64{0.85, 1, 3} {
-			l := figureLoad(o, load*nominal(), 8)
-			s, hits, _, err := measure(figureConfig(routing.Affinity), l, prepare)
+			l := benchmarkLoad(o, load*nominalRate(), 8)
+			s, hits, _, err := measure(benchmarkConfig(routing.Affinity), l, prepare)
 			if err != nil {
 				return err
 			}
 			row := func(metric string, v float64) { out(Row{"overload", variant, load, metric, v}) }
 			row("goodput", s.Goodput)
-			row("first byte p95 ms", ms(s.FirstByte95))
+			row("first byte p95 ms", ms(s.FirstByteP95))
 			row("refused share", share(s.Refused, s.Requests))
 			row("prefix hit rate", hits)
 			row("late share", share(s.Late, s.Requests))
 			row("cut", float64(s.Cut))
-			row("refusal p95 ms", ms(s.RefusedIn95))
+			row("refusal p95 ms", ms(s.RefusalP95))
 			for _, c := range s.sortedCodes() {
 				row(fmt.Sprintf("refused with %d", c), float64(s.Codes[c]))
 			}
@@ -134,31 +134,31 @@
 	return nil
 }
 
-// unlimited takes the limits away, as a baseline.
-func (f *Fleet) unlimited() {
+// removeLimits removes the agents' limits, as a baseline.
+func (f *Fleet) removeLimits() {
 	for _, a := range f.Agents {
-		unlimited(a.Agent)
+		removeLimits(a.Agent)
 	}
 }
 
-func unlimited(a *agent.Agent) {
+func removeLimits(a *agent.Agent) {
 	a.Loop.View(func(s *core.State) { s.Runs.Load.Unlimited = true })
 }
 
-// flood lets one account ask for three times the capacity while nine small ones stay under their share.
+// flood sends three times the capacity from one client account, beside nine small accounts that stay within their shares.
 func flood(o options, out func(Row)) error {
 	const small = 9
-	smallRate := nominal() * 0.7 / (small + 1) / 2
+	smallRate := nominalRate() * 0.7 / (small + 1) / 2
 	for _, variant := range []string{"no flood", "fair shares", "one account"} {
-		l := figureLoad(o, 0, 8)
+		l := benchmarkLoad(o, 0, 8)
 		l.Clients = nil
 		for i := range small {
 			l.Clients = append(l.Clients, Client{Name: fmt.Sprintf("small-%d", i), Rate: smallRate, Priority: 5})
 		}
 		if variant != "no flood" {
-			l.Clients = append(l.Clients, Client{Name: "large", Rate: 3 * nominal(), Priority: 0})
+			l.Clients = append(l.Clients, Client{Name: "large", Rate: 3 * nominalRate(), Priority: 0})
 		}
-		c := figureConfig(routing.Affinity)
+		c := benchmarkConfig(routing.Affinity)
 		if variant == "one account" {
 			l.oneAccount = true
 		}
@@ -166,45 +166,45 @@
 		if err != nil {
 			return err
 		}
-		least := 1.0
+		minShare := 1.0
 		for i := range small {
-			s := Sum(results, l.warm(), l.Duration, Of(fmt.Sprintf("small-%d", i)))
-			least = min(least, share(s.Whole, s.Requests))
+			s := Summarize(results, l.warmUp(), l.Duration, Of(fmt.Sprintf("small-%d", i)))
+			minShare = min(minShare, share(s.Complete, s.Requests))
 		}
-		all := Sum(results, l.warm(), l.Duration, All)
-		out(Row{"flood", variant, 3, "smallest client's share answered", least})
+		all := Summarize(results, l.warmUp(), l.Duration, All)
+		out(Row{"flood", variant, 3, "smallest client's share answered", minShare})
 		out(Row{"flood", variant, 3, "goodput", all.Goodput})
 	}
 	return nil
 }
 
-// policies compares the ways to choose an upstream.
+// policies compares the policies for choosing an upstream.
 func policies(o options, out func(Row)) error {
 	for _, load := range []float64{0.6, 0.9} {
 		for _, p := range []routing.Policy{routing.Random, routing.Least, routing.Two, routing.Affinity} {
-			// The capacity with a cold cache is lower than the nominal one; the load is a part of the capacity with affinity.
-			l := figureLoad(o, load*capacityShare*nominal(), 6)
-			s, hits, _, err := measure(figureConfig(p), l, nil)
+			// The capacity with cold caches is lower than the nominal rate, so the load is a fraction of the capacity with affinity.
+			l := benchmarkLoad(o, load*capacityShare*nominalRate(), 6)
+			s, hits, _, err := measure(benchmarkConfig(p), l, nil)
 			if err != nil {
 				return err
 			}
 			row := func(metric string, v float64) { out(Row{"policies", string(p), load, metric, v}) }
-			row("first byte p50 ms", ms(s.FirstByte50))
-			row("first byte p95 ms", ms(s.FirstByte95))
+			row("first byte p50 ms", ms(s.FirstByteP50))
+			row("first byte p95 ms", ms(s.FirstByteP95))
 			row("prefix hit rate", hits)
-			row("whole share", share(s.Whole, s.Requests))
+			row("whole share", share(s.Complete, s.Requests))
 		}
 	}
 	return nil
 }
 
-// brownout slows a third of the engines tenfold, without errors, while half of the capacity is asked for.
+// brownout slows a third of the engines tenfold, without errors, at about half of the capacity (0.4 of the nominal rate).
 func brownout(o options, out func(Row)) error {
 	const load = 0.4
 	for _, p := range []routing.Policy{routing.Random, routing.Least, routing.Two, routing.Affinity} {
 		for _, slow := range []bool{false, true} {
-			l := figureLoad(o, load*nominal(), 8)
-			s, upstreamShare, err := brownoutRun(p, l, slow)
+			l := benchmarkLoad(o, load*nominalRate(), 8)
+			s, amplification, err := brownoutRun(p, l, slow)
 			if err != nil {
 				return err
 			}
@@ -213,16 +213,16 @@
 				variant = string(p) + ", a third slow"
 			}
 			row := func(metric string, v float64) { out(Row{"brownout", variant, load, metric, v}) }
-			row("first byte p95 ms", ms(s.FirstByte95))
-			row("whole share", share(s.Whole, s.Requests))
-			row("upstream / caller requests", upstreamShare)
+			row("first byte p95 ms", ms(s.FirstByteP95))
+			row("whole share", share(s.Complete, s.Requests))
+			row("upstream / caller requests", amplification)
 		}
 	}
 	return nil
 }
 
 func brownoutRun(p routing.Policy, l Load, slow bool) (Summary, float64, error) {
-	f, err := Start(figureConfig(p))
+	f, err := Start(benchmarkConfig(p))
 	if err != nil {
 		return Summary{}, 0, err
 	}
@@ -242,7 +242,7 @@
 	for _, s := range stats {
 		runs += s.Runs
 	}
-	return Sum(results, l.warm(), l.Duration, All), float64(runs) / float64(len(results)), err
+	return Summarize(results, l.warmUp(), l.Duration, All), float64(runs) / float64(len(results)), err
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/experiment/settings.go
+++ b/internal/experiment/settings.go
@@ -25,25 +25,25 @@
 
 const (
 	settingsTeam = "karrakin"
-	// settlePause is how long the processes run before the idle window begins.
+	// settlePause is how long the processes run before the idle window starts.
 	settlePause = 12 * time.Second
-	// countPause is the time between two counts of the processes with a change in force.
-	countPause = 10 * time.Millisecond
-	// changeLimit bounds the wait for a change.
-	changeLimit = 30 * time.Second
-	// stopGrace bounds the end of all processes.
+	// pollInterval is the time between two counts of the processes that have applied a change.
+	pollInterval = 10 * time.Millisecond
+	// changeTimeout bounds the wait for a change.
+	changeTimeout = 30 * time.Second
+	// stopGrace bounds the shutdown of all processes.
 	stopGrace = 10 * time.Second
-	// entryEvery makes every so many processes an entry.
-	entryEvery = 15
-	// startAtOnce is how many processes are started together.
-	startAtOnce = 25
+	// processesPerEntry is the number of processes for each entry: one in so many is an entry and the others are agents.
+	processesPerEntry = 15
+	// startBatch is how many processes are started at once.
+	startBatch = 25
 )
 
-var settingsPlaces = []struct{ name, region string }{
+var settingsDataCentres = []struct{ name, region string }{
 	{"perth-a", "west"}, {"karratha-a", "west"}, {"mackay-b", "east"}, {"cairns-b", "east"},
 }
 
-// settingsCommand is the subcommand settings.
+// settingsCommand is the settings subcommand.
 type settingsCommand struct {
 	processes int
 	services  int
@@ -52,32 +52,32 @@
 	out       string
 }
 
-// NewSettingsCommand returns the subcommand settings.
+// NewSettingsCommand returns the settings subcommand.
 func NewSettingsCommand() subcommands.Command { return &settingsCommand{} }
 
-// Name is the word on the command line.
+// Name returns the subcommand's name.
 func (*settingsCommand) Name() string { return "settings" }
 
-// Synopsis says in a line what is measured.
+// Synopsis returns a one-line description.
 func (*settingsCommand) Synopsis() string {
-	return "measures how settings spread among real processes, and what the control costs"
+	return "measures how settings reach separate processes, and the cost of the control traffic"
 }
 
-// Usage gives an example.
+// Usage returns an example invocation.
 func (*settingsCommand) Usage() string {
-	return "experiment settings -processes 50 -out docs/data/settings.csv\n  Appends its figures to the file.\n"
+	return "experiment settings -processes 50 -out docs/data/settings.csv\n  Appends its measurements to the file.\n"
 }
 
-// SetFlags declares the flags.
+// SetFlags declares the subcommand's flags.
 func (c *settingsCommand) SetFlags(fs *flag.FlagSet) {
-	fs.IntVar(&c.processes, "processes", 10, "how many processes")
-	fs.IntVar(&c.services, "services", 20, "how many services have a setting")
-	fs.IntVar(&c.changes, "changes", 9, "how many changes are timed")
-	fs.DurationVar(&c.idle, "idle", 20*time.Second, "how long the idle cost is measured")
-	fs.StringVar(&c.out, "out", "", "file that the figures are appended to; standard output when empty")
+	fs.IntVar(&c.processes, "processes", 10, "number of processes")
+	fs.IntVar(&c.services, "services", 20, "number of services with a setting")
+	fs.IntVar(&c.changes, "changes", 9, "number of changes that are timed")
+	fs.DurationVar(&c.idle, "idle", 20*time.Second, "duration of the measurement without changes")
+	fs.StringVar(&c.out, "out", "", "file that the measurements are appended to; standard output when empty")
 }
 
-// Execute runs the measurement.
+// Execute runs the measurement and writes its values.
 func (c *settingsCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	rows, err := c.measure(ctx)
 	if err == nil {
@@ -90,16 +90,16 @@
 	return subcommands.ExitSuccess
 }
 
-// figure is one measured value.
-type figure struct {
+// measurement is one measured value.
+type measurement struct {
 	metric string
 	value  float64
 }
 
-func (c *settingsCommand) measure(ctx context.Context) ([]figure, error) {
+func (c *settingsCommand) measure(ctx context.Context) ([]measurement, error) {
 	folder, err := os.MkdirTemp("", "samphireweir-settings-")
 	if err != nil {
-		return nil, errors.Wrap(err, "make a folder")
+		return nil, errors.Wrap(err, "creating a temporary folder")
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	if err := processes.Build(ctx, folder); err != nil {
@@ -129,13 +129,13 @@
 		if err != nil {
 			return nil, err
 		}
-		rows = append(rows, figure{"accept_to_last_ms", took.Seconds() * 1000})
+		rows = append(rows, measurement{"accept_to_last_ms", took.Seconds() * 1000})
 		time.Sleep(700 * time.Millisecond)
 	}
 	return rows, nil
 }
 
-// applyAll puts all settings in force everywhere.
+// applyAll applies the settings of all services and waits until every process has applied them.
 func (c *settingsCommand) applyAll(ctx context.Context, f *realFleet, e *operator.Editor) error {
 	var last operator.Applied
 	for n := range c.services {
@@ -145,39 +145,39 @@
 			return err
 		}
 	}
-	_, err := f.await(ctx, last)
+	_, err := f.awaitInForce(ctx, last)
 	return err
 }
 
-// bytesPerChange is what a process's control connections carry for one change, beyond the idle traffic. Nobody
-// counts meanwhile, since counting is traffic too.
-func (c *settingsCommand) bytesPerChange(ctx context.Context, f *realFleet, e *operator.Editor, idle []figure) (figure, error) {
-	before, err := f.costs(ctx)
+// bytesPerChange measures the control traffic of a process for one change, in bytes beyond the idle traffic. No process is polled meanwhile, since
+// polls are control traffic too.
+func (c *settingsCommand) bytesPerChange(ctx context.Context, f *realFleet, e *operator.Editor, idle []measurement) (measurement, error) {
+	before, err := f.usages(ctx)
 	if err != nil {
-		return figure{}, err
+		return measurement{}, err
 	}
-	begin := time.Now()
+	startedAt := time.Now()
 	for n := range c.changes {
 		if _, err := f.change(ctx, e, 200+n); err != nil {
-			return figure{}, err
+			return measurement{}, err
 		}
 		time.Sleep(time.Second)
 	}
 	time.Sleep(3 * time.Second)
-	after, err := f.costs(ctx)
+	after, err := f.usages(ctx)
 	if err != nil {
-		return figure{}, err
+		return measurement{}, err
 	}
-	seconds := time.Since(begin).Seconds()
+	seconds := time.Since(startedAt).Seconds()
 	sum := 0.0
 	for i := range after {
 		sum += float64(after[i].control - before[i].control)
 	}
-	beyond := sum/float64(len(after)) - seconds*valueOf(idle, "control_bytes_per_s_mean")
-	return figure{"control_bytes_per_change", beyond / float64(c.changes)}, nil
+	extra := sum/float64(len(after)) - seconds*valueOf(idle, "control_bytes_per_s_mean")
+	return measurement{"control_bytes_per_change", extra / float64(c.changes)}, nil
 }
 
-func valueOf(rows []figure, metric string) float64 {
+func valueOf(rows []measurement, metric string) float64 {
 	for _, r := range rows {
 		if r.metric == metric {
 			return r.value
@@ -186,14 +186,14 @@
 	return 0
 }
 
-// timeChange makes a change and waits until the last process has it. The count's own time is part of it.
+// timeChange returns the time from the acceptance of a change until the last process has applied it. It includes the time of the polls.
 func (f *realFleet) timeChange(ctx context.Context, e *operator.Editor, n int) (time.Duration, error) {
 	applied, err := f.change(ctx, e, n)
 	if err != nil {
 		return 0, err
 	}
 	accepted := time.Now()
-	_, err = f.await(ctx, applied)
+	_, err = f.awaitInForce(ctx, applied)
 	return time.Since(accepted), err
 }
 
@@ -207,31 +207,31 @@
 	return e.Apply(ctx, settingsTeam, "service-0", s, state.Version)
 }
 
-func (f *realFleet) await(ctx context.Context, a operator.Applied) (fleet.InForce, error) {
-	ctx, cancel := context.WithTimeout(ctx, changeLimit)
+func (f *realFleet) awaitInForce(ctx context.Context, a operator.Applied) (fleet.InForce, error) {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	ask := &operator.Fleet{Base: "http://" + f.addresses[0].Operators, HTTP: http.DefaultClient}
+	fleetClient := &operator.Fleet{Base: "http://" + f.addresses[0].Operators, HTTP: http.DefaultClient}
 	for {
-		found, err := ask.InForce(ctx, a.Key, a.Revision)
+		found, err := fleetClient.InForce(ctx, a.Key, a.Revision)
 		if err == nil && found.Everywhere() && found.Processes == len(f.addresses) {
 			return found, nil
 		}
 		if ctx.Err() != nil {
-			return found, errors.Errorf("in force on %d of %d processes (%d expected): %v", found.Current, found.Processes, len(f.addresses), err)
+			return found, errors.Errorf("timed out waiting for a setting: in force on %d of %d processes (%d expected): %v", found.Current, found.Processes, len(f.addresses), err)
 		}
-		time.Sleep(countPause)
+		time.Sleep(pollInterval)
 	}
 }
 
-func appendRows(name string, n int, rows []figure) error {
+func appendRows(name string, n int, rows []measurement) error {
 	out := os.Stdout
 	if name != "" {
 		if err := os.MkdirAll(filepath.Dir(name), 0o755); err != nil {
-			return errors.Wrap(err, "make the folder of figures")
+			return errors.Wrap(err, "creating the output folder")
 		}
 		f, err := os.OpenFile(name, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 		if err != nil {
-			return errors.Wrap(err, "open the file of figures")
+			return errors.Wrap(err, "opening the output file")
 		}
 		defer func() { _ = f.Close() }()
 		out = f
--- a/internal/experiment/figures.go
+++ b/internal/experiment/summary.go
@@ -7,31 +7,31 @@
 	"samphireweir.example/samphireweir/internal/code"
 )
 
-// Summary sums up results.
+// Summary summarizes results.
 type Summary struct {
 	Requests int
-	Whole    int
+	Complete int
 	Refused  int
 	Late     int
 	Cut      int
-	// Goodput is whole answers a second, of those that ended while the load went on.
+	// Goodput is the number of complete answers a second, counting those that ended during the load.
 	Goodput float64
-	// FirstByte95 and FirstByte50 are of the whole answers.
-	FirstByte50 time.Duration
-	FirstByte95 time.Duration
-	// RefusedIn95 is how long refusals took.
-	RefusedIn95 time.Duration
-	// Codes counts the refusals by code.
+	// FirstByteP50 and FirstByteP95 are quantiles of the time to the first byte of complete answers.
+	FirstByteP50 time.Duration
+	FirstByteP95 time.Duration
+	// RefusalP95 is the 95th percentile of the time that a refusal took.
+	RefusalP95 time.Duration
+	// Codes counts the refusals by result code.
 	Codes map[code.Code]int
 }
 
-// Sum sums up the results that keep accepts and that arrived after warm.
-func Sum(results []Result, warm, duration time.Duration, keep func(Result) bool) Summary {
+// Summarize summarizes the results that filter accepts and whose requests arrived after the warm-up.
+func Summarize(results []Result, warmUp, duration time.Duration, filter func(Result) bool) Summary {
 	s := Summary{Codes: map[code.Code]int{}}
-	var firsts, refusals []time.Duration
+	var firstBytes, refusals []time.Duration
 	inTime := 0
 	for _, r := range results {
-		if r.At < warm || !keep(r) {
+		if r.At < warmUp || !filter(r) {
 			continue
 		}
 		s.Requests++
@@ -39,12 +39,12 @@
 			s.Codes[r.Code]++
 		}
 		switch {
-		case r.Whole:
-			s.Whole++
+		case r.Complete:
+			s.Complete++
 			if r.At+r.Total <= duration {
 				inTime++
 			}
-			firsts = append(firsts, r.FirstByte)
+			firstBytes = append(firstBytes, r.FirstByte)
 		case r.Cut:
 			s.Cut++
 		case r.Code == code.Overloaded || r.Code == code.ClientOverShare:
@@ -54,21 +54,21 @@
 			s.Late++
 		}
 	}
-	s.Goodput = float64(inTime) / (duration - warm).Seconds()
-	s.FirstByte50, s.FirstByte95 = Quantile(firsts, 0.5), Quantile(firsts, 0.95)
-	s.RefusedIn95 = Quantile(refusals, 0.95)
+	s.Goodput = float64(inTime) / (duration - warmUp).Seconds()
+	s.FirstByteP50, s.FirstByteP95 = Quantile(firstBytes, 0.5), Quantile(firstBytes, 0.95)
+	s.RefusalP95 = Quantile(refusals, 0.95)
 	return s
 }
 
-// All keeps every result.
+// All accepts every result.
 func All(Result) bool { return true }
 
-// Of keeps the results of one client.
+// Of accepts the results of one client account.
 func Of(client string) func(Result) bool {
 	return func(r Result) bool { return r.Client == client }
 }
 
-// Quantile returns the q-quantile of times, 0 for none.
+// Quantile returns the q-quantile of times, or 0 if there are none. It sorts times.
 func Quantile(times []time.Duration, q float64) time.Duration {
 	if len(times) == 0 {
 		return 0
