--- a/internal/experiment/faults/check.go
+++ b/internal/experiment/faults/check.go
@@ -17,12 +17,12 @@
 	applyPause = 500 * time.Millisecond
 	checkPoll  = 100 * time.Millisecond
 	checkWait  = 2 * time.Second
-	// codeNoSuchService is what an entry answers as long as a service's setting is not in force.
+	// codeNoSuchService is the result code of an entry while a service's setting is not in force.
 	codeNoSuchService = 2001
 	spreadPolicy      = "time"
 )
 
-// apply makes an operator's change of a service and gives the time at which it was accepted.
+// apply applies an operator's change of a service's setting and returns the time at which it was accepted.
 func (r *run) apply(ctx context.Context, service string, setting layout.Setting) (time.Time, error) {
 	limited, cancel := context.WithTimeout(ctx, applyLimit)
 	defer cancel()
@@ -36,11 +36,11 @@
 	return err
 }
 
-// behind counts the engines that do not serve the version in force.
-func (r *run) behind(ctx context.Context) int {
+// outdatedEngines counts the engines that do not serve the version in force.
+func (r *run) outdatedEngines(ctx context.Context) int {
 	n := 0
 	for _, host := range r.hosts {
-		state, err := r.client.EngineState(ctx, r.outside.Engines, host.Engine)
+		state, err := r.client.EngineState(ctx, r.standIns.Engines, host.Engine)
 		if err != nil || state.Loading || state.Digest != r.manifests[versionName(r.version)].Digest {
 			n++
 		}
@@ -48,7 +48,7 @@
 	return n
 }
 
-// check applies the setting of a new service and watches at each entry, as a caller, until it is in force.
+// check applies the setting of a new service and polls each entry as a caller until the setting is in force there.
 type check struct {
 	run     *run
 	service string
@@ -68,11 +68,11 @@
 		c.waiting[index] = true
 	}
 	callers := r.callers()
-	c.done.Go(func() { c.watch(ctx, callers) })
+	c.done.Go(func() { c.pollEntries(ctx, callers) })
 	return c
 }
 
-func (c *check) watch(ctx context.Context, callers []string) {
+func (c *check) pollEntries(ctx context.Context, callers []string) {
 	if pause(ctx, applyPause) != nil || !c.apply(ctx) {
 		return
 	}
@@ -80,12 +80,12 @@
 	defer client.CloseIdleConnections()
 	for c.missing() > 0 && pause(ctx, checkPoll) == nil {
 		for index, address := range callers {
-			c.look(ctx, client, index, address)
+			c.poll(ctx, client, index, address)
 		}
 	}
 }
 
-// apply tries until the setting is accepted.
+// apply retries until the setting is accepted. It reports whether that happened before ctx ended.
 func (c *check) apply(ctx context.Context) bool {
 	for {
 		accepted, err := c.run.apply(ctx, c.service, layout.PlainSetting())
@@ -101,11 +101,11 @@
 	}
 }
 
-func (c *check) look(ctx context.Context, client *http.Client, index int, address string) {
+func (c *check) poll(ctx context.Context, client *http.Client, index int, address string) {
 	c.mutex.Lock()
 	wanted := c.waiting[index]
 	c.mutex.Unlock()
-	if !wanted || !knows(ctx, client, "http://"+address+"/"+layout.Team+"/"+c.service+"/check") {
+	if !wanted || !hasSetting(ctx, client, "http://"+address+"/"+layout.Team+"/"+c.service+"/check") {
 		return
 	}
 	c.mutex.Lock()
@@ -114,8 +114,8 @@
 	c.inForce = time.Now()
 }
 
-// knows tells whether an entry has the setting of a service: its refusal is then another one than "no such service".
-func knows(ctx context.Context, client *http.Client, url string) bool {
+// knows reports whether an entry has the setting of a service: its refusal then has another code than "no such service".
+func hasSetting(ctx context.Context, client *http.Client, url string) bool {
 	message, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
@@ -132,14 +132,15 @@
 	return problem.Code != 0 && problem.Code != codeNoSuchService && problem.Code != codeNotReady
 }
 
-// missing counts the entries without the setting.
+// missing counts the entries that don't have the setting yet.
 func (c *check) missing() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.waiting)
 }
 
-// stop ends the watch and gives the times; the second is zero when the setting is not in force everywhere.
+// stop ends the polling and returns the times of acceptance and of the setting coming into force. The latter is zero if the setting is not in force
+// at all entries.
 func (c *check) stop() (accepted, inForce time.Time) {
 	c.cancel()
 	c.done.Wait()
@@ -149,5 +150,5 @@
 	return c.accepted, c.inForce
 }
 
-// codeNotReady is what an entry answers before it has read any setting.
+// codeNotReady is the result code of an entry that has not read any setting yet.
 const codeNotReady = 2008
--- a/internal/experiment/faults/command.go
+++ b/internal/experiment/faults/command.go
@@ -1,5 +1,5 @@
-// Package faults runs samphireweir as separate processes on loopback, injects faults from a seeded schedule while
-// callers' requests flow, and judges the promises by the stand-ins' logs and the callers' ledger alone.
+// Package faults runs samphireweir as separate processes on loopback, injects faults from a seeded schedule under a load of requests, and checks the
+// product's guarantees. It judges only by the logs of the stand-ins and the ledger of the callers.
 package faults
 
 import (
@@ -13,32 +13,32 @@
 	"github.com/google/subcommands"
 )
 
-// command is the subcommand faults.
+// command is the faults subcommand.
 type command struct{ options Options }
 
-// NewCommand returns the subcommand faults.
+// NewCommand returns the faults subcommand.
 func NewCommand() subcommands.Command { return &command{} }
 
-// Name is the word on the command line.
+// Name returns the subcommand's name.
 func (*command) Name() string { return "faults" }
 
-// Synopsis says in a line what it does.
+// Synopsis returns a one-line description.
 func (*command) Synopsis() string {
-	return "injects faults into a fleet of processes and judges the promises"
+	return "injects faults into a fleet of processes and checks its guarantees"
 }
 
-// Usage gives an example.
+// Usage returns an example invocation.
 func (*command) Usage() string {
 	return `faults [flags]
   faults -seed 1 -hosts 6 -seconds 40 -only kill-agent,freeze-agent+platform-outage
-  Exits with 1 when a promise was broken, with 2 when the run could not be made.
+  Exits with 1 if a guarantee was broken, and with 2 if the run failed.
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags declares the subcommand's flags.
 func (c *command) SetFlags(fs *flag.FlagSet) { c.options.flags(fs) }
 
-// Execute makes the run and prints it.
+// Execute runs the experiment and prints its rows.
 func (c *command) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.options.List {
 		for _, f := range catalogue() {
--- a/internal/experiment/faults/fleet.go
+++ b/internal/experiment/faults/fleet.go
@@ -21,23 +21,23 @@
 	startLimit   = 60 * time.Second
 	readyPause   = 100 * time.Millisecond
 	balancerPoll = 200 * time.Millisecond
-	balancerWait = 500 * time.Millisecond // a check without an answer by then failed
+	balancerWait = 500 * time.Millisecond // a check without an answer within this time has failed
 	stopGrace    = 10 * time.Second
-	// stopLimit is how long a planned stop may take.
+	// stopLimit is how long a graceful shutdown may take.
 	stopLimit = 40 * time.Second
 )
 
-// node is one process of the product, with the addresses that it keeps over restarts.
+// node is one process of the product, with the addresses that it keeps across restarts.
 type node struct {
-	name      string
-	role      string
-	place     layout.Place
-	process   *processes.Process
-	addresses processes.Addresses
-	starts    int
+	name       string
+	role       string
+	dataCentre layout.Place
+	process    *processes.Process
+	addresses  processes.Addresses
+	starts     int
 }
 
-// fleet is the product's processes.
+// fleet is the set of the product's processes.
 type fleet struct {
 	binary      string
 	logs        string
@@ -47,20 +47,20 @@
 	hosts       []layout.Host
 	agents      []*node
 	entries     []*node
-	// available is what the balancer thinks of each entry.
+	// available holds, for each entry, whether the balancer considers it ready.
 	available []atomic.Bool
 
 	mutex     sync.Mutex
 	downtimes []Downtime
-	extras    []*processes.Process
+	replaced  []*processes.Process
 }
 
-// entriesOfAllPlaces plans an entry in each place, so that the upstreams of each have requests.
-func entriesOfAllPlaces() []layout.Entry {
+// entriesOfAllDataCentres returns one entry for each data centre, so that the upstreams of each of them receive requests.
+func entriesOfAllDataCentres() []layout.Entry {
 	var entries []layout.Entry
-	for index, place := range layout.Places() {
+	for index, dataCentre := range layout.Places() {
 		entries = append(entries, layout.Entry{
-			Name: fmt.Sprintf("entry-%d", index+1), Address: fmt.Sprintf("127.1.0.%d", index+1), Place: place,
+			Name: fmt.Sprintf("entry-%d", index+1), Address: fmt.Sprintf("127.1.0.%d", index+1), Place: dataCentre,
 		})
 	}
 	return entries
@@ -73,15 +73,15 @@
 		hostList: commandLine.Outside.HostList, hosts: hosts, available: make([]atomic.Bool, len(layout.Places())),
 	}
 	for _, host := range hosts {
-		f.agents = append(f.agents, &node{name: host.Name, role: outside.RoleAgent, place: host.Place})
+		f.agents = append(f.agents, &node{name: host.Name, role: outside.RoleAgent, dataCentre: host.Place})
 	}
-	for _, entry := range entriesOfAllPlaces() {
-		f.entries = append(f.entries, &node{name: entry.Name, role: outside.RoleEntry, place: entry.Place})
+	for _, entry := range entriesOfAllDataCentres() {
+		f.entries = append(f.entries, &node{name: entry.Name, role: outside.RoleEntry, dataCentre: entry.Place})
 	}
 	return f
 }
 
-// start starts and lists everything and waits until all are ready.
+// start starts and registers all processes and waits until they are ready.
 func (f *fleet) start(ctx context.Context) error {
 	limited, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
@@ -106,13 +106,13 @@
 func (f *fleet) awaitReady(ctx context.Context, n *node) error {
 	for !f.client.Ready(ctx, n.addresses.Operators) {
 		if err := pause(ctx, readyPause); err != nil {
-			return errors.Wrapf(err, "wait for %s to be ready", n.name)
+			return errors.Wrapf(err, "waiting for %s to be ready", n.name)
 		}
 	}
 	return nil
 }
 
-// startAgent starts an agent, on the address of the one before it or on a new one, and lists it.
+// startAgent starts an agent, either at the address of its predecessor or at a new one, and registers it.
 func (f *fleet) startAgent(ctx context.Context, index int, sameAddress bool) error {
 	n, host := f.agents[index], f.hosts[index]
 	peers := host.Address + ":0"
@@ -122,9 +122,9 @@
 	return f.launch(ctx, n, f.commandLine.Agent(host, peers))
 }
 
-// startEntry starts an entry, from the second time on at the addresses of the one before it.
+// startEntry starts an entry. A restarted entry reuses the addresses of its predecessor.
 func (f *fleet) startEntry(ctx context.Context, index int) error {
-	n, entry := f.entries[index], entriesOfAllPlaces()[index]
+	n, entry := f.entries[index], entriesOfAllDataCentres()[index]
 	peers, callers := entry.Address+":0", entry.Address+":0"
 	if n.starts > 0 {
 		peers, callers = n.addresses.Peers, n.addresses.Callers
@@ -146,12 +146,12 @@
 	f.mutex.Lock()
 	n.addresses = addresses
 	f.mutex.Unlock()
-	listed := outside.ListedHost{Address: n.addresses.Peers, Role: n.role, Place: n.place.Name, Region: n.place.Region}
+	listed := outside.ListedHost{Address: n.addresses.Peers, Role: n.role, Place: n.dataCentre.Name, Region: n.dataCentre.Region}
 	return f.client.Register(ctx, f.hostList, listed)
 }
 
-// balance plays the platform's balancer until ctx ends: it asks each entry whether it is ready.
-func (f *fleet) balance(ctx context.Context) {
+// balance acts as the platform's balancer until ctx ends: it polls the readiness of each entry.
+func (f *fleet) pollReadiness(ctx context.Context) {
 	for index := range f.entries {
 		f.available[index].Store(true)
 		go func() {
@@ -167,27 +167,27 @@
 	}
 }
 
-// down notes that an entry is away from now on; the function that it returns notes its return.
-func (f *fleet) down(entry int, abrupt bool) (up func()) {
+// down records that an entry is down from now on. The function that it returns records the end of the downtime.
+func (f *fleet) startDowntime(entry int, abrupt bool) (endDowntime func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	place := len(f.downtimes)
+	index := len(f.downtimes)
 	f.downtimes = append(f.downtimes, Downtime{Entry: entry, From: time.Now(), Abrupt: abrupt})
 	return func() {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		f.downtimes[place].To = time.Now()
+		f.downtimes[index].To = time.Now()
 	}
 }
 
-// keepUntilEnd stops a process that lost its place in the fleet at the end of the run.
+// keepUntilEnd registers a replaced process to be stopped at the end of the run.
 func (f *fleet) keepUntilEnd(p *processes.Process) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.extras = append(f.extras, p)
+	f.replaced = append(f.replaced, p)
 }
 
-// died names the processes that ended by themselves.
+// died returns the names of the processes that are not running although they should be.
 func (f *fleet) died() []string {
 	var names []string
 	for _, n := range append(append([]*node{}, f.agents...), f.entries...) {
@@ -199,7 +199,7 @@
 }
 
 func (f *fleet) stop() []string {
-	all := append([]*processes.Process{}, f.extras...)
+	all := append([]*processes.Process{}, f.replaced...)
 	for _, n := range append(append([]*node{}, f.entries...), f.agents...) {
 		if n.process != nil {
 			all = append(all, n.process)
--- a/internal/experiment/faults/judge.go
+++ b/internal/experiment/faults/judge.go
@@ -11,35 +11,36 @@
 	"samphireweir.example/samphireweir/internal/demo/outside"
 )
 
-// Codes of at-most-once that a resend may rightly get.
+// Result codes of the at-most-once guarantee that a resent request may get.
 const (
 	codeAlreadyRun     = 3002
 	codeOutcomeUnknown = 3003
 	codeStillRunning   = 3006
 )
 
-// Window is the time that belongs to one injection.
+// Window is the period that belongs to one injection of faults.
 type Window struct {
 	Name string
-	// Begin is the injection, End the end of the fault, Until the end of the time to recover.
+	// Begin is the start of the injection, End the end of the fault, and Until the end of the time to recover.
 	Begin, End, Until time.Time
-	// NotInForce counts the entries and engines that did not follow an accepted setting in time.
+	// NotInForce counts the entries and engines that did not apply an accepted setting in time.
 	NotInForce int
-	// Accepted and InForce are of the setting that was applied meanwhile; zero when that did not come.
+	// Accepted and InForce are the times at which the setting that was applied meanwhile was accepted and came into force at all entries; zero if
+	// that did not happen.
 	Accepted, InForce time.Time
-	// Died names the processes that ended by themselves.
+	// Died holds the names of the processes that ended unexpectedly.
 	Died []string
 }
 
-// Downtime is a time in which callers could not have an answer of an entry.
+// Downtime is a period in which an entry could not answer its callers.
 type Downtime struct {
 	Entry    int
 	From, To time.Time
-	// Abrupt says that the entry was killed or frozen, so that the requests in it are cut too.
+	// Abrupt is set when the entry was killed or frozen, so that the requests in flight at it are cut too.
 	Abrupt bool
 }
 
-// excuses tells whether a request without an answer is owed to the downtime.
+// excuses reports whether the downtime explains that a request got no answer.
 func (d Downtime) excuses(r ledger.Record) bool {
 	if r.Entry != d.Entry || (!d.To.IsZero() && r.Start.After(d.To)) {
 		return false
@@ -50,7 +51,7 @@
 	return r.Start.After(d.From)
 }
 
-// Evidence is all that a run is judged by.
+// Evidence is all data by which a run is judged.
 type Evidence struct {
 	Records   []ledger.Record
 	Plain     []outside.PlainLine
@@ -59,23 +60,23 @@
 	Windows   []Window
 	Downtimes []Downtime
 	Hosts     []layout.Host
-	// AnswerLimit is the callers' deadline and grace.
+	// AnswerLimit is the callers' deadline plus their grace period.
 	AnswerLimit time.Duration
 }
 
-// Row is what happened under one kind of fault.
+// Row holds the results for one kind of fault.
 type Row struct {
 	Fault    string         `json:"fault"`
 	Injected int            `json:"injected"`
 	Requests int            `json:"requests"`
 	Complete int            `json:"complete"`
-	Refused  map[string]int `json:"refused"` // by code and what was said of the run
-	// Cut are those without an answer whose own entry was killed, frozen or away.
+	Refused  map[string]int `json:"refused"` // by result code and run status
+	// Cut counts the requests without an answer whose entry was killed, frozen or down.
 	Cut int `json:"cut"`
-	// Lost have no final answer; Unanswered are those of them that met the callers' limit.
+	// Lost counts the requests without a final answer. Unanswered counts those of them that reached the callers' limit.
 	Lost       int `json:"lost"`
 	Unanswered int `json:"unanswered"`
-	// Truncated ended as a whole answer does and were not whole.
+	// Truncated counts the answers that ended properly but were not complete.
 	Truncated    int      `json:"truncated_cleanly"`
 	Doubled      int      `json:"doubled"`
 	FalseNotRun  int      `json:"false_not_run"`
@@ -84,16 +85,16 @@
 	NotRecovered []string `json:"not_recovered"`
 	NotInForce   int      `json:"not_in_force"`
 	Died         []string `json:"died"`
-	// NormalSeconds is the longest time from the end of a fault until all was as before, ErrorSeconds the longest time
-	// from its begin until the last request that was not complete, InForceSeconds from a setting's acceptance until it
-	// was in force at all entries.
+	// NormalSeconds is the longest time from the end of a fault until the fleet worked as before. ErrorSeconds is the longest time from the start of
+	// a fault until the last request that was not completed. InForceSeconds is the longest time from the acceptance of a setting until it was in
+	// force at all entries.
 	NormalSeconds  float64 `json:"normal_s"`
 	ErrorSeconds   float64 `json:"errors_for_s"`
 	InForceSeconds float64 `json:"in_force_s"`
 	EngineCrashes  int     `json:"engine_crashes"`
 }
 
-// Judge works out the rows, in the order in which the kinds were first injected.
+// Judge returns a row for each kind of fault, in the order of their first injection.
 func Judge(e Evidence) []Row {
 	var names []string
 	for _, w := range e.Windows {
@@ -106,7 +107,7 @@
 		row := Row{Fault: name, Refused: map[string]int{}, NotRecovered: []string{}, Died: []string{}}
 		for _, w := range e.Windows {
 			if w.Name == name {
-				e.in(w).enter(&row)
+				e.during(w).addTo(&row)
 			}
 		}
 		rows = append(rows, row)
@@ -115,23 +116,23 @@
 }
 
 // slice is the part of the evidence that belongs to one window.
-type slice struct {
+type windowEvidence struct {
 	Evidence
-	whole  Evidence
+	all    Evidence
 	window Window
 }
 
-func (w Window) holds(t time.Time) bool { return !t.Before(w.Begin) && t.Before(w.Until) }
+func (w Window) contains(t time.Time) bool { return !t.Before(w.Begin) && t.Before(w.Until) }
 
-func (w Window) holdsMS(ms int64) bool { return w.holds(time.UnixMilli(ms)) }
+func (w Window) containsMS(ms int64) bool { return w.contains(time.UnixMilli(ms)) }
 
-// in cuts the evidence to a window. The runs of a key count where the key was first sent.
-func (e Evidence) in(w Window) slice {
-	s := slice{Evidence: e, whole: e, window: w}
+// in returns the part of the evidence that belongs to a window. The runs of an idempotency key count in the window in which the key was first sent.
+func (e Evidence) during(w Window) windowEvidence {
+	s := windowEvidence{Evidence: e, all: e, window: w}
 	s.Records, s.Engines, s.Plain = nil, nil, nil
 	keys := map[string]bool{}
 	for _, r := range e.Records {
-		if w.holds(r.Start) {
+		if w.contains(r.Start) {
 			s.Records = append(s.Records, r)
 			keys[r.Key] = true
 		}
@@ -142,22 +143,22 @@
 		}
 	}
 	for _, line := range e.Engines {
-		if w.holdsMS(line.StartMS) {
+		if w.containsMS(line.StartMS) {
 			s.Engines = append(s.Engines, line)
 		}
 	}
 	for _, line := range e.Plain {
-		if keys[line.IdempotencyKey] || (line.IdempotencyKey == "" && w.holdsMS(line.StartMS)) {
+		if keys[line.IdempotencyKey] || (line.IdempotencyKey == "" && w.containsMS(line.StartMS)) {
 			s.Plain = append(s.Plain, line)
 		}
 	}
 	return s
 }
 
-func (s slice) enter(row *Row) {
+func (s windowEvidence) addTo(row *Row) {
 	row.Injected++
 	for _, r := range s.Records {
-		s.record(row, r)
+		s.countRecord(row, r)
 	}
 	row.Doubled += len(count.Doubled(s.Plain))
 	row.FalseNotRun += s.falseNotRun()
@@ -166,10 +167,10 @@
 	row.NotInForce += s.window.NotInForce
 	row.Died = append(row.Died, s.window.Died...)
 	row.EngineCrashes += s.crashes()
-	s.times(row)
+	s.addTimes(row)
 }
 
-func (s slice) record(row *Row, r ledger.Record) {
+func (s windowEvidence) countRecord(row *Row, r ledger.Record) {
 	row.Requests++
 	switch r.Outcome {
 	case ledger.Complete:
@@ -183,11 +184,11 @@
 			row.Mixed++
 		}
 	case ledger.Lost:
-		s.lost(row, r)
+		s.countLost(row, r)
 	}
 }
 
-func (s slice) lost(row *Row, r ledger.Record) {
+func (s windowEvidence) countLost(row *Row, r ledger.Record) {
 	excused := slices.ContainsFunc(s.Downtimes, func(d Downtime) bool { return d.excuses(r) })
 	switch {
 	case r.CleanEnd:
@@ -202,19 +203,19 @@
 	}
 }
 
-// falseNotRun counts the refusals of this window that said "not run" although any log has the run.
-func (s slice) falseNotRun() int {
+// falseNotRun counts the refusals of this window that reported "not run" although a log of any time contains the run.
+func (s windowEvidence) falseNotRun() int {
 	wrong := 0
-	for _, r := range count.FalseNotRun(s.whole.Records, s.whole.Plain, s.whole.Engines) {
-		if s.window.holds(r.Start) {
+	for _, r := range count.FalseNotRun(s.all.Records, s.all.Plain, s.all.Engines) {
+		if s.window.contains(r.Start) {
 			wrong++
 		}
 	}
 	return wrong
 }
 
-// notServing names the upstreams that completed no request that started after the end of the fault.
-func (s slice) notServing() []string {
+// notServing returns the names of the upstreams that completed no request started after the end of the fault.
+func (s windowEvidence) notServing() []string {
 	served := s.served()
 	var names []string
 	for _, name := range s.upstreams() {
@@ -225,33 +226,33 @@
 	return names
 }
 
-func (s slice) upstreams() []string {
+func (s windowEvidence) upstreams() []string {
 	return append(layout.EngineNames(s.Hosts), layout.PlainNames(s.Hosts)...)
 }
 
-// served gives, by upstream, how long after the end of the fault its first completed request started.
-func (s slice) served() map[string]time.Duration {
+// served returns, by upstream, the time from the end of the fault to the start of the first request that it completed.
+func (s windowEvidence) served() map[string]time.Duration {
 	first := map[string]time.Duration{}
-	note := func(name, outcome string, startMS int64) {
+	observe := func(name, outcome string, startMS int64) {
 		after := time.UnixMilli(startMS).Sub(s.window.End)
 		known, seen := first[name]
-		if outcome != outside.OutcomeDone || after < 0 || !s.window.holdsMS(startMS) || (seen && known <= after) {
+		if outcome != outside.OutcomeDone || after < 0 || !s.window.containsMS(startMS) || (seen && known <= after) {
 			return
 		}
 		first[name] = after
 	}
 	for _, line := range s.Engines {
 		if line.IsRun() {
-			note(line.Engine, line.Outcome, line.StartMS)
+			observe(line.Engine, line.Outcome, line.StartMS)
 		}
 	}
 	for _, line := range s.Plain {
-		note(line.Service, line.Outcome, line.StartMS)
+		observe(line.Service, line.Outcome, line.StartMS)
 	}
 	return first
 }
 
-func (s slice) crashes() int {
+func (s windowEvidence) crashes() int {
 	seen := map[string]bool{}
 	for _, line := range s.Engines {
 		if line.IsRun() && line.Outcome == outside.OutcomeCrashed {
@@ -261,17 +262,17 @@
 	return len(seen)
 }
 
-func (s slice) times(row *Row) {
+func (s windowEvidence) addTimes(row *Row) {
 	normal := time.Duration(0)
 	for _, after := range s.served() {
 		normal = max(normal, after)
 	}
-	sends := map[string]int{}
+	attempts := map[string]int{}
 	for _, r := range s.Records {
-		sends[r.Key]++
+		attempts[r.Key]++
 	}
 	for _, r := range s.Records {
-		if !disturbed(r, sends[r.Key] > 1) {
+		if !isDisturbance(r, attempts[r.Key] > 1) {
 			continue
 		}
 		normal = max(normal, r.Start.Sub(s.window.End))
@@ -283,15 +284,15 @@
 	}
 }
 
-// disturbed tells whether a request shows that all is not as usual.
-func disturbed(r ledger.Record, resent bool) bool {
+// disturbed reports whether the outcome of a request shows that the fleet did not work as usual.
+func isDisturbance(r ledger.Record, resent bool) bool {
 	if r.Outcome == ledger.Complete || r.Kind == ledger.Poison {
 		return false
 	}
 	return !resent || !slices.Contains([]int{codeAlreadyRun, codeOutcomeUnknown, codeStillRunning}, r.Code)
 }
 
-// Broken lists the promises that a row shows broken.
+// Broken describes the guarantees that a row shows to be broken.
 func (r Row) Broken() []string {
 	var broken []string
 	for _, c := range []struct {
--- a/internal/experiment/faults/judge_test.go
+++ b/internal/experiment/faults/judge_test.go
@@ -29,7 +29,9 @@
 	return Judge(e)[0]
 }
 
-func TestAnAnswerThatNeverCameIsLostUnlessItsOwnEntryWasDown(t *testing.T) {
+// TestMissingAnswerIsLostUnlessItsEntryWasDown guards against a judge that excuses a lost answer by the downtime of another entry, of another time, or of a graceful
+// shutdown, which must not cut requests in flight.
+func TestMissingAnswerIsLostUnlessItsEntryWasDown(t *testing.T) {
 	killed := Downtime{Entry: 0, From: at(1), To: at(4), Abrupt: true}
 	planned := Downtime{Entry: 0, From: at(1), To: at(4)}
 	for _, c := range []struct {
@@ -40,15 +42,15 @@
 		hasLimit int
 	}{
 		{"no entry was down", nil, lost(0.5, 1), 1, 0},
-		{"the caller's limit is over", nil, lost(0.5, 11), 1, 1},
+		{"the caller's limit is reached", nil, lost(0.5, 11), 1, 1},
 		{"cut by the kill", []Downtime{killed}, lost(0.5, 1), 0, 0},
 		{"sent to the dead entry", []Downtime{killed}, lost(2, 0), 0, 0},
-		{"over before the kill", []Downtime{killed}, lost(0.2, 0.1), 1, 0},
-		{"sent after its return", []Downtime{killed}, lost(5, 0), 1, 0},
-		{"a planned stop cuts nothing", []Downtime{planned}, lost(0.5, 1), 1, 0},
-		{"sent between the processes", []Downtime{planned}, lost(2, 0), 0, 0},
+		{"ended before the kill", []Downtime{killed}, lost(0.2, 0.1), 1, 0},
+		{"sent after the restart", []Downtime{killed}, lost(5, 0), 1, 0},
+		{"a graceful shutdown cuts nothing", []Downtime{planned}, lost(0.5, 1), 1, 0},
+		{"sent between shutdown and restart", []Downtime{planned}, lost(2, 0), 0, 0},
 		{"another entry", []Downtime{{Entry: 1, From: at(1), To: at(4), Abrupt: true}}, lost(2, 0), 1, 0},
-		{"an entry that never came back", []Downtime{{Entry: 0, From: at(1), Abrupt: true}}, lost(9, 0), 0, 0},
+		{"an entry that was not restarted", []Downtime{{Entry: 0, From: at(1), Abrupt: true}}, lost(9, 0), 0, 0},
 	} {
 		row := judged(Evidence{Records: []ledger.Record{c.record}, Downtimes: c.down})
 		assert.Equal(t, c.lost, row.Lost, c.name)
@@ -57,6 +59,7 @@
 	}
 }
 
+// TestOutcomesAreCountedInTheirWindowOnly guards against outcomes that are counted in the wrong column or for a fault in whose window the request did not start.
 func TestOutcomesAreCountedInTheirWindowOnly(t *testing.T) {
 	clean, crossed, mixed, refused, late := lost(1, 0), lost(1, 0), lost(1, 0), lost(1, 0), lost(14, 0)
 	clean.CleanEnd = true
@@ -70,7 +73,8 @@
 	assert.Len(t, row.Broken(), 3)
 }
 
-func TestAKeyThatRanTwiceCountsWhereItWasFirstSent(t *testing.T) {
+// TestDoubledKeyCountsInTheWindowOfItsFirstRequest guards against a double execution that is counted for two faults, when a key is sent again in a later window.
+func TestDoubledKeyCountsInTheWindowOfItsFirstRequest(t *testing.T) {
 	first := Window{Name: "first", Begin: at(-10), End: at(-9), Until: at(0)}
 	send := func(seconds float64) ledger.Record {
 		return ledger.Record{Outcome: ledger.Complete, Key: "k", Start: at(seconds)}
@@ -82,14 +86,17 @@
 	assert.Equal(t, [2]int{1, 0}, [2]int{rows[0].Doubled, rows[1].Doubled})
 }
 
-func TestNotRunIsFalseWhereverTheRunIsLogged(t *testing.T) {
+// TestFalseNotRunIsFoundInLogsOfAnyTime guards against a false "not run" that is missed since the request ran only after the window of its refusal.
+func TestFalseNotRunIsFoundInLogsOfAnyTime(t *testing.T) {
 	record := ledger.Record{RequestID: "r", Outcome: ledger.Refused, Ran: ledger.NotRun, Start: at(12.9)}
 	ranLater := outside.PlainLine{RequestID: "r", StartMS: at(14).UnixMilli()}
 	assert.Equal(t, 1, judged(Evidence{Records: []ledger.Record{record}, Plain: []outside.PlainLine{ranLater}}).FalseNotRun)
 	assert.Zero(t, judged(Evidence{Records: []ledger.Record{record}}).FalseNotRun)
 }
 
-func TestAnUpstreamServesAgainByACompletedRunThatStartedAfterTheFault(t *testing.T) {
+// TestUpstreamRecoversByACompletedRunAfterTheFault guards against upstreams that count as recovered by a run that started before the end of the
+// fault, or that crashed.
+func TestUpstreamRecoversByACompletedRunAfterTheFault(t *testing.T) {
 	run := func(engine, outcome string, seconds float64) outside.EngineLine {
 		return outside.EngineLine{Engine: engine, Kind: "run", Outcome: outcome, StartMS: at(seconds).UnixMilli()}
 	}
@@ -103,7 +110,8 @@
 	assert.Equal(t, 1, row.EngineCrashes)
 }
 
-func TestRefusedResendsAreNoDisturbance(t *testing.T) {
+// TestRefusedResendsDoNotDelayRecovery guards against resends whose refusal is correct being counted as errors. The refusal of a request that was sent once does count.
+func TestRefusedResendsDoNotDelayRecovery(t *testing.T) {
 	resend := ledger.Record{Key: "k", Outcome: ledger.Refused, Code: codeAlreadyRun, Start: at(8)}
 	sent := ledger.Record{Key: "k", Outcome: ledger.Complete, Start: at(7)}
 	assert.Zero(t, judged(Evidence{Records: []ledger.Record{sent, resend}}).NormalSeconds)
--- a/internal/experiment/faults/kinds.go
+++ b/internal/experiment/faults/kinds.go
@@ -11,29 +11,29 @@
 // fault is one kind of fault.
 type fault struct {
 	name string
-	// about says in a few words what is done.
+	// about describes the fault in a few words.
 	about string
-	// hold is how long it lasts.
+	// hold is how long the fault lasts.
 	hold time.Duration
-	// spreads says that a new version of the model is spread when it begins.
+	// spreads is set if a new version of the model is activated just before the fault, so that the fault strikes while the version spreads.
 	spreads bool
-	// prepare draws the victims.
+	// prepare chooses the victims.
 	prepare func(s *stage) action
 }
 
-// action injects a fault and takes it back.
+// action injects a fault and ends it.
 type action struct {
 	begin func(ctx context.Context) error
 	end   func(ctx context.Context) error
 }
 
-// stage is what faults act on.
+// stage is the environment in which faults are injected.
 type stage struct {
 	fleet  *fleet
 	random *rand.Rand
-	// poison sends a prompt that crashes each engine that runs it.
+	// poison sends a prompt that crashes every engine that runs it.
 	poison func(mark string)
-	// version is the version of the model that is being spread.
+	// version returns the version of the model that is being spread.
 	version func() string
 }
 
@@ -42,7 +42,7 @@
 	holdLong  = 5 * time.Second
 )
 
-// catalogue lists the kinds of faults.
+// catalogue returns all kinds of faults.
 func catalogue() []fault {
 	return append(processFaults(), outsideFaults()...)
 }
@@ -55,7 +55,7 @@
 	return names
 }
 
-func find(name string) (fault, bool) {
+func findFault(name string) (fault, bool) {
 	for _, f := range catalogue() {
 		if f.name == name {
 			return f, true
@@ -64,35 +64,35 @@
 	return fault{}, false
 }
 
-func (s *stage) someAgents(count int) []int {
+func (s *stage) randomAgents(count int) []int {
 	return s.random.Perm(len(s.fleet.agents))[:min(count, len(s.fleet.agents)-1)]
 }
 
-func nothing(context.Context) error { return nil }
+func noop(context.Context) error { return nil }
 
-// processFaults are those that strike the product's own processes.
+// processFaults returns the faults of the product's own processes.
 func processFaults() []fault {
 	return []fault{
-		{name: "none", about: "nothing", hold: holdShort, prepare: func(*stage) action { return action{nothing, nothing} }},
-		{name: "spread", about: "a new version of the model, no fault", spreads: true, prepare: func(*stage) action { return action{nothing, nothing} }},
-		{name: "kill-agent", about: "SIGKILL of an agent; another one on a new address", hold: holdShort, prepare: killAgents(1)},
+		{name: "none", about: "nothing", hold: holdShort, prepare: func(*stage) action { return action{noop, noop} }},
+		{name: "spread", about: "a new version of the model without a fault", spreads: true, prepare: func(*stage) action { return action{noop, noop} }},
+		{name: "kill-agent", about: "SIGKILL of an agent, replaced on a new address", hold: holdShort, prepare: killAgents(1)},
 		{name: "kill-agents", about: "SIGKILL of two agents at once", hold: holdShort, prepare: killAgents(2)},
-		{name: "kill-host", about: "SIGKILL of an agent, its engine and plain service crash", hold: holdShort, prepare: killHost},
-		{name: "restart-agent-same", about: "SIGKILL of an agent and a new one at once on its address", prepare: restartSame},
-		{name: "freeze-agent", about: "SIGSTOP of an agent, SIGCONT", hold: holdLong, prepare: freezeAgents(1)},
-		{name: "freeze-agents", about: "SIGSTOP of three agents, SIGCONT", hold: holdLong, prepare: freezeAgents(3)},
-		{name: "cut-place", about: "SIGSTOP of all agents of a place, SIGCONT", hold: holdLong, prepare: cutPlace},
-		{name: "paused-holder", about: "SIGSTOP of an agent, a new one for its host, SIGCONT of the old one", hold: holdLong, prepare: pausedHolder},
-		{name: "kill-entry", about: "SIGKILL of an entry; another one on its address", hold: holdShort, prepare: killEntry},
-		{name: "freeze-entry", about: "SIGSTOP of an entry, SIGCONT", hold: holdLong, prepare: freezeEntry},
-		{name: "rolling-agents", about: "SIGTERM and restart of each agent, one after the other", prepare: rollingAgents},
-		{name: "rolling-entries", about: "SIGTERM and restart of each entry, one after the other", prepare: rollingEntries},
+		{name: "kill-host", about: "SIGKILL of an agent and a crash of its engine and plain service", hold: holdShort, prepare: killHost},
+		{name: "restart-agent-same", about: "SIGKILL of an agent, replaced immediately on its address", prepare: restartSame},
+		{name: "freeze-agent", about: "SIGSTOP of an agent, then SIGCONT", hold: holdLong, prepare: freezeAgents(1)},
+		{name: "freeze-agents", about: "SIGSTOP of three agents, then SIGCONT", hold: holdLong, prepare: freezeAgents(3)},
+		{name: "cut-place", about: "SIGSTOP of all agents of a data centre, then SIGCONT", hold: holdLong, prepare: cutDataCentre},
+		{name: "paused-holder", about: "SIGSTOP of an agent, a second one for its host, then SIGCONT of the first", hold: holdLong, prepare: pausedHolder},
+		{name: "kill-entry", about: "SIGKILL of an entry, replaced on its address", hold: holdShort, prepare: killEntry},
+		{name: "freeze-entry", about: "SIGSTOP of an entry, then SIGCONT", hold: holdLong, prepare: freezeEntry},
+		{name: "rolling-agents", about: "SIGTERM and restart of each agent in turn", prepare: rollingAgents},
+		{name: "rolling-entries", about: "SIGTERM and restart of each entry in turn", prepare: rollingEntries},
 	}
 }
 
 func killAgents(count int) func(*stage) action {
 	return func(s *stage) action {
-		victims := s.someAgents(count)
+		victims := s.randomAgents(count)
 		begin := func(context.Context) error {
 			for _, v := range victims {
 				s.fleet.agents[v].process.Kill()
@@ -103,7 +103,7 @@
 	}
 }
 
-// replaceAgents takes dead agents out of the list and starts others for their hosts on new addresses.
+// replaceAgents removes dead agents from the host list and starts replacements for their hosts on new addresses.
 func (f *fleet) replaceAgents(ctx context.Context, victims []int) error {
 	for _, v := range victims {
 		if err := f.client.Unregister(ctx, f.hostList, f.agents[v].addresses.Peers); err != nil {
@@ -117,7 +117,7 @@
 }
 
 func killHost(s *stage) action {
-	victim := s.someAgents(1)[0]
+	victim := s.randomAgents(1)[0]
 	begin := func(ctx context.Context) error {
 		s.fleet.agents[victim].process.Kill()
 		return s.fleet.crashUpstreams(ctx, s.fleet.hosts[victim], holdShort)
@@ -126,16 +126,16 @@
 }
 
 func restartSame(s *stage) action {
-	victim := s.someAgents(1)[0]
+	victim := s.randomAgents(1)[0]
 	begin := func(ctx context.Context) error {
 		s.fleet.agents[victim].process.Kill()
 		return s.fleet.startAgent(ctx, victim, true)
 	}
-	return action{begin, nothing}
+	return action{begin, noop}
 }
 
 func freezeAgents(count int) func(*stage) action {
-	return func(s *stage) action { return s.freeze(s.someAgents(count)) }
+	return func(s *stage) action { return s.freeze(s.randomAgents(count)) }
 }
 
 func (s *stage) freeze(victims []int) action {
@@ -150,11 +150,11 @@
 	return action{each(func(n *node) { n.process.Freeze() }), each(func(n *node) { n.process.Thaw() })}
 }
 
-func cutPlace(s *stage) action {
-	place := s.fleet.agents[s.random.IntN(len(s.fleet.agents))].place
+func cutDataCentre(s *stage) action {
+	dataCentre := s.fleet.agents[s.random.IntN(len(s.fleet.agents))].dataCentre
 	var victims []int
 	for index, n := range s.fleet.agents {
-		if n.place == place {
+		if n.dataCentre == dataCentre {
 			victims = append(victims, index)
 		}
 	}
@@ -162,7 +162,7 @@
 }
 
 func pausedHolder(s *stage) action {
-	victim := s.someAgents(1)[0]
+	victim := s.randomAgents(1)[0]
 	n := s.fleet.agents[victim]
 	old, oldAddress := n.process, n.addresses.Peers
 	begin := func(ctx context.Context) error {
@@ -183,14 +183,14 @@
 
 func killEntry(s *stage) action {
 	victim := s.random.IntN(len(s.fleet.entries))
-	up := func() {}
+	endDowntime := func() {}
 	begin := func(context.Context) error {
-		up = s.fleet.down(victim, true)
+		endDowntime = s.fleet.startDowntime(victim, true)
 		s.fleet.entries[victim].process.Kill()
 		return nil
 	}
 	end := func(ctx context.Context) error {
-		defer func() { up() }()
+		defer func() { endDowntime() }()
 		if err := s.fleet.startEntry(ctx, victim); err != nil {
 			return err
 		}
@@ -201,15 +201,15 @@
 
 func freezeEntry(s *stage) action {
 	victim := s.random.IntN(len(s.fleet.entries))
-	up := func() {}
+	endDowntime := func() {}
 	begin := func(context.Context) error {
-		up = s.fleet.down(victim, true)
+		endDowntime = s.fleet.startDowntime(victim, true)
 		s.fleet.entries[victim].process.Freeze()
 		return nil
 	}
 	end := func(context.Context) error {
 		s.fleet.entries[victim].process.Thaw()
-		up()
+		endDowntime()
 		return nil
 	}
 	return action{begin, end}
@@ -230,7 +230,7 @@
 		}
 		return nil
 	}
-	return action{begin, nothing}
+	return action{begin, noop}
 }
 
 func rollingEntries(s *stage) action {
@@ -239,12 +239,12 @@
 			if err := terminate(ctx, n); err != nil {
 				return err
 			}
-			up := s.fleet.down(index, false)
+			endDowntime := s.fleet.startDowntime(index, false)
 			if err := s.fleet.startEntry(ctx, index); err != nil {
 				return err
 			}
 			err := s.fleet.awaitReady(ctx, n)
-			up()
+			endDowntime()
 			if err != nil {
 				return err
 			}
@@ -254,14 +254,14 @@
 		}
 		return nil
 	}
-	return action{begin, nothing}
+	return action{begin, noop}
 }
 
 func terminate(ctx context.Context, n *node) error {
 	limited, cancel := context.WithTimeout(ctx, stopLimit)
 	defer cancel()
 	if !n.process.Terminate(limited) {
-		return errors.Errorf("%s did not end within %v of SIGTERM", n.name, stopLimit)
+		return errors.Errorf("%s did not end within %v after SIGTERM", n.name, stopLimit)
 	}
 	return nil
 }
--- a/internal/experiment/faults/outside.go
+++ b/internal/experiment/faults/outside.go
@@ -9,16 +9,16 @@
 	"samphireweir.example/samphireweir/internal/demo/layout"
 )
 
-// outsideFaults are those that strike the systems round the product.
+// outsideFaults returns the faults of the systems around the product.
 func outsideFaults() []fault {
 	plain, engines := plainOf, enginesOf
 	list := []fault{
-		{name: "crash-engine", about: "a crash of an engine, back after 1 s", hold: time.Second, prepare: oneEngine(`{"crash":true,"restart_ms":1000}`, ``)},
-		{name: "freeze-engine", about: "an engine that accepts and sends nothing", hold: holdLong, prepare: oneEngine(`{"freeze":true}`, `{"freeze":false}`)},
-		{name: "slow-engine", about: "an engine ten times slower", hold: holdLong, prepare: oneEngine(`{"slow_factor":10}`, `{"slow_factor":1}`)},
+		{name: "crash-engine", about: "crash of an engine, restarted after 1 s", hold: time.Second, prepare: oneEngine(`{"crash":true,"restart_ms":1000}`, ``)},
+		{name: "freeze-engine", about: "an engine that accepts connections but sends nothing", hold: holdLong, prepare: oneEngine(`{"freeze":true}`, `{"freeze":false}`)},
+		{name: "slow-engine", about: "an engine that is ten times slower", hold: holdLong, prepare: oneEngine(`{"slow_factor":10}`, `{"slow_factor":1}`)},
 		{name: "poison-prompt", about: "a prompt that crashes engines, sent six times through the entries", hold: holdLong, prepare: poisonPrompt},
-		{name: "crash-plain", about: "a crash of a plain service, back after 1 s", hold: time.Second, prepare: onePlain(`{"crash":true,"restart_ms":1000}`, ``)},
-		{name: "freeze-plain", about: "a plain service that accepts and sends nothing", hold: holdLong, prepare: onePlain(`{"freeze":true}`, `{"freeze":false}`)},
+		{name: "crash-plain", about: "crash of a plain service, restarted after 1 s", hold: time.Second, prepare: onePlain(`{"crash":true,"restart_ms":1000}`, ``)},
+		{name: "freeze-plain", about: "a plain service that accepts connections but sends nothing", hold: holdLong, prepare: onePlain(`{"freeze":true}`, `{"freeze":false}`)},
 	}
 	add := func(name, about string, address func(*demo.StandIns) string, on, off string, spreads bool) {
 		list = append(list, fault{
@@ -29,24 +29,24 @@
 			},
 		})
 	}
-	add("drop-plain", "the next ten answers of each plain service dropped after running", plain, `{"*":{"drop_answer":10}}`, `{"*":{"drop_answer":0}}`, false)
-	add("drop-load", "the next answer to a load dropped at each engine, in a spread", engines, `{"*":{"drop_load_answer":1}}`, `{"*":{"drop_load_answer":0}}`, true)
+	add("drop-plain", "the next ten answers of each plain service are dropped after the run", plain, `{"*":{"drop_answer":10}}`, `{"*":{"drop_answer":0}}`, false)
+	add("drop-load", "the next answer to a load order is dropped at each engine, while a version spreads", engines, `{"*":{"drop_load_answer":1}}`, `{"*":{"drop_load_answer":0}}`, true)
 	add("platform-outage", "the object API answers 503", platformOf, `{"outage":true}`, `{"outage":false}`, false)
 	add("platform-hang", "the object API does not answer", platformOf, `{"hang":true}`, `{"hang":false}`, false)
 	add("platform-slow", "the object API takes 1.5 s a call", platformOf, `{"delay_ms":1500}`, `{"delay_ms":0}`, false)
-	add("platform-lost-answers", "the next 40 writes take effect without an answer", platformOf, `{"lose_next_answers":40}`, `{"lose_next_answers":0}`, false)
-	add("platform-outage-spread", "the object API answers 503, in a spread", platformOf, `{"outage":true}`, `{"outage":false}`, true)
-	add("hostlist-outage", "the list of hosts answers 503", hostListOf, `{"outage":true}`, `{"outage":false}`, false)
-	add("hostlist-slow", "the list of hosts takes 3 s a call", hostListOf, `{"delay_ms":3000}`, `{"delay_ms":0}`, false)
-	add("store-outage", "the weight store answers 503, in a spread", storeOf, `{"outage":true}`, `{"outage":false}`, true)
-	add("store-stall", "the weight store sends no bytes, in a spread", storeOf, `{"stall":true}`, `{"stall":false}`, true)
-	add("origin-outage", "the origin answers 503, in a spread", originOf, `{"outage":true}`, `{"outage":false}`, true)
-	add("origin-stall", "the origin sends no bytes, in a spread", originOf, `{"stall":true}`, `{"stall":false}`, true)
+	add("platform-lost-answers", "the next 40 writes to the object API take effect without an answer", platformOf, `{"lose_next_answers":40}`, `{"lose_next_answers":0}`, false)
+	add("platform-outage-spread", "the object API answers 503, while a version spreads", platformOf, `{"outage":true}`, `{"outage":false}`, true)
+	add("hostlist-outage", "the host list answers 503", hostListOf, `{"outage":true}`, `{"outage":false}`, false)
+	add("hostlist-slow", "the host list takes 3 s a call", hostListOf, `{"delay_ms":3000}`, `{"delay_ms":0}`, false)
+	add("store-outage", "the weight store answers 503, while a version spreads", storeOf, `{"outage":true}`, `{"outage":false}`, true)
+	add("store-stall", "the weight store sends no bytes, while a version spreads", storeOf, `{"stall":true}`, `{"stall":false}`, true)
+	add("origin-outage", "the origin answers 503, while a version spreads", originOf, `{"outage":true}`, `{"outage":false}`, true)
+	add("origin-stall", "the origin sends no bytes, while a version spreads", originOf, `{"stall":true}`, `{"stall":false}`, true)
 	list = append(list,
-		fault{name: "sources-outage", about: "store and origin answer 503, in a spread", hold: holdLong, spreads: true, prepare: bothSources(`{"outage":true}`, `{"outage":false}`)},
-		fault{name: "sources-stall", about: "store and origin send no bytes, in a spread", hold: holdLong, spreads: true, prepare: bothSources(`{"stall":true}`, `{"stall":false}`)},
-		fault{name: "sources-corrupt", about: "store and origin corrupt their next five answers, in a spread", hold: holdShort, spreads: true, prepare: bothSources(`{"corrupt_next":5}`, `{"corrupt_next":0}`)},
-		fault{name: "sources-changed", about: "the version changes at store and origin in its spread, and back", hold: holdLong, spreads: true, prepare: sourcesChanged},
+		fault{name: "sources-outage", about: "store and origin answer 503, while a version spreads", hold: holdLong, spreads: true, prepare: bothSources(`{"outage":true}`, `{"outage":false}`)},
+		fault{name: "sources-stall", about: "store and origin send no bytes, while a version spreads", hold: holdLong, spreads: true, prepare: bothSources(`{"stall":true}`, `{"stall":false}`)},
+		fault{name: "sources-corrupt", about: "store and origin corrupt their next five answers, while a version spreads", hold: holdShort, spreads: true, prepare: bothSources(`{"corrupt_next":5}`, `{"corrupt_next":0}`)},
+		fault{name: "sources-changed", about: "the content of a version changes at store and origin while it spreads, and changes back", hold: holdLong, spreads: true, prepare: sourcesChanged},
 	)
 	return list
 }
@@ -58,17 +58,17 @@
 func storeOf(o *demo.StandIns) string    { return o.Store }
 func originOf(o *demo.StandIns) string   { return o.Origin }
 
-// set returns the act of merging faults into those of a stand-in; no faults is no act.
+// set returns a function that merges faults into those of a stand-in. It does nothing if faults is empty.
 func (s *stage) set(address func(*demo.StandIns) string, faults string) func(context.Context) error {
 	if faults == "" {
-		return nothing
+		return noop
 	}
 	return func(ctx context.Context) error {
 		return s.fleet.client.SetFaults(ctx, address(s.fleet.commandLine.Outside), faults)
 	}
 }
 
-func named(name, faults string) string {
+func faultsFor(name, faults string) string {
 	if faults == "" {
 		return ""
 	}
@@ -77,8 +77,8 @@
 
 func oneEngine(on, off string) func(*stage) action {
 	return func(s *stage) action {
-		name := s.fleet.hosts[s.someAgents(1)[0]].Engine
-		return action{s.set(enginesOf, named(name, on)), s.set(enginesOf, named(name, off))}
+		name := s.fleet.hosts[s.randomAgents(1)[0]].Engine
+		return action{s.set(enginesOf, faultsFor(name, on)), s.set(enginesOf, faultsFor(name, off))}
 	}
 }
 
@@ -86,20 +86,20 @@
 	return func(s *stage) action {
 		names := layout.PlainNames(s.fleet.hosts)
 		name := names[s.random.IntN(len(names))]
-		return action{s.set(plainOf, named(name, on)), s.set(plainOf, named(name, off))}
+		return action{s.set(plainOf, faultsFor(name, on)), s.set(plainOf, faultsFor(name, off))}
 	}
 }
 
-// crashUpstreams crashes all upstreams of a host.
-func (f *fleet) crashUpstreams(ctx context.Context, host layout.Host, away time.Duration) error {
-	crash := fmt.Sprintf(`{"crash":true,"restart_ms":%d}`, away.Milliseconds())
-	if err := f.client.SetFaults(ctx, f.commandLine.Outside.Engines, named(host.Engine, crash)); err != nil {
+// crashUpstreams crashes all upstreams of a host, which restart after the given time.
+func (f *fleet) crashUpstreams(ctx context.Context, host layout.Host, downtime time.Duration) error {
+	crash := fmt.Sprintf(`{"crash":true,"restart_ms":%d}`, downtime.Milliseconds())
+	if err := f.client.SetFaults(ctx, f.commandLine.Outside.Engines, faultsFor(host.Engine, crash)); err != nil {
 		return err
 	}
 	if host.Plain == "" {
 		return nil
 	}
-	return f.client.SetFaults(ctx, f.commandLine.Outside.Plain, named(host.Plain, crash))
+	return f.client.SetFaults(ctx, f.commandLine.Outside.Plain, faultsFor(host.Plain, crash))
 }
 
 func poisonPrompt(s *stage) action {
@@ -112,7 +112,7 @@
 		s.poison(mark)
 		return nil
 	}
-	return action{begin, nothing}
+	return action{begin, noop}
 }
 
 func bothSources(on, off string) func(*stage) action {
--- a/internal/experiment/faults/report.go
+++ b/internal/experiment/faults/report.go
@@ -14,41 +14,41 @@
 	"github.com/pkg/errors"
 )
 
-// column is one column of the table and of the CSV.
+// column is one column of the table and of the CSV file.
 type column struct {
 	name  string
 	value func(r Row) string
 }
 
-func number(of func(r Row) int) func(Row) string {
+func intColumn(of func(r Row) int) func(Row) string {
 	return func(r Row) string { return strconv.Itoa(of(r)) }
 }
 
-func seconds(of func(r Row) float64) func(Row) string {
+func secondsColumn(of func(r Row) float64) func(Row) string {
 	return func(r Row) string { return strconv.FormatFloat(of(r), 'f', 1, 64) }
 }
 
 func columns() []column {
 	return []column{
 		{"fault", func(r Row) string { return r.Fault }},
-		{"injected", number(func(r Row) int { return r.Injected })},
-		{"requests", number(func(r Row) int { return r.Requests })},
-		{"complete", number(func(r Row) int { return r.Complete })},
-		{"cut", number(func(r Row) int { return r.Cut })},
-		{"lost", number(func(r Row) int { return r.Lost })},
-		{"unanswered", number(func(r Row) int { return r.Unanswered })},
-		{"truncated", number(func(r Row) int { return r.Truncated })},
-		{"doubled", number(func(r Row) int { return r.Doubled })},
-		{"false_not_run", number(func(r Row) int { return r.FalseNotRun })},
-		{"mixed", number(func(r Row) int { return r.Mixed })},
-		{"crossed", number(func(r Row) int { return r.Crossed })},
+		{"injected", intColumn(func(r Row) int { return r.Injected })},
+		{"requests", intColumn(func(r Row) int { return r.Requests })},
+		{"complete", intColumn(func(r Row) int { return r.Complete })},
+		{"cut", intColumn(func(r Row) int { return r.Cut })},
+		{"lost", intColumn(func(r Row) int { return r.Lost })},
+		{"unanswered", intColumn(func(r Row) int { return r.Unanswered })},
+		{"truncated", intColumn(func(r Row) int { return r.Truncated })},
+		{"doubled", intColumn(func(r Row) int { return r.Doubled })},
+		{"false_not_run", intColumn(func(r Row) int { return r.FalseNotRun })},
+		{"mixed", intColumn(func(r Row) int { return r.Mixed })},
+		{"crossed", intColumn(func(r Row) int { return r.Crossed })},
 		{"not_recovered", func(r Row) string { return orDash(strings.Join(r.NotRecovered, " ")) }},
-		{"not_in_force", number(func(r Row) int { return r.NotInForce })},
+		{"not_in_force", intColumn(func(r Row) int { return r.NotInForce })},
 		{"died", func(r Row) string { return orDash(strings.Join(r.Died, " ")) }},
-		{"engine_crashes", number(func(r Row) int { return r.EngineCrashes })},
-		{"errors_for_s", seconds(func(r Row) float64 { return r.ErrorSeconds })},
-		{"normal_s", seconds(func(r Row) float64 { return r.NormalSeconds })},
-		{"in_force_s", seconds(func(r Row) float64 { return r.InForceSeconds })},
+		{"engine_crashes", intColumn(func(r Row) int { return r.EngineCrashes })},
+		{"errors_for_s", secondsColumn(func(r Row) float64 { return r.ErrorSeconds })},
+		{"normal_s", secondsColumn(func(r Row) float64 { return r.NormalSeconds })},
+		{"in_force_s", secondsColumn(func(r Row) float64 { return r.InForceSeconds })},
 		{"refused", func(r Row) string { return orDash(refusals(r.Refused)) }},
 	}
 }
@@ -88,24 +88,24 @@
 // WriteTable writes the rows as a table.
 func WriteTable(to io.Writer, rows []Row) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, strings.Join(headings(), "\t")) // Flush tells of a failed write
+	_, _ = fmt.Fprintln(table, strings.Join(headings(), "\t")) // Flush returns the error
 	for _, row := range rows {
 		_, _ = fmt.Fprintln(table, strings.Join(row.cells(), "\t"))
 	}
-	return errors.Wrap(table.Flush(), "write the table")
+	return errors.Wrap(table.Flush(), "writing the table")
 }
 
-// AppendCSV appends the rows to a file, each with the label, the seed and the hosts; a new file gets the headings first.
+// AppendCSV appends the rows to a file, each with the label, the seed and the number of hosts. A new file gets a header row first.
 func AppendCSV(path string, o Options, rows []Row) error {
 	_, err := os.Stat(path)
-	fresh := os.IsNotExist(err)
+	isNew := os.IsNotExist(err)
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
-		return errors.Wrap(err, "open the CSV")
+		return errors.Wrap(err, "opening the CSV file")
 	}
 	out := csv.NewWriter(file)
-	if fresh {
-		_ = out.Write(append([]string{"label", "seed", "hosts"}, headings()...)) // Error tells of a failed write
+	if isNew {
+		_ = out.Write(append([]string{"label", "seed", "hosts"}, headings()...)) // Writer.Error returns the error
 	}
 	for _, row := range rows {
 		_ = out.Write(append([]string{o.Label, strconv.FormatUint(o.Seed, 10), strconv.Itoa(o.Hosts)}, row.cells()...))
@@ -113,9 +113,9 @@
 	out.Flush()
 	if err := out.Error(); err != nil {
 		_ = file.Close()
-		return errors.Wrapf(err, "write %s", path)
+		return errors.Wrapf(err, "writing %s", path)
 	}
-	return errors.Wrapf(file.Close(), "write %s", path)
+	return errors.Wrapf(file.Close(), "writing %s", path)
 }
 
 // summary is the last line of JSON.
@@ -126,12 +126,13 @@
 	Broken []string `json:"broken"`
 }
 
-// WriteJSON writes one line.
+// WriteJSON writes a summary of the rows as one line of JSON.
 func WriteJSON(to io.Writer, o Options, rows []Row) error {
 	line := summary{Seed: o.Seed, Hosts: o.Hosts, Rows: rows, Broken: broken(rows)}
-	return errors.Wrap(json.NewEncoder(to).Encode(line), "write the report")
+	return errors.Wrap(json.NewEncoder(to).Encode(line), "writing the JSON summary")
 }
 
+// broken returns the broken guarantees of all rows.
 func broken(rows []Row) []string {
 	list := []string{}
 	for _, row := range rows {
--- a/internal/experiment/faults/run.go
+++ b/internal/experiment/faults/run.go
@@ -20,60 +20,61 @@
 )
 
 const (
-	// deadline goes with every request; after it and grace its caller gives up.
-	deadline = 8 * time.Second
-	grace    = 3 * time.Second
+	// requestDeadline is the deadline of every request. Its caller gives up when callerGrace has passed after it.
+	requestDeadline = 8 * time.Second
+	callerGrace     = 3 * time.Second
 
-	// settle lets the entries see the hosts, which the list shows late, before requests flow; quiet is without a fault.
-	settle        = 4 * time.Second
-	quiet         = 2 * time.Second
-	togetherPause = 700 * time.Millisecond // between faults that come together
-	spreadPause   = 500 * time.Millisecond // from the acceptance of a version to the fault
-	spreadExtra   = 8 * time.Second        // more time to recover when a version is spread
-	servingLimit  = 60 * time.Second
+	// settleTime lets the entries discover the hosts, which the host list shows with a delay, before requests start. quietTime is the time with
+	// requests before the first fault.
+	settleTime   = 4 * time.Second
+	quietTime    = 2 * time.Second
+	groupPause   = 700 * time.Millisecond // between faults that are injected together
+	spreadPause  = 500 * time.Millisecond // from the acceptance of a version to the fault
+	spreadExtra  = 8 * time.Second        // additional time to recover when a version is spread
+	servingLimit = 60 * time.Second
 
-	versions    = 40
-	poisonSends = 6
+	versions       = 40
+	poisonRequests = 6
 )
 
-// Sizes of the weights: a host's link carries a copy in two seconds.
+// Sizes of the weights: a host's link transfers a copy in two seconds.
 const (
 	weightsSize = 2 << 20
 	chunkSize   = 64 << 10
 	copyWindow  = 4 * time.Second
 )
 
-// run is one run.
+// run is the state of one run.
 type run struct {
 	options   Options
-	tell      io.Writer
-	began     time.Time
+	progress  io.Writer
+	startedAt time.Time
 	client    *outside.Client
-	outside   *demo.StandIns
+	standIns  *demo.StandIns
 	fleet     *fleet
 	hosts     []layout.Host
 	book      *ledger.Book
 	generator *load.Generator
 	manifests map[string]outside.Manifest // by version
 	version   int                         // number of the version in force
-	checks    int                         // settings applied to see them come into force
+	checks    int                         // number of settings applied by checks
 	random    *rand.Rand
 	windows   []Window
 }
 
-// Run makes one run and returns what happened. All processes have ended when it returns.
-func Run(ctx context.Context, o Options, tell io.Writer) ([]Row, error) {
+// Run performs one run and returns its results. All processes have ended when it returns.
+func Run(ctx context.Context, o Options, progress io.Writer) ([]Row, error) {
 	groups, err := o.plan()
 	if err != nil {
 		return nil, err
 	}
 	folder, err := os.MkdirTemp("", "samphireweir-faults-")
 	if err != nil {
-		return nil, errors.Wrap(err, "make a temporary folder")
+		return nil, errors.Wrap(err, "creating a temporary folder")
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	r := &run{
-		options: o, tell: tell, began: time.Now(), client: outside.NewClient(), hosts: layout.Hosts(o.Hosts),
+		options: o, progress: progress, startedAt: time.Now(), client: outside.NewClient(), hosts: layout.Hosts(o.Hosts),
 		book: &ledger.Book{}, manifests: map[string]outside.Manifest{},
 		random: rand.New(rand.NewPCG(o.Seed, streamVictims)),
 	}
@@ -87,8 +88,8 @@
 	return r.finish(ctx)
 }
 
-func (r *run) say(format string, args ...any) {
-	_, _ = fmt.Fprintf(r.tell, "%5.1fs "+format+"\n", append([]any{time.Since(r.began).Seconds()}, args...)...)
+func (r *run) logf(format string, args ...any) {
+	_, _ = fmt.Fprintf(r.progress, "%5.1fs "+format+"\n", append([]any{time.Since(r.startedAt).Seconds()}, args...)...)
 }
 
 func (r *run) start(ctx context.Context, folder string) error {
@@ -107,10 +108,10 @@
 		Hosts: r.options.Hosts, Size: weightsSize, ChunkSize: chunkSize, Seed: r.options.Seed, Window: copyWindow,
 	}
 	var err error
-	if r.outside, err = demo.StartStandIns(ctx, shape, r.hosts, binaries, logs); err != nil {
+	if r.standIns, err = demo.StartStandIns(ctx, shape, r.hosts, binaries, logs); err != nil {
 		return err
 	}
-	line := demo.CommandLine{Outside: r.outside, LinkRate: shape.LinkRate()}
+	line := demo.CommandLine{Outside: r.standIns, LinkRate: shape.LinkRate()}
 	r.fleet = newFleet(r.hosts, line, r.client, binaries, logs)
 	if err := r.fleet.start(ctx); err != nil {
 		return err
@@ -124,7 +125,7 @@
 func (r *run) readManifests(ctx context.Context) error {
 	for number := 1; number <= versions; number++ {
 		name := versionName(number)
-		manifest, err := r.client.Manifest(ctx, r.outside.Origin, layout.Model, layout.Adapter, name)
+		manifest, err := r.client.Manifest(ctx, r.standIns.Origin, layout.Model, layout.Adapter, name)
 		if err != nil {
 			return err
 		}
@@ -135,7 +136,7 @@
 
 func versionName(number int) string { return fmt.Sprintf("v%d", number) }
 
-// serve applies both services, waits until all engines serve and lets the requests flow.
+// serve applies the settings of both services, waits until all engines serve, and starts the load.
 func (r *run) serve(ctx context.Context) error {
 	if _, err := r.apply(ctx, layout.PlainService, layout.PlainSetting()); err != nil {
 		return err
@@ -144,26 +145,26 @@
 		return err
 	}
 	limit := time.Now().Add(servingLimit)
-	for r.behind(ctx) > 0 {
+	for r.outdatedEngines(ctx) > 0 {
 		if time.Now().After(limit) {
-			return errors.Errorf("%d engines do not serve within %v of the start", r.behind(ctx), servingLimit)
+			return errors.Errorf("%d engines do not serve the current version %v after the start", r.outdatedEngines(ctx), servingLimit)
 		}
 		if err := pause(ctx, readyPause); err != nil {
 			return err
 		}
 	}
-	if err := pause(ctx, settle); err != nil {
+	if err := pause(ctx, settleTime); err != nil {
 		return err
 	}
-	r.fleet.balance(ctx)
+	r.fleet.pollReadiness(ctx)
 	r.generator = load.Start(load.Options{
-		Entries: r.callers(), Digests: r.digests(), Seed: r.options.Seed, Book: r.book, Deadline: deadline,
-		AnswerLimit: deadline + grace, Available: func(entry int) bool { return r.fleet.available[entry].Load() },
+		Entries: r.callers(), Digests: r.digests(), Seed: r.options.Seed, Book: r.book, Deadline: requestDeadline,
+		AnswerLimit: requestDeadline + callerGrace, Available: func(entry int) bool { return r.fleet.available[entry].Load() },
 	})
 	r.generator.OpenSubmissions()
 	r.generator.OpenGenerations()
-	r.say("all serve")
-	return pause(ctx, quiet)
+	r.logf("all engines serve")
+	return pause(ctx, quietTime)
 }
 
 func (r *run) callers() []string {
@@ -182,7 +183,7 @@
 	return digests
 }
 
-// inject injects groups until the time is over.
+// inject injects groups of faults until the configured time has passed.
 func (r *run) inject(ctx context.Context, s *schedule) error {
 	until := time.Now().Add(time.Duration(r.options.Seconds) * time.Second)
 	for len(r.windows) == 0 || time.Now().Before(until) {
@@ -193,10 +194,10 @@
 	return nil
 }
 
-// injectGroup injects the faults of a group one shortly after the other, takes them back, and waits for the recovery.
+// injectGroup injects the faults of a group with a short pause between them, ends them, and waits for the recovery.
 func (r *run) injectGroup(ctx context.Context, group Group) error {
 	w := Window{Name: group.String(), Begin: time.Now()}
-	r.say("begin %s", w.Name)
+	r.logf("fault %s starts", w.Name)
 	faults, spreads := r.faultsOf(group)
 	if spreads {
 		if err := r.nextVersion(ctx); err != nil {
@@ -217,7 +218,7 @@
 		}
 	}
 	w.End = time.Now()
-	r.say("end %s", w.Name)
+	r.logf("fault %s ended", w.Name)
 	bound := r.options.Bound
 	if spreads {
 		bound += spreadExtra
@@ -226,40 +227,40 @@
 		return err
 	}
 	w.Accepted, w.InForce = check.stop()
-	w.NotInForce = r.behind(ctx) + check.missing()
+	w.NotInForce = r.outdatedEngines(ctx) + check.missing()
 	w.Died = r.fleet.died()
 	w.Until = time.Now()
 	r.windows = append(r.windows, w)
-	r.say("over %s: %d behind, settings missing at %d, died %v", w.Name, r.behind(ctx), check.missing(), w.Died)
+	r.logf("recovery of %s ended: %d engines outdated, setting missing at %d entries, died %v", w.Name, r.outdatedEngines(ctx), check.missing(), w.Died)
 	return nil
 }
 
 func (r *run) faultsOf(group Group) (faults []fault, spreads bool) {
 	for _, name := range group {
-		f, _ := find(name)
+		f, _ := findFault(name)
 		faults = append(faults, f)
 		spreads = spreads || f.spreads
 	}
 	return faults, spreads
 }
 
-// beginAll begins the faults, waits as long as each is to last, and returns their ends.
+// beginAll starts the faults, waits for the longest hold time, and returns the functions that end them.
 func (r *run) beginAll(ctx context.Context, faults []fault) ([]func(context.Context) error, error) {
 	s := &stage{
 		fleet: r.fleet, random: r.random, version: func() string { return versionName(r.version) },
-		poison: func(mark string) { r.generator.Poison(mark, poisonSends) },
+		poison: func(mark string) { r.generator.Poison(mark, poisonRequests) },
 	}
 	var ends []func(context.Context) error
 	hold := time.Duration(0)
 	for index, f := range faults {
 		if index > 0 {
-			if err := pause(ctx, togetherPause); err != nil {
+			if err := pause(ctx, groupPause); err != nil {
 				return nil, err
 			}
 		}
 		a := f.prepare(s)
 		if err := a.begin(ctx); err != nil {
-			return nil, errors.Wrapf(err, "begin %s", f.name)
+			return nil, errors.Wrapf(err, "injecting %s", f.name)
 		}
 		ends = append(ends, a.end)
 		hold = max(hold, f.hold)
@@ -267,23 +268,23 @@
 	return ends, pause(ctx, hold)
 }
 
-// finish ends the requests, reads the logs and judges.
+// finish stops the load, reads the logs and judges them.
 func (r *run) finish(ctx context.Context) ([]Row, error) {
-	r.say("waiting for the last answers")
+	r.logf("waiting for the last answers")
 	r.generator.Stop()
-	engines, err := r.client.EngineLog(ctx, r.outside.Engines)
+	engines, err := r.client.EngineLog(ctx, r.standIns.Engines)
 	if err != nil {
 		return nil, err
 	}
-	plain, err := r.client.PlainLog(ctx, r.outside.Plain)
+	plain, err := r.client.PlainLog(ctx, r.standIns.Plain)
 	if err != nil {
 		return nil, err
 	}
 	evidence := Evidence{
 		Records: r.book.Records(), Plain: plain, Engines: engines, Contents: r.contents(), Windows: r.windows,
-		Downtimes: r.fleet.downtimes, Hosts: r.hosts, AnswerLimit: deadline + grace,
+		Downtimes: r.fleet.downtimes, Hosts: r.hosts, AnswerLimit: requestDeadline + callerGrace,
 	}
-	return Judge(evidence), r.keep(evidence)
+	return Judge(evidence), r.writeEvidence(evidence)
 }
 
 func (r *run) contents() map[string]string {
@@ -300,10 +301,10 @@
 	}
 	if r.fleet != nil {
 		for _, name := range r.fleet.stop() {
-			r.say("%s did not end on SIGTERM", name)
+			r.logf("%s did not end on SIGTERM", name)
 		}
 	}
-	if r.outside != nil {
-		r.outside.Stop()
+	if r.standIns != nil {
+		r.standIns.Stop()
 	}
 }
--- a/internal/experiment/faults/schedule.go
+++ b/internal/experiment/faults/schedule.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// Streams of random numbers, so that what one part draws does not move the others.
+// Streams of random numbers: each part draws from its own, so that one part's draws don't change those of another.
 const (
 	streamSchedule = 101
 	streamPairs    = 102
 	streamVictims  = 103
 )
 
-// Group is the names of faults that are injected together.
+// Group holds the names of faults that are injected together.
 type Group []string
 
-// String joins the names.
+// String joins the names with "+".
 func (g Group) String() string { return strings.Join(g, "+") }
 
 func singles(names []string) []Group {
@@ -27,7 +27,7 @@
 	return groups
 }
 
-// DrawPairs draws pairs of different faults without repetition, in the same order for the same seed.
+// DrawPairs draws pairs of different faults without repetition. The order depends only on the seed.
 func DrawPairs(seed uint64, names []string, skip, count int) []Group {
 	var all []Group
 	for i, first := range names {
@@ -41,11 +41,11 @@
 	return all[skip:min(len(all), skip+count)]
 }
 
-// schedule hands out the groups in shuffled rounds.
+// schedule returns the groups in shuffled rounds.
 type schedule struct {
-	random *rand.Rand
-	groups []Group
-	left   []Group
+	random    *rand.Rand
+	groups    []Group
+	remaining []Group
 }
 
 func newSchedule(seed uint64, groups []Group) *schedule {
@@ -53,11 +53,11 @@
 }
 
 func (s *schedule) next() Group {
-	if len(s.left) == 0 {
-		s.left = slices.Clone(s.groups)
-		s.random.Shuffle(len(s.left), func(i, j int) { s.left[i], s.left[j] = s.left[j], s.left[i] })
+	if len(s.remaining) == 0 {
+		s.remaining = slices.Clone(s.groups)
+		s.random.Shuffle(len(s.remaining), func(i, j int) { s.remaining[i], s.remaining[j] = s.remaining[j], s.remaining[i] })
 	}
-	group := s.left[0]
-	s.left = s.left[1:]
+	group := s.remaining[0]
+	s.remaining = s.remaining[1:]
 	return group
 }
--- a/internal/experiment/faults/schedule_test.go
+++ b/internal/experiment/faults/schedule_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTheSameSeedGivesTheSameScheduleAndEachRoundHasAll(t *testing.T) {
+// TestScheduleIsDeterministicAndCoversAllGroups guards against runs that can't be repeated from their seed, and against rounds that omit a fault.
+func TestScheduleIsDeterministicAndCoversAllGroups(t *testing.T) {
 	draw := func(seed uint64) []string {
 		s := newSchedule(seed, singles([]string{"a", "b", "c", "d"}))
 		var names []string
@@ -23,6 +24,7 @@
 	assert.ElementsMatch(t, []string{"a", "b", "c", "d"}, draw(3)[4:])
 }
 
+// TestPairsAreDrawnWithoutRepetition guards against pairs that are drawn twice or skipped when a draw is split into several runs.
 func TestPairsAreDrawnWithoutRepetition(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	all := DrawPairs(7, names, 0, 100)
@@ -37,7 +39,8 @@
 	assert.Empty(t, DrawPairs(7, names, 100, 2))
 }
 
-func TestPlanNamesUnknownFaults(t *testing.T) {
+// TestPlanRejectsUnknownFaults guards against a misspelled fault name that silently injects nothing.
+func TestPlanRejectsUnknownFaults(t *testing.T) {
 	o := Options{Hosts: 6, Only: "kill-agent, freeze-agent+spread"}
 	groups, err := o.plan()
 	require.NoError(t, err)
@@ -47,7 +50,8 @@
 	assert.ErrorContains(t, err, "nonsense")
 }
 
-func TestFaultsHaveDifferentNames(t *testing.T) {
+// TestFaultNamesAreUnique guards against faults that -only can't select: duplicate names, or names with the separator +.
+func TestFaultNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for _, name := range faultNames() {
 		assert.False(t, seen[name], name)
@@ -56,7 +60,8 @@
 	}
 }
 
-func TestRowsAreWrittenUnderTheHeadings(t *testing.T) {
+// TestRowsAreWrittenToTableCSVAndJSON guards against results that are lost on output: counts missing from the table, or broken guarantees missing from the JSON line.
+func TestRowsAreWrittenToTableCSVAndJSON(t *testing.T) {
 	row := Row{Fault: "none", Refused: map[string]int{"4002 unknown": 2, "2002 not run": 1}, NotRecovered: []string{"e1"}}
 	var table bytes.Buffer
 	require.NoError(t, WriteTable(&table, []Row{row}))
