--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -11,9 +11,9 @@
 // Point is one measured value at a size.
 type Point struct{ Size, Value float64 }
 
-// Series are the measured values of one metric.
+// Series holds the measured values of one metric.
 type Series struct {
-	// Group tells series of one metric apart; empty when there is one only.
+	// Group distinguishes series of the same metric; empty if there is only one.
 	Group  string
 	Metric string
 	Points []Point
@@ -22,34 +22,34 @@
 // Line is a straight line through points: Value = Base + Slope*Size.
 type Line struct {
 	Base, Slope float64
-	// R2 is how much of the variance the line explains, from 0 to 1.
+	// R2 is the fraction of the variance that the line explains, from 0 to 1.
 	R2 float64
-	// Worst is the greatest distance of a point from the line, as a part of the point's value.
-	Worst float64
-	// Up to this size it was measured.
-	To float64
+	// MaxDeviation is the largest distance of a point from the line, relative to the point's value.
+	MaxDeviation float64
+	// MaxSize is the largest measured size.
+	MaxSize float64
 }
 
 // At returns the line's value at a size.
 func (l Line) At(size float64) float64 { return l.Base + l.Slope*size }
 
-// minSizes is how many sizes a line needs.
+// minSizes is the minimum number of sizes for a line.
 const minSizes = 3
 
-// Sizes is how many sizes were measured.
+// Sizes returns the number of measured sizes.
 func (s Series) Sizes() int { return len(s.Medians()) }
 
-// Runs is how many values there are of the size that has the fewest.
+// Runs returns the number of values of the size that has the fewest.
 func (s Series) Runs() int {
 	counts := map[float64]int{}
 	for _, p := range s.Points {
 		counts[p.Size]++
 	}
-	least := len(s.Points)
+	minRuns := len(s.Points)
 	for _, n := range counts {
-		least = min(least, n)
+		minRuns = min(minRuns, n)
 	}
-	return least
+	return minRuns
 }
 
 func (s Series) name() string {
@@ -59,7 +59,7 @@
 	return s.Group + ": " + s.Metric
 }
 
-// Medians returns the median value at each size, by size.
+// Medians returns the median value at each size, ordered by size.
 func (s Series) Medians() []Point {
 	bySize := map[float64][]float64{}
 	for _, p := range s.Points {
@@ -75,7 +75,7 @@
 	return list
 }
 
-// Fit lays a least-squares line through the medians.
+// Fit returns the least-squares line through the medians.
 func (s Series) Fit() Line {
 	points := s.Medians()
 	n := float64(len(points))
@@ -91,34 +91,34 @@
 		l.Slope = (n*sxy - sx*sy) / d
 		l.Base = (sy - l.Slope*sx) / n
 	}
-	l.judge(points, sy/n)
+	l.setQuality(points, sy/n)
 	return l
 }
 
-func (l *Line) judge(points []Point, mean float64) {
-	var off, all float64
+func (l *Line) setQuality(points []Point, mean float64) {
+	var residual, all float64
 	for _, p := range points {
 		d := p.Value - l.At(p.Size)
-		off += d * d
+		residual += d * d
 		all += (p.Value - mean) * (p.Value - mean)
 		if p.Value != 0 {
-			l.Worst = math.Max(l.Worst, math.Abs(d/p.Value))
+			l.MaxDeviation = math.Max(l.MaxDeviation, math.Abs(d/p.Value))
 		}
-		l.To = math.Max(l.To, p.Size)
+		l.MaxSize = math.Max(l.MaxSize, p.Size)
 	}
 	if all > 0 {
-		l.R2 = 1 - off/all
+		l.R2 = 1 - residual/all
 	}
 }
 
-// Measurements are the series of all files of a folder, by the file's name without its ending and the series' name.
+// Measurements holds the series of all files of a folder, by the file's name without its extension and by the series' name.
 type Measurements map[string]map[string]Series
 
-// ReadAll reads every file of a folder by its layout; those with other columns are left out.
+// ReadAll reads every file of a folder by its layout. Files with other columns are skipped.
 func ReadAll(folder string) (Measurements, error) {
 	names, err := filepath.Glob(filepath.Join(folder, "*.csv"))
 	if err != nil {
-		return nil, errors.Wrap(err, "list the measurements")
+		return nil, errors.Wrap(err, "listing the measurements")
 	}
 	all := Measurements{}
 	for _, name := range names {
--- a/internal/capacity/layout.go
+++ b/internal/capacity/layout.go
@@ -12,21 +12,21 @@
 	"github.com/pkg/errors"
 )
 
-// layout says what the columns of a file of measurements mean. Every concern writes its own.
+// layout describes the columns of a file of measurements. Each experiment writes its own columns.
 type layout struct {
-	// size is the column that a line is laid over.
+	// size is the column with the size, the x axis of the line.
 	size string
-	// group names the series that a row belongs to, beside the metric.
+	// group returns the group of a row, which together with the metric identifies its series.
 	group func(row map[string]string) string
-	// metrics are the columns with values; none when each row names its metric and value.
+	// metrics are the columns with values. If empty, each row has the columns metric and value.
 	metrics []string
-	// caution tells under what conditions the figures were taken.
-	caution string
+	// conditions describes under which conditions the values were measured.
+	conditions string
 }
 
 func noGroup(map[string]string) string { return "" }
 
-// byColumns joins the values of some columns.
+// byColumns returns a function that joins the values of some columns.
 func byColumns(names ...string) func(map[string]string) string {
 	return func(row map[string]string) string {
 		var parts []string
@@ -37,7 +37,7 @@
 	}
 }
 
-// Names of the files of measurements, without their ending.
+// Names of the files of measurements, without their extension.
 const (
 	settingsFile = "settings"
 	claimsFile   = "claims"
@@ -50,28 +50,28 @@
 var layouts = map[string]layout{
 	settingsFile: {
 		size: "processes", group: noGroup,
-		caution: "One run a size, 9 changes each, under the lock, on 12 cores at a load average of 29 to 45. Processes idle but for the changes.",
+		conditions: "One run a size, 9 changes each, under the lock, on 12 cores at a load average of 29 to 45. Processes idle but for the changes.",
 	},
 	claimsFile: {
 		size: "claims_per_s", group: claimsGroup, metrics: []string{"writes_per_s", "p50_ms", "p99_ms", "conflicts_per_s", "outage_p99_ms"},
-		caution: "Six entries in one process and the object API's stand-in with 3 ms a call, 2 or 3 s each, under the machine's lock for measurements; other work went on all the same.",
+		conditions: "Six entries in one process and the object API's stand-in with 3 ms a call, 2 or 3 s each, under the machine's lock for measurements; other work went on all the same.",
 	},
 	ordersFile: {
 		size: "engines", group: ordersGroup, metrics: []string{"writes", "conflicts", "reads"},
-		caution: "Counts of calls only, means of two rollouts on a busy machine (load 25 to 50 on 12 cores); one row a size.",
+		conditions: "Counts of calls only, means of two rollouts on a busy machine (load 25 to 50 on 12 cores); one row a size.",
 	},
 	routingFile: {
 		size: "load", group: byColumns("scenario", "variant"),
-		caution: "One run (seed 1) of each, on a machine that other work shared (load 12 to 14 on 12 cores); rows marked trial at a load of about 30.",
+		conditions: "One run (seed 1) of each, on a machine that other work shared (load 12 to 14 on 12 cores); rows marked trial at a load of about 30.",
 	},
 	faultsFile: {
 		size: "hosts", group: byColumns("fault"), metrics: []string{"errors_for_s", "normal_s", "in_force_s"},
-		caution: "One run of each fault, 6 hosts on one machine; no line.",
+		conditions: "One run of each fault, 6 hosts on one machine; no line.",
 	},
 	burstsFile: {
 		size: "hosts", group: byColumns("variant", "version"),
-		metrics: []string{"time_ratio", "origin_copies", "between_places", "slow_p95_ratio", "control_bytes", "control_messages", "processor_seconds", "memory_mb"},
-		caution: "All hosts on one machine that other work shared; processor and copy times are no better than that.",
+		metrics:    []string{"time_ratio", "origin_copies", "between_places", "slow_p95_ratio", "control_bytes", "control_messages", "processor_seconds", "memory_mb"},
+		conditions: "All hosts on one machine that other work shared; processor and copy times are no better than that.",
 	},
 }
 
@@ -83,7 +83,7 @@
 	return row["way"] + ", each " + row["interval_ms"] + " ms, " + limit
 }
 
-// ordersGroup keeps the rows apart in which another part of the engines may be out of service.
+// ordersGroup separates rows by the fraction of the engines that may be out of service.
 func ordersGroup(row map[string]string) string {
 	engines, _ := strconv.Atoi(row["engines"])
 	out, _ := strconv.Atoi(row["max_unavailable"])
@@ -93,7 +93,7 @@
 	return row["variant"] + ", 1 in " + strconv.Itoa(engines/out) + " out of service"
 }
 
-// layoutOf finds the layout of a file; ones that are unknown have the columns size, metric and value.
+// layoutOf returns the layout of a file. Unknown files have the columns size, metric and value.
 func layoutOf(file string) layout {
 	if l, known := layouts[file]; known {
 		return l
@@ -104,17 +104,17 @@
 	return layout{size: "size", group: noGroup}
 }
 
-// ReadSeries reads a file of measurements by its layout. Lines that begin with # are remarks.
+// ReadSeries reads a file of measurements by its layout. Lines that start with # are comments.
 func ReadSeries(name string) (map[string]Series, error) {
 	raw, err := os.ReadFile(name)
 	if err != nil {
-		return nil, errors.Wrap(err, "open the measurements")
+		return nil, errors.Wrap(err, "opening the measurements")
 	}
 	r := csv.NewReader(bufio.NewReader(bytes.NewReader(raw)))
 	r.Comment = '#'
 	rows, err := r.ReadAll()
 	if err != nil {
-		return nil, errors.Wrap(err, "read the measurements")
+		return nil, errors.Wrap(err, "reading the measurements")
 	}
 	return layoutOf(fileOf(name)).series(rows)
 }
@@ -153,7 +153,7 @@
 			return errors.Wrapf(err, "metric %s", metric)
 		}
 		s := Series{Group: l.group(row), Metric: metric}
-		if known, again := found[s.name()]; again {
+		if known, exists := found[s.name()]; exists {
 			s = known
 		}
 		s.Points = append(s.Points, Point{size, value})
--- a/internal/capacity/messages.go
+++ b/internal/capacity/messages.go
@@ -10,12 +10,12 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// Bytes are the encoded sizes of the records that every process or every entry holds.
+// Bytes holds the encoded sizes, in bytes, of the records that every process or every entry stores.
 type Bytes struct {
 	Setting, Listed, Advert, Phase int
 }
 
-// recordSizes encodes one typical record of each sort, as the processes do.
+// recordSizes encodes one typical record of each kind in the same way as the processes do.
 func recordSizes(size Size) Bytes {
 	perHost := (size.Engines + size.Nodes - 1) / size.Nodes
 	address := "10.11.112.213:7070"
@@ -29,12 +29,12 @@
 		})
 	}
 	return Bytes{
-		Setting: encoded(setting.Key("karrakin", "summary-model"), typicalSetting(size)),
-		Listed: encoded(member.ListPrefix+address, member.Listed{
+		Setting: encodedSize(setting.Key("karrakin", "summary-model"), typicalSetting(size)),
+		Listed: encodedSize(member.ListPrefix+address, member.Listed{
 			Address: address, Role: member.Agent, Place: "karratha-a", Region: "west", State: "live",
 		}),
-		Advert: encoded(member.AdvertPrefix+address, fixed.Fixed()),
-		Phase:  encoded(record.PhasePrefix+address, fixed.Phases()),
+		Advert: encodedSize(member.AdvertPrefix+address, fixed.Fixed()),
+		Phase:  encodedSize(record.PhasePrefix+address, fixed.Phases()),
 	}
 }
 
@@ -51,7 +51,7 @@
 	return s
 }
 
-func encoded(key string, v any) int {
+func encodedSize(key string, v any) int {
 	value, err := json.Marshal(v)
 	if err != nil {
 		return 0
--- a/internal/capacity/sweep.go
+++ b/internal/capacity/sweep.go
@@ -12,48 +12,49 @@
 	"github.com/pkg/errors"
 )
 
-// Sweep is one day of a deployment played at several sizes: what the processes of each role spent, and how the fleet did.
+// Sweep holds the results of one day of a deployment that was run at several sizes: the resource usage of the processes of each role, and the quality
+// of service of the fleet.
 type Sweep struct {
-	// Name is the deployment's, from the file's name; Remarks are the lines of the file that begin with #.
+	// Name is the deployment's name, from the file's name. Remarks are the lines of the file that start with #.
 	Name    string
 	Remarks []string
 	Series  []SweepSeries
 }
 
-// SweepSeries is what one role spent of one thing, by the number of hosts.
+// SweepSeries is one metric of one role by the number of hosts.
 type SweepSeries struct {
-	// Role is the role of the processes, or "fleet" for what the fleet did as a whole.
+	// Role is the role of the processes, or "fleet" for metrics of the fleet as a whole.
 	Role string
 	What string
 	Unit string
-	// Points are by size, the smallest first.
+	// Points are ordered by size, smallest first.
 	Points []SweepPoint
 }
 
-// SweepPoint is the middle and the busiest process of a role at a number of hosts. For the fleet both are the same.
+// SweepPoint holds the values of the median and of the busiest process of a role at a number of hosts. For the fleet they are the same.
 type SweepPoint struct {
 	Hosts           float64
 	Middle, Busiest float64
 }
 
-// SweepFolder is the folder of the sweeps within that of all measurements.
+// SweepFolder is the subfolder of the sweeps in the folder of measurements.
 const SweepFolder = "sweep"
 
-// sweepColumns are the columns of a sweep's file.
+// sweepColumns are the columns of a sweep file.
 var sweepColumns = []string{"role", "what", "unit", "hosts", "middle", "busiest"}
 
-// ReadSweeps reads all sweeps of a folder, by name.
+// ReadSweeps reads all sweeps of a folder, ordered by name.
 func ReadSweeps(folder string) ([]Sweep, error) {
 	names, err := filepath.Glob(filepath.Join(folder, "*.csv"))
 	if err != nil {
-		return nil, errors.Wrap(err, "list the sweeps")
+		return nil, errors.Wrap(err, "listing the sweeps")
 	}
 	sort.Strings(names)
 	var sweeps []Sweep
 	for _, name := range names {
 		s, err := readSweep(name)
 		if err != nil {
-			return nil, errors.Wrapf(err, "read the sweep %s", filepath.Base(name))
+			return nil, errors.Wrapf(err, "reading the sweep %s", filepath.Base(name))
 		}
 		sweeps = append(sweeps, s)
 	}
@@ -89,7 +90,7 @@
 	return s, nil
 }
 
-// add takes one row of the file; rows of one series stand together, the smallest size first.
+// add adds one row of the file. Rows of one series are adjacent, smallest size first.
 func (s *Sweep) add(row []string) error {
 	var values [3]float64
 	for i := range values {
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// line is the least-squares line through the middle or the busiest processes.
+// line returns the least-squares line through the values of the median or of the busiest processes.
 func (s SweepSeries) line(value func(SweepPoint) float64) Line {
 	var series Series
 	for _, p := range s.Points {
@@ -118,8 +119,8 @@
 	return series.Fit()
 }
 
-// power is by which power of the number of hosts the busiest process grows from the smallest size to the largest.
-func (s SweepSeries) power() float64 {
+// growthExponent returns the exponent of the power of the number of hosts by which the busiest process grows, from the smallest size to the largest.
+func (s SweepSeries) growthExponent() float64 {
 	first, last := s.Points[0], s.Points[len(s.Points)-1]
 	if first.Busiest <= 0 || last.Busiest <= 0 || first.Hosts == last.Hosts {
 		return math.NaN()
@@ -127,6 +128,6 @@
 	return math.Log(last.Busiest/first.Busiest) / math.Log(last.Hosts/first.Hosts)
 }
 
-// middle and busiest choose a value of a point.
+// middle and busiest return a value of a point.
 func middle(p SweepPoint) float64  { return p.Middle }
 func busiest(p SweepPoint) float64 { return p.Busiest }
--- a/internal/capacity/sweep_page.go
+++ b/internal/capacity/sweep_page.go
@@ -20,7 +20,7 @@
 The figures are of the path that the users' platform runs. Those of the first version's path stand on [a page of their own](CAPACITY-FIRST.md).
 
 `)
-	writeSize(&b, Letter)
+	writeSize(&b, TargetSize)
 	for _, s := range sweeps {
 		s.write(&b)
 	}
@@ -36,16 +36,16 @@
 	b.WriteString("\nMiddle and busiest process of each role.\n\n| role | what |")
 	sizes := s.sizes()
 	for _, n := range sizes {
-		fmt.Fprintf(b, " %s hosts |", number(n))
+		fmt.Fprintf(b, " %s hosts |", formatNumber(n))
 	}
-	fmt.Fprintf(b, " base, slope of the middle | base, slope of the busiest | power | busiest at %d: line, power | budget | mechanism |\n", Letter.Nodes)
+	fmt.Fprintf(b, " base, slope of the middle | base, slope of the busiest | power | busiest at %d: line, power | budget | mechanism |\n", TargetSize.Nodes)
 	b.WriteString("|---|---|" + strings.Repeat("---|", len(sizes)+6) + "\n")
 	for _, series := range s.Series {
 		series.write(b, sizes)
 	}
 }
 
-// sizes are the numbers of hosts of all series.
+// sizes returns the numbers of hosts that occur in any series.
 func (s Sweep) sizes() []float64 {
 	seen := map[float64]bool{}
 	var sizes []float64
@@ -66,43 +66,43 @@
 	for _, n := range sizes {
 		b.WriteString(" " + s.at(n) + " |")
 	}
-	m, most := s.line(middle), s.line(busiest)
-	fmt.Fprintf(b, " %s, %s | %s, %s | %s | %s | %s | %s |\n", number(m.Base), number(m.Slope), number(most.Base), number(most.Slope),
-		orDash(s.power()), s.ahead(), budgetOf(s.Unit, s.Role), mechanismOf(s.Role, s.What))
+	middleLine, busiestLine := s.line(middle), s.line(busiest)
+	fmt.Fprintf(b, " %s, %s | %s, %s | %s | %s | %s | %s |\n", formatNumber(middleLine.Base), formatNumber(middleLine.Slope), formatNumber(busiestLine.Base), formatNumber(busiestLine.Slope),
+		orDash(s.growthExponent()), s.extrapolated(), budgetOf(s.Unit, s.Role), mechanismOf(s.Role, s.What))
 }
 
-// at is what a series shows at a size.
+// at returns the values of a series at a number of hosts as text.
 func (s SweepSeries) at(hosts float64) string {
 	for _, p := range s.Points {
 		switch {
 		case p.Hosts != hosts:
 		case p.Middle == p.Busiest:
-			return number(p.Middle)
+			return formatNumber(p.Middle)
 		default:
-			return number(p.Middle) + " / " + number(p.Busiest)
+			return formatNumber(p.Middle) + " / " + formatNumber(p.Busiest)
 		}
 	}
 	return "-"
 }
 
-// ahead is what the busiest process spends at the users' size, by the line and by the power.
-func (s SweepSeries) ahead() string {
+// extrapolated returns the values of the busiest process at the target size, by the line and by the power law.
+func (s SweepSeries) extrapolated() string {
 	last := s.Points[len(s.Points)-1]
-	byPower := last.Busiest * math.Pow(float64(Letter.Nodes)/last.Hosts, s.power())
-	return number(math.Max(0, s.line(busiest).At(float64(Letter.Nodes)))) + ", " + orDash(byPower)
+	byPower := last.Busiest * math.Pow(float64(TargetSize.Nodes)/last.Hosts, s.growthExponent())
+	return formatNumber(math.Max(0, s.line(busiest).At(float64(TargetSize.Nodes)))) + ", " + orDash(byPower)
 }
 
 func orDash(v float64) string {
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return "-"
 	}
-	return number(v)
+	return formatNumber(v)
 }
 
-// fleetRole stands for the fleet as a whole where others name a role.
+// fleetRole is the role of metrics of the fleet as a whole.
 const fleetRole = "fleet"
 
-// The units of what the users give a node a budget of.
+// Units of the metrics that have a budget.
 const (
 	unitCore      = "% of a core"
 	unitMegabytes = "MB"
@@ -114,26 +114,27 @@
 	if !ok {
 		return "-"
 	}
-	return number(v)
+	return formatNumber(v)
 }
 
-// budgetValue is what the users allow a node for control; all that a process spends is set against it, its work for callers included.
+// budgetValue returns the budget that the users set for the control of a node. The total usage of a process is compared with it, including its work
+// for callers.
 func budgetValue(unit, role string) (float64, bool) {
 	if role == fleetRole {
 		return 0, false
 	}
 	switch unit {
 	case unitCore:
-		return LetterBudget.CPUPercent, true
+		return TargetBudget.CPUPercent, true
 	case unitMegabytes:
-		return LetterBudget.MiB, true
+		return TargetBudget.MiB, true
 	case unitKilobytes:
-		return LetterBudget.BytesPerSecond / 1000, true
+		return TargetBudget.BytesPerSecond / 1000, true
 	}
 	return 0, false
 }
 
-// mechanisms name what carries each figure.
+// mechanisms describes what causes the usage in each metric.
 var mechanisms = map[string]string{
 	"entry, processor":                "requests, each of which looks at the upstreams of the nearest data centre that has room; reports of the agents that it greets; lists and changes passed on",
 	"entry, memory":                   "requests in flight, the list of upstreams, what is kept for those that read from it",
@@ -155,13 +156,13 @@
 }
 
 func mechanismOf(role, what string) string {
-	if m, known := mechanisms[role+", "+what]; known {
-		return m
+	if text, known := mechanisms[role+", "+what]; known {
+		return text
 	}
 	return "-"
 }
 
-// writeSweepBreaks lists what is over the users' budget at their size, the furthest first.
+// writeSweepBreaks lists the metrics that exceed the users' budget at the target size, the largest excess first.
 func writeSweepBreaks(b *strings.Builder, sweeps []Sweep) {
 	b.WriteString("\n## What breaks first\n\nThe busiest process against the budget for control, work for callers included, by the line:\n\n")
 	type over struct {
@@ -172,10 +173,10 @@
 	for _, s := range sweeps {
 		for _, series := range s.Series {
 			budget, ok := budgetValue(series.Unit, series.Role)
-			value := series.line(busiest).At(float64(Letter.Nodes))
+			value := series.line(busiest).At(float64(TargetSize.Nodes))
 			if ok && value > budget {
 				list = append(list, over{value / budget, fmt.Sprintf("%s, %s of %s: %s %s, %s times the budget; carried by: %s",
-					s.Name, series.What, series.Role, number(value), series.Unit, number(value/budget), mechanismOf(series.Role, series.What))})
+					s.Name, series.What, series.Role, formatNumber(value), series.Unit, formatNumber(value/budget), mechanismOf(series.Role, series.What))})
 			}
 		}
 	}
