--- a/internal/proof/claims.go
+++ b/internal/proof/claims.go
@@ -2,19 +2,19 @@
 
 import "strings"
 
-// claimMoments are the steps of a claim in the owner of its partition, as TestCallRunsOnceWhenAFaultHitsItsClaim names them.
-var claimMoments = []string{
+// claimSteps are the steps of a claim at the owner of its partition, as TestCallRunsOnceWhenAFaultHitsItsClaim names them.
+var claimSteps = []string{
 	"before the head is read", "after the head is read", "before the head is written", "after the head is written",
 }
 
-// claimStrikes are the faults that strike there.
-var claimStrikes = []string{
+// claimFaults are the faults that are injected at these steps.
+var claimFaults = []string{
 	"connection cut", "outage", "platform hangs", "platform slow", "answer lost after the effect", "another owner writes",
 	"another owner is asked the same", "owner paused", "owner killed",
 }
 
 // claimCells are the cells of the concern Claims.
-var claimCells = append(claimCellsByStrike(), []Cell{
+var claimCells = append(claimCellsByFault(), []Cell{
 	{Concern: Claims, Fault: "any order of the faults of claims, clocks that differ", Step: "each step of a claim, any order",
 		Tests: []string{"TestNoKeyRunsTwiceInRandomHistories"}},
 	{Concern: Claims, Fault: "faults drawn with fixed seeds, callers resend through all entries", Step: "each step, under load",
@@ -51,20 +51,20 @@
 		Open: "the segment stays as waste: nothing looks for segments that no head names"},
 }...)
 
-func claimCellsByStrike() []Cell {
+func claimCellsByFault() []Cell {
 	var cells []Cell
-	for _, fault := range claimStrikes {
-		for _, step := range claimMoments {
-			cells = append(cells, Cell{Concern: Claims, Fault: fault, Step: "claim, " + step, Tests: []string{claimTest("TestCallRunsOnceWhenAFaultHitsItsClaim", fault, step)}})
+	for _, fault := range claimFaults {
+		for _, step := range claimSteps {
+			cells = append(cells, Cell{Concern: Claims, Fault: fault, Step: "claim, " + step, Tests: []string{claimSubtest("TestCallRunsOnceWhenAFaultHitsItsClaim", fault, step)}})
 		}
-		for _, step := range claimMoments[2:] {
-			cells = append(cells, Cell{Concern: Claims, Fault: fault, Step: "recording of the outcome, " + step, Tests: []string{claimTest("TestCallRunsOnceWhenAFaultHitsItsSettlement", fault, step)}})
+		for _, step := range claimSteps[2:] {
+			cells = append(cells, Cell{Concern: Claims, Fault: fault, Step: "recording of the outcome, " + step, Tests: []string{claimSubtest("TestCallRunsOnceWhenAFaultHitsItsSettlement", fault, step)}})
 		}
 	}
 	return cells
 }
 
-// claimTest names a subtest as `go test` prints it.
-func claimTest(test, fault, step string) string {
+// claimSubtest returns the name of a subtest as `go test` prints it.
+func claimSubtest(test, fault, step string) string {
 	return test + "/" + strings.ReplaceAll(fault+"/"+step, " ", "_")
 }
--- a/internal/proof/orders.go
+++ b/internal/proof/orders.go
@@ -1,6 +1,6 @@
 package proof
 
-// Steps of an order's life.
+// Steps in the lifecycle of an order.
 const (
 	stepIncarnation = "taking the incarnation"
 	stepSlot        = "taking or giving back a slot"
@@ -9,8 +9,8 @@
 	stepServing     = "serving a pinned version"
 )
 
-// orderCells are the cells of the concern Orders. Where a test has the subtests checked and ignored, it ran on
-// engines that check fencing numbers and on engines that don't.
+// orderCells are the cells of the concern Orders. Tests with the subtests checked and ignored ran on engines that check fencing numbers and on
+// engines that don't.
 var orderCells = []Cell{
 	{Concern: Orders, Fault: "answer lost after the effect", Step: stepIncarnation, Tests: []string{"TestLostIncarnationAnswer/checked", "TestLostIncarnationAnswer/ignored", "TestAtMostOneProcessMaySendOrders"}},
 	{Concern: Orders, Fault: "answer lost after the effect", Step: stepSlot, Tests: []string{"TestLostSlotAnswers/checked", "TestLostSlotAnswers/ignored", "TestLostWriteAnswerIsResolvedByRead"}},
--- a/internal/proof/page.go
+++ b/internal/proof/page.go
@@ -10,10 +10,10 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds a line of test output, in bytes.
+// maxLine is the maximum length of a line of test output, in bytes.
 const maxLine = 1 << 20
 
-// Results maps the name of a test to whether it passed in a run.
+// Results reports, by the name of a test, whether it passed in a run.
 type Results map[string]bool
 
 type testEvent struct {
@@ -21,7 +21,7 @@
 	Test   string
 }
 
-// ReadResults reads the output of `go test -json`.
+// ReadResults reads the output of `go test -json`. A test that failed or was skipped once counts as not passed.
 func ReadResults(r io.Reader) (Results, error) {
 	results := Results{}
 	lines := bufio.NewScanner(r)
@@ -40,10 +40,10 @@
 			results[ev.Test] = false
 		}
 	}
-	return results, errors.Wrap(lines.Err(), "read test output")
+	return results, errors.Wrap(lines.Err(), "reading test output")
 }
 
-// State returns what a run says of a cell: "proved", "not applicable", or why it is not proved.
+// State returns the state of a cell after a run: "proved", "not applicable" with the reason, or "NOT PROVED" with what is missing.
 func (c Cell) State(run Results) string {
 	if c.NotApplicable != "" {
 		return "not applicable: " + c.NotApplicable
@@ -66,11 +66,11 @@
 	return "proved"
 }
 
-// Page returns docs/PROOFS.md for a run.
+// Page returns the content of docs/PROOFS.md for a run.
 func Page(cells []Cell, run Results) string {
 	var b strings.Builder
 	b.WriteString("# Proofs\n\nPrinted by `go test -json ./... | go run ./cmd/proofs`: each fault at each step, and the tests of that run that prove it.\n")
-	proved, open, na := 0, 0, 0
+	proved, open, notApplicable := 0, 0, 0
 	var concern Concern
 	for _, c := range cells {
 		if c.Concern != concern {
@@ -82,12 +82,12 @@
 		case state == "proved":
 			proved++
 		case c.NotApplicable != "":
-			na++
+			notApplicable++
 		default:
 			open++
 		}
 		fmt.Fprintf(&b, "| %s | %s | %s | %s |\n", c.Fault, c.Step, state, strings.Join(c.Tests, ", "))
 	}
-	fmt.Fprintf(&b, "\n%d proved, %d not proved, %d not applicable.\n", proved, open, na)
+	fmt.Fprintf(&b, "\n%d proved, %d not proved, %d not applicable.\n", proved, open, notApplicable)
 	return b.String()
 }
--- a/internal/proof/page_test.go
+++ b/internal/proof/page_test.go
@@ -16,7 +16,7 @@
 {"Action":"skip","Test":"TestC"}
 `
 
-// TestStateNeedsAPassInTheRun keeps a cell open unless each of its tests ran and passed.
+// TestStateNeedsAPassInTheRun guards against cells that are shown as proved although one of their tests failed, was skipped or did not run.
 func TestStateNeedsAPassInTheRun(t *testing.T) {
 	run, err := proof.ReadResults(strings.NewReader(output))
 	require.NoError(t, err)
@@ -28,16 +28,16 @@
 	require.Contains(t, proof.Cell{Tests: []string{"TestA"}, Open: "half"}.State(run), "NOT PROVED: half")
 }
 
-// TestMatrixIsWellFormed refuses a cell that says two things, or none.
+// TestMatrixIsWellFormed guards against duplicate cells, and cells with contradictory or no information.
 func TestMatrixIsWellFormed(t *testing.T) {
 	seen := map[string]bool{}
 	for _, c := range proof.Matrix() {
 		key := string(c.Concern) + "|" + c.Fault + "|" + c.Step
-		require.False(t, seen[key], "%s stands twice", key)
+		require.False(t, seen[key], "duplicate cell %s", key)
 		seen[key] = true
 		require.NotEmpty(t, c.Fault)
 		require.NotEmpty(t, c.Step)
 		require.False(t, c.NotApplicable != "" && (c.Open != "" || len(c.Tests) > 0), key)
-		require.True(t, c.NotApplicable != "" || c.Open != "" || len(c.Tests) > 0, "%s says nothing", key)
+		require.True(t, c.NotApplicable != "" || c.Open != "" || len(c.Tests) > 0, "%s has no tests, reason or open point", key)
 	}
 }
--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -1,12 +1,12 @@
-// Package proof holds the fault matrix: each fault that the users name against each step of the work, with the
-// test that proves that it is handled, or the reason why there is none. `cmd/proofs` prints docs/PROOFS.md from
-// it and from the output of a test run, so that a cell counts as proved only when its tests passed in that run.
+// Package proof holds the fault matrix: for each fault that the users name and each step of the work, the test that proves that the fault is handled,
+// or the reason why there is none. `cmd/proofs` generates docs/PROOFS.md from the matrix and the output of a test run. A cell counts as proved only
+// if its tests passed in that run.
 package proof
 
-// Concern groups the cells of one matter.
+// Concern is a group of related cells.
 type Concern string
 
-// The concerns.
+// Concerns of the matrix.
 const (
 	Requests Concern = "requests"
 	Claims   Concern = "at most once"
@@ -23,18 +23,18 @@
 	Concern Concern
 	// Fault is what fails, in the users' words where they name it.
 	Fault string
-	// Step is when it fails.
+	// Step is the step at which it fails.
 	Step string
-	// Tests are names of top-level Go tests (TestX) or of subtests (TestX/case) that prove the cell. Empty when
-	// the cell is not proved or not applicable.
+	// Tests are the names of top-level Go tests (TestX) or of subtests (TestX/case) that prove the cell. It is empty if the cell is not proved or not
+	// applicable.
 	Tests []string
-	// NotApplicable says why the fault can't happen at the step; empty otherwise.
+	// NotApplicable is the reason why the fault can't happen at the step; otherwise empty.
 	NotApplicable string
-	// Open says what is missing when the cell is not proved.
+	// Open describes what is missing if the cell is not proved.
 	Open string
 }
 
-// Matrix returns every cell, in the order of the concerns.
+// Matrix returns all cells, ordered by concern.
 func Matrix() []Cell { return append(Product(), OnPlatform()...) }
 
 // Product returns the cells of the product's own path.
--- a/internal/proof/requests.go
+++ b/internal/proof/requests.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// requestSteps are the states of requests at which each fault is applied, as the test names them.
+// requestSteps are the states of requests in which each fault is applied, as the test names them.
 var requestSteps = []string{"before it is sent", "sent", "answering", "ending"}
 
-// wireFaults are what a network, or a process that is killed or stopped, does to a hop.
+// wireFaults are the faults that a network, or a process that is killed or stopped, causes on a hop.
 var wireFaults = []string{
 	"cut", "silent up", "silent down", "silent both ways", "half-open", "killed", "frozen", "frozen and resumed",
 }
@@ -14,10 +14,10 @@
 var requestHops = []string{"entry-agent", "agent-upstream"}
 
 // requestCells are the cells of the concern Requests.
-var requestCells = append(append(faultsAtStates(), answerCells...), lifeCells...)
+var requestCells = append(append(wireFaultCells(), answerCells...), lifecycleCells...)
 
-// faultsAtStates lists the cells of TestRequestsUnderFaults.
-func faultsAtStates() []Cell {
+// wireFaultCells returns the cells of TestRequestsUnderFaults.
+func wireFaultCells() []Cell {
 	var faults []string
 	for _, hop := range requestHops {
 		for _, f := range wireFaults {
@@ -35,7 +35,7 @@
 	return cells
 }
 
-// answerCells are the faults of answers.
+// answerCells are the cells of faulty answers.
 var answerCells = []Cell{
 	{Concern: Requests, Fault: "answer crossed, late, doubled, garbled or cut", Step: "between agent and entry", Tests: []string{"TestAnswersAreMatched"}},
 	{Concern: Requests, Fault: "answer cut or without an end", Step: "at the upstream", Tests: []string{"TestPlainAnswersAsTheyAre", "TestEngineStreamWithoutItsEndGoesOn"}},
@@ -46,8 +46,8 @@
 	{Concern: Requests, Fault: "kept connections silent", Step: "before it is sent", Tests: []string{"TestSilentIdleConnections"}},
 }
 
-// lifeCells are the other faults of a request's life.
-var lifeCells = []Cell{
+// lifecycleCells are the cells of the other faults in a request's lifecycle.
+var lifecycleCells = []Cell{
 	{Concern: Requests, Fault: "message late, doubled or reordered; agent restarted", Step: "any state at the agent", Tests: []string{"TestNotRunIsNeverReportedForStartedAttempt"}},
 	{Concern: Requests, Fault: "any event, late ones too", Step: "any state at the entry", Tests: []string{"TestEachRequestSettlesOnceWithTrueRunStatus"}},
 	{Concern: Requests, Fault: "two faults", Step: "any state", Tests: []string{"TestPairsOfFaults"}},
--- a/internal/proof/settings.go
+++ b/internal/proof/settings.go
@@ -1,6 +1,6 @@
 package proof
 
-// The steps of a setting's way.
+// Steps of a setting, from its acceptance to its use.
 const (
 	stepAccept = "an operator's change is accepted"
 	stepSpread = "the change spreads"
--- a/internal/proof/weights.go
+++ b/internal/proof/weights.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// weightSteps are when a fault comes in a burst, with the name that the tests give it.
+// weightSteps are the times in a burst at which a fault is injected. The suffix is part of the subtest's name.
 var weightSteps = []struct{ step, suffix string }{
 	{"before the first chunk", "0s"},
 	{"early in the transfer", "192ms"},
 	{"in the middle of the transfer", "960ms"},
 }
 
-// weightFaults are the faults that are met alone at each step and in all pairs, with further tests that show them.
+// weightFaults are the faults that are injected alone at each step and in all pairs, with further tests of each.
 var weightFaults = []struct {
-	fault string
-	more  []string
+	fault     string
+	moreTests []string
 }{
 	{"chunk corrupt once", []string{"TestCorruptChunkIsNotStored"}},
 	{"chunks always corrupt from one peer", []string{"TestCorruptPeerIsDistrusted"}},
@@ -45,13 +45,13 @@
 	{Concern: Weights, Fault: "neighbour does not answer", Step: "announcement", Tests: []string{"TestHelloIsRepeatedToASilentPeer"}},
 }...)
 
-// burstCells are each fault alone at each step, and with each other fault in the middle.
+// burstCells returns the cells of each fault alone at each step, and of each pair of faults.
 func burstCells() []Cell {
 	var cells []Cell
 	for i, f := range weightFaults {
 		name := strings.ReplaceAll(f.fault, " ", "_")
 		for _, s := range weightSteps {
-			tests := append([]string{"TestFaultAlone/" + name + "_at_" + s.suffix}, f.more...)
+			tests := append([]string{"TestFaultAlone/" + name + "_at_" + s.suffix}, f.moreTests...)
 			cells = append(cells, Cell{Concern: Weights, Fault: f.fault, Step: s.step, Tests: tests})
 		}
 		for _, other := range weightFaults[i+1:] {
