--- a/internal/house/house_test.go
+++ b/internal/house/house_test.go
@@ -1,4 +1,5 @@
-// Package house_test checks the house style over the whole repository: what go vet and staticcheck leave out.
+// Package house_test checks conventions of the whole repository that go vet and staticcheck don't cover: the length of files, doc comments, links
+// between pages, and paths that exist on one machine only.
 package house_test
 
 import (
@@ -18,11 +19,11 @@
 
 const (
 	root = "../.."
-	// maxLines bounds a file; a larger one has more than one job.
+	// maxLines is the maximum number of lines of a file. A longer one has more than one responsibility.
 	maxLines = 500
 )
 
-// files returns the repository's files whose names end in one of suffixes; none for all texts.
+// files returns the paths of the repository's files whose names end in one of the suffixes; without suffixes it returns all files.
 func files(t *testing.T, suffixes ...string) []string {
 	t.Helper()
 	var list []string
@@ -30,7 +31,7 @@
 		if err != nil {
 			return err
 		}
-		if d.IsDir() && (d.Name() == ".git" || path == filepath.Join(root, "target")) { // target holds what deploy/system.toml builds.
+		if d.IsDir() && (d.Name() == ".git" || path == filepath.Join(root, "target")) { // target holds the build results of deploy/system.toml.
 			return filepath.SkipDir
 		}
 		if d.Type().IsRegular() && d.Name() != "go.sum" && d.Name() != ".git" && hasSuffix(d.Name(), suffixes) {
@@ -59,13 +60,13 @@
 	return string(raw)
 }
 
-// report fails with one line for each violation.
+// report fails the test with one line for each violation.
 func report(t *testing.T, violations []string) {
 	t.Helper()
 	require.Empty(t, violations, "\n"+strings.Join(violations, "\n"))
 }
 
-// TestFilesAreShort finds files that have grown beyond one job.
+// TestFilesAreShort guards against files that have grown to more than one responsibility.
 func TestFilesAreShort(t *testing.T) {
 	var found []string
 	for _, path := range files(t, ".go", ".md", ".sh") {
@@ -76,8 +77,8 @@
 	report(t, found)
 }
 
-// TestEverythingPublicIsDocumented finds packages and exported items without a comment.
-func TestEverythingPublicIsDocumented(t *testing.T) {
+// TestPublicItemsAreDocumented guards against packages and exported items without a comment.
+func TestPublicItemsAreDocumented(t *testing.T) {
 	set := token.NewFileSet()
 	documented := map[string]bool{}
 	var found []string
@@ -118,7 +119,7 @@
 
 func undocumentedSpecs(d *ast.GenDecl) []string {
 	var names []string
-	above := "" // The last comment: it may name the items that stand right below its own, as in "Min and Max bound it".
+	previousDoc := "" // The previous comment: it may also name the items that follow its own item, as in "Min and Max bound it".
 	for _, spec := range d.Specs {
 		switch s := spec.(type) {
 		case *ast.TypeSpec:
@@ -127,34 +128,34 @@
 			}
 		case *ast.ValueSpec:
 			if s.Doc != nil {
-				above = s.Doc.Text()
+				previousDoc = s.Doc.Text()
 			}
-			names = append(names, undocumentedValues(d, s, above)...)
+			names = append(names, undocumentedValues(d, s, previousDoc)...)
 		}
 	}
 	return names
 }
 
-func undocumentedValues(d *ast.GenDecl, s *ast.ValueSpec, above string) []string {
+func undocumentedValues(d *ast.GenDecl, s *ast.ValueSpec, previousDoc string) []string {
 	if d.Doc != nil || s.Doc != nil || s.Comment != nil {
 		return nil
 	}
 	var names []string
 	for _, n := range s.Names {
-		if n.IsExported() && !strings.Contains(above, n.Name) {
+		if n.IsExported() && !strings.Contains(previousDoc, n.Name) {
 			names = append(names, n.Name)
 		}
 	}
 	return names
 }
 
-var link = regexp.MustCompile(`\[[^\]\n]*\]\(([^)\s]+)\)`)
+var linkPattern = regexp.MustCompile(`\[[^\]\n]*\]\(([^)\s]+)\)`)
 
-// TestLinksResolve follows each relative link of each page, with its heading.
+// TestLinksResolve guards against relative links to files or headings that don't exist.
 func TestLinksResolve(t *testing.T) {
 	var found []string
 	for _, path := range files(t, ".md") {
-		for _, m := range link.FindAllStringSubmatch(read(t, path), -1) {
+		for _, m := range linkPattern.FindAllStringSubmatch(read(t, path), -1) {
 			if strings.Contains(m[1], "://") {
 				continue
 			}
@@ -175,7 +176,7 @@
 	report(t, found)
 }
 
-// TestEveryPageIsListed finds each page below docs in its index.
+// TestEveryPageIsListed guards against pages below docs that the index doesn't link to.
 func TestEveryPageIsListed(t *testing.T) {
 	index := read(t, root+"/docs/README.md")
 	var found []string
@@ -188,7 +189,7 @@
 	report(t, found)
 }
 
-var notInAnchor = regexp.MustCompile(`[^a-z0-9 _-]`)
+var notInAnchorPattern = regexp.MustCompile(`[^a-z0-9 _-]`)
 
 func hasHeading(page, anchor string) bool {
 	for _, line := range strings.Split(page, "\n") {
@@ -196,7 +197,7 @@
 		if !isHeading || !strings.HasPrefix(line, "#") {
 			continue
 		}
-		text = notInAnchor.ReplaceAllString(strings.ToLower(text), "")
+		text = notInAnchorPattern.ReplaceAllString(strings.ToLower(text), "")
 		if strings.ReplaceAll(text, " ", "-") == anchor {
 			return true
 		}
@@ -204,18 +205,18 @@
 	return false
 }
 
-// places are parts of paths and names that hold on one machine only, or that name a registry of packages. They are
-// written in two parts here, so that this file is not found itself.
-var places = []string{
+// machineTexts are parts of paths that exist on one machine only, and names of package registries. Each is split into two literals so that the test
+// doesn't find it in this file.
+var machineTexts = []string{
 	"/wo" + "rk/", "/ro" + "ot/", "/ho" + "me/", "proxy.gol" + "ang", "sum.gol" + "ang", "goproxy" + ".io",
 	"registry." + "npmjs", "pypi" + ".org", "crates" + ".io", "docker" + ".io", "ghcr" + ".io",
 }
 
-// sourcesInJournal are copies of sources that were measured once and have left the tree, which the journal keeps as they were: a route of a
-// test that looked like a path, and the record of a property test's failure.
+// sourcesInJournal are copies of source files that the journal keeps unchanged although they have left the tree. One holds a test's route that looks
+// like such a path, the other the record of a failed property test.
 var sourcesInJournal = []string{"443d4471ffdfc85b.txt", "95f5e5ac71841068.txt"}
 
-// TestNoMachinePaths finds paths of one machine and names of registries in any text.
+// TestNoMachinePaths guards against paths of one machine and names of package registries in any file.
 func TestNoMachinePaths(t *testing.T) {
 	var found []string
 	for _, path := range files(t) {
@@ -223,7 +224,7 @@
 			continue
 		}
 		text := read(t, path)
-		for _, p := range places {
+		for _, p := range machineTexts {
 			if strings.Contains(text, p) {
 				found = append(found, path+": "+p)
 			}
