--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -101,6 +101,7 @@
 	require.Greater(t, e.accepted-before, 20, "at least half of the limit is used")
 }
 
+// TestCommandWritesTableCSVAndPlot guards against missing or empty output files, and against write errors that are not returned.
 func TestCommandWritesTableCSVAndPlot(t *testing.T) {
 	t.Parallel()
 	rows := Compare(Streams(), []Pattern{pattern(t, "calm")}, Variants()[:2], 1, 2, func() {})
