--- a/internal/soak/notices_test.go
+++ b/internal/soak/notices_test.go
@@ -9,62 +9,69 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// The users' rules on what upstreams say of themselves: how long after the first word they begin to hold, how long after the word that an entry
-// passed on they hold for it, and what they allow.
+// The users' rules on what upstreams report about themselves.
 const (
-	limitFrom    = 3 * time.Second
-	limitHeard   = 500 * time.Millisecond
-	limitWindow  = 4 * time.Second
-	limitFactor  = 1.5
-	limitExtra   = 5
-	drainTime    = 2 * time.Second
-	restGrace    = 500 * time.Millisecond
-	restExtra    = 2
-	contactAfter = 3 * time.Second
+	// All entries together keep an upstream's limit from limitEffectDelay after the upstream first sent it. A single entry keeps it from
+	// limitEntryDelay after it has passed on a response with the limit. In any limitWindow, the upstream may get limitOvershoot times
+	// the limit, and limitSlack requests more.
+	limitEffectDelay = 3 * time.Second
+	limitEntryDelay  = 500 * time.Millisecond
+	limitWindow      = 4 * time.Second
+	limitOvershoot   = 1.5
+	limitSlack       = 5
+	// drainDelay is the time after which an entry that has passed on a response of a draining upstream sends it no more requests.
+	drainDelay = 2 * time.Second
+	// From backoffGrace after an upstream has requested a backoff from an entry until its end, the entry sends it at most
+	// backoffMaxRequests requests.
+	backoffGrace       = 500 * time.Millisecond
+	backoffMaxRequests = 2
+	// contactGrace is the time after a disruption of an entry or of its connections in which the entry is not held to a rule.
+	contactGrace = 3 * time.Second
 )
 
-// span is a time in which something was disturbed.
+// span is the time of a disruption.
 type span struct{ from, to time.Time }
 
-// between tells whether any of some spans touches the time from a to b.
-func between(list []span, a, b time.Time) bool {
+// overlaps reports whether any span of a list overlaps the time from a to b.
+func overlaps(list []span, a, b time.Time) bool {
 	return slices.ContainsFunc(list, func(s span) bool { return s.from.Before(b) && s.to.After(a) })
 }
 
-// episode is a time in which an upstream says something of itself.
-type episode struct {
+// noticePeriod is a time in which an upstream sends a notice.
+type noticePeriod struct {
 	span
 	upstream int
 	notice   standin.Notice
-	// limit is the one that it names.
+	// limit is the rate limit in the notice, in requests per second.
 	limit float64
 }
 
-// told is that an entry passed on an answer in which an upstream says something of itself.
-type told struct {
+// noticeReceipt records that an entry passed on a response that contains an upstream's notice.
+type noticeReceipt struct {
 	entry, upstream int
 	at              time.Time
 }
 
-// notices is what upstreams said, and who was told.
+// notices records what upstreams reported and which entries passed it on.
 type notices struct {
-	episodes         []episode
-	limited, leaving []told
+	noticePeriods                []noticePeriod
+	limitReceipts, drainReceipts []noticeReceipt
 }
 
-// entryHeader and sentHeader hold the entry that a request was sent to and when, in nanoseconds; they are passed on to upstreams.
+// entryHeader holds the index of the entry that a request was sent to. sentHeader holds the time of sending, in nanoseconds since the Unix
+// epoch. Entries forward both headers to upstreams.
 const (
 	entryHeader = "Soak-Entry"
 	sentHeader  = "Soak-Sent"
 )
 
-func marked(entry int, sent time.Time) http.Header {
+func requestHeader(entry int, sent time.Time) http.Header {
 	return http.Header{entryHeader: {strconv.Itoa(entry)}, sentHeader: {strconv.FormatInt(sent.UnixNano(), 10)}}
 }
 
-// entryAt is the number of the entry at an address.
-func (s *soak) entryAt(address string) int {
-	if i := slices.Index(s.fronts, address); i >= 0 {
+// entryIndex returns the index of the entry that is reached at an address, or -1.
+func (s *soak) entryIndex(address string) int {
+	if i := slices.Index(s.proxiedEntries, address); i >= 0 {
 		return i
 	}
 	for i, host := range s.hosts {
@@ -75,58 +82,58 @@
 	return -1
 }
 
-// noteTold remembers what an answer says of its upstream. It is called with the lock held.
-func (s *soak) noteTold(entry int, r standin.Reply) {
+// recordNotices records what a response reports about its upstream. The caller holds the lock.
+func (s *soak) recordNotices(entry int, r standin.Reply) {
 	upstream := slices.IndexFunc(s.upstreams, func(u *standin.Upstream) bool { return r.Seal == "seal-of-"+u.ID })
-	t := told{entry: entry, upstream: upstream, at: time.Now()}
+	t := noticeReceipt{entry: entry, upstream: upstream, at: time.Now()}
 	if r.Limited {
-		s.limited = append(s.limited, t)
+		s.limitReceipts = append(s.limitReceipts, t)
 	}
 	if r.Leaving {
-		s.leaving = append(s.leaving, t)
+		s.drainReceipts = append(s.drainReceipts, t)
 	}
 }
 
-// nonsense is what no upstream means.
-var nonsense = []string{"many", "-1", "NaN", "1e999", ""}
+// malformedLimits are values of the limit header that are not valid limits; entries must ignore them.
+var malformedLimits = []string{"many", "-1", "NaN", "1e999", ""}
 
-// sayUntil has every step-th upstream from first on say something of itself, one after the other, until a time. Limits last until their rule has
-// held for a while.
-func (s *striker) sayUntil(end time.Time, first, step int) {
+// announceUntil makes upstreams send notices, one after the other, until a time. It draws from every step-th upstream, starting at the
+// index first. A limit lasts for limitEffectDelay and one limitWindow, so that it can be checked.
+func (s *injector) announceUntil(end time.Time, first, step int) {
 	for time.Now().Before(end) {
 		i := first + step*s.random.IntN((len(s.upstreams)-first+step-1)/step)
 		switch s.random.IntN(4) {
 		case 0:
 			limit := float64(s.random.IntN(40)) / 4
 			text := strconv.FormatFloat(limit, 'f', -1, 64)
-			s.say(i, limit, standin.Notice{Limit: text}, min(time.Until(end), limitFrom+limitWindow))
+			s.announce(i, limit, standin.Notice{Limit: text}, min(time.Until(end), limitEffectDelay+limitWindow))
 		case 1:
 			if s.upstreams[i].Weights != nil {
-				s.leave(i, min(time.Until(end), 2*drainTime))
+				s.drainAndRestart(i, min(time.Until(end), 2*drainDelay))
 			}
 		case 2:
-			rest := time.Duration(500+s.random.IntN(3000)) * time.Millisecond
-			s.say(i, 0, standin.Notice{Rest: rest}, 200*time.Millisecond)
+			backoff := time.Duration(500+s.random.IntN(3000)) * time.Millisecond
+			s.announce(i, 0, standin.Notice{Rest: backoff}, 200*time.Millisecond)
 		default:
-			s.say(i, 0, standin.Notice{Limit: pick(s, nonsense)}, time.Second)
+			s.announce(i, 0, standin.Notice{Limit: pick(s, malformedLimits)}, time.Second)
 		}
 		s.pause()
 	}
 }
 
-// say has an upstream say something for a while.
-func (s *striker) say(upstream int, limit float64, n standin.Notice, d time.Duration) {
+// announce makes an upstream send a notice for the duration d.
+func (s *injector) announce(upstream int, limit float64, n standin.Notice, d time.Duration) {
 	from := time.Now()
 	s.upstreams[upstream].Say(n)
 	time.Sleep(max(0, d))
 	s.upstreams[upstream].Say(standin.Notice{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.episodes = append(s.episodes, episode{span: span{from: from, to: time.Now()}, upstream: upstream, notice: n, limit: limit})
+	s.noticePeriods = append(s.noticePeriods, noticePeriod{span: span{from: from, to: time.Now()}, upstream: upstream, notice: n, limit: limit})
 }
 
-// leave has an engine say that it leaves, and start again under its id a while later.
-func (s *striker) leave(upstream int, d time.Duration) {
+// drainAndRestart makes an engine report that it is draining, and restarts it under the same id after the duration d.
+func (s *injector) drainAndRestart(upstream int, d time.Duration) {
 	u, from := s.upstreams[upstream], time.Now()
 	u.Say(standin.Notice{Leaving: true})
 	time.Sleep(max(0, d))
@@ -135,14 +142,14 @@
 	u.Say(standin.Notice{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.episodes = append(s.episodes, episode{span: span{from: from, to: to}, upstream: upstream, notice: standin.Notice{Leaving: true}})
+	s.noticePeriods = append(s.noticePeriods, noticePeriod{span: span{from: from, to: to}, upstream: upstream, notice: standin.Notice{Leaving: true}})
 }
 
 // arrival is a request that reached an upstream.
 type arrival struct {
 	standin.Arrival
 	entry int
-	// sent is when its caller sent it.
+	// sent is when the caller sent the request.
 	sent time.Time
 }
 
@@ -158,40 +165,41 @@
 	return list
 }
 
-// settleNotices checks that entries heeded what upstreams said of themselves.
-func (s *soak) settleNotices() {
+// verifyNotices checks that entries complied with the notices of upstreams.
+func (s *soak) verifyNotices() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	checked := map[string]int{}
 	for i, u := range s.upstreams {
 		arrivals := arrivalsAt(u)
-		checked["rest"] += s.checkRests(i, arrivals)
-		for _, e := range s.episodes {
+		checked["rest"] += s.checkBackoffs(i, arrivals)
+		for _, e := range s.noticePeriods {
 			switch {
 			case e.upstream != i:
 			case e.notice.Leaving:
-				checked["leaving"] += s.checkLeaving(e, arrivals)
-			case e.notice.Limit != "" && !slices.Contains(nonsense, e.notice.Limit):
+				checked["leaving"] += s.checkDraining(e, arrivals)
+			case e.notice.Limit != "" && !slices.Contains(malformedLimits, e.notice.Limit):
 				checked["limit"] += s.checkLimit(e, arrivals)
 			}
 		}
 	}
-	s.t.Logf("%d episodes; requests looked at: %v", len(s.episodes), checked)
+	s.t.Logf("%d notice periods; requests checked: %v", len(s.noticePeriods), checked)
 }
 
-// checkLeaving finds requests that reached an upstream which had told their entry long before that it leaves. Only an end or a standstill of the
-// entry since then excuses it. It returns how many requests it looked at.
-func (s *soak) checkLeaving(e episode, arrivals []arrival) int {
+// checkDraining reports an error for each request that was sent through an entry more than drainDelay after the entry had passed on that
+// the upstream is draining. The only excuse is that the entry was restarted or stopped since then. It returns the number of requests
+// that it checked.
+func (s *soak) checkDraining(e noticePeriod, arrivals []arrival) int {
 	looked := 0
 	for _, a := range arrivals {
 		if a.At.Before(e.from) || a.At.After(e.to) {
 			continue
 		}
 		looked++
-		for _, t := range s.leaving {
-			if t.upstream == e.upstream && t.entry == a.entry && t.at.After(e.from) && t.at.Before(a.sent.Add(-drainTime)) &&
-				!between(s.entries[a.entry].disturbed, t.at, a.At) {
-				s.t.Errorf("DRAIN: a request reached %s %v after an answer had told entry %d that it leaves", s.upstreams[e.upstream].ID, a.At.Sub(t.at), a.entry)
+		for _, t := range s.drainReceipts {
+			if t.upstream == e.upstream && t.entry == a.entry && t.at.After(e.from) && t.at.Before(a.sent.Add(-drainDelay)) &&
+				!overlaps(s.entries[a.entry].disruptions, t.at, a.At) {
+				s.t.Errorf("DRAIN: a request reached %s %v after entry %d had received a response that reported draining", s.upstreams[e.upstream].ID, a.At.Sub(t.at), a.entry)
 				break
 			}
 		}
@@ -199,34 +207,35 @@
 	return looked
 }
 
-// checkRests bounds the requests from an entry to an upstream between half a second after it asked that entry for rest and the end of that time, or of
-// its life.
-func (s *soak) checkRests(upstream int, arrivals []arrival) int {
+// checkBackoffs bounds the requests that an entry sends to an upstream instance which has requested a backoff from this entry. It counts
+// from backoffGrace after the request for the backoff until the end of the backoff. It returns the number of backoffs that it checked.
+func (s *soak) checkBackoffs(upstream int, arrivals []arrival) int {
 	looked := 0
-	for _, asked := range arrivals {
-		end := asked.At.Add(asked.Rest)
-		if asked.Rest == 0 || between(s.entries[asked.entry].disturbed, asked.At, end) || between(s.before[upstream].harmed, asked.At.Add(-contactAfter), end) {
+	for _, trigger := range arrivals {
+		end := trigger.At.Add(trigger.Rest)
+		if trigger.Rest == 0 || overlaps(s.entries[trigger.entry].disruptions, trigger.At, end) || overlaps(s.upstreamProxies[upstream].disruptions, trigger.At.Add(-contactGrace), end) {
 			continue
 		}
 		n := 0
 		for _, a := range arrivals {
-			if a.entry == asked.entry && a.Life == asked.Life && a.At.After(asked.At.Add(restGrace)) && a.At.Before(end) {
+			if a.entry == trigger.entry && a.Life == trigger.Life && a.At.After(trigger.At.Add(backoffGrace)) && a.At.Before(end) {
 				n++
 			}
 		}
 		looked++
-		if n > restExtra {
-			s.t.Errorf("BUDGET: %s had asked entry %d for %v of rest and got %d requests from it", s.upstreams[upstream].ID, asked.entry, asked.Rest, n)
+		if n > backoffMaxRequests {
+			s.t.Errorf("BUDGET: %s requested a backoff from entry %d for %v but received %d requests from it", s.upstreams[upstream].ID, trigger.entry, trigger.Rest, n)
 		}
 	}
 	return looked
 }
 
-// checkLimit bounds the requests that reach an upstream which names a limit, from entries that it has told and that were not disturbed of late.
-func (s *soak) checkLimit(e episode, arrivals []arrival) int {
+// checkLimit bounds the requests that reach an upstream while it sends a limit. It counts only requests for which mustKeepLimit holds, and
+// returns their number.
+func (s *soak) checkLimit(e noticePeriod, arrivals []arrival) int {
 	var counted []time.Time
 	for _, a := range arrivals {
-		if !a.At.Before(e.from) && !a.At.After(e.to) && s.bound(e, a) {
+		if !a.At.Before(e.from) && !a.At.After(e.to) && s.mustKeepLimit(e, a) {
 			counted = append(counted, a.At)
 		}
 	}
@@ -235,22 +244,22 @@
 		for counted[first].Before(at.Add(-limitWindow)) {
 			first++
 		}
-		if n := i - first + 1; at.After(e.from.Add(limitFrom)) && float64(n) > limitFactor*e.limit*limitWindow.Seconds()+limitExtra {
-			s.t.Errorf("LIMIT: %s had named a limit of %v a second and got %d requests in %v", s.upstreams[e.upstream].ID, e.limit, n, limitWindow)
+		if n := i - first + 1; at.After(e.from.Add(limitEffectDelay)) && float64(n) > limitOvershoot*e.limit*limitWindow.Seconds()+limitSlack {
+			s.t.Errorf("LIMIT: %s reported a limit of %v requests per second but received %d requests in %v", s.upstreams[e.upstream].ID, e.limit, n, limitWindow)
 			return len(counted)
 		}
 	}
 	return len(counted)
 }
 
-// bound tells whether a request's entry had to keep the limit.
-func (s *soak) bound(e episode, a arrival) bool {
-	disturbed := s.entries[a.entry].disturbed
-	if between(disturbed, a.At.Add(-contactAfter), a.At) || between(s.before[e.upstream].harmed, a.At.Add(-contactAfter), a.At) {
+// mustKeepLimit reports whether the entry that sent a request knew the limit and was not disrupted recently.
+func (s *soak) mustKeepLimit(e noticePeriod, a arrival) bool {
+	disruptions := s.entries[a.entry].disruptions
+	if overlaps(disruptions, a.At.Add(-contactGrace), a.At) || overlaps(s.upstreamProxies[e.upstream].disruptions, a.At.Add(-contactGrace), a.At) {
 		return false
 	}
-	return slices.ContainsFunc(s.limited, func(t told) bool {
-		return t.upstream == e.upstream && t.entry == a.entry && t.at.After(e.from) && t.at.Before(a.At.Add(-limitHeard)) &&
-			!between(disturbed, t.at, a.At)
+	return slices.ContainsFunc(s.limitReceipts, func(t noticeReceipt) bool {
+		return t.upstream == e.upstream && t.entry == a.entry && t.at.After(e.from) && t.at.Before(a.At.Add(-limitEntryDelay)) &&
+			!overlaps(disruptions, t.at, a.At)
 	})
 }
--- a/internal/soak/places_test.go
+++ b/internal/soak/places_test.go
@@ -11,52 +11,54 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// The users' rules on places: how long after the store's word an evacuation holds, and what a cold upstream may get in a second.
+// The users' rules on data centres.
 const (
-	evacuationTime = 5 * time.Second
-	coldRate       = 12
-	coldOvershoot  = 1.5
-	coldExtra      = 5
-	// coldHeard is how long after an upstream told the store that it is cold the bound is checked: a change is read within half a second, or by
-	// a question of two.
-	coldHeard = 2500 * time.Millisecond
-	coldFor   = standin.ColdTime
+	// evacuationDelay is the time from when an evacuation can be read from the store until no request may reach the data centre any more.
+	evacuationDelay = 5 * time.Second
+	// A cold upstream is limited to coldRate requests per second. In any second it may get coldOvershoot times as many, and coldSlack more.
+	coldRate      = 12
+	coldOvershoot = 1.5
+	coldSlack     = 5
+	// coldEffectDelay is the time from when an upstream is registered as cold in the store until the limit is checked. A process reads a
+	// change within half a second, or with a read request that takes up to two seconds.
+	coldEffectDelay = 2500 * time.Millisecond
+	coldDuration    = standin.ColdTime
 )
 
 const (
-	// placesHosts and placesSeconds are how many hosts of each kind the run has, one in each data centre, and how long it lasts in CI.
+	// placesHosts is the number of hosts of each kind, one in each data centre. placesSeconds is the duration of the run in CI, in seconds.
 	placesHosts   = 3
 	placesSeconds = 20
-	// homeKey is the key of an account that is bound to a region, and homePath a route that is bound to another.
+	// homeKey is the API key of a client account that is bound to a region, and homePath is a route that is bound to another region.
 	homeKey  = "key-home"
 	homePath = "/bound/1"
-	// homeHeader marks the requests of a caller of the bound route.
+	// homeHeader marks requests to the bound route.
 	homeHeader = "Soak-Home"
-	// homeRegion binds the route, accountRegion the account.
+	// homeRegion is the home region of the route, and accountRegion that of the account.
 	homeRegion    = "pilbara"
 	accountRegion = "southwest"
 	homeAccount   = "resident"
 )
 
-// placesSeeds are played each time: two first ones, and each that ever failed, with a line on the cause.
+// placesSeeds run in CI: two first seeds, and each seed that ever failed, with the cause of the failure.
 var placesSeeds = []uint64{1, 2}
 
-// placesSoak is a run with a host of each kind in each data centre.
+// placesSoak is a run with one host of each kind in each data centre.
 type placesSoak struct {
 	*soak
-	// evacuated and cold are the times in which a data centre was evacuated, or a plain upstream was cold.
+	// evacuated holds the times in which a data centre was evacuated, and cold those in which a plain upstream was cold.
 	evacuated, cold map[string][]span
 }
 
 func newPlacesSoak(t *testing.T) *placesSoak {
 	s := &soak{t: t, fleet: standin.NewFleet(t), version: 1, places: []string{"perth-a", "karratha-a", "bunbury-a"}}
-	s.fleet.EvacuationTime, s.fleet.ColdPerS = evacuationTime, coldRate
+	s.fleet.EvacuationTime, s.fleet.ColdPerS = evacuationDelay, coldRate
 	s.fleet.AddHomeRoute("/bound/", homeRegion)
 	s.tenants = []map[string]any{standin.BoundTenant(homeAccount, homeKey, accountRegion)}
 	return &placesSoak{soak: startSoak(t, placesHosts, s), evacuated: map[string][]span{}, cold: map[string][]span{}}
 }
 
-// homeCallers ask for what is bound to a region until stop is closed.
+// homeCallers starts callers that send requests of the bound account and to the bound route, until stop is closed.
 func (s *placesSoak) homeCallers(stop <-chan struct{}, done *sync.WaitGroup) {
 	for i, host := range s.hosts {
 		for k, q := range []standin.Request{{Path: homePath}, {Path: "/again/1", Key: homeKey}, {Path: "/once/1", Key: homeKey}, {Path: "/stream/1", Key: homeKey}, {Path: homePath, Key: homeKey}} {
@@ -75,30 +77,30 @@
 	}
 }
 
-// order plays the operator and the upstreams that turn cold until a time.
-func (s *placesSoak) order(striker *striker, end time.Time) {
-	for turn := striker.random.IntN(2); time.Now().Before(end); turn++ {
+// operateUntil evacuates data centres, as an operator does, and turns upstreams cold, in turn, until a time.
+func (s *placesSoak) operateUntil(injector *injector, end time.Time) {
+	for round := injector.random.IntN(2); time.Now().Before(end); round++ {
 		from := time.Now()
-		if turn%2 == 0 {
-			place := pick(striker, s.places)
+		if round%2 == 0 {
+			place := pick(injector, s.places)
 			s.fleet.Evacuate(place)
 			time.Sleep(min(time.Until(end), 7*time.Second))
 			s.fleet.EndEvacuation(place)
 			s.evacuated[place] = append(s.evacuated[place], span{from: from, to: time.Now()})
 		} else {
-			desk := fmt.Sprintf("i-desk-%d", striker.random.IntN(placesHosts))
-			s.fleet.TurnCold(desk)
-			time.Sleep(coldFor)
-			s.fleet.Warm(desk)
-			s.cold[desk] = append(s.cold[desk], span{from: from, to: from.Add(coldFor)})
+			service := fmt.Sprintf("i-desk-%d", injector.random.IntN(placesHosts))
+			s.fleet.TurnCold(service)
+			time.Sleep(coldDuration)
+			s.fleet.Warm(service)
+			s.cold[service] = append(s.cold[service], span{from: from, to: from.Add(coldDuration)})
 		}
-		striker.pause()
+		injector.pause()
 	}
 }
 
-// reachable is from when on, after a moment and as of a later one, the store could be reached without a break.
-func (s *placesSoak) reachable(from, by time.Time) time.Time {
-	for _, away := range s.storeAway {
+// storeReachableSince returns the end of the last store outage between two times, or from if there was none.
+func (s *placesSoak) storeReachableSince(from, by time.Time) time.Time {
+	for _, away := range s.storeOutages {
 		if away.from.Before(by) && away.to.After(from) {
 			from = away.to
 		}
@@ -106,28 +108,28 @@
 	return from
 }
 
-// settlePlaces checks what reached the upstreams against the homes, the evacuations and the cold times.
-func (s *placesSoak) settlePlaces() {
+// verifyPlaces checks the requests that reached the upstreams against the home regions, the evacuations and the limits of cold upstreams.
+func (s *placesSoak) verifyPlaces() {
 	homes, evacuated, cold := 0, 0, 0
 	for i, u := range s.upstreams {
-		place := s.places[(i/2)%len(s.places)] // A plain upstream and an engine stand in each, one after the other.
+		place := s.places[(i/2)%len(s.places)] // Each data centre has a plain upstream followed by an engine.
 		var coldArrivals []time.Time
 		for _, a := range arrivalsAt(u) {
-			account, bound := a.Account() == homeAccount, a.Header.Get(homeHeader) != ""
-			if account || bound {
+			account, boundRoute := a.Account() == homeAccount, a.Header.Get(homeHeader) != ""
+			if account || boundRoute {
 				homes++
 			}
-			if account && standin.Places[place] != accountRegion || bound && standin.Places[place] != homeRegion {
-				s.t.Errorf("HOME: a request of account %v, route %v reached %s", account, bound, place)
+			if account && standin.Places[place] != accountRegion || boundRoute && standin.Places[place] != homeRegion {
+				s.t.Errorf("HOME: a request of account %v, route %v reached %s", account, boundRoute, place)
 			}
 			for _, e := range s.evacuated[place] {
-				if a.At.After(s.reachable(e.from, a.At).Add(evacuationTime)) && a.At.Before(e.to) && !between(s.entries[a.entry].disturbed, e.from, a.At) {
+				if a.At.After(s.storeReachableSince(e.from, a.At).Add(evacuationDelay)) && a.At.Before(e.to) && !overlaps(s.entries[a.entry].disruptions, e.from, a.At) {
 					s.t.Errorf("EVAC: a request reached %s in %s %v after its evacuation", u.ID, place, a.At.Sub(e.from))
 				}
 				evacuated++
 			}
 			for _, e := range s.cold[u.ID] {
-				if a.At.After(s.reachable(e.from, a.At).Add(coldHeard)) && a.At.Before(e.to) {
+				if a.At.After(s.storeReachableSince(e.from, a.At).Add(coldEffectDelay)) && a.At.Before(e.to) {
 					coldArrivals = append(coldArrivals, a.At)
 				}
 			}
@@ -138,38 +140,38 @@
 			for coldArrivals[first].Before(at.Add(-time.Second)) {
 				first++
 			}
-			require.LessOrEqual(s.t, float64(k-first+1), coldOvershoot*coldRate+coldExtra, "FAILBACK: %s", u.ID)
+			require.LessOrEqual(s.t, float64(k-first+1), coldOvershoot*coldRate+coldSlack, "FAILBACK: %s", u.ID)
 		}
 	}
-	s.t.Logf("%d requests with homes, %d looked at for evacuations, %d at cold upstreams", homes, evacuated, cold)
+	s.t.Logf("%d requests bound to a home region, %d checked against evacuations, %d at cold upstreams", homes, evacuated, cold)
 	require.Positive(s.t, homes)
 	require.Positive(s.t, evacuated)
 }
 
-// TestSoakPlaces guards against requests that leave their homes, that reach a data centre which is being evacuated, or that are too many for a cold
-// upstream, beside faults of processes and of the store that spare all entries but the last.
+// TestSoakPlaces guards against requests that are routed outside their home region or to an evacuated data centre, and against more
+// requests than a cold upstream may get. Meanwhile faults of processes and of the store occur, which spare all entries but the last.
 func TestSoakPlaces(t *testing.T) {
-	seconds := numberFrom(t, secondsVariable, placesSeconds)
-	for _, seed := range seedsOf(t, placesSeeds) {
+	seconds := intFromEnv(t, secondsVariable, placesSeconds)
+	for _, seed := range seedsToRun(t, placesSeeds) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			s := newPlacesSoak(t)
 			stop := make(chan struct{})
-			var done, strikers sync.WaitGroup
+			var done, injectors sync.WaitGroup
 			s.callers(stop, &done)
 			s.homeCallers(stop, &done)
 			end := time.Now().Add(time.Duration(seconds) * time.Second)
-			around := s.striker(seed, seed, 0, 0)
-			strikers.Go(func() {
+			sparing := s.newInjector(seed, seed, 0, 0)
+			injectors.Go(func() {
 				for time.Now().Before(end) {
-					around.strikeAround()
+					sparing.injectFaultSparingEntries()
 				}
 			})
-			strikers.Go(func() { s.order(s.striker(seed, seed+1, 0, 0), end) })
-			strikers.Wait()
+			injectors.Go(func() { s.operateUntil(s.newInjector(seed, seed+1, 0, 0), end) })
+			injectors.Wait()
 			close(stop)
 			done.Wait()
-			s.settle()
-			s.settlePlaces()
+			s.verify()
+			s.verifyPlaces()
 		})
 	}
 }
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -12,24 +12,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// process is one process of the product. As on the platform it is started again when it has ended.
+// process is one process of the product. As on the platform, it is restarted after it has exited.
 type process struct {
 	t        *testing.T
 	role     string
 	settings string
 
-	// turn is held by who ends or stops the process for a while.
-	turn sync.Mutex
+	// disruptMu is held while the process is terminated or stopped, so that only one such fault is in progress.
+	disruptMu sync.Mutex
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// launches counts its lives.
-	launches int
-	// disturbed are the times in which it was ended or stood still.
-	disturbed []span
-	// done is closed when the process has ended; ending is set while that is meant.
-	done   chan struct{}
-	ending bool
+	// starts counts the instances of the process.
+	starts int
+	// disruptions are the times in which the process was terminated and restarted, or stopped.
+	disruptions []span
+	// done is closed when the process has exited; terminating is set while its exit is expected.
+	done        chan struct{}
+	terminating bool
 }
 
 func (p *process) start() {
@@ -38,25 +38,25 @@
 	p.launch()
 }
 
-// launch starts the process. It is called with the lock held.
+// launch starts the process. The caller holds the lock.
 func (p *process) launch() {
 	p.cmd = exec.Command(os.Args[0], p.role, "-boot", p.settings)
-	p.cmd.Env = append(os.Environ(), asProcess+"=1")
+	p.cmd.Env = append(os.Environ(), productVariable+"=1")
 	if dir := os.Getenv(logsVariable); dir != "" {
 		require.NoError(p.t, os.MkdirAll(dir, 0o750))
 		log, err := os.OpenFile(filepath.Join(dir, filepath.Base(p.settings)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		require.NoError(p.t, err)
-		defer func() { _ = log.Close() }() // The process has its own.
+		defer func() { _ = log.Close() }() // The process has its own file descriptor.
 		p.cmd.Stdout = log
 	}
 	require.NoError(p.t, p.cmd.Start())
-	p.launches++
+	p.starts++
 	p.done = make(chan struct{})
 	go p.wait(p.cmd, p.done)
 }
 
-// wait starts the process again when a signal to reload ended it, which happens in the first moments of a process, before the program
-// runs. An end of any other kind is a fault.
+// wait restarts the process if SIGHUP, the signal to reload, terminated it. That happens if the signal arrives right after the start,
+// before the program has installed its handler. Any other unexpected exit fails the test.
 func (p *process) wait(cmd *exec.Cmd, done chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
@@ -64,70 +64,72 @@
 	close(done)
 	status, known := cmd.ProcessState.Sys().(syscall.WaitStatus)
 	switch {
-	case p.ending:
+	case p.terminating:
 	case known && status.Signaled() && status.Signal() == syscall.SIGHUP:
-		p.disturbed = append(p.disturbed, span{from: time.Now(), to: time.Now()})
+		p.disruptions = append(p.disruptions, span{from: time.Now(), to: time.Now()})
 		p.launch()
 	default:
-		p.t.Errorf("%s ended by itself: %v", p.role, err)
+		p.t.Errorf("%s exited unexpectedly: %v", p.role, err)
 	}
 }
 
 func (p *process) signal(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.cmd.Process.Signal(s) // One that has just ended needs no signal.
+	_ = p.cmd.Process.Signal(s) // Fails only if the process has just exited, and then no signal is needed.
 }
 
-// end ends the process with a signal and starts it again.
-func (p *process) end(s os.Signal) {
-	p.turn.Lock()
-	defer p.turn.Unlock()
-	defer p.note(time.Now())
-	<-p.endBy(s)
+// terminateAndRestart terminates the process with a signal and starts it again.
+func (p *process) terminateAndRestart(s os.Signal) {
+	p.disruptMu.Lock()
+	defer p.disruptMu.Unlock()
+	defer p.recordDisruption(time.Now())
+	<-p.beginTermination(s)
 	p.restart()
 }
 
 func (p *process) restart() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ending = false
+	p.terminating = false
 	p.launch()
 }
 
-// note remembers that the process was disturbed since a moment.
-func (p *process) note(from time.Time) {
+// recordDisruption records that the process was disrupted from a time until now.
+func (p *process) recordDisruption(from time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.disturbed = append(p.disturbed, span{from: from, to: time.Now()})
+	p.disruptions = append(p.disruptions, span{from: from, to: time.Now()})
 }
 
-func (p *process) endBy(s os.Signal) (done chan struct{}) {
+// beginTermination sends a signal that is meant to terminate the process, and returns a channel that is closed when it has exited.
+func (p *process) beginTermination(s os.Signal) (done chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ending = true
-	_ = p.cmd.Process.Signal(s) // One that has just ended needs no signal.
+	p.terminating = true
+	_ = p.cmd.Process.Signal(s) // Fails only if the process has just exited, and then no signal is needed.
 	return p.done
 }
 
+// stop kills the process for good. SIGCONT comes first in case the process is stopped.
 func (p *process) stop() {
 	p.signal(syscall.SIGCONT)
-	<-p.endBy(syscall.SIGKILL)
+	<-p.beginTermination(syscall.SIGKILL)
 }
 
-// freeze stops the process for a while.
+// freeze stops the process with SIGSTOP until pause returns.
 func (p *process) freeze(pause func()) {
-	p.turn.Lock()
-	defer p.turn.Unlock()
-	defer p.note(time.Now())
+	p.disruptMu.Lock()
+	defer p.disruptMu.Unlock()
+	defer p.recordDisruption(time.Now())
 	p.signal(syscall.SIGSTOP)
 	pause()
 	p.signal(syscall.SIGCONT)
 }
 
-// lives counts how often the process was started.
-func (p *process) lives() int {
+// instances returns how often the process was started.
+func (p *process) instances() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.launches
+	return p.starts
 }
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -10,36 +10,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// proxy stands on loopback between a process and what it talks to, and harms their connections.
+// proxy forwards TCP connections from a process to a target on loopback, and injects connection faults.
 type proxy struct {
 	listener net.Listener
 	target   string
 
-	mu    sync.Mutex
-	pairs map[*pair]bool
-	// harmed are the times in which its connections were harmed.
-	harmed []span
-	// delay holds up each part; refuse cuts new connections; to and from lose what goes to the target or comes from it.
-	delay            time.Duration
-	refuse, to, from bool
+	mu          sync.Mutex
+	connections map[*connPair]bool
+	// disruptions are the times in which a connection fault was injected.
+	disruptions []span
+	// delay is added to each write; refuse resets new connections. loseToTarget and loseFromTarget discard the data sent to the target or
+	// received from it.
+	delay                                time.Duration
+	refuse, loseToTarget, loseFromTarget bool
 }
 
-// pair is a connection with the one to the target that belongs to it.
-type pair struct {
-	near, far net.Conn
-	// silent is set when the connection carries nothing any more, without a word to either side.
+// connPair is an accepted connection and the connection to the target that it is forwarded to.
+type connPair struct {
+	clientConn, targetConn net.Conn
+	// silent is set when the proxy discards all further data, without closing either connection.
 	silent bool
 }
 
-// newProxy starts a proxy at an address for a target.
+// newProxy starts a proxy that listens on an address and forwards to a target, until the end of the test.
 func newProxy(t *testing.T, address, target string) *proxy {
 	l, err := net.Listen("tcp", address)
 	require.NoError(t, err)
-	p := &proxy{listener: l, target: target, pairs: map[*pair]bool{}}
+	p := &proxy{listener: l, target: target, connections: map[*connPair]bool{}}
 	go p.accept()
 	t.Cleanup(func() {
 		_ = l.Close()
-		p.reset()
+		p.resetAll()
 	})
 	return p
 }
@@ -48,130 +49,130 @@
 
 func (p *proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		clientConn, err := p.listener.Accept()
 		if err != nil {
 			return // The test is over.
 		}
-		go p.serve(near)
+		go p.serve(clientConn)
 	}
 }
 
-func (p *proxy) serve(near net.Conn) {
+func (p *proxy) serve(clientConn net.Conn) {
 	p.mu.Lock()
 	refuse := p.refuse
 	p.mu.Unlock()
 	if refuse {
-		cut(near)
+		resetConn(clientConn)
 		return
 	}
-	far, err := net.Dial("tcp", p.target)
+	targetConn, err := net.Dial("tcp", p.target)
 	if err != nil {
-		cut(near)
+		resetConn(clientConn)
 		return
 	}
-	c := &pair{near: near, far: far}
+	c := &connPair{clientConn: clientConn, targetConn: targetConn}
 	p.mu.Lock()
-	p.pairs[c] = true
+	p.connections[c] = true
 	p.mu.Unlock()
 	var done sync.WaitGroup
 	done.Add(2)
-	go p.copy(&done, c, far, near, &p.to)
-	go p.copy(&done, c, near, far, &p.from)
+	go p.relay(&done, c, targetConn, clientConn, &p.loseToTarget)
+	go p.relay(&done, c, clientConn, targetConn, &p.loseFromTarget)
 	done.Wait()
 	p.mu.Lock()
-	delete(p.pairs, c)
+	delete(p.connections, c)
 	p.mu.Unlock()
 }
 
-// copy passes on what one side sends as long as the connection is not silent and the way is not lost.
-func (p *proxy) copy(done *sync.WaitGroup, c *pair, to, from net.Conn, lost *bool) {
+// relay forwards the data of one direction, unless the connection is silent or *lost says that this direction is discarded.
+func (p *proxy) relay(done *sync.WaitGroup, c *connPair, to, from net.Conn, lost *bool) {
 	defer done.Done()
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		p.mu.Lock()
 		delay, drop := p.delay, c.silent || *lost
-		// What was lost of a connection leaves a gap, after which nothing may follow.
+		// After data has been discarded, later data must not be forwarded: the receiver would read a stream with a gap.
 		c.silent = c.silent || drop && n > 0
 		p.mu.Unlock()
 		time.Sleep(delay)
 		if !drop && n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
-				cut(from)
+				resetConn(from)
 				return
 			}
 		}
 		if drop && err != nil {
 			_ = from.Close()
-			return // The other side does not hear of the end.
+			return // The end of the stream is discarded like its data.
 		}
 		if err == io.EOF {
-			_ = to.(*net.TCPConn).CloseWrite() // One that is closed already needs no end.
+			_ = to.(*net.TCPConn).CloseWrite() // Fails only if the connection is already closed.
 			return
 		}
 		if err != nil {
-			cut(to)
+			resetConn(to)
 			return
 		}
 	}
 }
 
-// cut closes a connection with a reset.
-func cut(c net.Conn) {
-	_ = c.(*net.TCPConn).SetLinger(0) // One that is closed already can't be reset.
+// resetConn closes a connection with a TCP reset.
+func resetConn(c net.Conn) {
+	_ = c.(*net.TCPConn).SetLinger(0) // Fails only if the connection is already closed.
 	_ = c.Close()
 }
 
-// reset resets each open connection.
-func (p *proxy) reset() {
+// resetAll resets all open connections.
+func (p *proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.pairs {
-		cut(c.near)
-		cut(c.far)
+	for c := range p.connections {
+		resetConn(c.clientConn)
+		resetConn(c.targetConn)
 	}
 }
 
-// silence makes each open connection carry nothing any more; new ones work.
-func (p *proxy) silence() {
+// silenceAll makes all open connections discard their data from now on. New connections are not affected.
+func (p *proxy) silenceAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.pairs {
+	for c := range p.connections {
 		c.silent = true
 	}
 }
 
-// set changes what is done to connections.
-func (p *proxy) set(change func()) {
+// update runs change with the lock held, to change the injected faults.
+func (p *proxy) update(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
 }
 
-// heal ends all harm to new connections.
-func (p *proxy) heal() {
-	p.set(func() { p.delay, p.refuse, p.to, p.from = 0, false, false, false })
+// restore ends the faults that apply to all connections. Connections that are silent stay silent.
+func (p *proxy) restore() {
+	p.update(func() { p.delay, p.refuse, p.loseToTarget, p.loseFromTarget = 0, false, false, false })
 }
 
-// harm does one kind of harm to a proxy's connections for a moment.
-func (s *striker) harm(p *proxy) {
+// disrupt injects one kind of fault into a proxy's connections for a short time.
+func (s *injector) disrupt(p *proxy) {
 	from := time.Now()
-	defer func() { p.set(func() { p.harmed = append(p.harmed, span{from: from, to: time.Now()}) }) }()
+	defer func() { p.update(func() { p.disruptions = append(p.disruptions, span{from: from, to: time.Now()}) }) }()
 	switch s.random.IntN(6) {
 	case 0:
-		p.reset()
+		p.resetAll()
 	case 1:
-		p.silence()
+		p.silenceAll()
 	case 2:
 		delay := time.Duration(20+s.random.IntN(200)) * time.Millisecond
-		p.set(func() { p.delay = delay })
+		p.update(func() { p.delay = delay })
 	case 3:
-		p.set(func() { p.refuse = true })
+		p.update(func() { p.refuse = true })
 	case 4:
-		p.set(func() { p.to = true })
+		p.update(func() { p.loseToTarget = true })
 	default:
-		p.set(func() { p.from = true })
+		p.update(func() { p.loseFromTarget = true })
 	}
 	s.pause()
-	p.heal()
+	p.restore()
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -1,9 +1,9 @@
-// Package soak_test runs the real programs as separate processes against a stand-in of the users' platform, injects faults
-// from outside them by a seed, and checks while it runs what callers and upstreams see.
+// Package soak_test runs the real programs as separate processes against a stand-in of the users' platform. It injects
+// faults from outside the processes, reproducible by seed, and checks throughout the run what callers and upstreams observe.
 //
 //	SOAK_SEEDS=1,2,3 SOAK_SECONDS=30 SOAK_HOSTS=2 go test -run TestSoak ./internal/soak
 //
-// With SOAK_LOGS the processes' logs are kept in that folder, for samphireweir explain.
+// SOAK_LOGS names a folder in which the processes' logs are kept, to be read with samphireweir explain.
 package soak_test
 
 import (
@@ -30,36 +30,37 @@
 )
 
 const (
-	// asProcess makes the test's binary run as the product.
-	asProcess = "SOAK_PROCESS"
-	// seedsVariable and secondsVariable say what a longer soak plays.
+	// productVariable makes the test binary run as the product when it is set.
+	productVariable = "SOAK_PROCESS"
+	// seedsVariable lists the seeds to run, separated by commas; secondsVariable is the duration of the run of each seed, in seconds.
 	seedsVariable   = "SOAK_SEEDS"
 	secondsVariable = "SOAK_SECONDS"
-	// logsVariable is the folder in which the processes' logs are kept; empty for none.
+	// logsVariable is the folder in which the processes' logs are kept; if it is empty, they are discarded.
 	logsVariable = "SOAK_LOGS"
-	// hostsVariable says how many entries, agents, engines and plain services there are of each.
+	// hostsVariable is the number of entries, and likewise of agents, engines and plain services.
 	hostsVariable = "SOAK_HOSTS"
-	usualHosts    = 2
-	// ciSeconds is how long the short run lasts.
+	defaultHosts  = 2
+	// ciSeconds is the duration of the short run in CI, in seconds.
 	ciSeconds = 6
-	// callerPatience is how long a caller behind a proxy waits, a little longer than it says to the entry: its connection may have gone silent.
-	callerPatience = 5 * time.Second
-	// patience bounds the return to service after the last fault.
-	patience = 60 * time.Second
+	// callerTimeout bounds a call through a proxy, whose connection may have stopped carrying data. It is a little longer than the deadline
+	// that the caller sends to the entry.
+	callerTimeout = 5 * time.Second
+	// recoveryTimeout bounds the time until all paths are served again after the last fault.
+	recoveryTimeout = 60 * time.Second
 )
 
-// ciSeeds are played each time: a first one, and each that ever failed, with a line on the cause.
+// ciSeeds run in CI: a first seed, and each seed that ever failed, with the cause of the failure.
 //
-// 45: the first fault is a signal to reload, which ended an entry that had not asked for it yet.
-// 992001: the stand-in's engines did not say when they started, so that all crashes of one counted as one: 60 went down under one request,
-// in 7 lives of entries.
+// 45: the first fault is SIGHUP, the signal to reload, which terminated an entry that had not installed its signal handler yet.
+// 992001: the stand-in's engines did not report their start time, so that all crashes of one engine counted as one. One request crashed
+// 60 engines, over 7 instances of entries.
 //
-// 992026: engines that were back at once went down again before they were found to have been down, and counted as one: 14 in 4 lives of
-// entries.
+// 992026: engines that restarted at once crashed again before the first crash was detected, and both crashes counted as one. One
+// request crashed 14 engines, over 4 instances of entries.
 var ciSeeds = []uint64{1, 45, 992001, 992026}
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProcess) == "" {
+	if os.Getenv(productVariable) == "" {
 		os.Exit(m.Run())
 	}
 	commander := subcommands.NewCommander(flag.CommandLine, "samphireweir")
@@ -68,7 +69,7 @@
 	os.Exit(int(commander.Execute(context.Background())))
 }
 
-// soak is one run.
+// soak is the run of one seed.
 type soak struct {
 	t         *testing.T
 	fleet     *standin.Fleet
@@ -76,55 +77,56 @@
 	agents    []*process
 	hosts     []hostconfig.Host
 	upstreams []*standin.Upstream
-	// operator is held by who writes to the store; version is the newest one, and allowed is set while the second key is in force.
-	operator sync.Mutex
-	version  int64
-	allowed  bool
-	// proxies stand before the store, one for each process, before each upstream, and before each entry.
+	// operator guards writes to the store, and the two fields after it: version is the latest activated version, and secondKeyAllowed
+	// reports whether secondKey is accepted.
+	operator         sync.Mutex
+	version          int64
+	secondKeyAllowed bool
+	// proxies holds all proxies: one between each process and the store, one in front of each upstream, and one in front of each entry.
 	proxies []*proxy
-	// before are those before the upstreams, in their order.
-	before []*proxy
+	// upstreamProxies are the proxies in front of the upstreams, in the order of upstreams.
+	upstreamProxies []*proxy
 	notices
-	// tenants are client accounts beside the usual one.
+	// tenants are client accounts in addition to the default one.
 	tenants []map[string]any
-	// places are the data centres of the hosts, in turn; none for one data centre.
+	// places are the data centres to which hosts are assigned in turn. If it is empty, all hosts are in one data centre.
 	places []string
-	// fronts are the addresses at which callers reach the entries.
-	fronts []string
+	// proxiedEntries are the addresses of the proxies in front of the entries, in the order of entries.
+	proxiedEntries []string
 
 	mu sync.Mutex
-	// storeAway are the times in which the store was out of reach for all.
-	storeAway []span
-	// once are the ids of requests that may run once, refused those that were said not to have run.
-	once, refused []string
-	answered      int
+	// storeOutages are the times in which no process could reach the store.
+	storeOutages []span
+	// onceIDs are the ids of the requests that may run at most once; refusedIDs are those of them that were answered as not executed.
+	onceIDs, refusedIDs []string
+	answered            int
 }
 
 func newSoak(t *testing.T, hosts int) *soak {
 	return startSoak(t, hosts, &soak{t: t, fleet: standin.NewFleet(t), version: 1})
 }
 
-// startSoak starts hosts of each kind in the data centres of s, one after the other.
+// startSoak starts the upstreams, agents and entries of s, as many of each kind as hosts, spread over the data centres of s in turn.
 func startSoak(t *testing.T, hosts int, s *soak) *soak {
 	dir := t.TempDir()
-	s.fleet.Through = s.through
+	s.fleet.Through = s.proxyFor
 	s.fleet.Name(1)
-	s.allow(secondKey, true)
+	s.setSecondKey(secondKey, true)
 	for i := range hosts {
 		if len(s.places) > 0 {
 			s.fleet.Place = s.places[i%len(s.places)]
 		}
 		s.upstreams = append(s.upstreams, s.fleet.AddService(fmt.Sprintf("i-desk-%d", i)))
-		s.before = append(s.before, s.last())
+		s.upstreamProxies = append(s.upstreamProxies, s.lastProxy())
 		ip := standin.NextIP()
 		s.upstreams = append(s.upstreams, s.fleet.AddEngine(fmt.Sprintf("i-engine-%d", i), ip, 0))
-		s.before = append(s.before, s.last())
+		s.upstreamProxies = append(s.upstreamProxies, s.lastProxy())
 		agent := s.fleet.Host(ip, true)
-		agent.Engine, agent.Store = s.last().address(), s.through(agent.Store)
+		agent.Engine, agent.Store = s.lastProxy().address(), s.proxyFor(agent.Store)
 		s.agents = append(s.agents, &process{t: t, role: "platform-agent", settings: s.fleet.SettingsFile(dir, agent)})
 		entry := s.fleet.Host(standin.NextIP(), false)
-		entry.Store = s.through(entry.Store)
-		s.fronts = append(s.fronts, s.through(entry.Callers))
+		entry.Store = s.proxyFor(entry.Store)
+		s.proxiedEntries = append(s.proxiedEntries, s.proxyFor(entry.Callers))
 		s.hosts = append(s.hosts, entry)
 		s.entries = append(s.entries, &process{t: t, role: "platform-entry", settings: s.fleet.SettingsFile(dir, entry)})
 	}
@@ -135,57 +137,57 @@
 	return s
 }
 
-// through starts a proxy before an address, on the same host, and returns the proxy's address.
-func (s *soak) through(address string) string {
+// proxyFor starts a proxy in front of an address, on the same IP address, and returns the proxy's address.
+func (s *soak) proxyFor(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	require.NoError(s.t, err)
 	s.proxies = append(s.proxies, newProxy(s.t, net.JoinHostPort(host, "0"), address))
-	return s.last().address()
+	return s.lastProxy().address()
 }
 
-func (s *soak) last() *proxy { return s.proxies[len(s.proxies)-1] }
+func (s *soak) lastProxy() *proxy { return s.proxies[len(s.proxies)-1] }
 
-// call sends one request and checks what can be told at once.
+// call sends one request, checks the response as far as possible, and records what verify checks at the end of the run.
 func (s *soak) call(c *standin.Caller, q standin.Request) standin.Reply {
-	path, entry := q.Path, s.entryAt(c.Address)
-	q.Header = marked(entry, time.Now())
+	path, entry := q.Path, s.entryIndex(c.Address)
+	q.Header = requestHeader(entry, time.Now())
 	if path == homePath {
 		q.Header.Set(homeHeader, "1")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	if slices.Contains(s.fronts, c.Address) {
-		ctx, cancel = context.WithTimeout(ctx, callerPatience)
+	if slices.Contains(s.proxiedEntries, c.Address) {
+		ctx, cancel = context.WithTimeout(ctx, callerTimeout)
 	}
 	defer cancel()
 	r := c.Do(ctx, q)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if path == "/once/1" {
-		s.once = append(s.once, r.ID)
+		s.onceIDs = append(s.onceIDs, r.ID)
 		if r.Err == nil && (r.Status == 503 || r.Status == 429) {
-			s.refused = append(s.refused, r.ID)
+			s.refusedIDs = append(s.refusedIDs, r.ID)
 		}
 	}
 	if r.Err != nil || r.Status != 200 {
 		return r
 	}
 	s.answered++
-	s.noteTold(entry, r)
+	s.recordNotices(entry, r)
 	if r.Seal == "" {
-		s.t.Errorf("%s: a success without an upstream's mark", r.ID)
+		s.t.Errorf("%s: successful response without an upstream's seal", r.ID)
 	}
 	if path == "/stream/1" {
-		if r.Body != whole {
-			s.t.Errorf("%s: a stream that looks whole and is not: %q", r.ID, r.Body)
+		if r.Body != completeStream {
+			s.t.Errorf("%s: stream ended cleanly but is incomplete: %q", r.ID, r.Body)
 		}
 	} else if !strings.HasPrefix(r.Body, "answer to "+r.ID+" by ") {
-		s.t.Errorf("%s: not its answer: %q", r.ID, r.Body)
+		s.t.Errorf("%s: received the response to another request: %q", r.ID, r.Body)
 	}
 	return r
 }
 
-// whole is a whole stream of the stand-in.
-var whole = func() string {
+// completeStream is a complete stream of the stand-in.
+var completeStream = func() string {
 	var b strings.Builder
 	for i := 1; i <= 6; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: token %d\n\n", i, i)
@@ -193,29 +195,31 @@
 	return b.String()
 }()
 
-// secondKey is an API key that is taken away and given back.
+// secondKey is an API key that the operator revokes and restores during the run.
 const secondKey = "key-2"
 
-// kinds are what callers ask for: each kind of route, one with a key that comes and goes, and one that brings down the engines that run it.
-var kinds = []standin.Request{
+// requestKinds are the requests that callers send: one for each kind of route, one with secondKey, and one that crashes each engine that
+// runs it.
+var requestKinds = []standin.Request{
 	{Path: "/once/1"}, {Path: "/again/1"}, {Path: "/stream/1"}, {Path: "/again/2", Key: secondKey}, {Path: "/stream/1", Body: standin.CrashBody},
 }
 
-// crashPause is the time between two copies of a request that brings engines down.
-const crashPause = 300 * time.Millisecond
+// crashInterval is the pause between two copies of a request that crashes engines.
+const crashInterval = 300 * time.Millisecond
 
+// callers starts the callers of all entries, directly and through proxies, which send requests until stop is closed.
 func (s *soak) callers(stop <-chan struct{}, done *sync.WaitGroup) {
-	// Those who come straight to an entry wait without a limit: an entry that never answers stops the soak.
-	addresses := slices.Clone(s.fronts)
+	// Callers that connect to an entry directly have no timeout: an entry that never answers blocks the soak.
+	addresses := slices.Clone(s.proxiedEntries)
 	for _, host := range s.hosts {
 		addresses = append(addresses, host.Callers)
 	}
 	for i, address := range addresses {
-		for k, q := range kinds {
+		for k, q := range requestKinds {
 			c := &standin.Caller{Address: address, Name: fmt.Sprintf("%s-%d-%d", s.t.Name(), i, k), Keep: i%2 == 0}
 			pause := 5 * time.Millisecond
 			if q.Body != "" {
-				pause = crashPause
+				pause = crashInterval
 			}
 			done.Add(1)
 			go func() {
@@ -233,19 +237,19 @@
 	}
 }
 
-// settle checks what can be told only at the end: every request that may run once ran once at most, and none ran that was said not to
-// have run; and all paths are served again.
-func (s *soak) settle() {
+// verify makes the checks that are possible only at the end of the run. All paths are served again. No request that may run at most once
+// ran twice, and none ran that was answered as not executed.
+func (s *soak) verify() {
 	s.fleet.Faults.Next()
 	for i, host := range s.hosts {
 		c := &standin.Caller{Address: host.Callers, Name: fmt.Sprintf("%s-end-%d", s.t.Name(), i)}
-		for _, q := range kinds[:3] {
-			require.Eventually(s.t, func() bool { return s.call(c, q).Status == 200 }, patience, 50*time.Millisecond, "%s is served again", q.Path)
+		for _, q := range requestKinds[:3] {
+			require.Eventually(s.t, func() bool { return s.call(c, q).Status == 200 }, recoveryTimeout, 50*time.Millisecond, "%s is served again", q.Path)
 		}
 	}
-	s.settleKey()
-	s.settleCrashes()
-	s.settleNotices()
+	s.verifyRevokedKey()
+	s.verifyCrashCount()
+	s.verifyNotices()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	runs := func(id string) int {
@@ -255,63 +259,64 @@
 		}
 		return n
 	}
-	for _, id := range s.once {
+	for _, id := range s.onceIDs {
 		require.LessOrEqual(s.t, runs(id), 1, "%s ran twice", id)
 	}
-	for _, id := range s.refused {
-		require.Zero(s.t, runs(id), "%s ran though it was said not to have run", id)
+	for _, id := range s.refusedIDs {
+		require.Zero(s.t, runs(id), "%s ran but was answered as not executed", id)
 	}
 	for _, u := range s.upstreams {
 		if u.Weights != nil {
-			spoilt, _ := u.Weights.Spoilt()
-			require.Zero(s.t, spoilt, "an engine loaded pieces that were missing or wrong")
+			corrupted, _ := u.Weights.Spoilt()
+			require.Zero(s.t, corrupted, "an engine loaded missing or corrupted chunks")
 		}
 	}
-	s.t.Logf("%d answered, %d that may run once, %d refused of these, version %d", s.answered, len(s.once), len(s.refused), s.version)
+	s.t.Logf("%d requests answered, %d run-once requests, %d of these refused, version %d", s.answered, len(s.onceIDs), len(s.refusedIDs), s.version)
 	require.Positive(s.t, s.answered)
 }
 
-// settleKey takes the second key away for good: each entry hears of it, and none serves it again.
-func (s *soak) settleKey() {
+// verifyRevokedKey revokes the second key for good. Each entry must learn of it and never accept the key again.
+func (s *soak) verifyRevokedKey() {
 	s.operator.Lock()
-	s.allow(secondKey, false)
+	s.setSecondKey(secondKey, false)
 	s.operator.Unlock()
 	for i, host := range s.hosts {
 		c := &standin.Caller{Address: host.Callers, Name: fmt.Sprintf("%s-key-%d", s.t.Name(), i)}
 		q := standin.Request{Path: "/again/2", Key: secondKey}
-		require.Eventually(s.t, func() bool { return s.call(c, q).Status == http.StatusUnauthorized }, patience, 50*time.Millisecond)
+		require.Eventually(s.t, func() bool { return s.call(c, q).Status == http.StatusUnauthorized }, recoveryTimeout, 50*time.Millisecond)
 		for range 20 {
 			require.Equal(s.t, http.StatusUnauthorized, s.call(c, q).Status)
 		}
 	}
 }
 
-// settleCrashes bounds the engines that the one request brought down: three for each life of an entry, which starts without knowing of any.
-func (s *soak) settleCrashes() {
-	crashes, lives := 0, 0
+// verifyCrashCount bounds the number of engine crashes that the one crashing request caused: quarantine.CrashesToHold, which is 3, for
+// each instance of an entry, because an entry starts without knowledge of earlier crashes.
+func (s *soak) verifyCrashCount() {
+	crashes, instances := 0, 0
 	for _, u := range s.engines() {
 		crashes += u.BroughtDown()
 	}
 	for _, p := range s.entries {
-		lives += p.lives()
+		instances += p.instances()
 	}
-	require.LessOrEqual(s.t, crashes, quarantine.CrashesToHold*lives)
-	s.t.Logf("%d engines brought down, %d lives of entries", crashes, lives)
+	require.LessOrEqual(s.t, crashes, quarantine.CrashesToHold*instances)
+	s.t.Logf("%d engine crashes, %d instances of entries", crashes, instances)
 }
 
-// numberFrom reads a number from the environment.
-func numberFrom(t *testing.T, variable string, usual int) int {
+// intFromEnv reads a number from an environment variable; if the variable is empty, it returns defaultValue.
+func intFromEnv(t *testing.T, variable string, defaultValue int) int {
 	text := os.Getenv(variable)
 	if text == "" {
-		return usual
+		return defaultValue
 	}
 	n, err := strconv.Atoi(text)
 	require.NoError(t, err)
 	return n
 }
 
-// seedsOf are the seeds that are played: those of a list, or those that the environment names.
-func seedsOf(t *testing.T, seeds []uint64) []uint64 {
+// seedsToRun returns the seeds in the environment variable, or the default seeds if it is empty.
+func seedsToRun(t *testing.T, seeds []uint64) []uint64 {
 	if list := os.Getenv(seedsVariable); list != "" {
 		seeds = nil
 		for _, text := range strings.Split(list, ",") {
@@ -323,23 +328,26 @@
 	return seeds
 }
 
+// TestSoak guards against broken promises to callers and upstreams while faults of processes, connections, the store and upstreams
+// overlap: a run-once request that runs twice, a truncated stream that looks complete, a revoked key that is accepted, corrupted weights
+// that are loaded, or too many engines crashed by one request.
 func TestSoak(t *testing.T) {
-	seconds, hosts := numberFrom(t, secondsVariable, ciSeconds), numberFrom(t, hostsVariable, usualHosts)
-	for _, seed := range seedsOf(t, ciSeeds) {
+	seconds, hosts := intFromEnv(t, secondsVariable, ciSeconds), intFromEnv(t, hostsVariable, defaultHosts)
+	for _, seed := range seedsToRun(t, ciSeeds) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			s := newSoak(t, hosts)
 			stop := make(chan struct{})
 			var done sync.WaitGroup
 			s.callers(stop, &done)
-			var strikers sync.WaitGroup
+			var injectors sync.WaitGroup
 			end := time.Now().Add(time.Duration(seconds) * time.Second)
-			strikers.Go(func() { s.striker(seed, seed, 0, 16).until(end) })
-			strikers.Go(func() { s.striker(seed, seed+1, 0, 21).until(end) })
-			strikers.Go(func() { s.striker(seed, seed+2, 0, 0).sayUntil(end, 0, 1) })
-			strikers.Wait()
+			injectors.Go(func() { s.newInjector(seed, seed, 0, 16).injectUntil(end) })
+			injectors.Go(func() { s.newInjector(seed, seed+1, 0, 21).injectUntil(end) })
+			injectors.Go(func() { s.newInjector(seed, seed+2, 0, 0).announceUntil(end, 0, 1) })
+			injectors.Wait()
 			close(stop)
 			done.Wait()
-			s.settle()
+			s.verify()
 		})
 	}
 }
