--- a/internal/standin/engine/command.go
+++ b/internal/standin/engine/command.go
@@ -9,7 +9,7 @@
 	"samphireweir.example/samphireweir/internal/standin/serve"
 )
 
-// Defaults of the flags and of the fault fields.
+// Default values of flags and fault fields.
 const (
 	defaultStep             = 9 * time.Millisecond
 	defaultBatch            = 32
@@ -26,17 +26,17 @@
 	var config Config
 	return &serve.Command{
 		Title: "engine",
-		About: "Plays model engines.",
+		About: "Simulates model engines.",
 		Flags: func(flags *flag.FlagSet) {
-			flags.StringVar(&names, "names", "e1", "names of the engines, with commas between them")
-			flags.DurationVar(&config.Step, "step", defaultStep, "time of a step")
-			flags.IntVar(&config.Batch, "batch", defaultBatch, "requests that run at once")
-			flags.IntVar(&config.PrefillUSPerChar, "prefill-us-per-char", defaultPrefillUSPerChar, "prefill of a character, in microseconds")
-			flags.IntVar(&config.CacheEntries, "cache-entries", defaultCacheEntries, "size of the prefix cache")
-			flags.DurationVar(&config.LoadLag, "load-lag", defaultLoadLag, "how late /state tells the load")
-			flags.DurationVar(&config.EventLag, "event-lag", defaultEventLag, "how late events are")
-			flags.Float64Var(&config.EventGap, "event-gap", 0, "part of the events that is lost, 0 to 1")
-			flags.BoolVar(&config.IgnoreFencing, "ignore-fencing", false, "obey old fencing numbers")
+			flags.StringVar(&names, "names", "e1", "names of the engines, separated by commas")
+			flags.DurationVar(&config.Step, "step", defaultStep, "duration of a step")
+			flags.IntVar(&config.Batch, "batch", defaultBatch, "maximum number of requests that run at once")
+			flags.IntVar(&config.PrefillUSPerChar, "prefill-us-per-char", defaultPrefillUSPerChar, "duration of the prefill per character of a prompt, in microseconds")
+			flags.IntVar(&config.CacheEntries, "cache-entries", defaultCacheEntries, "size of the prefix cache, in entries")
+			flags.DurationVar(&config.LoadLag, "load-lag", defaultLoadLag, "lag with which /state reports the load")
+			flags.DurationVar(&config.EventLag, "event-lag", defaultEventLag, "lag with which /events reports events")
+			flags.Float64Var(&config.EventGap, "event-gap", 0, "fraction of the events that is lost, 0 to 1")
+			flags.BoolVar(&config.IgnoreFencing, "ignore-fencing", false, "accept orders with stale fencing numbers")
 		},
 		Build: func(ctx context.Context) (http.Handler, error) {
 			list, err := serve.SplitNames(names)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -12,35 +12,35 @@
 	"samphireweir.example/samphireweir/internal/standin/serve"
 )
 
-// keptKV is how many requests' KV caches an engine keeps.
-const keptKV = 1024
+// maxKVCaches is the number of requests whose KV caches an engine keeps.
+const maxKVCaches = 1024
 
-// Config sets up the engines of a process.
+// Config configures the engines of a process.
 type Config struct {
-	// Step is the time of a step, which makes a token for each running request.
+	// Step is the duration of a step, which generates one token for each running request.
 	Step time.Duration
-	// Batch is how many requests run at once.
+	// Batch is the maximum number of requests that run at once.
 	Batch int
-	// PrefillUSPerChar is the time that a character of a prompt takes, in microseconds.
+	// PrefillUSPerChar is the duration of the prefill per character of a prompt, in microseconds.
 	PrefillUSPerChar int
-	// CacheEntries is the size of the prefix cache.
+	// CacheEntries is the size of the prefix cache, in entries.
 	CacheEntries int
-	// LoadLag is how late GET /state tells the load.
+	// LoadLag is the lag with which GET /state reports the load.
 	LoadLag time.Duration
-	// EventLag is how late events are, EventGap the part of them that is lost, 0 to 1.
+	// EventLag is the lag with which events are reported. EventGap is the fraction of events that is lost, 0 to 1.
 	EventLag time.Duration
 	EventGap float64
-	// IgnoreFencing obeys old fencing numbers.
+	// IgnoreFencing accepts orders with stale fencing numbers.
 	IgnoreFencing bool
 }
 
-// request is one call to generate; the fields below the line are guarded by the engine's mutex.
+// request is one generate call. The fields from start on are guarded by the engine's mutex until out is closed.
 type request struct {
 	id, attempt, idempotencyKey string
 	prompt                      string
 	maxTokens                   int
 	priority                    int
-	// out has room for all tokens and is closed at the end.
+	// out receives the tokens. It is buffered for all of them, so that a send never blocks, and closed at the end of the run.
 	out chan TokenEvent
 
 	start       time.Time
@@ -53,14 +53,14 @@
 	outcome     string
 }
 
-// engine is one played engine.
+// engine is one simulated engine.
 type engine struct {
-	name   string
-	config Config
-	faults *serve.Faults[Faults]
-	life   *serve.Life
-	log    *serve.Log[any]
-	// wake tells the step loop that there may be work.
+	name    string
+	config  Config
+	faults  *serve.Faults[Faults]
+	process *serve.Process
+	log     *serve.Log[any]
+	// wake signals the step loop that there may be work.
 	wake chan struct{}
 
 	mu         sync.Mutex
@@ -68,7 +68,7 @@
 	generation int64
 	fencing    int64
 	role       string
-	// loads counts the orders to load; a load goes on only while it is the last.
+	// loads counts the orders to load, and crashes. A load continues only while its number is equal to loads.
 	loads    int64
 	loading  bool
 	running  []*request
@@ -85,24 +85,24 @@
 		name:    name,
 		config:  config,
 		faults:  serve.NewFaults(Faults{SlowFactor: 1, RestartMS: defaultRestartMS}),
-		life:    serve.NewLife(),
+		process: serve.NewProcess(),
 		log:     log,
 		wake:    make(chan struct{}, 1),
 		history: loadHistory{lag: config.LoadLag},
 	}
-	e.forget()
+	e.resetVolatileState()
 	e.faults.OnMerge = e.faultsChanged
 	return e
 }
 
-// forget empties what a crash loses. The fencing number stays, as on a disk.
-func (e *engine) forget() {
+// resetVolatileState resets the state that a crash loses. The fencing number is kept, as if it were stored on disk.
+func (e *engine) resetVolatileState() {
 	e.digest = ""
 	e.generation = 0
 	e.role = roleBoth
 	e.loading = false
 	e.prefixes = newLRU(e.config.CacheEntries)
-	e.kv = newLRU(keptKV)
+	e.kv = newLRU(maxKVCaches)
 	e.events = newEventLog(e.config.EventLag, e.config.EventGap, seedOf(e.name))
 }
 
@@ -129,9 +129,9 @@
 	}
 }
 
-// crash ends all requests and loses the weights; the mutex is held.
+// crash ends all requests and drops the weights. The caller holds the mutex.
 func (e *engine) crash() {
-	e.life.Crash(serve.Milliseconds(e.faults.Get().RestartMS))
+	e.process.Crash(serve.Milliseconds(e.faults.Get().RestartMS))
 	e.stats.Crashes++
 	e.loads++
 	for _, r := range e.running {
@@ -142,11 +142,11 @@
 		e.end(r, serve.OutcomeCrashed)
 	}
 	e.waiting = nil
-	e.forget()
-	e.noteLoad()
+	e.resetVolatileState()
+	e.recordLoad()
 }
 
-// end closes a request, and logs it when it ran; the mutex is held and the caller takes it out of its list.
+// end closes a request, and logs it if it ran. The caller holds the mutex and removes the request from its list.
 func (e *engine) end(r *request, outcome string) {
 	r.outcome = outcome
 	r.digestEnd = e.digest
@@ -172,8 +172,8 @@
 	})
 }
 
-// notReady says why the engine can't take a request, or "" when it can; the mutex is held.
-func (e *engine) notReady() string {
+// unavailableReason returns why the engine can't run requests, or "" if it can. The caller holds the mutex.
+func (e *engine) unavailableReason() string {
 	if e.loading {
 		return "loading"
 	}
@@ -183,27 +183,27 @@
 	return ""
 }
 
-// submit puts a request in the queue, by priority; it returns why it can't, or "".
+// submit inserts a request into the queue by priority. It returns the reason if the engine can't run requests, or "".
 func (e *engine) submit(r *request) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if reason := e.notReady(); reason != "" {
+	if reason := e.unavailableReason(); reason != "" {
 		return reason
 	}
 	e.waiting = append(e.waiting, r)
 	slices.SortStableFunc(e.waiting, func(a, b *request) int { return cmp.Compare(a.priority, b.priority) })
-	e.noteLoad()
+	e.recordLoad()
 	e.wakeUp()
 	return ""
 }
 
-// cancel ends the requests for which chosen is true and says whether there were any.
-func (e *engine) cancel(chosen func(*request) bool) bool {
+// cancel ends the requests for which match returns true, and reports whether there were any.
+func (e *engine) cancel(match func(*request) bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	found := false
 	cancelled := func(r *request) bool {
-		if !chosen(r) {
+		if !match(r) {
 			return false
 		}
 		e.end(r, serve.OutcomeCancelled)
@@ -212,31 +212,31 @@
 	}
 	e.running = slices.DeleteFunc(e.running, cancelled)
 	e.waiting = slices.DeleteFunc(e.waiting, cancelled)
-	e.noteLoad()
+	e.recordLoad()
 	return found
 }
 
-// noteLoad remembers how busy the engine is; the mutex is held.
-func (e *engine) noteLoad() {
+// recordLoad records the current load. The caller holds the mutex.
+func (e *engine) recordLoad() {
 	load := Load{Running: len(e.running), Waiting: len(e.waiting)}
 	for _, r := range e.running {
-		load.KVUsed += len(r.prompt)/charactersAToken + r.next
+		load.KVUsed += len(r.prompt)/charactersPerToken + r.next
 	}
 	e.history.add(load, time.Now())
 }
 
-// snapshot returns the state as GET /state tells it.
+// snapshot returns the state for GET /state.
 func (e *engine) snapshot() State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return State{
-		BootID:        e.life.BootID(),
+		BootID:        e.process.BootID(),
 		Digest:        e.digest,
 		Generation:    e.generation,
 		FencingNumber: e.fencing,
 		Loading:       e.loading,
 		Role:          e.role,
-		Load:          e.history.seen(time.Now()),
+		Load:          e.history.reportedAt(time.Now()),
 	}
 }
 
@@ -250,8 +250,8 @@
 	return stats
 }
 
-// obey takes note of the fencing number of an order and says whether the order is to be obeyed; the mutex is held.
-func (e *engine) obey(fencing int64) bool {
+// acceptFencing reports whether an order with this fencing number is accepted, and if so records the number. The caller holds the mutex.
+func (e *engine) acceptFencing(fencing int64) bool {
 	if fencing < e.fencing && !e.config.IgnoreFencing {
 		return false
 	}
@@ -259,26 +259,26 @@
 	return true
 }
 
-// loop makes steps until ctx ends.
+// loop executes steps until ctx ends.
 func (e *engine) loop(ctx context.Context) {
-	for e.awaitWork(ctx) {
+	for e.waitForWork(ctx) {
 		pause := e.beginStep()
 		if !serve.Sleep(ctx, pause) {
 			return
 		}
-		if err := e.awaitThaw(ctx); err != nil {
+		if err := e.waitWhileFrozen(ctx); err != nil {
 			return
 		}
 		e.endStep()
 	}
 }
 
-func (e *engine) awaitThaw(ctx context.Context) error {
+func (e *engine) waitWhileFrozen(ctx context.Context) error {
 	return e.faults.WaitWhile(ctx, func(f Faults) bool { return f.Freeze })
 }
 
-// awaitWork sleeps until there is a step to make; it returns false when ctx ends.
-func (e *engine) awaitWork(ctx context.Context) bool {
+// waitForWork waits until there is work for a step. It returns false when ctx ends.
+func (e *engine) waitForWork(ctx context.Context) bool {
 	for !e.hasWork() {
 		select {
 		case <-e.wake:
@@ -286,43 +286,44 @@
 			return false
 		}
 	}
-	return e.awaitThaw(ctx) == nil
+	return e.waitWhileFrozen(ctx) == nil
 }
 
 func (e *engine) hasWork() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.notReady() == "" && len(e.running)+len(e.waiting) > 0
+	return e.unavailableReason() == "" && len(e.running)+len(e.waiting) > 0
 }
 
-// beginStep fills the batch from the queue and returns how long the step takes.
+// beginStep fills the batch from the queue and returns the duration of the step.
 func (e *engine) beginStep() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	cost := e.config.Step
-	for e.notReady() == "" && len(e.waiting) > 0 && len(e.running) < e.config.Batch {
+	for e.unavailableReason() == "" && len(e.waiting) > 0 && len(e.running) < e.config.Batch {
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		e.running = append(e.running, r)
-		cost += e.begin(r)
+		cost += e.startRequest(r)
 	}
-	e.noteLoad()
+	e.recordLoad()
 	return time.Duration(float64(cost) * e.faults.Get().SlowFactor)
 }
 
-// begin starts a request and returns the cost of its prefill; the mutex is held. It may crash the engine.
-func (e *engine) begin(r *request) time.Duration {
+// startRequest starts a request and returns the duration of its prefill. It may crash the engine. The caller holds the mutex.
+func (e *engine) startRequest(r *request) time.Duration {
 	r.start = time.Now()
 	r.digestStart = e.digest
 	r.genStart = e.generation
-	if poison := e.faults.Get().CrashOn; poison != "" && strings.Contains(r.prompt, poison) {
+	if crashText := e.faults.Get().CrashOn; crashText != "" && strings.Contains(r.prompt, crashText) {
 		e.crash()
 		return 0
 	}
 	return e.prefill(r)
 }
 
-// prefill returns what is to be paid for the prompt, and keeps its prefix and its KV cache; the mutex is held.
+// prefill returns the duration of the prefill, and caches the prompt's prefix and KV cache. The duration is 0 if the prefix or the KV cache
+// was available already. The caller holds the mutex.
 func (e *engine) prefill(r *request) time.Duration {
 	kv := kvBytes(e.digest, r.prompt)
 	imported, _ := e.kv.get(r.id)
@@ -333,7 +334,7 @@
 	return time.Duration(len(r.prompt)*e.config.PrefillUSPerChar) * time.Microsecond
 }
 
-// usePrefix says whether a prefix is in the cache, and puts it there.
+// usePrefix reports whether a prefix is in the cache, and adds it if it isn't.
 func (e *engine) usePrefix(prefix string) bool {
 	if _, ok := e.prefixes.get(prefix); ok {
 		e.stats.PrefixHits++
@@ -348,18 +349,18 @@
 	return false
 }
 
-// endStep makes a token for each running request. A step that a load or a crash met makes none.
+// endStep generates a token for each running request. It generates none if a load or a crash occurred during the step.
 func (e *engine) endStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.notReady() != "" {
+	if e.unavailableReason() != "" {
 		return
 	}
 	e.running = slices.DeleteFunc(e.running, e.makeToken)
-	e.noteLoad()
+	e.recordLoad()
 }
 
-// makeToken makes the next token of a request and says whether that was the last; the mutex is held.
+// makeToken generates the next token of a request and reports whether it was the last. The caller holds the mutex.
 func (e *engine) makeToken(r *request) bool {
 	if r.next < r.maxTokens {
 		r.out <- TokenEvent{Index: r.next, Token: Token(e.digest, r.prompt, r.next)}
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// keptEvents is how many events an engine keeps.
-const keptEvents = 10000
+// maxEvents is the number of events that an engine keeps.
+const maxEvents = 10000
 
 // Kinds of events.
 const (
@@ -14,20 +14,20 @@
 	eventEvicted = "evicted"
 )
 
-// keptEvent is an event and when it happened; a lost one takes a number but isn't shown.
-type keptEvent struct {
+// storedEvent is an event and the time when it happened. A lost event has a sequence number but isn't reported.
+type storedEvent struct {
 	CacheEvent
 	at   time.Time
 	lost bool
 }
 
-// eventLog keeps the events of the prefix cache and shows them late and with gaps.
+// eventLog keeps the events of the prefix cache and reports them with a lag and with gaps.
 type eventLog struct {
 	lag    time.Duration
 	gap    float64
 	random *rand.Rand
 	seq    int64
-	events []keptEvent
+	events []storedEvent
 }
 
 func newEventLog(lag time.Duration, gap float64, seed uint64) *eventLog {
@@ -37,19 +37,19 @@
 func (l *eventLog) add(kind, prefix string, now time.Time) {
 	l.seq++
 	event := CacheEvent{Seq: l.seq, Kind: kind, Prefix: prefix}
-	l.events = append(l.events, keptEvent{CacheEvent: event, at: now, lost: l.random.Float64() < l.gap})
-	if len(l.events) > 2*keptEvents {
-		l.events = append([]keptEvent(nil), l.events[len(l.events)-keptEvents:]...)
+	l.events = append(l.events, storedEvent{CacheEvent: event, at: now, lost: l.random.Float64() < l.gap})
+	if len(l.events) > 2*maxEvents {
+		l.events = append([]storedEvent(nil), l.events[len(l.events)-maxEvents:]...)
 	}
 }
 
-// after returns the events with a number above seq that are old enough to be seen at now. A seq that isn't reached yet
-// comes from before a crash: then all events are returned.
+// after returns the events with a sequence number above seq that are older than the lag at now. If seq is higher than the last number, it
+// is from before a crash, and all events are returned.
 func (l *eventLog) after(seq int64, now time.Time) Events {
 	if seq > l.seq {
 		seq = 0
 	}
-	answer := Events{Events: []CacheEvent{}, Next: seq}
+	response := Events{Events: []CacheEvent{}, Next: seq}
 	for _, event := range l.events {
 		if now.Sub(event.at) < l.lag {
 			break
@@ -57,10 +57,10 @@
 		if event.Seq <= seq {
 			continue
 		}
-		answer.Next = event.Seq
+		response.Next = event.Seq
 		if !event.lost {
-			answer.Events = append(answer.Events, event.CacheEvent)
+			response.Events = append(response.Events, event.CacheEvent)
 		}
 	}
-	return answer
+	return response
 }
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -14,14 +14,14 @@
 	"samphireweir.example/samphireweir/internal/standin/serve"
 )
 
-// Bounds and defaults of requests.
+// Limits and default values of request fields. The lowest priority has the highest number.
 const (
-	maxMaxTokens    = 100000
+	maxTokensLimit  = 100000
 	defaultPriority = 5
 	lowestPriority  = 9
 )
 
-// readRequest makes a request out of a call to generate.
+// readRequest creates a request from a generate call. It returns an error if a header is malformed or a value is out of bounds.
 func readRequest(r *http.Request, call GenerateCall) (*request, error) {
 	priority, err := headerNumber(r, headerPriority, defaultPriority)
 	if err != nil {
@@ -31,10 +31,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if call.MaxTokens < 0 || call.MaxTokens > maxMaxTokens || offset < 0 || priority < 0 || priority > lowestPriority {
+	if call.MaxTokens < 0 || call.MaxTokens > maxTokensLimit || offset < 0 || priority < 0 || priority > lowestPriority {
 		return nil, errors.New("max_tokens, offset or priority out of bounds")
 	}
-	first := min(int(offset), call.MaxTokens)
+	start := min(int(offset), call.MaxTokens)
 	id := r.Header.Get(headerRequestID)
 	if id == "" {
 		id = uuid.NewString()
@@ -46,13 +46,13 @@
 		prompt:         call.Prompt,
 		maxTokens:      call.MaxTokens,
 		priority:       int(priority),
-		out:            make(chan TokenEvent, call.MaxTokens-first),
-		offset:         first,
-		next:           first,
+		out:            make(chan TokenEvent, call.MaxTokens-start),
+		offset:         start,
+		next:           start,
 	}, nil
 }
 
-// generate answers POST /v1/generate.
+// generate handles POST /v1/generate.
 func (e *engine) generate(w http.ResponseWriter, r *http.Request) {
 	var call GenerateCall
 	if !serve.ReadJSON(w, r, &call) {
@@ -67,7 +67,8 @@
 		serve.Fail(w, http.StatusServiceUnavailable, reason)
 		return
 	}
-	// However the handler is left, nobody reads on: a token and the caller's leaving may come at the same moment. A run that ended stays so.
+	// Cancel the run however the handler returns, because nobody reads its tokens any more: a token and the caller's disconnect may arrive at
+	// the same time. Cancelling a run that has ended has no effect.
 	defer e.cancel(func(other *request) bool { return other == run })
 	if call.Stream {
 		e.stream(w, r, run)
@@ -76,7 +77,7 @@
 	e.collect(w, r, run)
 }
 
-// receive returns the next token of a run; ok is false at its end, or when the caller has gone.
+// receive returns the next token of a run. ok is false if the run has ended or the caller has disconnected.
 func receive(r *http.Request, run *request) (token TokenEvent, ok bool) {
 	select {
 	case token, ok = <-run.out:
@@ -86,16 +87,17 @@
 	}
 }
 
-// setHeaders names the request and the weights that it began with; only for a run that has made a step or ended.
+// setHeaders sets the headers that identify the request and the weights with which it started. It may be called only for a run that has
+// generated a token or ended.
 func (e *engine) setHeaders(w http.ResponseWriter, run *request) {
 	header := w.Header()
 	header.Set(headerRequestID, run.id)
 	header.Set(headerWeightsDigest, run.digestStart)
 	header.Set(headerLoadGeneration, strconv.FormatInt(run.genStart, 10))
-	header.Set(headerBootID, e.life.BootID())
+	header.Set(headerBootID, e.process.BootID())
 }
 
-// collect answers with all tokens at once.
+// collect responds with all tokens at once.
 func (e *engine) collect(w http.ResponseWriter, r *http.Request, run *request) {
 	var text strings.Builder
 	for {
@@ -122,17 +124,17 @@
 	})
 }
 
-// stream answers token by token. The header goes out with the first token.
+// stream responds token by token. The response headers are sent with the first token.
 func (e *engine) stream(w http.ResponseWriter, r *http.Request, run *request) {
-	began := false
+	headersSent := false
 	for {
 		token, ok := receive(r, run)
 		if r.Context().Err() != nil || (!ok && run.outcome == serve.OutcomeCrashed) {
 			return
 		}
-		if !began {
+		if !headersSent {
 			e.beginStream(w, run)
-			began = true
+			headersSent = true
 		}
 		if !ok {
 			endStream(w, run)
@@ -158,7 +160,7 @@
 	})
 }
 
-// writeEvent sends one event of a stream at once; head is its line before the data.
+// writeEvent writes one event of a stream and flushes it. head is the line before the data.
 func writeEvent(w http.ResponseWriter, head string, data any) error {
 	text, err := json.Marshal(data)
 	if err != nil {
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -14,32 +14,32 @@
 	"samphireweir.example/samphireweir/internal/standin/serve"
 )
 
-// loadPiece is the size of the pieces in which weights are read, in bytes; no more of them is held.
-const loadPiece = 64 << 10
+// loadBufferSize is the size of the buffer for reading weights, in bytes. The weights are only hashed, not kept in memory.
+const loadBufferSize = 64 << 10
 
-// Outcomes of a load beside done and crashed.
+// Outcomes of a load, in addition to serve.OutcomeDone and serve.OutcomeCrashed.
 const (
 	outcomeRefused    = "refused"
-	outcomeCut        = "cut"
+	outcomeTruncated  = "cut"
 	outcomeSuperseded = "superseded"
 )
 
-// errSuperseded ends a load when a later one began.
-var errSuperseded = errors.New("superseded")
+// errLoadSuperseded aborts a load when a later one has started.
+var errLoadSuperseded = errors.New("superseded")
 
-// order is an order to load.
-type order struct {
+// loadOrder is an order to load weights.
+type loadOrder struct {
 	id         string
 	digest     string
 	generation int64
 	fencing    int64
 	start      time.Time
-	// number is the load's place in the engine's count of loads, bootID the run of the engine that began it.
+	// number is the value of the engine's load counter for this load. bootID identifies the instance of the engine that started it.
 	number int64
 	bootID string
 }
 
-func readOrder(r *http.Request) (*order, error) {
+func readOrder(r *http.Request) (*loadOrder, error) {
 	fencing, err := headerNumber(r, headerFencingNumber, 0)
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 	if digest == "" {
 		return nil, errors.New("no " + headerWeightsDigest)
 	}
-	return &order{
+	return &loadOrder{
 		id:         r.Header.Get(headerOrderID),
 		digest:     digest,
 		generation: generation,
@@ -61,37 +61,37 @@
 	}, nil
 }
 
-// headerNumber reads a number from a header, or returns missing when there is none.
-func headerNumber(r *http.Request, name string, missing int64) (int64, error) {
+// headerNumber returns the number in a header, or defaultValue if the header is absent.
+func headerNumber(r *http.Request, name string, defaultValue int64) (int64, error) {
 	text := r.Header.Get(name)
 	if text == "" {
-		return missing, nil
+		return defaultValue, nil
 	}
 	number, err := strconv.ParseInt(text, 10, 64)
 	return number, errors.Wrapf(err, "header %s", name)
 }
 
-// beginLoad drops the weights, if the order is to be obeyed.
-func (e *engine) beginLoad(o *order) bool {
+// beginLoad starts a load and drops the current weights. It returns false if the order's fencing number is stale.
+func (e *engine) beginLoad(o *loadOrder) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.obey(o.fencing) {
+	if !e.acceptFencing(o.fencing) {
 		return false
 	}
 	e.loads++
 	o.number = e.loads
-	o.bootID = e.life.BootID()
+	o.bootID = e.process.BootID()
 	e.loading = true
 	e.digest = ""
 	e.generation = 0
 	return true
 }
 
-// endLoad takes the new weights when the body was whole; it returns what became of the load.
-func (e *engine) endLoad(o *order, readErr error) string {
+// endLoad puts the new weights in force if readErr, the error of reading the body, is nil. It returns the outcome of the load.
+func (e *engine) endLoad(o *loadOrder, readErr error) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if o.bootID != e.life.BootID() {
+	if o.bootID != e.process.BootID() {
 		return serve.OutcomeCrashed
 	}
 	if o.number != e.loads {
@@ -99,7 +99,7 @@
 	}
 	e.loading = false
 	if readErr != nil {
-		return outcomeCut
+		return outcomeTruncated
 	}
 	e.digest = o.digest
 	e.generation = o.generation
@@ -108,20 +108,20 @@
 	return serve.OutcomeDone
 }
 
-func (e *engine) isLastLoad(o *order) bool {
+func (e *engine) isLastLoad(o *loadOrder) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return o.number == e.loads
 }
 
-// highestFencing is the fencing number of the last order obeyed.
+// highestFencing returns the fencing number of the last accepted order.
 func (e *engine) highestFencing() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.fencing
 }
 
-// load answers PUT /orders/load.
+// load handles PUT /orders/load.
 func (e *engine) load(w http.ResponseWriter, r *http.Request) {
 	o, err := readOrder(r)
 	if err != nil {
@@ -138,28 +138,30 @@
 	content, readErr := e.hashBody(r, o)
 	outcome := e.endLoad(o, readErr)
 	e.logLoad(o, content, outcome)
-	e.answerLoad(w, o, outcome)
+	e.writeLoadResponse(w, o, outcome)
 }
 
-// interruptRead ends a read of the body that waits for bytes when a crash ends the call; stop takes that back.
+// interruptRead makes a blocked read of the request body fail when the call's context ends, for example by a crash. The returned stop
+// disables this.
 func interruptRead(w http.ResponseWriter, r *http.Request) (stop func() bool) {
 	return context.AfterFunc(r.Context(), func() {
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now())
 	})
 }
 
-// hashBody reads the weights to the end and returns their SHA-256 as hex, of what came when they were cut short.
-func (e *engine) hashBody(r *http.Request, o *order) (string, error) {
+// hashBody reads the weights to the end and returns their SHA-256 in hexadecimal. If the body is truncated, the hash covers the bytes that
+// were received, and the error is not nil.
+func (e *engine) hashBody(r *http.Request, o *loadOrder) (string, error) {
 	hash := sha256.New()
 	body := &loadReader{engine: e, order: o, ctx: r.Context(), body: r.Body}
-	size, err := io.CopyBuffer(hash, body, make([]byte, loadPiece))
+	size, err := io.CopyBuffer(hash, body, make([]byte, loadBufferSize))
 	if err == nil && size == 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return hex.EncodeToString(hash.Sum(nil)), err
 }
 
-func (e *engine) logLoad(o *order, content, outcome string) {
+func (e *engine) logLoad(o *loadOrder, content, outcome string) {
 	e.log.Add(LoadEntry{
 		Engine:        e.name,
 		Kind:          "load",
@@ -174,13 +176,13 @@
 	})
 }
 
-func (e *engine) answerLoad(w http.ResponseWriter, o *order, outcome string) {
+func (e *engine) writeLoadResponse(w http.ResponseWriter, o *loadOrder, outcome string) {
 	switch outcome {
 	case serve.OutcomeCrashed:
 		return
 	case outcomeSuperseded:
 		serve.WriteJSON(w, http.StatusConflict, FencingAnswer{Fencing: e.highestFencing()})
-	case outcomeCut:
+	case outcomeTruncated:
 		serve.Fail(w, http.StatusBadRequest, "body cut short")
 	default:
 		if e.faults.Take(func(f *Faults) *int { return &f.DropLoadAnswer }) {
@@ -191,21 +193,21 @@
 	}
 }
 
-// loadReader reads the body of a load as long as the load is the last, and waits while the engine is frozen.
+// loadReader reads the body of a load. It fails when a later load has started, and waits while the engine is frozen.
 type loadReader struct {
 	engine *engine
-	order  *order
+	order  *loadOrder
 	ctx    context.Context
 	body   io.Reader
 }
 
-// Read reads the next piece.
+// Read reads the next bytes of the body.
 func (l *loadReader) Read(p []byte) (int, error) {
-	if err := l.engine.awaitThaw(l.ctx); err != nil {
+	if err := l.engine.waitWhileFrozen(l.ctx); err != nil {
 		return 0, errors.Wrap(err, "frozen load")
 	}
 	if !l.engine.isLastLoad(l.order) {
-		return 0, errSuperseded
+		return 0, errLoadSuperseded
 	}
 	n, err := l.body.Read(p)
 	return n, err
--- a/internal/standin/engine/loadhistory.go
+++ b/internal/standin/engine/loadhistory.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// loadHistory remembers how busy an engine was, to tell it late.
+// loadHistory keeps recent values of an engine's load, so that they can be reported with a lag.
 type loadHistory struct {
 	lag     time.Duration
 	samples []loadSample
@@ -13,21 +13,21 @@
 	load Load
 }
 
-// add notes how busy the engine is from now on.
+// add records the load from now on.
 func (h *loadHistory) add(load Load, now time.Time) {
 	h.samples = append(h.samples, loadSample{at: now, load: load})
 	h.trim(now.Add(-h.lag))
 }
 
-// trim drops the samples that have a later one at or before cutoff.
+// trim drops the samples that are followed by another sample at or before cutoff.
 func (h *loadHistory) trim(cutoff time.Time) {
 	for len(h.samples) > 1 && !h.samples[1].at.After(cutoff) {
 		h.samples = h.samples[1:]
 	}
 }
 
-// seen returns what can be known at now: how busy the engine was a lag before.
-func (h *loadHistory) seen(now time.Time) Load {
+// reportedAt returns the load that is reported at now: the load at now minus the lag.
+func (h *loadHistory) reportedAt(now time.Time) Load {
 	asOf := now.Add(-h.lag)
 	h.trim(asOf)
 	var load Load
--- a/internal/standin/engine/lru.go
+++ b/internal/standin/engine/lru.go
@@ -2,7 +2,7 @@
 
 import "container/list"
 
-// lru keeps the last used of some values by key.
+// lru is a least-recently-used cache with at most limit entries.
 type lru struct {
 	limit int
 	order *list.List
@@ -18,7 +18,7 @@
 	return &lru{limit: limit, order: list.New(), items: map[string]*list.Element{}}
 }
 
-// get returns the value at key, and counts as a use.
+// get returns the value at key and marks it as recently used.
 func (l *lru) get(key string) ([]byte, bool) {
 	element, ok := l.items[key]
 	if !ok {
@@ -28,7 +28,7 @@
 	return element.Value.(*lruItem).value, true
 }
 
-// put stores a value and returns the key that had to make room, if any.
+// put stores a value. If an entry was evicted to make space, it returns its key and full is true.
 func (l *lru) put(key string, value []byte) (evicted string, full bool) {
 	if element, ok := l.items[key]; ok {
 		element.Value.(*lruItem).value = value
--- a/internal/standin/engine/messages.go
+++ b/internal/standin/engine/messages.go
@@ -1,4 +1,4 @@
-// Package engine plays model engines: they load weights, make tokens step by step and keep a prefix cache.
+// Package engine simulates model engines: they load weights, generate tokens step by step and keep a prefix cache.
 package engine
 
 // Roles of an engine.
@@ -8,7 +8,7 @@
 	roleBoth    = "both"
 )
 
-// Headers of the calls and answers.
+// Headers of requests and responses.
 const (
 	headerRequestID      = "Request-Id"
 	headerAttempt        = "Attempt"
@@ -29,8 +29,8 @@
 	Stream    bool   `json:"stream"`
 }
 
-// GenerateAnswer is the answer when it isn't streamed. Tokens counts the skipped tokens too; Digest and Generation are
-// those at the end.
+// GenerateAnswer is the response to a generate call that isn't streamed. Tokens includes the tokens skipped by a resume. Digest and
+// Generation are those at the end of the run.
 type GenerateAnswer struct {
 	RequestID  string `json:"request_id"`
 	Text       string `json:"text"`
@@ -45,7 +45,7 @@
 	Token string `json:"token"`
 }
 
-// EndEvent is the data of the last event of a stream, "done" or "cancelled". Tokens counts the skipped tokens too.
+// EndEvent is the data of the last event of a stream, "done" or "cancelled". Tokens includes the tokens skipped by a resume.
 type EndEvent struct {
 	Tokens     int    `json:"tokens"`
 	Digest     string `json:"digest"`
@@ -57,19 +57,19 @@
 	RequestID string `json:"request_id"`
 }
 
-// CancelAnswer says whether there was a request to stop.
+// CancelAnswer is the response to a cancel call. Cancelled reports whether a request with this id was running or waiting.
 type CancelAnswer struct {
 	RequestID string `json:"request_id"`
 	Cancelled bool   `json:"cancelled"`
 }
 
-// LoadAnswer says what is loaded.
+// LoadAnswer is the response to a successful load order: the weights that are now loaded.
 type LoadAnswer struct {
 	Digest     string `json:"digest"`
 	Generation int64  `json:"generation"`
 }
 
-// FencingAnswer is the body of a 409: the highest fencing number seen.
+// FencingAnswer is the body of a response with status 409: the fencing number of the last accepted order.
 type FencingAnswer struct {
 	Fencing int64 `json:"fencing"`
 }
@@ -81,12 +81,12 @@
 	OrderID       string `json:"order_id"`
 }
 
-// RoleAnswer says which role the engine has.
+// RoleAnswer is the response to a role order: the role that the engine now has.
 type RoleAnswer struct {
 	Role string `json:"role"`
 }
 
-// State is the answer to GET /state.
+// State is the response to GET /state.
 type State struct {
 	BootID        string `json:"boot_id"`
 	Digest        string `json:"digest"`
@@ -97,8 +97,8 @@
 	Load          Load   `json:"load"`
 }
 
-// Load is how busy an engine was at AsOfMS (wall clock). KVUsed counts the tokens held for running requests, with four
-// characters of a prompt for a token.
+// Load is the load of an engine at AsOfMS, a Unix time in milliseconds. KVUsed is the number of tokens held for running requests, where
+// four characters of a prompt count as one token.
 type Load struct {
 	Running int   `json:"running"`
 	Waiting int   `json:"waiting"`
@@ -113,13 +113,14 @@
 	Prefix string `json:"prefix"`
 }
 
-// Events is the answer to GET /events; Next is the number to ask after the next time.
+// Events is the response to GET /events. Next is the value for the parameter "after" of the next call.
 type Events struct {
 	Events []CacheEvent `json:"events"`
 	Next   int64        `json:"next"`
 }
 
-// RunEntry is the log entry of one request that ran; times are wall-clock milliseconds. Tokens are those made here.
+// RunEntry is the log entry of one request that ran. Times are Unix times in milliseconds. Tokens is the number of tokens generated in
+// this run, without those skipped by a resume.
 type RunEntry struct {
 	Engine         string `json:"engine"`
 	Kind           string `json:"kind"`
@@ -135,7 +136,7 @@
 	Generation     int64  `json:"generation"`
 }
 
-// LoadEntry is the log entry of one order to load; times are wall-clock milliseconds.
+// LoadEntry is the log entry of one order to load. Times are Unix times in milliseconds.
 type LoadEntry struct {
 	Engine        string `json:"engine"`
 	Kind          string `json:"kind"`
@@ -149,7 +150,7 @@
 	Outcome       string `json:"outcome"`
 }
 
-// Stats counts what one engine has done since the start of the process.
+// Stats contains the counters of one engine since the start of the stand-in, and its current numbers of running and waiting requests.
 type Stats struct {
 	Runs    int64 `json:"runs"`
 	Tokens  int64 `json:"tokens"`
@@ -157,23 +158,23 @@
 	Crashes int64 `json:"crashes"`
 	Running int   `json:"running"`
 	Waiting int   `json:"waiting"`
-	// PrefixHits and PrefixMisses count the prompts whose prefix was in the cache, and was not.
+	// PrefixHits counts the prompts whose prefix was in the cache, and PrefixMisses the others.
 	PrefixHits   int64 `json:"prefix_hits"`
 	PrefixMisses int64 `json:"prefix_misses"`
 }
 
-// Faults are the faults of one engine that can be switched on at run time.
+// Faults are the faults of one engine that can be injected at run time.
 type Faults struct {
-	// SlowFactor multiplies the time of a step and of a prefill.
+	// SlowFactor multiplies the duration of a step and of a prefill.
 	SlowFactor float64 `json:"slow_factor"`
-	// Freeze accepts calls and sends no bytes.
+	// Freeze makes calls and steps block, without sending any bytes, until it is cleared.
 	Freeze bool `json:"freeze"`
-	// CrashOn, when not empty, is a text that crashes the engine when a prompt with it starts to run.
+	// CrashOn, if not empty, is a text that crashes the engine when a request whose prompt contains it starts to run.
 	CrashOn string `json:"crash_on"`
-	// Crash, when set, crashes the engine at once; it reads as false afterwards.
+	// Crash crashes the engine immediately; the field is then reset to false.
 	Crash bool `json:"crash"`
-	// RestartMS is how long a crashed engine is away, in milliseconds.
+	// RestartMS is the time for which a crashed engine is unavailable, in milliseconds.
 	RestartMS int64 `json:"restart_ms"`
-	// DropLoadAnswer is how many of the next loads take effect with their connection reset.
+	// DropLoadAnswer is the number of next loads that take effect but whose connection is reset instead of sending the response.
 	DropLoadAnswer int `json:"drop_load_answer"`
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -11,13 +11,13 @@
 	"samphireweir.example/samphireweir/internal/standin/serve"
 )
 
-// maxKV is the largest KV cache that is taken, in bytes.
+// maxKV is the maximum size of an imported KV cache, in bytes.
 const maxKV = 64 << 10
 
-// loadPath is the path of the orders to load, whose bodies are large.
+// loadPath is the path of orders to load. Their bodies are large, and are not buffered.
 const loadPath = "/orders/load"
 
-// NewServer returns a server that plays the engines called names; their step loops end with ctx.
+// NewServer returns a handler that simulates the engines called names, and starts their step loops, which end with ctx.
 func NewServer(ctx context.Context, names []string, config Config) http.Handler {
 	mux := http.NewServeMux()
 	log := &serve.Log[any]{}
@@ -27,7 +27,7 @@
 		e := newEngine(name, config, log)
 		engines[name] = e
 		faults[name] = e.faults
-		mux.Handle("/"+name+"/", http.StripPrefix("/"+name, e.life.Guard(e.handler())))
+		mux.Handle("/"+name+"/", http.StripPrefix("/"+name, e.process.Guard(e.handler())))
 		go e.loop(ctx)
 	}
 	mux.Handle("GET /admin/log", log)
@@ -42,7 +42,7 @@
 	return mux
 }
 
-// handler returns the handler of the engine's own calls. They wait while the engine is frozen.
+// handler returns the handler of the calls to one engine. Calls block while the engine is frozen.
 func (e *engine) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/generate", e.generate)
@@ -54,17 +54,17 @@
 	mux.HandleFunc("GET /v1/kv", e.exportKV)
 	mux.HandleFunc("PUT /v1/kv", e.importKV)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path != loadPath && !holdBody(w, r) {
+		if r.URL.Path != loadPath && !bufferBody(w, r) {
 			return
 		}
-		if e.awaitThaw(r.Context()) == nil {
+		if e.waitWhileFrozen(r.Context()) == nil {
 			mux.ServeHTTP(w, r)
 		}
 	})
 }
 
-// holdBody reads a small body ahead: only then does net/http notice that a caller has gone.
-func holdBody(w http.ResponseWriter, r *http.Request) bool {
+// bufferBody reads a small request body into memory, because net/http detects a client's disconnect only after the body has been read.
+func bufferBody(w http.ResponseWriter, r *http.Request) bool {
 	body, ok := serve.ReadBody(w, r)
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	return ok
@@ -89,12 +89,12 @@
 		return
 	}
 	e.mu.Lock()
-	obeyed := e.obey(order.FencingNumber)
-	if obeyed {
+	accepted := e.acceptFencing(order.FencingNumber)
+	if accepted {
 		e.role = order.Role
 	}
 	e.mu.Unlock()
-	if !obeyed {
+	if !accepted {
 		serve.WriteJSON(w, http.StatusConflict, FencingAnswer{Fencing: e.highestFencing()})
 		return
 	}
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// soon bounds the wait for what happens in the background.
-	soon = 10 * time.Second
-	// frozenFor is how long a test listens to a call that can't be answered.
-	frozenFor = 50 * time.Millisecond
-	// endless is a number of tokens whose making no test sits out.
-	endless = maxMaxTokens
+	// waitTimeout bounds the wait for effects in the background.
+	waitTimeout = 10 * time.Second
+	// frozenCallTimeout is the time that a test waits for a call that must not be answered.
+	frozenCallTimeout = 50 * time.Millisecond
+	// endlessTokens is a number of tokens that takes longer to generate than any test runs.
+	endlessTokens = maxTokensLimit
 )
 
 func testConfig() Config {
@@ -46,21 +46,21 @@
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err == nil {
-		t.Cleanup(func() { _ = answer.Body.Close() })
+		t.Cleanup(func() { _ = response.Body.Close() })
 	}
-	return answer, err
+	return response, err
 }
 
-// call does one call, expects status and decodes the answer into target unless that is nil.
+// call makes one call, requires the status, and decodes the response into target unless target is nil.
 func call(t *testing.T, status int, method, url, body string, header map[string]string, target any) {
 	t.Helper()
-	answer, err := do(t, method, url, body, header)
+	response, err := do(t, method, url, body, header)
 	require.NoError(t, err)
-	text, err := io.ReadAll(answer.Body)
+	text, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
-	require.Equal(t, status, answer.StatusCode, string(text))
+	require.Equal(t, status, response.StatusCode, string(text))
 	if target != nil {
 		require.NoError(t, json.Unmarshal(text, target), string(text))
 	}
@@ -99,10 +99,10 @@
 // readLog returns the entries of one kind.
 func readLog[T any](t *testing.T, url, kind string) []T {
 	t.Helper()
-	answer, err := do(t, "GET", url+"/admin/log", "", nil)
+	response, err := do(t, "GET", url+"/admin/log", "", nil)
 	require.NoError(t, err)
 	var entries []T
-	for decoder := json.NewDecoder(answer.Body); decoder.More(); {
+	for decoder := json.NewDecoder(response.Body); decoder.More(); {
 		var raw json.RawMessage
 		require.NoError(t, decoder.Decode(&raw))
 		if strings.Contains(string(raw), `"kind":"`+kind+`"`) {
@@ -114,13 +114,13 @@
 	return entries
 }
 
-func awaitRuns(t *testing.T, url string, n int) []RunEntry {
+func waitForRuns(t *testing.T, url string, n int) []RunEntry {
 	t.Helper()
 	var runs []RunEntry
 	require.Eventually(t, func() bool {
 		runs = readLog[RunEntry](t, url, "run")
 		return len(runs) == n
-	}, soon, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	return runs
 }
 
@@ -131,13 +131,13 @@
 
 func startStream(t *testing.T, url, body string, header map[string]string) (*http.Response, *eventReader) {
 	t.Helper()
-	answer, err := do(t, "POST", url+"/e1/v1/generate", body, header)
+	response, err := do(t, "POST", url+"/e1/v1/generate", body, header)
 	require.NoError(t, err)
-	require.Equal(t, 200, answer.StatusCode)
-	return answer, &eventReader{lines: bufio.NewScanner(answer.Body)}
+	require.Equal(t, 200, response.StatusCode)
+	return response, &eventReader{lines: bufio.NewScanner(response.Body)}
 }
 
-// next returns the next event, or an empty one when the stream was cut.
+// next returns the next event, or an empty one if the stream was truncated.
 func (r *eventReader) next() event {
 	var e event
 	for r.lines.Scan() && r.lines.Text() != "" {
@@ -150,12 +150,15 @@
 	return e
 }
 
-func TestNoWeightsNoRun(t *testing.T) {
+// TestGenerateWithoutWeightsIsRejected guards against a run before weights are loaded.
+func TestGenerateWithoutWeightsIsRejected(t *testing.T) {
 	url := start(t, testConfig())
 	call(t, 503, "POST", url+"/e1/v1/generate", generateBody("p", 1, false), nil, nil)
 	assert.Empty(t, readLog[RunEntry](t, url, "run"))
 }
 
+// TestGenerateAfterLoad guards against a response, headers or log entries that don't match the loaded weights and the
+// request.
 func TestGenerateAfterLoad(t *testing.T) {
 	url := start(t, testConfig())
 	load(t, url, "d1", 3, 1)
@@ -163,17 +166,17 @@
 	assert.Equal(t, "d1", state.Digest)
 	assert.Equal(t, int64(3), state.Generation)
 	header := map[string]string{headerRequestID: "r1", headerAttempt: "2", headerIdempotencyKey: "k"}
-	answer, err := do(t, "POST", url+"/e1/v1/generate", generateBody("p", 3, false), header)
+	response, err := do(t, "POST", url+"/e1/v1/generate", generateBody("p", 3, false), header)
 	require.NoError(t, err)
 	var got GenerateAnswer
-	require.NoError(t, json.NewDecoder(answer.Body).Decode(&got))
+	require.NoError(t, json.NewDecoder(response.Body).Decode(&got))
 	text := Token("d1", "p", 0) + Token("d1", "p", 1) + Token("d1", "p", 2)
 	assert.Equal(t, GenerateAnswer{RequestID: "r1", Text: text, Tokens: 3, Digest: "d1", Generation: 3}, got)
-	assert.Equal(t, "d1", answer.Header.Get(headerWeightsDigest))
-	assert.Equal(t, "3", answer.Header.Get(headerLoadGeneration))
-	assert.Equal(t, state.BootID, answer.Header.Get(headerBootID))
+	assert.Equal(t, "d1", response.Header.Get(headerWeightsDigest))
+	assert.Equal(t, "3", response.Header.Get(headerLoadGeneration))
+	assert.Equal(t, state.BootID, response.Header.Get(headerBootID))
 
-	run := awaitRuns(t, url, 1)[0]
+	run := waitForRuns(t, url, 1)[0]
 	run.StartMS, run.EndMS = 0, 0
 	assert.Equal(t, RunEntry{Engine: "e1", Kind: "run", RequestID: "r1", Attempt: "2", IdempotencyKey: "k",
 		Outcome: "done", Tokens: 3, DigestStart: "d1", DigestEnd: "d1", Generation: 3}, run)
@@ -182,12 +185,14 @@
 	assert.Equal(t, "f38329d231164082b94f28edf29bff349b44403e09fc4057d65b31051f4ae6b5", loaded[0].ContentSHA256)
 }
 
-func TestTokenIsAPureFunction(t *testing.T) {
+// TestTokenIsDeterministic guards against tokens that differ between calls for the same weights, prompt and index.
+func TestTokenIsDeterministic(t *testing.T) {
 	assert.Equal(t, Token("d", "p", 1), Token("d", "p", 1))
 	assert.Regexp(t, "^[0-9a-f]{8} $", Token("d", "p", 1))
 	assert.NotEqual(t, Token("d", "p", 1), Token("d", "p", 2))
 }
 
+// TestStreamResumes guards against a resumed stream that repeats or skips tokens.
 func TestStreamResumes(t *testing.T) {
 	url := start(t, testConfig())
 	load(t, url, "d1", 1, 1)
@@ -195,15 +200,17 @@
 	assert.Equal(t, event{"id: 2", `{"index":2,"token":"` + Token("d1", "p", 2) + `"}`}, events.next())
 	assert.Equal(t, event{"id: 3", `{"index":3,"token":"` + Token("d1", "p", 3) + `"}`}, events.next())
 	assert.Equal(t, event{"event: done", `{"tokens":4,"digest":"d1","generation":1}`}, events.next())
-	assert.Equal(t, 2, awaitRuns(t, url, 1)[0].Tokens)
+	assert.Equal(t, 2, waitForRuns(t, url, 1)[0].Tokens)
 }
 
-func TestRunningRequestGoesOnWithNewWeights(t *testing.T) {
+// TestRunningRequestContinuesWithNewWeights guards against a request that keeps the old weights, or is aborted, when
+// new weights are loaded during its run.
+func TestRunningRequestContinuesWithNewWeights(t *testing.T) {
 	const tokensAfter = 20
 	url := start(t, testConfig())
 	load(t, url, "d1", 1, 1)
-	answer, events := startStream(t, url, generateBody("p", endless, true), nil)
-	assert.Equal(t, "d1", answer.Header.Get(headerWeightsDigest))
+	response, events := startStream(t, url, generateBody("p", endlessTokens, true), nil)
+	assert.Equal(t, "d1", response.Header.Get(headerWeightsDigest))
 	assert.Equal(t, "d1", digestOf(t, events.next().data))
 	load(t, url, "d2", 2, 2)
 	digest := "d1"
@@ -214,13 +221,13 @@
 		assert.Equal(t, "d2", digest)
 		digest = digestOf(t, events.next().data)
 	}
-	require.NoError(t, answer.Body.Close())
-	run := awaitRuns(t, url, 1)[0]
+	require.NoError(t, response.Body.Close())
+	run := waitForRuns(t, url, 1)[0]
 	assert.Equal(t, "d1", run.DigestStart)
 	assert.Equal(t, "d2", run.DigestEnd)
 }
 
-// digestOf returns which weights made the token of an event for the prompt "p".
+// digestOf returns the digest of the weights that generated the token of an event, for the prompt "p".
 func digestOf(t *testing.T, data string) string {
 	t.Helper()
 	var token TokenEvent
@@ -233,6 +240,7 @@
 	return "none"
 }
 
+// TestOldFencingNumbersAreRefused guards against stale orders that are accepted.
 func TestOldFencingNumbersAreRefused(t *testing.T) {
 	url := start(t, testConfig())
 	load(t, url, "d2", 2, 2)
@@ -248,7 +256,8 @@
 	assert.Equal(t, outcomeRefused, readLog[LoadEntry](t, url, "load")[1].Outcome)
 }
 
-func TestIgnoredFencingObeysOldNumbers(t *testing.T) {
+// TestIgnoreFencingAcceptsOldNumbers guards against an option IgnoreFencing that has no effect.
+func TestIgnoreFencingAcceptsOldNumbers(t *testing.T) {
 	config := testConfig()
 	config.IgnoreFencing = true
 	url := start(t, config)
@@ -257,7 +266,9 @@
 	assert.Equal(t, "d1", stateOf(t, url).Digest)
 }
 
-func TestCutLoadLeavesNoWeights(t *testing.T) {
+// TestTruncatedLoadLeavesNoWeights guards against an engine that serves the old or partial weights after the body of a
+// load was truncated.
+func TestTruncatedLoadLeavesNoWeights(t *testing.T) {
 	url := start(t, testConfig())
 	load(t, url, "d1", 1, 1)
 	body, feed := io.Pipe()
@@ -273,19 +284,21 @@
 	}()
 	_, err = feed.Write([]byte("some of it"))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return stateOf(t, url).Loading }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return stateOf(t, url).Loading }, waitTimeout, time.Millisecond)
 	call(t, 503, "POST", url+"/e1/v1/generate", generateBody("p", 1, false), nil, nil)
 	require.NoError(t, feed.CloseWithError(errors.New("cut")))
 	require.Error(t, <-failed)
-	require.Eventually(t, func() bool { return !stateOf(t, url).Loading }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return !stateOf(t, url).Loading }, waitTimeout, time.Millisecond)
 	assert.Empty(t, stateOf(t, url).Digest)
 	require.Eventually(t, func() bool {
 		loads := readLog[LoadEntry](t, url, "load")
-		return len(loads) == 2 && loads[1].Outcome == outcomeCut
-	}, soon, time.Millisecond)
+		return len(loads) == 2 && loads[1].Outcome == outcomeTruncated
+	}, waitTimeout, time.Millisecond)
 }
 
-func TestLaterLoadSupersedesAWaitingOne(t *testing.T) {
+// TestLaterLoadSupersedesPendingLoad guards against an earlier load that completes after a later one and replaces its
+// weights.
+func TestLaterLoadSupersedesPendingLoad(t *testing.T) {
 	url := start(t, testConfig())
 	body, feed := io.Pipe()
 	request, err := http.NewRequestWithContext(t.Context(), "PUT", url+"/e1/orders/load", body)
@@ -294,15 +307,15 @@
 	request.Header.Set(headerFencingNumber, "1")
 	status := make(chan int, 1)
 	go func() {
-		answer, err := http.DefaultClient.Do(request)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			status <- 0
 			return
 		}
-		_ = answer.Body.Close()
-		status <- answer.StatusCode
+		_ = response.Body.Close()
+		status <- response.StatusCode
 	}()
-	require.Eventually(t, func() bool { return stateOf(t, url).Loading }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return stateOf(t, url).Loading }, waitTimeout, time.Millisecond)
 	load(t, url, "d2", 2, 2)
 	_, err = feed.Write([]byte("late"))
 	require.NoError(t, err)
@@ -311,7 +324,8 @@
 	assert.Equal(t, "d2", stateOf(t, url).Digest)
 }
 
-func TestDroppedLoadAnswerTookEffect(t *testing.T) {
+// TestLoadWithDroppedAnswerTakesEffect guards against a drop_load_answer fault that also drops the load.
+func TestLoadWithDroppedAnswerTakesEffect(t *testing.T) {
 	url := start(t, testConfig())
 	setFaults(t, url, `{"e1":{"drop_load_answer":1}}`)
 	_, err := do(t, "PUT", url+"/e1/orders/load", "weights", loadHeader("d1", 1, 1))
@@ -319,38 +333,42 @@
 	assert.Equal(t, "d1", stateOf(t, url).Digest)
 }
 
-func TestClientThatGoesCancels(t *testing.T) {
+// TestClientDisconnectCancelsRun guards against a run that continues after its caller has disconnected.
+func TestClientDisconnectCancelsRun(t *testing.T) {
 	url := start(t, testConfig())
 	load(t, url, "d1", 1, 1)
-	answer, events := startStream(t, url, generateBody("p", endless, true), nil)
+	response, events := startStream(t, url, generateBody("p", endlessTokens, true), nil)
 	assert.Equal(t, "id: 0", events.next().head)
-	require.NoError(t, answer.Body.Close())
-	assert.Equal(t, serve.OutcomeCancelled, awaitRuns(t, url, 1)[0].Outcome)
+	require.NoError(t, response.Body.Close())
+	assert.Equal(t, serve.OutcomeCancelled, waitForRuns(t, url, 1)[0].Outcome)
 }
 
+// TestCancelCall guards against a run that continues after a cancel call, and against a stream without the final event.
 func TestCancelCall(t *testing.T) {
 	url := start(t, testConfig())
 	load(t, url, "d1", 1, 1)
-	_, events := startStream(t, url, generateBody("p", endless, true), map[string]string{headerRequestID: "r1"})
-	var answer CancelAnswer
-	call(t, 200, "POST", url+"/e1/v1/cancel", `{"request_id":"r1"}`, nil, &answer)
-	assert.True(t, answer.Cancelled)
+	_, events := startStream(t, url, generateBody("p", endlessTokens, true), map[string]string{headerRequestID: "r1"})
+	var response CancelAnswer
+	call(t, 200, "POST", url+"/e1/v1/cancel", `{"request_id":"r1"}`, nil, &response)
+	assert.True(t, response.Cancelled)
 	last := events.next()
 	for strings.HasPrefix(last.head, "id: ") {
 		last = events.next()
 	}
 	assert.Equal(t, "event: cancelled", last.head)
-	assert.Equal(t, serve.OutcomeCancelled, awaitRuns(t, url, 1)[0].Outcome)
-	call(t, 200, "POST", url+"/e1/v1/cancel", `{"request_id":"r1"}`, nil, &answer)
-	assert.False(t, answer.Cancelled)
+	assert.Equal(t, serve.OutcomeCancelled, waitForRuns(t, url, 1)[0].Outcome)
+	call(t, 200, "POST", url+"/e1/v1/cancel", `{"request_id":"r1"}`, nil, &response)
+	assert.False(t, response.Cancelled)
 }
 
-func TestPoisonPromptCrashes(t *testing.T) {
+// TestCrashPromptCrashesEngine guards against a crash_on fault that spares other running requests, or keeps the boot id
+// or the weights.
+func TestCrashPromptCrashesEngine(t *testing.T) {
 	url := start(t, testConfig())
 	load(t, url, "d1", 1, 1)
 	boot := stateOf(t, url).BootID
 	setFaults(t, url, `{"e1":{"crash_on":"poison","restart_ms":0}}`)
-	_, events := startStream(t, url, generateBody("p", endless, true), nil)
+	_, events := startStream(t, url, generateBody("p", endlessTokens, true), nil)
 	_, err := do(t, "POST", url+"/e1/v1/generate", generateBody("some poison", 1, false), nil)
 	require.Error(t, err)
 	last := events.next()
@@ -358,7 +376,7 @@
 		last = events.next()
 	}
 	assert.Empty(t, last.data)
-	for _, run := range awaitRuns(t, url, 2) {
+	for _, run := range waitForRuns(t, url, 2) {
 		assert.Equal(t, serve.OutcomeCrashed, run.Outcome)
 	}
 	state := stateOf(t, url)
@@ -366,14 +384,17 @@
 	assert.Empty(t, state.Digest)
 }
 
-func TestCrashedEngineIsAway(t *testing.T) {
+// TestCrashedEngineIsUnavailable guards against a crashed engine that still responds, and against a crash of the other
+// engines.
+func TestCrashedEngineIsUnavailable(t *testing.T) {
 	url := start(t, testConfig())
 	setFaults(t, url, `{"e1":{"crash":true,"restart_ms":3600000}}`)
 	call(t, 503, "GET", url+"/e1/state", "", nil, nil)
 	call(t, 200, "GET", url+"/e2/state", "", nil, nil)
 }
 
-func TestCrashCutsALoad(t *testing.T) {
+// TestCrashAbortsLoad guards against a load that stays blocked in reading its body after a crash.
+func TestCrashAbortsLoad(t *testing.T) {
 	url := start(t, testConfig())
 	body, feed := io.Pipe()
 	request, err := http.NewRequestWithContext(t.Context(), "PUT", url+"/e1/orders/load", body)
@@ -384,22 +405,23 @@
 		_, err := http.DefaultClient.Do(request)
 		failed <- err
 	}()
-	require.Eventually(t, func() bool { return stateOf(t, url).Loading }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return stateOf(t, url).Loading }, waitTimeout, time.Millisecond)
 	setFaults(t, url, `{"e1":{"crash":true,"restart_ms":0}}`)
 	require.Eventually(t, func() bool {
 		loads := readLog[LoadEntry](t, url, "load")
 		return len(loads) == 1 && loads[0].Outcome == serve.OutcomeCrashed
-	}, soon, time.Millisecond)
-	// net/http's client comes back only when the reader of its body does, so the body ends first, and whole.
+	}, waitTimeout, time.Millisecond)
+	// The net/http client returns only after reading its request body has returned, so the body is ended first, without an error.
 	require.NoError(t, feed.Close())
 	require.Error(t, <-failed)
 }
 
+// TestFrozenEngineSendsNoBytes guards against a frozen engine that responds, and against one that doesn't recover.
 func TestFrozenEngineSendsNoBytes(t *testing.T) {
 	url := start(t, testConfig())
 	load(t, url, "d1", 1, 1)
 	setFaults(t, url, `{"*":{"freeze":true}}`)
-	ctx, stop := context.WithTimeout(t.Context(), frozenFor)
+	ctx, stop := context.WithTimeout(t.Context(), frozenCallTimeout)
 	defer stop()
 	request, err := http.NewRequestWithContext(ctx, "GET", url+"/e1/state", nil)
 	require.NoError(t, err)
@@ -410,6 +432,7 @@
 	call(t, 200, "POST", url+"/e1/v1/generate", generateBody("p", 1, false), nil, nil)
 }
 
+// TestCacheEvents guards against events that don't match the contents of the prefix cache.
 func TestCacheEvents(t *testing.T) {
 	url := start(t, testConfig())
 	load(t, url, "d1", 1, 1)
@@ -426,14 +449,15 @@
 	assert.Equal(t, Events{Events: expected, Next: 4}, events)
 }
 
-func TestKVMoves(t *testing.T) {
+// TestKVCacheExportAndImport guards against a KV cache that changes when it is moved between engines.
+func TestKVCacheExportAndImport(t *testing.T) {
 	url := start(t, testConfig())
 	load(t, url, "d1", 1, 1)
 	header := map[string]string{headerRequestID: "r1"}
 	call(t, 200, "POST", url+"/e1/v1/generate", generateBody("p", 0, false), header, nil)
-	answer, err := do(t, "GET", url+"/e1/v1/kv?request_id=r1", "", nil)
+	response, err := do(t, "GET", url+"/e1/v1/kv?request_id=r1", "", nil)
 	require.NoError(t, err)
-	kv, err := io.ReadAll(answer.Body)
+	kv, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	assert.Equal(t, kvBytes("d1", "p"), kv)
 	call(t, 404, "GET", url+"/e2/v1/kv?request_id=r1", "", nil, nil)
--- a/internal/standin/hostlist/hostlist.go
+++ b/internal/standin/hostlist/hostlist.go
@@ -1,4 +1,4 @@
-// Package hostlist plays the list of hosts, which shows changes late.
+// Package hostlist simulates the service that lists hosts. Changes become visible after a lag.
 package hostlist
 
 import (
@@ -14,10 +14,10 @@
 	"samphireweir.example/samphireweir/internal/standin/serve"
 )
 
-// defaultLag is how late a change is seen.
+// defaultLag is the default time until a change becomes visible.
 const defaultLag = 2 * time.Second
 
-// Host is one host; Address is where its samphireweir process listens for its peers.
+// Host is one host. Address, as IP:PORT, is where its samphireweir process listens for its peers.
 type Host struct {
 	Address string `json:"address"`
 	Role    string `json:"role"`
@@ -32,33 +32,33 @@
 	return h.Address != "" && role && state
 }
 
-// Hosts is the answer to GET /v1/hosts, sorted by address.
+// Hosts is the response to GET /v1/hosts, sorted by address.
 type Hosts struct {
 	Hosts []Host `json:"hosts"`
 }
 
-// Faults are the faults that can be switched on at run time.
+// Faults are the faults that can be injected at run time.
 type Faults struct {
-	// Outage answers 503.
+	// Outage makes reads fail with status 503.
 	Outage bool `json:"outage"`
-	// DelayMS is how long a read waits, in milliseconds.
+	// DelayMS delays each read, in milliseconds.
 	DelayMS int64 `json:"delay_ms"`
 }
 
-// Stats counts the reads and the changes.
+// Stats counts the successful reads and the changes.
 type Stats struct {
 	Reads   int64 `json:"reads"`
 	Changes int64 `json:"changes"`
 }
 
-// change is a change that may not be seen yet.
+// change is a change to the list that becomes visible at visibleAt.
 type change struct {
-	seenFrom time.Time
-	host     Host
-	removed  bool
+	visibleAt time.Time
+	host      Host
+	removed   bool
 }
 
-// Server is the stand-in's HTTP side.
+// Server is the HTTP handler of the simulated host list.
 type Server struct {
 	mux    *http.ServeMux
 	faults *serve.Faults[Faults]
@@ -67,17 +67,17 @@
 	reads, changes atomic.Int64
 
 	mu      sync.Mutex
-	seen    map[string]Host
+	visible map[string]Host
 	pending []change
 }
 
-// NewServer returns a server without hosts, that shows changes after lag.
+// NewServer returns a server without hosts. Changes become visible after lag.
 func NewServer(lag time.Duration) *Server {
 	s := &Server{
-		mux:    http.NewServeMux(),
-		faults: serve.NewFaults(Faults{}),
-		lag:    lag,
-		seen:   map[string]Host{},
+		mux:     http.NewServeMux(),
+		faults:  serve.NewFaults(Faults{}),
+		lag:     lag,
+		visible: map[string]Host{},
 	}
 	s.mux.HandleFunc("GET /v1/hosts", s.get)
 	s.mux.HandleFunc("PUT /admin/hosts", s.put)
@@ -87,7 +87,7 @@
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP handles one call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mux.ServeHTTP(w, r)
 }
@@ -128,32 +128,32 @@
 	s.changes.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.seenFrom = time.Now().Add(s.lag)
+	c.visibleAt = time.Now().Add(s.lag)
 	s.pending = append(s.pending, c)
 }
 
-// hosts returns the hosts as they are seen at now.
+// hosts returns the hosts that are visible at now.
 func (s *Server) hosts(now time.Time) []Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle(now)
+	s.applyDue(now)
 	hosts := []Host{}
-	for _, host := range s.seen {
+	for _, host := range s.visible {
 		hosts = append(hosts, host)
 	}
 	slices.SortFunc(hosts, func(a, b Host) int { return cmp.Compare(a.Address, b.Address) })
 	return hosts
 }
 
-// settle moves the changes that are due into what is seen.
-func (s *Server) settle(now time.Time) {
-	for len(s.pending) > 0 && !now.Before(s.pending[0].seenFrom) {
-		due := s.pending[0]
+// applyDue makes the changes visible whose lag has passed. The caller holds the lock.
+func (s *Server) applyDue(now time.Time) {
+	for len(s.pending) > 0 && !now.Before(s.pending[0].visibleAt) {
+		next := s.pending[0]
 		s.pending = s.pending[1:]
-		if due.removed {
-			delete(s.seen, due.host.Address)
+		if next.removed {
+			delete(s.visible, next.host.Address)
 		} else {
-			s.seen[due.host.Address] = due.host
+			s.visible[next.host.Address] = next.host
 		}
 	}
 }
@@ -167,9 +167,9 @@
 	var lag time.Duration
 	return &serve.Command{
 		Title: "hostlist",
-		About: "Plays the list of hosts.",
+		About: "Simulates the service that lists hosts.",
 		Flags: func(flags *flag.FlagSet) {
-			flags.DurationVar(&lag, "lag", defaultLag, "how late changes are seen")
+			flags.DurationVar(&lag, "lag", defaultLag, "time until a change becomes visible")
 		},
 		Build: func(context.Context) (http.Handler, error) {
 			return NewServer(lag), nil
--- a/internal/standin/hostlist/hostlist_test.go
+++ b/internal/standin/hostlist/hostlist_test.go
@@ -19,22 +19,23 @@
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 	require.NoError(t, err)
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = answer.Body.Close() })
-	return answer
+	t.Cleanup(func() { _ = response.Body.Close() })
+	return response
 }
 
 func list(t *testing.T, url string) []Host {
 	t.Helper()
-	answer := call(t, "GET", url+"/v1/hosts", "")
-	require.Equal(t, http.StatusOK, answer.StatusCode)
+	response := call(t, "GET", url+"/v1/hosts", "")
+	require.Equal(t, http.StatusOK, response.StatusCode)
 	var hosts Hosts
-	require.NoError(t, json.NewDecoder(answer.Body).Decode(&hosts))
+	require.NoError(t, json.NewDecoder(response.Body).Decode(&hosts))
 	return hosts.Hosts
 }
 
-func TestChangesWithoutLagAreSeenAtOnce(t *testing.T) {
+// TestChangesWithoutLagAreVisibleAtOnce guards against changes that are delayed or lost although the lag is 0.
+func TestChangesWithoutLagAreVisibleAtOnce(t *testing.T) {
 	server := httptest.NewServer(NewServer(0))
 	defer server.Close()
 	assert.Empty(t, list(t, server.URL))
@@ -49,14 +50,16 @@
 	assert.Empty(t, list(t, server.URL))
 }
 
-func TestBadHostIsRefused(t *testing.T) {
+// TestInvalidHostIsRejected guards against hosts with an unknown role in the list.
+func TestInvalidHostIsRejected(t *testing.T) {
 	server := httptest.NewServer(NewServer(0))
 	defer server.Close()
 	bad := strings.Replace(hostOne, "agent", "king", 1)
 	assert.Equal(t, 400, call(t, "PUT", server.URL+"/admin/hosts", bad).StatusCode)
 }
 
-func TestChangesAreSeenAfterTheLag(t *testing.T) {
+// TestChangesAreVisibleAfterLag guards against changes that become visible before the lag has passed, or never.
+func TestChangesAreVisibleAfterLag(t *testing.T) {
 	server := NewServer(time.Hour)
 	now := time.Now()
 	server.change(change{host: Host{Address: "a"}})
@@ -67,6 +70,7 @@
 	assert.Empty(t, server.hosts(now.Add(2*time.Hour)))
 }
 
+// TestOutage guards against an outage fault that has no effect.
 func TestOutage(t *testing.T) {
 	server := httptest.NewServer(NewServer(0))
 	defer server.Close()
--- a/internal/standin/objectapi/command.go
+++ b/internal/standin/objectapi/command.go
@@ -8,7 +8,7 @@
 	"samphireweir.example/samphireweir/internal/standin/serve"
 )
 
-// Defaults of the flags.
+// Default values of the flags.
 const (
 	defaultWritesPerSecond = 400
 	defaultReadsPerSecond  = 2000
@@ -20,11 +20,11 @@
 	var config Config
 	return &serve.Command{
 		Title: "objectapi",
-		About: "Plays the object API.",
+		About: "Simulates the object API.",
 		Flags: func(flags *flag.FlagSet) {
-			flags.IntVar(&config.WritesPerSecond, "writes-per-second", defaultWritesPerSecond, "bound on writes, 0 for none")
-			flags.IntVar(&config.ReadsPerSecond, "reads-per-second", defaultReadsPerSecond, "bound on reads, 0 for none")
-			flags.IntVar(&config.History, "history", defaultHistory, "changes kept for watches")
+			flags.IntVar(&config.WritesPerSecond, "writes-per-second", defaultWritesPerSecond, "limit on writes per second, 0 for none")
+			flags.IntVar(&config.ReadsPerSecond, "reads-per-second", defaultReadsPerSecond, "limit on reads per second, 0 for none")
+			flags.IntVar(&config.History, "history", defaultHistory, "number of changes kept for watches")
 		},
 		Build: func(context.Context) (http.Handler, error) {
 			return NewServer(config), nil
--- a/internal/standin/objectapi/server.go
+++ b/internal/standin/objectapi/server.go
@@ -13,32 +13,33 @@
 	"samphireweir.example/samphireweir/internal/standin/serve"
 )
 
-// versionHeader makes a write conditional on the object's version.
+// versionHeader is the request header that makes a write conditional on the object's version.
 const versionHeader = "If-Version"
 
-// Config sets up a Server.
+// Config configures a Server.
 type Config struct {
-	// WritesPerSecond and ReadsPerSecond bound the calls, with a burst of one second; 0 is no bound.
+	// WritesPerSecond and ReadsPerSecond limit the rates of calls, with a burst of one second's worth; 0 means no limit. Watches count as
+	// reads.
 	WritesPerSecond, ReadsPerSecond int
-	// History is how many changes are kept for watches.
+	// History is the number of changes kept for watches.
 	History int
 }
 
-// Faults are the faults that can be switched on at run time.
+// Faults are the faults that can be injected at run time.
 type Faults struct {
-	// Outage answers 503 to all calls.
+	// Outage makes all calls fail with status 503.
 	Outage bool `json:"outage"`
-	// Hang leaves all calls without an answer as long as it is on.
+	// Hang makes all calls block without a response until it is cleared.
 	Hang bool `json:"hang"`
-	// DelayMS is how long a call waits before it is looked at, in milliseconds.
+	// DelayMS delays the handling of each call, in milliseconds.
 	DelayMS int64 `json:"delay_ms"`
-	// LoseNextAnswers is how many of the next writes take effect with their connection dropped.
+	// LoseNextAnswers is the number of next writes that take effect but whose connection is reset instead of sending the response.
 	LoseNextAnswers int `json:"lose_next_answers"`
-	// LoseNextKeyPrefix narrows LoseNextAnswers to the keys that begin so.
+	// LoseNextKeyPrefix restricts LoseNextAnswers to keys with this prefix.
 	LoseNextKeyPrefix string `json:"lose_next_key_prefix"`
 }
 
-// Stats counts the calls; Refused are those over the rate.
+// Stats counts the calls; Refused counts those rejected by a rate limit. Revision is the current revision.
 type Stats struct {
 	Reads     int64 `json:"reads"`
 	Writes    int64 `json:"writes"`
@@ -48,30 +49,30 @@
 	Revision  int64 `json:"revision"`
 }
 
-// Written is the answer to a write that took effect.
+// Written is the response to a successful write.
 type Written struct {
 	Key     string `json:"key"`
 	Version int64  `json:"version"`
 }
 
-// List is the answer to a list.
+// List is the response to a list call.
 type List struct {
 	Revision int64    `json:"revision"`
 	Items    []Object `json:"items"`
 }
 
-// Changes is the answer to a watch.
+// Changes is the response to a watch call.
 type Changes struct {
 	Revision int64    `json:"revision"`
 	Items    []Change `json:"items"`
 }
 
-// Server is the stand-in's HTTP side.
+// Server is the HTTP handler of the simulated object API.
 type Server struct {
-	mux           *http.ServeMux
-	store         *store
-	faults        *serve.Faults[Faults]
-	reads, writes *rate.Limiter
+	mux                       *http.ServeMux
+	store                     *store
+	faults                    *serve.Faults[Faults]
+	readLimiter, writeLimiter *rate.Limiter
 
 	readCount, writeCount, watchCount, conflictCount, refusedCount atomic.Int64
 }
@@ -79,11 +80,11 @@
 // NewServer returns a server without objects.
 func NewServer(config Config) *Server {
 	s := &Server{
-		mux:    http.NewServeMux(),
-		store:  newStore(config.History),
-		faults: serve.NewFaults(Faults{}),
-		reads:  newLimiter(config.ReadsPerSecond),
-		writes: newLimiter(config.WritesPerSecond),
+		mux:          http.NewServeMux(),
+		store:        newStore(config.History),
+		faults:       serve.NewFaults(Faults{}),
+		readLimiter:  newLimiter(config.ReadsPerSecond),
+		writeLimiter: newLimiter(config.WritesPerSecond),
 	}
 	s.mux.HandleFunc("GET /v1/objects/{key...}", s.get)
 	s.mux.HandleFunc("PUT /v1/objects/{key...}", s.put)
@@ -102,14 +103,15 @@
 	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP handles one call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mux.ServeHTTP(w, r)
 }
 
-// admit plays the faults and the rate; when it returns false the call has its answer, or needs none.
+// admit applies the faults and the rate limit. If it returns false, the caller must return: the response has been sent, or the request
+// was cancelled.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, limiter *rate.Limiter) bool {
-	if !s.playFaults(w, r) {
+	if !s.applyFaults(w, r) {
 		return false
 	}
 	if !limiter.Allow() {
@@ -120,14 +122,14 @@
 	return true
 }
 
-func (s *Server) playFaults(w http.ResponseWriter, r *http.Request) bool {
+func (s *Server) applyFaults(w http.ResponseWriter, r *http.Request) bool {
 	if !serve.Sleep(r.Context(), serve.Milliseconds(s.faults.Get().DelayMS)) {
 		return false
 	}
-	return s.playOutage(w, r)
+	return s.applyOutage(w, r)
 }
 
-func (s *Server) playOutage(w http.ResponseWriter, r *http.Request) bool {
+func (s *Server) applyOutage(w http.ResponseWriter, r *http.Request) bool {
 	if err := s.faults.WaitWhile(r.Context(), func(f Faults) bool { return f.Hang }); err != nil {
 		return false
 	}
@@ -139,7 +141,7 @@
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
-	if !s.admit(w, r, s.reads) {
+	if !s.admit(w, r, s.readLimiter) {
 		return
 	}
 	s.readCount.Add(1)
@@ -169,7 +171,7 @@
 	s.write(w, r, s.store.remove)
 }
 
-// write does a conditional write and answers with its outcome.
+// write performs a conditional write with apply and sends the response.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, apply func(string, int64) (Object, outcome)) {
 	key := r.PathValue("key")
 	expected, ok := expectedVersion(r)
@@ -177,7 +179,7 @@
 		serve.Fail(w, http.StatusBadRequest, "no key, or a bad "+versionHeader)
 		return
 	}
-	if !s.admit(w, r, s.writes) {
+	if !s.admit(w, r, s.writeLimiter) {
 		return
 	}
 	s.writeCount.Add(1)
@@ -189,11 +191,11 @@
 	case absent:
 		serve.Fail(w, http.StatusNotFound, "no such object")
 	default:
-		s.answerWritten(w, object)
+		s.writeResult(w, object)
 	}
 }
 
-func (s *Server) answerWritten(w http.ResponseWriter, object Object) {
+func (s *Server) writeResult(w http.ResponseWriter, object Object) {
 	matches := strings.HasPrefix(object.Key, s.faults.Get().LoseNextKeyPrefix)
 	if matches && s.faults.Take(func(f *Faults) *int { return &f.LoseNextAnswers }) {
 		serve.Reset(w)
@@ -212,7 +214,7 @@
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
-	if !s.admit(w, r, s.reads) {
+	if !s.admit(w, r, s.readLimiter) {
 		return
 	}
 	s.readCount.Add(1)
@@ -221,18 +223,18 @@
 }
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
-	after, okAfter := number(r, "after")
-	waitMS, okWait := number(r, "wait_ms")
+	after, okAfter := queryNumber(r, "after")
+	waitMS, okWait := queryNumber(r, "wait_ms")
 	if !okAfter || !okWait {
 		serve.Fail(w, http.StatusBadRequest, "bad after or wait_ms")
 		return
 	}
-	if !s.admit(w, r, s.reads) {
+	if !s.admit(w, r, s.readLimiter) {
 		return
 	}
 	s.watchCount.Add(1)
 	prefix := r.FormValue("prefix")
-	if !s.await(w, r, prefix, after, serve.Milliseconds(waitMS)) {
+	if !s.waitForChange(w, r, prefix, after, serve.Milliseconds(waitMS)) {
 		return
 	}
 	found := s.store.changesAfter(prefix, after)
@@ -243,14 +245,14 @@
 	serve.WriteJSON(w, http.StatusOK, Changes{Revision: found.revision, Items: found.items})
 }
 
-// await waits until there is something to answer to a watch. An outage or a hang that begins meanwhile strikes the
-// watch too; when it returns false the call has its answer, or needs none.
-func (s *Server) await(w http.ResponseWriter, r *http.Request, prefix string, after int64, wait time.Duration) bool {
+// waitForChange waits until there is a change for a watch or the wait is over. An outage or a hang that begins in the meantime applies to
+// the watch as well. If waitForChange returns false, the caller must return: the response has been sent, or the request was cancelled.
+func (s *Server) waitForChange(w http.ResponseWriter, r *http.Request, prefix string, after int64, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		faultsChanged := s.faults.Changed()
-		if !s.playOutage(w, r) {
+		if !s.applyOutage(w, r) {
 			return false
 		}
 		_, waiting := s.store.watch(prefix, after)
@@ -272,7 +274,7 @@
 	}
 }
 
-func number(r *http.Request, name string) (int64, bool) {
+func queryNumber(r *http.Request, name string) (int64, bool) {
 	text := r.FormValue(name)
 	if text == "" {
 		return 0, true
--- a/internal/standin/objectapi/server_test.go
+++ b/internal/standin/objectapi/server_test.go
@@ -16,11 +16,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// longWait is a watch's wait, in milliseconds, that no test sits out.
+// longWait is the wait of a watch, in milliseconds, that is longer than any test runs.
 const longWait = "60000"
 
-// frozenFor is how long a test listens to a call that can't be answered.
-const frozenFor = 50 * time.Millisecond
+// frozenCallTimeout is the time that a test waits for a call that must not be answered.
+const frozenCallTimeout = 50 * time.Millisecond
 
 func start(t *testing.T, config Config) (*Server, string) {
 	t.Helper()
@@ -33,7 +33,7 @@
 	return server, listener.URL
 }
 
-// call does one call and decodes the answer, if any, into target.
+// call makes one call, decodes the response into target unless target is nil, and returns the status.
 func call(t *testing.T, method, url, version, body string, target any) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -41,39 +41,41 @@
 	if version != "" {
 		request.Header.Set(versionHeader, version)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
-	defer func() { _ = answer.Body.Close() }()
-	text, err := io.ReadAll(answer.Body)
+	defer func() { _ = response.Body.Close() }()
+	text, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	if target != nil {
 		require.NoError(t, json.Unmarshal(text, target), string(text))
 	}
-	return answer.StatusCode
+	return response.StatusCode
 }
 
+// TestConditionalWrites guards against writes that ignore If-Version, and against wrong versions in responses.
 func TestConditionalWrites(t *testing.T) {
 	_, url := start(t, Config{})
 	object := url + "/v1/objects/a/b"
 	var done Written
-	var present Object
+	var current Object
 	assert.Equal(t, 404, call(t, "GET", object, "", "", nil))
 	assert.Equal(t, 404, call(t, "DELETE", object, "", "", nil))
-	assert.Equal(t, 409, call(t, "PUT", object, "4", `1`, &present))
-	assert.Equal(t, int64(0), present.Version)
+	assert.Equal(t, 409, call(t, "PUT", object, "4", `1`, &current))
+	assert.Equal(t, int64(0), current.Version)
 	assert.Equal(t, 200, call(t, "PUT", object, "0", `{"x":"<1>"}`, &done))
 	assert.Equal(t, Written{Key: "a/b", Version: 1}, done)
-	assert.Equal(t, 409, call(t, "PUT", object, "0", `2`, &present))
-	assert.Equal(t, int64(1), present.Version)
-	assert.JSONEq(t, `{"x":"<1>"}`, string(present.Value))
+	assert.Equal(t, 409, call(t, "PUT", object, "0", `2`, &current))
+	assert.Equal(t, int64(1), current.Version)
+	assert.JSONEq(t, `{"x":"<1>"}`, string(current.Value))
 	assert.Equal(t, 200, call(t, "PUT", object, "", `3`, &done))
 	assert.Equal(t, int64(2), done.Version)
-	assert.Equal(t, 409, call(t, "DELETE", object, "1", "", &present))
+	assert.Equal(t, 409, call(t, "DELETE", object, "1", "", &current))
 	assert.Equal(t, 200, call(t, "DELETE", object, "2", "", &done))
 	assert.Equal(t, int64(3), done.Version)
 	assert.Equal(t, 404, call(t, "GET", object, "", "", nil))
 }
 
+// TestBadWrites guards against invalid values, versions or keys that are stored, and against values above 1 MiB.
 func TestBadWrites(t *testing.T) {
 	_, url := start(t, Config{})
 	assert.Equal(t, 400, call(t, "PUT", url+"/v1/objects/a", "", `{`, nil))
@@ -83,7 +85,8 @@
 	assert.Equal(t, 413, call(t, "PUT", url+"/v1/objects/a", "", large, nil))
 }
 
-func TestConditionalWritesLoseNoCount(t *testing.T) {
+// TestConcurrentConditionalWritesLoseNoUpdate guards against conditional writes that overwrite a concurrent write.
+func TestConcurrentConditionalWritesLoseNoUpdate(t *testing.T) {
 	const writers, each = 8, 20
 	server, url := start(t, Config{})
 	server.store.put("n", json.RawMessage("0"), unconditional)
@@ -111,7 +114,8 @@
 	}
 }
 
-func TestListIsSortedAndUnderThePrefix(t *testing.T) {
+// TestListIsSortedAndFilteredByPrefix guards against lists that are unsorted or contain other keys.
+func TestListIsSortedAndFilteredByPrefix(t *testing.T) {
 	_, url := start(t, Config{})
 	for _, key := range []string{"b/2", "a/1", "b/1"} {
 		call(t, "PUT", url+"/v1/objects/"+key, "", `"`+key+`"`, nil)
@@ -124,7 +128,8 @@
 	assert.Equal(t, "b/2", list.Items[1].Key)
 }
 
-func TestWatchShowsTheLastChangeOfEachKey(t *testing.T) {
+// TestWatchReturnsLastChangeOfEachKey guards against a watch that misses deletions, or that returns superseded changes.
+func TestWatchReturnsLastChangeOfEachKey(t *testing.T) {
 	_, url := start(t, Config{})
 	call(t, "PUT", url+"/v1/objects/a", "", `1`, nil)
 	call(t, "PUT", url+"/v1/objects/b", "", `1`, nil)
@@ -140,8 +145,8 @@
 	assert.Empty(t, changes.Items)
 }
 
-// awaitWatchers waits until n watches wait.
-func awaitWatchers(t *testing.T, s *store, n int) {
+// waitForWatchers waits until n watches are waiting.
+func waitForWatchers(t *testing.T, s *store, n int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		s.mu.Lock()
@@ -150,7 +155,8 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-func TestWatchWakesForItsPrefixOnly(t *testing.T) {
+// TestWatchWakesOnlyForItsPrefix guards against a watch that returns for other keys, or misses its own.
+func TestWatchWakesOnlyForItsPrefix(t *testing.T) {
 	server, url := start(t, Config{})
 	found := make(chan Changes, 1)
 	go func() {
@@ -158,17 +164,18 @@
 		call(t, "GET", url+"/v1/watch?prefix=a/&after=0&wait_ms="+longWait, "", "", &changes)
 		found <- changes
 	}()
-	awaitWatchers(t, server.store, 1)
+	waitForWatchers(t, server.store, 1)
 	call(t, "PUT", url+"/v1/objects/b/1", "", `1`, nil)
-	awaitWatchers(t, server.store, 1)
+	waitForWatchers(t, server.store, 1)
 	call(t, "PUT", url+"/v1/objects/a/1", "", `1`, nil)
 	changes := <-found
 	require.Len(t, changes.Items, 1)
 	assert.Equal(t, "a/1", changes.Items[0].Key)
-	awaitWatchers(t, server.store, 0)
+	waitForWatchers(t, server.store, 0)
 }
 
-func TestWatchOfWhatIsNoLongerKept(t *testing.T) {
+// TestWatchOfDroppedHistoryIsGone guards against a watch that silently skips changes which are no longer kept.
+func TestWatchOfDroppedHistoryIsGone(t *testing.T) {
 	_, url := start(t, Config{History: 2})
 	for range 8 {
 		call(t, "PUT", url+"/v1/objects/a", "", `1`, nil)
@@ -178,22 +185,25 @@
 	assert.Equal(t, 410, call(t, "GET", url+"/v1/watch?after=9", "", "", nil))
 }
 
-func TestOutageStrikesWaitingWatches(t *testing.T) {
+// TestOutageEndsWaitingWatches guards against watches that survive the start of an outage.
+func TestOutageEndsWaitingWatches(t *testing.T) {
 	server, url := start(t, Config{})
 	status := make(chan int, 1)
 	go func() {
 		status <- call(t, "GET", url+"/v1/watch?after=0&wait_ms="+longWait, "", "", nil)
 	}()
-	awaitWatchers(t, server.store, 1)
+	waitForWatchers(t, server.store, 1)
 	assert.Equal(t, 200, call(t, "POST", url+"/admin/faults", "", `{"outage":true}`, nil))
 	assert.Equal(t, 503, <-status)
 	assert.Equal(t, 503, call(t, "GET", url+"/v1/list", "", "", nil))
 }
 
-func TestHangHoldsCallsUntilItEnds(t *testing.T) {
+// TestHangBlocksCallsUntilCleared guards against calls that take effect during a hang, and against a server that
+// doesn't recover.
+func TestHangBlocksCallsUntilCleared(t *testing.T) {
 	server, url := start(t, Config{})
 	call(t, "POST", url+"/admin/faults", "", `{"hang":true}`, nil)
-	ctx, stop := context.WithTimeout(t.Context(), frozenFor)
+	ctx, stop := context.WithTimeout(t.Context(), frozenCallTimeout)
 	defer stop()
 	request, err := http.NewRequestWithContext(ctx, "PUT", url+"/v1/objects/a", strings.NewReader(`1`))
 	require.NoError(t, err)
@@ -204,7 +214,9 @@
 	assert.Equal(t, 200, call(t, "PUT", url+"/v1/objects/a", "", `1`, nil))
 }
 
-func TestLostAnswersTakeEffect(t *testing.T) {
+// TestWritesWithLostAnswersTakeEffect guards against a lose_next_answers fault that also loses the write, or affects
+// other keys.
+func TestWritesWithLostAnswersTakeEffect(t *testing.T) {
 	server, url := start(t, Config{})
 	call(t, "POST", url+"/admin/faults", "", `{"lose_next_answers":1,"lose_next_key_prefix":"b"}`, nil)
 	assert.Equal(t, 200, call(t, "PUT", url+"/v1/objects/a", "", `1`, nil))
@@ -218,7 +230,9 @@
 	assert.Equal(t, 200, call(t, "PUT", url+"/v1/objects/b", "2", `2`, nil))
 }
 
-func TestOverTheRate(t *testing.T) {
+// TestWritesOverTheRateAreRefused guards against writes above the rate limit that are executed, or that are missing in
+// the counters.
+func TestWritesOverTheRateAreRefused(t *testing.T) {
 	_, url := start(t, Config{WritesPerSecond: 1, ReadsPerSecond: 1})
 	refused := 0
 	for range 20 {
--- a/internal/standin/objectapi/store.go
+++ b/internal/standin/objectapi/store.go
@@ -1,4 +1,4 @@
-// Package objectapi plays the object API: small JSON objects with versions, conditional writes, lists and watches.
+// Package objectapi simulates the object API: small JSON objects with versions, conditional writes, lists and watches.
 package objectapi
 
 import (
@@ -8,23 +8,23 @@
 	"sync"
 )
 
-// Object is one object; Version is the revision of its last write, 0 when there is none.
+// Object is one object. Version is the revision of its last write, 0 if the object doesn't exist.
 type Object struct {
 	Key     string          `json:"key"`
 	Version int64           `json:"version"`
 	Value   json.RawMessage `json:"value"`
 }
 
-// Change is one write or deletion, as a watch shows it.
+// Change is one write or deletion, as returned by a watch.
 type Change struct {
 	Object
 	Deleted bool `json:"deleted"`
 }
 
-// unconditional as the expected version lets a write go through whatever is there.
+// unconditional is the expected version of a write that doesn't depend on the object's version.
 const unconditional int64 = -1
 
-// outcome says what became of a write.
+// outcome is the outcome of a write.
 type outcome int
 
 const (
@@ -39,29 +39,30 @@
 	wake   chan struct{}
 }
 
-// store holds the objects and the last changes.
+// store holds the objects and the recent changes.
 type store struct {
 	mu       sync.Mutex
 	revision int64
 	objects  map[string]Object
-	// history has the last changes, one for each revision, in order.
-	history  []Change
-	keep     int
-	watchers map[*watcher]struct{}
+	// history holds recent changes, one for each revision, in order. Watches use the last historyLimit changes. It is trimmed to
+	// these when it holds more than twice as many.
+	history      []Change
+	historyLimit int
+	watchers     map[*watcher]struct{}
 }
 
-func newStore(keep int) *store {
-	return &store{objects: map[string]Object{}, keep: keep, watchers: map[*watcher]struct{}{}}
+func newStore(historyLimit int) *store {
+	return &store{objects: map[string]Object{}, historyLimit: historyLimit, watchers: map[*watcher]struct{}{}}
 }
 
-// currentRevision is the revision of the last write of all.
+// currentRevision returns the revision of the last write to any object.
 func (s *store) currentRevision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// get returns the object at key and whether there is one.
+// get returns the object at key, and whether it exists.
 func (s *store) get(key string) (Object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,14 +70,14 @@
 	return object, ok
 }
 
-// put writes value at key if the object is at version expected. It returns the object as it now is.
+// put writes value at key if the version of the object is expected. It returns the object after the call, also on a conflict.
 func (s *store) put(key string, value json.RawMessage, expected int64) (Object, outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	present := s.objects[key]
-	if expected != unconditional && expected != present.Version {
-		present.Key = key
-		return present, conflict
+	current := s.objects[key]
+	if expected != unconditional && expected != current.Version {
+		current.Key = key
+		return current, conflict
 	}
 	object := Object{Key: key, Version: s.revision + 1, Value: value}
 	s.objects[key] = object
@@ -84,16 +85,16 @@
 	return object, written
 }
 
-// remove deletes the object at key if it is at version expected. On success Version is the revision of the deletion.
+// remove deletes the object at key if its version is expected. On success, Version of the result is the revision of the deletion.
 func (s *store) remove(key string, expected int64) (Object, outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	present, ok := s.objects[key]
+	current, ok := s.objects[key]
 	if !ok {
 		return Object{Key: key}, absent
 	}
-	if expected != unconditional && expected != present.Version {
-		return present, conflict
+	if expected != unconditional && expected != current.Version {
+		return current, conflict
 	}
 	delete(s.objects, key)
 	object := Object{Key: key, Version: s.revision + 1}
@@ -101,12 +102,12 @@
 	return object, written
 }
 
-// record counts the revision on, keeps the change and wakes the watches that it concerns.
+// record increments the revision, appends the change to the history and wakes the watchers whose prefix matches.
 func (s *store) record(change Change) {
 	s.revision++
 	s.history = append(s.history, change)
-	if len(s.history) > 2*s.keep {
-		s.history = slices.Clone(s.history[len(s.history)-s.keep:])
+	if len(s.history) > 2*s.historyLimit {
+		s.history = slices.Clone(s.history[len(s.history)-s.historyLimit:])
 	}
 	for w := range s.watchers {
 		if strings.HasPrefix(change.Key, w.prefix) {
@@ -116,7 +117,7 @@
 	}
 }
 
-// list returns the objects under prefix by key, and the revision at which they stood so.
+// list returns the current revision and the objects whose keys begin with prefix, sorted by key.
 func (s *store) list(prefix string) (int64, []Object) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,22 +131,23 @@
 	return s.revision, items
 }
 
-// changes is what a watch finds.
+// changes is the result of a watch.
 type changes struct {
 	revision int64
 	items    []Change
-	// gone says that the changes asked for are no longer kept.
+	// gone is set if the history no longer contains all requested changes, or the requested revision doesn't exist yet.
 	gone bool
 }
 
-// changesAfter returns the last change of each key under prefix after the revision after.
+// changesAfter returns the last change since revision after of each key that begins with prefix.
 func (s *store) changesAfter(prefix string, after int64) changes {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.find(prefix, after)
 }
 
-// watch is changesAfter, and when there is nothing yet a watcher that a change wakes; drop it with unwatch.
+// watch returns the same as changesAfter. If there is no change yet, it also returns a watcher that the next matching change wakes; the
+// caller removes a watcher that has not been woken with unwatch.
 func (s *store) watch(prefix string, after int64) (changes, *watcher) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +167,7 @@
 }
 
 func (s *store) find(prefix string, after int64) changes {
-	kept := s.history[max(0, len(s.history)-s.keep):]
+	kept := s.history[max(0, len(s.history)-s.historyLimit):]
 	oldest := s.revision - int64(len(kept))
 	if after < oldest || after > s.revision {
 		return changes{revision: s.revision, gone: true}
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -1,4 +1,4 @@
-// Package plain plays plain services: any call is worked on for a moment, answered and logged.
+// Package plain simulates plain services. Each call takes a fixed time, and is then answered and logged.
 package plain
 
 import (
@@ -14,27 +14,28 @@
 	"samphireweir.example/samphireweir/internal/standin/serve"
 )
 
-// Defaults of the flag and of the fault fields.
+// Default values of flags and fault fields.
 const (
 	defaultWork      = 2 * time.Millisecond
 	defaultRestartMS = 1000
 )
 
-// Faults are the faults of one service that can be switched on at run time.
+// Faults are the faults of one service that can be injected at run time.
 type Faults struct {
-	// SlowFactor multiplies the time of the work.
+	// SlowFactor multiplies the duration of a call.
 	SlowFactor float64 `json:"slow_factor"`
-	// Freeze accepts calls and sends no bytes.
+	// Freeze makes calls block, without any response, until it is cleared.
 	Freeze bool `json:"freeze"`
-	// Crash, when set, crashes the service at once; it reads as false afterwards.
+	// Crash crashes the service immediately; the field is then reset to false.
 	Crash bool `json:"crash"`
-	// RestartMS is how long a crashed service is away, in milliseconds.
+	// RestartMS is the time for which a crashed service is unavailable, in milliseconds.
 	RestartMS int64 `json:"restart_ms"`
-	// DropAnswer is how many of the next calls run with their connection reset.
+	// DropAnswer is the number of next calls that run but whose connection is reset instead of sending the response.
 	DropAnswer int `json:"drop_answer"`
 }
 
-// Answer is the body of the answer to any call; Run is how many calls the service has run, this one included.
+// Answer is the body of the response to any call. Run is the number of calls that the service has run, including this one. BodyLen is the
+// length of the request body, in bytes.
 type Answer struct {
 	RequestID  string `json:"request_id"`
 	Method     string `json:"method"`
@@ -45,7 +46,7 @@
 	Run        int64  `json:"run"`
 }
 
-// RunEntry is the log entry of one call that ran; times are wall-clock milliseconds.
+// RunEntry is the log entry of one call that ran. Times are Unix times in milliseconds.
 type RunEntry struct {
 	Service        string `json:"service"`
 	Kind           string `json:"kind"`
@@ -59,22 +60,22 @@
 	Outcome        string `json:"outcome"`
 }
 
-// Stats counts the calls that one service has run.
+// Stats counts the calls that one service has started to run.
 type Stats struct {
 	Runs int64 `json:"runs"`
 }
 
-// service is one played service.
+// service is one simulated service.
 type service struct {
-	name   string
-	work   time.Duration
-	faults *serve.Faults[Faults]
-	life   *serve.Life
-	log    *serve.Log[RunEntry]
-	runs   atomic.Int64
+	name    string
+	work    time.Duration
+	faults  *serve.Faults[Faults]
+	process *serve.Process
+	log     *serve.Log[RunEntry]
+	runs    atomic.Int64
 }
 
-// NewServer returns a server that plays the services called names, each call taking work.
+// NewServer returns a handler that simulates the services called names. Each call takes the time work.
 func NewServer(names []string, work time.Duration) http.Handler {
 	mux := http.NewServeMux()
 	log := &serve.Log[RunEntry]{}
@@ -84,7 +85,7 @@
 		s := newService(name, work, log)
 		services[name] = s
 		faults[name] = s.faults
-		mux.Handle("/"+name+"/", http.StripPrefix("/"+name, s.life.Guard(s)))
+		mux.Handle("/"+name+"/", http.StripPrefix("/"+name, s.process.Guard(s)))
 	}
 	mux.Handle("GET /admin/log", log)
 	mux.Handle("/admin/faults", faults)
@@ -100,26 +101,26 @@
 
 func newService(name string, work time.Duration, log *serve.Log[RunEntry]) *service {
 	s := &service{
-		name:   name,
-		work:   work,
-		faults: serve.NewFaults(Faults{SlowFactor: 1, RestartMS: defaultRestartMS}),
-		life:   serve.NewLife(),
-		log:    log,
+		name:    name,
+		work:    work,
+		faults:  serve.NewFaults(Faults{SlowFactor: 1, RestartMS: defaultRestartMS}),
+		process: serve.NewProcess(),
+		log:     log,
 	}
-	s.faults.OnMerge = s.crashIfAsked
+	s.faults.OnMerge = s.applyCrashFault
 	return s
 }
 
-func (s *service) crashIfAsked() {
+func (s *service) applyCrashFault() {
 	faults := s.faults.Get()
 	if !faults.Crash {
 		return
 	}
 	s.faults.Set(func(f *Faults) { f.Crash = false })
-	s.life.Crash(serve.Milliseconds(faults.RestartMS))
+	s.process.Crash(serve.Milliseconds(faults.RestartMS))
 }
 
-// ServeHTTP runs one call.
+// ServeHTTP handles one call to the service.
 func (s *service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	hash := sha256.New()
 	size, err := io.Copy(hash, r.Body)
@@ -129,7 +130,7 @@
 	if err := s.faults.WaitWhile(r.Context(), func(f Faults) bool { return f.Freeze }); err != nil {
 		return
 	}
-	answer := Answer{
+	response := Answer{
 		RequestID:  r.Header.Get("Request-Id"),
 		Method:     r.Method,
 		Path:       r.URL.Path,
@@ -145,10 +146,10 @@
 		serve.Reset(w)
 		return
 	}
-	serve.WriteJSON(w, http.StatusOK, answer)
+	serve.WriteJSON(w, http.StatusOK, response)
 }
 
-// run does the work of a call, logs it and returns its outcome.
+// run executes a call, logs it and returns its outcome.
 func (s *service) run(r *http.Request) string {
 	entry := RunEntry{
 		Service:        s.name,
@@ -168,8 +169,8 @@
 
 func (s *service) doWork(ctx context.Context) string {
 	duration := time.Duration(float64(s.work) * s.faults.Get().SlowFactor)
-	whole := serve.Sleep(ctx, duration)
-	if whole {
+	completed := serve.Sleep(ctx, duration)
+	if completed {
 		return serve.OutcomeDone
 	}
 	if serve.Crashed(ctx) {
@@ -184,10 +185,10 @@
 	var work time.Duration
 	return &serve.Command{
 		Title: "plain",
-		About: "Plays plain services.",
+		About: "Simulates plain services.",
 		Flags: func(flags *flag.FlagSet) {
-			flags.StringVar(&names, "names", "p1", "names of the services, with commas between them")
-			flags.DurationVar(&work, "work", defaultWork, "time that a call takes")
+			flags.StringVar(&names, "names", "p1", "names of the services, separated by commas")
+			flags.DurationVar(&work, "work", defaultWork, "duration of a call")
 		},
 		Build: func(context.Context) (http.Handler, error) {
 			list, err := serve.SplitNames(names)
--- a/internal/standin/plain/plain_test.go
+++ b/internal/standin/plain/plain_test.go
@@ -23,10 +23,10 @@
 
 func setFaults(t *testing.T, url, faults string) {
 	t.Helper()
-	answer, err := http.Post(url+"/admin/faults", "application/json", strings.NewReader(faults))
+	response, err := http.Post(url+"/admin/faults", "application/json", strings.NewReader(faults))
 	require.NoError(t, err)
-	require.NoError(t, answer.Body.Close())
-	require.Equal(t, http.StatusOK, answer.StatusCode)
+	require.NoError(t, response.Body.Close())
+	require.Equal(t, http.StatusOK, response.StatusCode)
 }
 
 func post(t *testing.T, url string) (*http.Response, error) {
@@ -35,20 +35,20 @@
 	require.NoError(t, err)
 	request.Header.Set("Request-Id", "r1")
 	request.Header.Set("Attempt", "2")
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err == nil {
-		t.Cleanup(func() { _ = answer.Body.Close() })
+		t.Cleanup(func() { _ = response.Body.Close() })
 	}
-	return answer, err
+	return response, err
 }
 
 func readLog(t *testing.T, url string) []RunEntry {
 	t.Helper()
-	answer, err := http.Get(url + "/admin/log")
+	response, err := http.Get(url + "/admin/log")
 	require.NoError(t, err)
-	defer func() { _ = answer.Body.Close() }()
+	defer func() { _ = response.Body.Close() }()
 	var entries []RunEntry
-	for decoder := json.NewDecoder(answer.Body); decoder.More(); {
+	for decoder := json.NewDecoder(response.Body); decoder.More(); {
 		var entry RunEntry
 		require.NoError(t, decoder.Decode(&entry))
 		entries = append(entries, entry)
@@ -56,12 +56,13 @@
 	return entries
 }
 
-func TestAnswerTellsTheCall(t *testing.T) {
+// TestAnswerDescribesCall guards against a response or log entry that doesn't match the call.
+func TestAnswerDescribesCall(t *testing.T) {
 	url := start(t)
-	answer, err := post(t, url+"/p1/a/b?c=d")
+	response, err := post(t, url+"/p1/a/b?c=d")
 	require.NoError(t, err)
 	var body Answer
-	require.NoError(t, json.NewDecoder(answer.Body).Decode(&body))
+	require.NoError(t, json.NewDecoder(response.Body).Decode(&body))
 	const helloSHA256 = "2cf24dba5fb0a30e26e83b2ac5b9e29e1b161e5c1fa7425e73043362938b9824"
 	expected := Answer{RequestID: "r1", Method: "POST", Path: "/a/b", Query: "c=d", BodySHA256: helloSHA256, BodyLen: 5, Run: 1}
 	assert.Equal(t, expected, body)
@@ -72,7 +73,9 @@
 	assert.Equal(t, "done", entries[0].Outcome)
 }
 
-func TestDroppedAnswerRan(t *testing.T) {
+// TestCallWithDroppedAnswerStillRuns guards against a drop_answer fault that also drops the call, or affects more calls
+// than its count.
+func TestCallWithDroppedAnswerStillRuns(t *testing.T) {
 	url := start(t)
 	setFaults(t, url, `{"p1":{"drop_answer":1}}`)
 	_, err := post(t, url+"/p1/")
@@ -80,12 +83,14 @@
 	entries := readLog(t, url)
 	require.Len(t, entries, 1)
 	assert.Equal(t, "done", entries[0].Outcome)
-	answer, err := post(t, url+"/p1/")
+	response, err := post(t, url+"/p1/")
 	require.NoError(t, err)
-	assert.Equal(t, http.StatusOK, answer.StatusCode)
+	assert.Equal(t, http.StatusOK, response.StatusCode)
 }
 
-func TestCrashResetsWhatRuns(t *testing.T) {
+// TestCrashResetsRunningCalls guards against calls that complete despite a crash, and against a crash of the other
+// services.
+func TestCrashResetsRunningCalls(t *testing.T) {
 	url := start(t)
 	setFaults(t, url, `{"p1":{"slow_factor":1e9,"restart_ms":3600000}}`)
 	failed := make(chan error, 1)
@@ -99,19 +104,19 @@
 	entries := readLog(t, url)
 	require.Len(t, entries, 1)
 	assert.Equal(t, "crashed", entries[0].Outcome)
-	answer, err := post(t, url+"/p1/")
+	response, err := post(t, url+"/p1/")
 	require.NoError(t, err)
-	assert.Equal(t, http.StatusServiceUnavailable, answer.StatusCode)
-	answer, err = post(t, url+"/p2/")
+	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
+	response, err = post(t, url+"/p2/")
 	require.NoError(t, err)
-	assert.Equal(t, http.StatusOK, answer.StatusCode)
+	assert.Equal(t, http.StatusOK, response.StatusCode)
 }
 
 func runs(t *testing.T, url string) int64 {
-	answer, err := http.Get(url + "/admin/stats")
+	response, err := http.Get(url + "/admin/stats")
 	require.NoError(t, err)
-	defer func() { _ = answer.Body.Close() }()
+	defer func() { _ = response.Body.Close() }()
 	var stats map[string]Stats
-	require.NoError(t, json.NewDecoder(answer.Body).Decode(&stats))
+	require.NoError(t, json.NewDecoder(response.Body).Decode(&stats))
 	return stats["p1"].Runs
 }
--- a/internal/standin/serve/command.go
+++ b/internal/standin/serve/command.go
@@ -15,23 +15,23 @@
 type Command struct {
 	// Title is the name on the command line.
 	Title string
-	// About says in a line what the stand-in plays.
+	// About describes in one line what the stand-in simulates.
 	About string
-	// Flags declares the flags beside -listen.
+	// Flags declares the flags other than -listen.
 	Flags func(*flag.FlagSet)
-	// Build makes the handler once the flags are read; what it starts ends with ctx.
+	// Build creates the handler after the flags are parsed. Goroutines that it starts must end with ctx.
 	Build func(ctx context.Context) (http.Handler, error)
 
 	listen string
 }
 
-// Name is the word on the command line.
+// Name returns the name of the subcommand.
 func (c *Command) Name() string { return c.Title }
 
-// Synopsis says in a line what the stand-in plays.
+// Synopsis describes in one line what the stand-in simulates.
 func (c *Command) Synopsis() string { return c.About }
 
-// Usage is the head of the help text.
+// Usage returns the first lines of the help text.
 func (c *Command) Usage() string {
 	return "standin " + c.Title + " -listen IP:PORT [flags]\n" + c.About + "\n"
 }
@@ -47,7 +47,7 @@
 	logger := Logger(c.Title)
 	handler, err := c.Build(ctx)
 	if err != nil {
-		logger.Error().Err(err).Msg("can't start")
+		logger.Error().Err(err).Msg("creating the stand-in failed")
 		return subcommands.ExitUsageError
 	}
 	logger.Info().Str("listen", c.listen).Msg("start")
@@ -59,10 +59,10 @@
 	return subcommands.ExitSuccess
 }
 
-// adminName can't be a played name: its paths are those of the stand-in itself.
+// adminName is not allowed as the name of an engine or a service, because the paths of the stand-in itself begin with it.
 const adminName = "admin"
 
-// SplitNames reads the names of -names, which stand with commas between them.
+// SplitNames parses the value of -names, a list separated by commas. It returns an error if a name is malformed or occurs twice.
 func SplitNames(list string) ([]string, error) {
 	var names []string
 	seen := map[string]bool{}
--- a/internal/standin/serve/faults.go
+++ b/internal/standin/serve/faults.go
@@ -10,9 +10,9 @@
 	"github.com/pkg/errors"
 )
 
-// Faults holds the present faults of one stand-in; T is the struct of its fault fields.
+// Faults holds the current faults of one stand-in; T is the struct of its fault fields.
 type Faults[T any] struct {
-	// OnMerge, when set, is called after each change from outside.
+	// OnMerge, if set, is called after each Merge.
 	OnMerge func()
 
 	mu      sync.Mutex
@@ -20,26 +20,26 @@
 	changed chan struct{}
 }
 
-// NewFaults returns faults that begin as initial.
+// NewFaults returns faults with the initial value initial.
 func NewFaults[T any](initial T) *Faults[T] {
 	return &Faults[T]{value: initial, changed: make(chan struct{})}
 }
 
-// Get returns the present faults.
+// Get returns the current faults.
 func (f *Faults[T]) Get() T {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.value
 }
 
-// Changed returns a channel that is closed at the next change from outside.
+// Changed returns a channel that is closed by the next Merge.
 func (f *Faults[T]) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// Take uses up one of a counted fault and says whether there was one left.
+// Take decrements a counted fault and reports whether the count was above 0.
 func (f *Faults[T]) Take(counter func(*T) *int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,14 +51,14 @@
 	return true
 }
 
-// Set changes the faults without telling those who wait on Changed.
+// Set changes the faults without closing the channel that Changed returned.
 func (f *Faults[T]) Set(change func(*T)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(&f.value)
 }
 
-// WaitWhile waits as long as held is true of the faults; it returns an error when ctx ends first.
+// WaitWhile waits while held returns true for the faults. It returns the error of ctx if ctx ends first.
 func (f *Faults[T]) WaitWhile(ctx context.Context, held func(T) bool) error {
 	for {
 		changed := f.Changed()
@@ -73,7 +73,8 @@
 	}
 }
 
-// Merge overwrites the faults that the JSON object patch names, and leaves the others.
+// Merge overwrites the faults that are fields of the JSON object patch, and keeps the others. It returns an error, and changes nothing, if
+// the patch is malformed or has an unknown field.
 func (f *Faults[T]) Merge(patch []byte) error {
 	if err := f.merge(patch); err != nil {
 		return err
@@ -87,12 +88,12 @@
 func (f *Faults[T]) merge(patch []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	present, err := json.Marshal(f.value)
+	current, err := json.Marshal(f.value)
 	if err != nil {
 		return errors.Wrap(err, "copy the faults")
 	}
 	var next T
-	if err := json.Unmarshal(present, &next); err != nil {
+	if err := json.Unmarshal(current, &next); err != nil {
 		return errors.Wrap(err, "copy the faults")
 	}
 	decoder := json.NewDecoder(bytes.NewReader(patch))
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// ServeHTTP answers GET and POST /admin/faults.
+// ServeHTTP handles GET and POST /admin/faults.
 func (f *Faults[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		body, ok := ReadBody(w, r)
@@ -121,13 +122,14 @@
 	WriteJSON(w, http.StatusOK, f.Get())
 }
 
-// everyName in a message of faults stands for all names.
-const everyName = "*"
+// wildcardName stands for all names in the body of POST /admin/faults.
+const wildcardName = "*"
 
-// NamedFaults holds the faults of many engines or services of one process by name.
+// NamedFaults holds the faults of the engines or services of one process, by name.
 type NamedFaults[T any] map[string]*Faults[T]
 
-// ServeHTTP answers GET and POST /admin/faults with an object of faults by name; "*" is merged first, into all.
+// ServeHTTP handles GET and POST /admin/faults, whose bodies are objects of faults by name. The entry "*" is merged into all faults,
+// before the other entries.
 func (n NamedFaults[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		var patches map[string]json.RawMessage
@@ -139,20 +141,20 @@
 			return
 		}
 	}
-	present := make(map[string]T, len(n))
+	current := make(map[string]T, len(n))
 	for name, faults := range n {
-		present[name] = faults.Get()
+		current[name] = faults.Get()
 	}
-	WriteJSON(w, http.StatusOK, present)
+	WriteJSON(w, http.StatusOK, current)
 }
 
 func (n NamedFaults[T]) merge(patches map[string]json.RawMessage) error {
 	for name := range patches {
-		if _, known := n[name]; !known && name != everyName {
+		if _, known := n[name]; !known && name != wildcardName {
 			return errors.Errorf("no such name: %s", name)
 		}
 	}
-	if patch, ok := patches[everyName]; ok {
+	if patch, ok := patches[wildcardName]; ok {
 		for _, faults := range n {
 			if err := faults.Merge(patch); err != nil {
 				return err
@@ -160,7 +162,7 @@
 		}
 	}
 	for name, patch := range patches {
-		if name == everyName {
+		if name == wildcardName {
 			continue
 		}
 		if err := n[name].Merge(patch); err != nil {
--- a/internal/standin/serve/json.go
+++ b/internal/standin/serve/json.go
@@ -8,15 +8,15 @@
 	"github.com/pkg/errors"
 )
 
-// MaxBody is the largest JSON body that a stand-in takes, in bytes.
+// MaxBody is the maximum size of a request body that ReadBody accepts, in bytes.
 const MaxBody = 1 << 20
 
-// Error is the body of an answer that isn't a success.
+// Error is the body of an error response.
 type Error struct {
 	Error string `json:"error"`
 }
 
-// WriteJSON answers with status and the JSON of body.
+// WriteJSON responds with a status and with body as JSON.
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -25,18 +25,18 @@
 	_ = encoder.Encode(body)
 }
 
-// Fail answers with status and a message.
+// Fail responds with a status and an error message.
 func Fail(w http.ResponseWriter, status int, message string) {
 	WriteJSON(w, status, Error{Error: message})
 }
 
-// Refuse answers 429 and asks the caller to come back after a second.
+// Refuse responds with status 429 and a Retry-After of 1 second.
 func Refuse(w http.ResponseWriter) {
 	w.Header().Set("Retry-After", "1")
 	Fail(w, http.StatusTooManyRequests, "over the rate")
 }
 
-// ReadBody reads a body of at most MaxBody bytes. When it can't, it answers 413 or 400 and returns false.
+// ReadBody reads a request body of at most MaxBody bytes. If that fails, it responds with status 413 or 400 and returns false.
 func ReadBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
 	var tooLarge *http.MaxBytesError
@@ -51,7 +51,7 @@
 	return body, true
 }
 
-// ReadJSON reads the JSON body of a call into target. When it can't, it answers 4xx and returns false.
+// ReadJSON decodes the JSON body of a request into target. If that fails, it responds with status 413 or 400 and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, target any) bool {
 	body, ok := ReadBody(w, r)
 	if !ok {
--- a/internal/standin/serve/log.go
+++ b/internal/standin/serve/log.go
@@ -6,34 +6,34 @@
 	"sync"
 )
 
-// Outcomes of a run.
+// Outcomes of a run or a load.
 const (
 	OutcomeDone      = "done"
 	OutcomeCancelled = "cancelled"
 	OutcomeCrashed   = "crashed"
 )
 
-// Log keeps the entries of a run log in memory and answers GET /admin/log with them as NDJSON.
+// Log keeps the entries of a run log in memory, and serves them as NDJSON at GET /admin/log.
 type Log[T any] struct {
 	mu      sync.Mutex
 	entries []T
 }
 
-// Add puts an entry at the end.
+// Add appends an entry.
 func (l *Log[T]) Add(entry T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entries = append(l.entries, entry)
 }
 
-// Entries returns what is in the log so far; the caller must not change it.
+// Entries returns the entries so far. The caller must not change them.
 func (l *Log[T]) Entries() []T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.entries[:len(l.entries):len(l.entries)]
 }
 
-// ServeHTTP writes the log, one JSON object a line.
+// ServeHTTP writes the entries as one JSON object per line.
 func (l *Log[T]) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	encoder := json.NewEncoder(w)
--- a/internal/standin/serve/serve_test.go
+++ b/internal/standin/serve/serve_test.go
@@ -20,7 +20,8 @@
 	Names  []string `json:"names"`
 }
 
-func TestRunSaysWhereItListens(t *testing.T) {
+// TestRunPrintsListenAddress guards against a start without the line from which the parent process reads the address.
+func TestRunPrintsListenAddress(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	out, in := io.Pipe()
 	ended := make(chan error, 1)
@@ -33,16 +34,18 @@
 	require.NoError(t, err)
 	address, found := strings.CutPrefix(strings.TrimSpace(line), "listening ")
 	require.True(t, found, line)
-	answer, err := http.Get("http://" + address)
+	response, err := http.Get("http://" + address)
 	require.NoError(t, err)
-	require.NoError(t, answer.Body.Close())
-	assert.Equal(t, http.StatusOK, answer.StatusCode)
+	require.NoError(t, response.Body.Close())
+	assert.Equal(t, http.StatusOK, response.StatusCode)
 
 	stop()
 	assert.NoError(t, <-ended)
 }
 
-func TestMergeLeavesTheOtherFaults(t *testing.T) {
+// TestMergeKeepsUnnamedFaults guards against a merge that resets other faults, or that modifies values returned
+// earlier.
+func TestMergeKeepsUnnamedFaults(t *testing.T) {
 	faults := NewFaults(testFaults{Count: 2, Names: []string{"a", "b"}})
 	before := faults.Get()
 	require.NoError(t, faults.Merge([]byte(`{"outage":true,"names":["c"]}`)))
@@ -50,12 +53,15 @@
 	assert.Equal(t, []string{"a", "b"}, before.Names)
 }
 
-func TestMergeRefusesUnknownFaults(t *testing.T) {
+// TestMergeRejectsUnknownFaults guards against a misspelled fault that is ignored, and against a rejected patch that is
+// partly applied.
+func TestMergeRejectsUnknownFaults(t *testing.T) {
 	faults := NewFaults(testFaults{Count: 2})
 	assert.Error(t, faults.Merge([]byte(`{"count":3,"no_such":true}`)))
 	assert.Equal(t, 2, faults.Get().Count)
 }
 
+// TestTakeCountsDown guards against a counted fault that is applied more often than its count.
 func TestTakeCountsDown(t *testing.T) {
 	faults := NewFaults(testFaults{Count: 1})
 	counter := func(f *testFaults) *int { return &f.Count }
@@ -63,7 +69,8 @@
 	assert.False(t, faults.Take(counter))
 }
 
-func TestWaitWhileEndsWithAMerge(t *testing.T) {
+// TestWaitWhileReturnsAfterMerge guards against calls that stay blocked after the fault is cleared.
+func TestWaitWhileReturnsAfterMerge(t *testing.T) {
 	faults := NewFaults(testFaults{Outage: true})
 	waited := make(chan error, 1)
 	go func() {
@@ -73,51 +80,56 @@
 	assert.NoError(t, <-waited)
 }
 
-func TestNamedFaultsMergeAllThenOne(t *testing.T) {
+// TestNamedFaultsMergeWildcardFirst guards against "*" overwriting the faults of a single name, and against unknown
+// names.
+func TestNamedFaultsMergeWildcardFirst(t *testing.T) {
 	named := NamedFaults[testFaults]{"e1": NewFaults(testFaults{}), "e2": NewFaults(testFaults{})}
 	server := httptest.NewServer(named)
 	defer server.Close()
-	answer, err := http.Post(server.URL, "application/json", strings.NewReader(`{"e2":{"count":7},"*":{"count":1}}`))
+	response, err := http.Post(server.URL, "application/json", strings.NewReader(`{"e2":{"count":7},"*":{"count":1}}`))
 	require.NoError(t, err)
-	require.NoError(t, answer.Body.Close())
-	assert.Equal(t, http.StatusOK, answer.StatusCode)
+	require.NoError(t, response.Body.Close())
+	assert.Equal(t, http.StatusOK, response.StatusCode)
 	assert.Equal(t, 1, named["e1"].Get().Count)
 	assert.Equal(t, 7, named["e2"].Get().Count)
 
-	answer, err = http.Post(server.URL, "application/json", strings.NewReader(`{"e3":{"count":7}}`))
+	response, err = http.Post(server.URL, "application/json", strings.NewReader(`{"e3":{"count":7}}`))
 	require.NoError(t, err)
-	require.NoError(t, answer.Body.Close())
-	assert.Equal(t, http.StatusBadRequest, answer.StatusCode)
+	require.NoError(t, response.Body.Close())
+	assert.Equal(t, http.StatusBadRequest, response.StatusCode)
 }
 
-func TestGuardResetsTheCallsOfACrash(t *testing.T) {
-	life := NewLife()
+// TestGuardResetsCallsOnCrash guards against calls that complete despite a crash, and against responses while the
+// process restarts.
+func TestGuardResetsCallsOnCrash(t *testing.T) {
+	process := NewProcess()
 	entered := make(chan struct{})
 	crashed := make(chan bool, 1)
-	server := httptest.NewServer(life.Guard(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(process.Guard(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(entered)
 		<-r.Context().Done()
 		crashed <- Crashed(r.Context())
 	})))
 	defer server.Close()
-	before := life.BootID()
+	before := process.BootID()
 	failed := make(chan error, 1)
 	go func() {
 		_, err := http.Post(server.URL, "text/plain", nil)
 		failed <- err
 	}()
 	<-entered
-	life.Crash(time.Hour)
+	process.Crash(time.Hour)
 	assert.Error(t, <-failed)
 	assert.True(t, <-crashed)
-	assert.NotEqual(t, before, life.BootID())
+	assert.NotEqual(t, before, process.BootID())
 
-	answer, err := http.Get(server.URL)
+	response, err := http.Get(server.URL)
 	require.NoError(t, err)
-	require.NoError(t, answer.Body.Close())
-	assert.Equal(t, http.StatusServiceUnavailable, answer.StatusCode)
+	require.NoError(t, response.Body.Close())
+	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 }
 
+// TestSplitNames guards against malformed or repeated names.
 func TestSplitNames(t *testing.T) {
 	names, err := SplitNames("e1,e2")
 	require.NoError(t, err)
--- a/internal/standin/weights/manifest.go
+++ b/internal/standin/weights/manifest.go
@@ -11,13 +11,13 @@
 	"github.com/pkg/errors"
 )
 
-// Chunk describes one chunk; Size is in bytes.
+// Chunk describes one chunk. Size is in bytes.
 type Chunk struct {
 	SHA256 string `json:"sha256"`
 	Size   int64  `json:"size"`
 }
 
-// Manifest describes the content of a version; sizes are in bytes.
+// Manifest describes the content of a version. Sizes are in bytes.
 type Manifest struct {
 	Model     string  `json:"model"`
 	Adapter   string  `json:"adapter"`
@@ -28,10 +28,10 @@
 	SHA256    string  `json:"sha256"`
 }
 
-// hashPiece is the size of the pieces in which content is hashed, in bytes.
-const hashPiece = 64 << 10
+// hashBufferSize is the size of the buffer for hashing content, in bytes.
+const hashBufferSize = 64 << 10
 
-// manifests makes manifests and keeps their bytes.
+// manifests creates manifests and caches their encoded form.
 type manifests struct {
 	shape Shape
 
@@ -39,13 +39,13 @@
 	bytes map[manifestKey]func() ([]byte, error)
 }
 
-// manifestKey names one content that a version has had.
+// manifestKey identifies the content of a version: the original, or the changed one that Faults.Changed selects.
 type manifestKey struct {
 	version Version
 	changed bool
 }
 
-// get returns the exact bytes of a manifest; each is made once.
+// get returns the encoded manifest. Each manifest is created once, so that its bytes never differ between calls.
 func (m *manifests) get(key manifestKey) ([]byte, error) {
 	m.mu.Lock()
 	manifest, ok := m.bytes[key]
@@ -59,7 +59,7 @@
 
 func (s Shape) manifest(key manifestKey) ([]byte, error) {
 	source := &content{shape: s, version: key.version, changed: key.changed, corruptAt: noCorruption}
-	whole := sha256.New()
+	contentHash := sha256.New()
 	manifest := Manifest{
 		Model:     key.version.Model,
 		Adapter:   key.version.Adapter,
@@ -69,23 +69,23 @@
 		Chunks:    []Chunk{},
 	}
 	for index := range s.chunks() {
-		chunk, err := hashChunk(source, s.chunkLen(index), whole)
+		chunk, err := hashChunk(source, s.chunkLen(index), contentHash)
 		if err != nil {
 			return nil, err
 		}
 		manifest.Chunks = append(manifest.Chunks, chunk)
 	}
-	manifest.SHA256 = hex.EncodeToString(whole.Sum(nil))
+	manifest.SHA256 = hex.EncodeToString(contentHash.Sum(nil))
 	text, err := json.Marshal(manifest)
 	return text, errors.Wrap(err, "write a manifest")
 }
 
-// hashChunk reads the next size bytes, also into the hash of the whole content.
-func hashChunk(source io.Reader, size int64, whole hash.Hash) (Chunk, error) {
-	own := sha256.New()
-	both := io.MultiWriter(own, whole)
-	if _, err := io.CopyBuffer(both, io.LimitReader(source, size), make([]byte, hashPiece)); err != nil {
+// hashChunk reads the next chunk of size bytes and returns its hash. It also adds the bytes to contentHash, the hash of the entire content.
+func hashChunk(source io.Reader, size int64, contentHash hash.Hash) (Chunk, error) {
+	chunkHash := sha256.New()
+	writer := io.MultiWriter(chunkHash, contentHash)
+	if _, err := io.CopyBuffer(writer, io.LimitReader(source, size), make([]byte, hashBufferSize)); err != nil {
 		return Chunk{}, errors.Wrap(err, "hash a chunk")
 	}
-	return Chunk{SHA256: hex.EncodeToString(own.Sum(nil)), Size: size}, nil
+	return Chunk{SHA256: hex.EncodeToString(chunkHash.Sum(nil)), Size: size}, nil
 }
--- a/internal/standin/weights/server.go
+++ b/internal/standin/weights/server.go
@@ -14,41 +14,42 @@
 	"samphireweir.example/samphireweir/internal/standin/serve"
 )
 
-// Pacing of the data, in bytes: the burst of the shared rate and the largest piece that is written at once.
+// Limits for sending data at the configured rate, in bytes: the burst of the rate limiter that all connections share, and the maximum
+// size of a single write.
 const (
-	paceBurst = 64 << 10
-	pacePiece = 32 << 10
+	dataBurst    = 64 << 10
+	maxWriteSize = 32 << 10
 )
 
-// noChunk as CorruptChunk leaves all chunks whole.
+// noChunk is the value of CorruptChunk for no corrupted chunk.
 const noChunk = -1
 
-// Config sets up a Server.
+// Config configures a Server.
 type Config struct {
 	Shape Shape
-	// Rate bounds the data of all connections together, in bytes a second; 0 is no bound.
+	// Rate limits the data sent over all connections together, in bytes per second; 0 means no limit.
 	Rate int64
-	// RequestsPerSecond bounds the calls, with a burst of one second; 0 is no bound.
+	// RequestsPerSecond limits the rate of calls, with a burst of one second's worth; 0 means no limit.
 	RequestsPerSecond int
-	// Empty answers 404 to all calls.
+	// Empty makes the server respond to all calls with status 404.
 	Empty bool
 }
 
-// Faults are the faults that can be switched on at run time.
+// Faults are the faults that can be injected at run time.
 type Faults struct {
-	// Outage answers 503, and cuts the answers under way.
+	// Outage makes calls fail with status 503, and aborts responses in progress.
 	Outage bool `json:"outage"`
-	// Stall accepts calls and sends no bytes as long as it is on, also in the middle of an answer.
+	// Stall makes calls block without sending any bytes until it is cleared, including responses in progress.
 	Stall bool `json:"stall"`
-	// CorruptNext is how many of the next answers with data have their first byte flipped.
+	// CorruptNext is the number of next data responses in which the first byte is inverted.
 	CorruptNext int `json:"corrupt_next"`
-	// CorruptChunk is the index of a chunk whose first byte is always flipped, -1 for none.
+	// CorruptChunk is the index of a chunk whose first byte is inverted in all responses, -1 for none.
 	CorruptChunk int `json:"corrupt_chunk"`
-	// Changed names the versions whose content and manifest now differ, as MODEL/ADAPTER/VERSION.
+	// Changed lists the versions, as MODEL/ADAPTER/VERSION, whose content and manifest differ from the original ones.
 	Changed []string `json:"changed"`
 }
 
-// Stats counts the calls; Bytes are the data bytes sent, Refused the calls over the rate.
+// Stats counts the calls. Bytes is the number of data bytes sent, and Refused the number of calls rejected by the rate limit.
 type Stats struct {
 	Requests         int64 `json:"requests"`
 	Bytes            int64 `json:"bytes"`
@@ -56,19 +57,19 @@
 	Refused          int64 `json:"refused"`
 }
 
-// Server is the HTTP side of a store or an origin.
+// Server is the HTTP handler of a simulated store or origin.
 type Server struct {
-	mux       *http.ServeMux
-	config    Config
-	faults    *serve.Faults[Faults]
-	manifests manifests
-	calls     *rate.Limiter
-	pace      *rate.Limiter
+	mux         *http.ServeMux
+	config      Config
+	faults      *serve.Faults[Faults]
+	manifests   manifests
+	callLimiter *rate.Limiter
+	dataLimiter *rate.Limiter
 
 	requests, bytes, manifestRequests, refused atomic.Int64
 }
 
-// NewServer returns a server of the weights that config describes.
+// NewServer returns a server for the weights that config describes. It returns an error if a size in config.Shape isn't positive.
 func NewServer(config Config) (*Server, error) {
 	if config.Shape.Size <= 0 || config.Shape.ChunkSize <= 0 {
 		return nil, errors.New("the size and the chunk size must be above 0")
@@ -81,8 +82,8 @@
 			shape: config.Shape,
 			bytes: map[manifestKey]func() ([]byte, error){},
 		},
-		calls: newLimiter(int64(config.RequestsPerSecond), config.RequestsPerSecond),
-		pace:  newLimiter(config.Rate, paceBurst),
+		callLimiter: newLimiter(int64(config.RequestsPerSecond), config.RequestsPerSecond),
+		dataLimiter: newLimiter(config.Rate, dataBurst),
 	}
 	s.mux.HandleFunc("GET /v1/weights/{model}/{adapter}/{version}/manifest", s.manifest)
 	s.mux.HandleFunc("GET /v1/weights/{model}/{adapter}/{version}/data", s.data)
@@ -98,22 +99,23 @@
 	return rate.NewLimiter(rate.Limit(perSecond), burst)
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP handles one call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mux.ServeHTTP(w, r)
 }
 
-// admit plays the faults and the rate; when it returns false the call has its answer, or needs none.
+// admit applies the faults and the rate limit. If it returns false, the caller must return: the response has been sent, or the request
+// was cancelled.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request) bool {
 	s.requests.Add(1)
-	if err := s.awaitStall(r.Context()); err != nil {
+	if err := s.waitWhileStalled(r.Context()); err != nil {
 		return false
 	}
 	if s.faults.Get().Outage {
 		serve.Fail(w, http.StatusServiceUnavailable, "outage")
 		return false
 	}
-	if !s.calls.Allow() {
+	if !s.callLimiter.Allow() {
 		s.refused.Add(1)
 		serve.Refuse(w)
 		return false
@@ -125,7 +127,7 @@
 	return true
 }
 
-func (s *Server) awaitStall(ctx context.Context) error {
+func (s *Server) waitWhileStalled(ctx context.Context) error {
 	return s.faults.WaitWhile(ctx, func(f Faults) bool { return f.Stall })
 }
 
@@ -157,17 +159,17 @@
 	if !s.admit(w, r) {
 		return
 	}
-	paced := &pacedWriter{
+	limited := &limitedWriter{
 		ResponseWriter: w,
 		ctx:            r.Context(),
 		server:         s,
 		corrupt:        s.faults.Take(func(f *Faults) *int { return &f.CorruptNext }),
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	http.ServeContent(paced, r, "", time.Time{}, s.content(versionOf(r)))
+	http.ServeContent(limited, r, "", time.Time{}, s.content(versionOf(r)))
 }
 
-// content returns the bytes of a version under the present faults.
+// content returns the content of a version with the current faults applied.
 func (s *Server) content(version Version) *content {
 	faults := s.faults.Get()
 	corruptAt := noCorruption
@@ -191,25 +193,25 @@
 	})
 }
 
-// pacedWriter sends the data of one answer at the pace that all connections share.
-type pacedWriter struct {
+// limitedWriter writes the data of one response at the rate that all connections share.
+type limitedWriter struct {
 	http.ResponseWriter
 	ctx    context.Context
 	server *Server
-	// corrupt flips the next byte that is sent.
+	// corrupt inverts the next byte that is sent.
 	corrupt bool
 }
 
-// Write sends p piece by piece.
-func (w *pacedWriter) Write(p []byte) (int, error) {
+// Write sends p in parts of at most maxWriteSize bytes.
+func (w *limitedWriter) Write(p []byte) (int, error) {
 	if w.corrupt && len(p) > 0 {
 		p = bytes.Clone(p)
 		p[0] ^= 0xff
 		w.corrupt = false
 	}
 	sent := 0
-	for piece := range slices.Chunk(p, pacePiece) {
-		n, err := w.writePiece(piece)
+	for part := range slices.Chunk(p, maxWriteSize) {
+		n, err := w.writePart(part)
 		sent += n
 		if err != nil {
 			return sent, err
@@ -218,17 +220,17 @@
 	return sent, nil
 }
 
-func (w *pacedWriter) writePiece(piece []byte) (int, error) {
-	if err := w.server.awaitStall(w.ctx); err != nil {
+func (w *limitedWriter) writePart(part []byte) (int, error) {
+	if err := w.server.waitWhileStalled(w.ctx); err != nil {
 		return 0, err
 	}
 	if w.server.faults.Get().Outage {
 		return 0, errors.New("outage")
 	}
-	if err := w.server.pace.WaitN(w.ctx, len(piece)); err != nil {
+	if err := w.server.dataLimiter.WaitN(w.ctx, len(part)); err != nil {
 		return 0, err
 	}
-	n, err := w.ResponseWriter.Write(piece)
+	n, err := w.ResponseWriter.Write(part)
 	w.server.bytes.Add(int64(n))
 	return n, err
 }
