--- a/internal/proof/settings.go
+++ b/internal/proof/settings.go
@@ -11,13 +11,13 @@
 
 // settingCells are the cells of the concern Settings.
 var settingCells = []Cell{
-	{Concern: Settings, Fault: "operators race on one setting", Step: stepAccept, Tests: []string{"TestOperatorsRace", "TestAppliesOnTopOfTheVersionSeenOnly"}},
-	{Concern: Settings, Fault: "operators race on one subtree", Step: stepAccept, Tests: []string{"TestOperatorsRace"}},
-	{Concern: Settings, Fault: "answer lost after the effect", Step: stepAccept, Tests: []string{"TestLostAnswerIsSettledByReadingBack"}},
-	{Concern: Settings, Fault: "answer lost, another change on top", Step: stepAccept, Tests: []string{"TestLostAnswerUnderALaterChange"}},
-	{Concern: Settings, Fault: "platform down or hanging", Step: stepAccept, Tests: []string{"TestPlatformDownInAChange"}},
+	{Concern: Settings, Fault: "operators race on one setting", Step: stepAccept, Tests: []string{"TestConcurrentChangesAreLinearizable", "TestApplyOfAnOutdatedVersionConflicts"}},
+	{Concern: Settings, Fault: "operators race on one subtree", Step: stepAccept, Tests: []string{"TestConcurrentChangesAreLinearizable"}},
+	{Concern: Settings, Fault: "answer lost after the effect", Step: stepAccept, Tests: []string{"TestLostAnswerIsResolved"}},
+	{Concern: Settings, Fault: "answer lost, another change on top", Step: stepAccept, Tests: []string{"TestLostAnswerBeforeALaterChangeIsResolved"}},
+	{Concern: Settings, Fault: "platform down or hanging", Step: stepAccept, Tests: []string{"TestChangeFailsWhilePlatformIsDown"}},
 	{Concern: Settings, Fault: "operator's mistake in a file", Step: stepAccept, Tests: []string{"TestFileErrorsNameFileFieldAndValidValue"}},
-	{Concern: Settings, Fault: "operator of another team", Step: stepAccept, Tests: []string{"TestAnotherTeamsSettingIsRefusedUnlessNamed"}},
+	{Concern: Settings, Fault: "operator of another team", Step: stepAccept, Tests: []string{"TestChangeOfAnotherTeamRequiresItsName"}},
 	{Concern: Settings, Fault: "messages lost", Step: stepSpread, Tests: []string{"TestChangesReachAllProcessesDespiteMessageLoss"}},
 	{Concern: Settings, Fault: "more settings than one message holds", Step: stepSpread, Tests: []string{"TestLargeSettingsFitIntoMessages"}},
 	{Concern: Settings, Fault: "any order and repetition of messages", Step: stepSpread, Tests: []string{"TestMergeIsIndependentOfOrderAndRepetition", "TestRecordVersionsNeverDecrease"}},
