--- a/cmd/proofs/main.go
+++ b/cmd/proofs/main.go
@@ -13,9 +13,9 @@
 func main() {
 	platform := flag.Bool("platform", false, "print docs/PROOFS-PLATFORM.md, the part on the users' platform")
 	flag.Parse()
-	cells := proof.Product()
+	cells := proof.ProductCells()
 	if *platform {
-		cells = proof.OnPlatform()
+		cells = proof.PlatformCells()
 	}
 	results, err := proof.ReadResults(os.Stdin)
 	if err != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -80,19 +80,19 @@
 	p.PeersMux.HandleFunc("POST "+frame.ResumePath, a.handleResume)
 	p.PeersMux.HandleFunc("POST "+frame.FencePath, a.handleFence)
 	p.Loop.View(func(s *core.State) { a.selfIncarnation = s.Self.Incarnation })
-	p.Loop.SetCarrier(a.executeEffect)
+	p.Loop.SetExecutor(a.executeEffect)
 	p.Loop.Step(weights.Configured{Mode: weights.Mode(c.Spread), NoYield: c.NoYield})
 	return a, nil
 }
 
 func (a *Agent) newFetcher() *transfer.Fetcher {
 	f := &transfer.Fetcher{
-		Memory: transfer.NewMemory(a.config.ChunkMemory), Pool: a.Pool, Client: a.Client, Secret: a.config.Secret, Self: a.Address(),
-		Up: transfer.NewLink(a.config.LinkRate), Down: transfer.NewLink(a.config.LinkRate), Steps: a.Loop, Log: a.Log,
+		Memory: transfer.NewMemory(a.config.ChunkMemory), Pool: a.Pool, Client: a.PeerClient, Secret: a.config.Secret, Self: a.Address(),
+		Uplink: transfer.NewLink(a.config.LinkRate), Downlink: transfer.NewLink(a.config.LinkRate), Steps: a.Loop, Log: a.Log,
 	}
 	for _, base := range []string{a.config.WeightStore, a.config.Origin} {
 		if base != "" {
-			f.Sources = append(f.Sources, source.NewClient(base, a.Outside))
+			f.Sources = append(f.Sources, source.NewClient(base, a.ExternalClient))
 		}
 	}
 	return f
@@ -106,8 +106,8 @@
 	a.enableOrders()
 	go a.pollEngines(runCtx)
 	<-ctx.Done()
-	logevent.Info(a.Log, logevent.StopAsked).Msg("stop asked")
-	a.Stopping()
+	logevent.Info(a.Log, logevent.ShutdownStarted).Msg("stop asked")
+	a.StartShutdown()
 	a.drain(grace)
 	a.cancelRemainingRuns()
 	a.releaseIncarnation()
@@ -152,7 +152,7 @@
 
 // executeEffect carries out an effect of the core.
 func (a *Agent) executeEffect(e step.Effect) {
-	if a.Carry(e) || a.fetcher.Carry(e) || a.executeRolloutEffect(e) {
+	if a.Execute(e) || a.fetcher.Execute(e) || a.executeRolloutEffect(e) {
 		return
 	}
 	switch e := e.(type) {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -64,22 +64,22 @@
 		return err
 	}
 	if c.WeightStore == "" && c.Origin == "" {
-		return code.Errorf(code.SettingsClash, "-weight-store and -origin", "both empty, want at least one")
+		return code.Errorf(code.ConflictingSettings, "-weight-store and -origin", "both empty, want at least one")
 	}
 	if c.LinkRate < 0 {
-		return code.Errorf(code.BadProcess, "-link-rate", "%d, want 0 or more", c.LinkRate)
+		return code.Errorf(code.BadProcessSetting, "-link-rate", "%d, want 0 or more", c.LinkRate)
 	}
 	if c.StalledAfter < 0 {
-		return code.Errorf(code.BadProcess, "-stalled-after", "%v, want 0 or more", c.StalledAfter)
+		return code.Errorf(code.BadProcessSetting, "-stalled-after", "%v, want 0 or more", c.StalledAfter)
 	}
 	if c.ChunkMemory <= 0 {
-		return code.Errorf(code.BadProcess, "-chunk-memory", "%d, want more than 0", c.ChunkMemory)
+		return code.Errorf(code.BadProcessSetting, "-chunk-memory", "%d, want more than 0", c.ChunkMemory)
 	}
 	if c.Spread == "" {
 		c.Spread = string(weights.Tiers)
 	}
 	if !weights.Mode(c.Spread).Valid() {
-		return code.Errorf(code.BadProcess, "-spread", "%q, want tiers, swarm or direct", c.Spread)
+		return code.Errorf(code.BadProcessSetting, "-spread", "%q, want tiers, swarm or direct", c.Spread)
 	}
 	_, err := ParseUpstreams(c.Upstreams)
 	return err
@@ -96,7 +96,7 @@
 			return nil, err
 		}
 		if names[u.Name] {
-			return nil, code.Errorf(code.SettingsClash, "-upstreams", "two upstreams are named %q", u.Name)
+			return nil, code.Errorf(code.ConflictingSettings, "-upstreams", "two upstreams are named %q", u.Name)
 		}
 		names[u.Name] = true
 		list = append(list, u)
@@ -108,14 +108,14 @@
 	service, rest, ok := strings.Cut(part, "=")
 	kind, url, ok2 := strings.Cut(rest, "@")
 	if !ok || !ok2 {
-		return rollout.Upstream{}, code.Errorf(code.BadProcess, "-upstreams", "%q, want TEAM/SERVICE=engine@URL or =plain@URL", part)
+		return rollout.Upstream{}, code.Errorf(code.BadProcessSetting, "-upstreams", "%q, want TEAM/SERVICE=engine@URL or =plain@URL", part)
 	}
 	team, name, ok := setting.SplitKey(setting.Prefix + service)
 	if !ok {
-		return rollout.Upstream{}, code.Errorf(code.BadProcess, "-upstreams", "%q, want TEAM/SERVICE", service)
+		return rollout.Upstream{}, code.Errorf(code.BadProcessSetting, "-upstreams", "%q, want TEAM/SERVICE", service)
 	}
 	if setting.Kind(kind) != setting.Engine && setting.Kind(kind) != setting.Plain {
-		return rollout.Upstream{}, code.Errorf(code.BadProcess, "-upstreams", "kind %q, want engine or plain", kind)
+		return rollout.Upstream{}, code.Errorf(code.BadProcessSetting, "-upstreams", "kind %q, want engine or plain", kind)
 	}
 	if err := node.CheckURL("upstreams", url); err != nil {
 		return rollout.Upstream{}, err
--- a/internal/agent/env_test.go
+++ b/internal/agent/env_test.go
@@ -47,9 +47,9 @@
 func testTiming() rollout.Timing {
 	return rollout.Timing{
 		Poll: 20 * time.Millisecond, MaxPoll: 100 * time.Millisecond, Retry: 20 * time.Millisecond,
-		MaxRetry: 100 * time.Millisecond, Silent: 300 * time.Millisecond, Drain: 200 * time.Millisecond,
-		Incarnation: incarnation.Timing{Lease: 600 * time.Millisecond, Settle: 100 * time.Millisecond, Retry: 20 * time.Millisecond},
-		Slots:       slot.Timing{Expiry: 900 * time.Millisecond, Poll: 20 * time.Millisecond, Patience: 300 * time.Millisecond},
+		MaxRetry: 100 * time.Millisecond, OrderTimeout: 300 * time.Millisecond, DrainWarning: 200 * time.Millisecond,
+		Incarnation: incarnation.Timing{Lease: 600 * time.Millisecond, OrderDrain: 100 * time.Millisecond, Retry: 20 * time.Millisecond},
+		Slots:       slot.Timing{Expiry: 900 * time.Millisecond, PollInterval: 20 * time.Millisecond, TurnTimeout: 300 * time.Millisecond},
 	}
 }
 
@@ -85,7 +85,7 @@
 func buildTestEnv(t testing.TB, f setting.Fencing, engines ...string) *testEnv {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	origin, err := weights.NewServer(weights.Config{Shape: weights.Shape{Size: 2 << 20, ChunkSize: 256 << 10, Seed: 7}})
+	origin, err := weights.NewServer(weights.Config{Shape: weights.ContentConfig{Size: 2 << 20, ChunkSize: 256 << 10, Seed: 7}})
 	require.NoError(t, err)
 	b := &testEnv{
 		t:       t,
--- a/internal/agent/instrument.go
+++ b/internal/agent/instrument.go
@@ -17,12 +17,12 @@
 	for _, client := range []*http.Client{a.stateClient, a.pooledClient, a.singleUseClient} {
 		a.instrumentUpstream(client)
 	}
-	a.Telemetry.Traces.Client(a.Client, telemetry.NamePeerCall)
-	a.Telemetry.Sources(a.Outside, a.config.WeightStore, a.config.Origin)
+	a.Telemetry.Traces.Client(a.PeerClient, telemetry.PeerSpanName)
+	a.Telemetry.CountChunks(a.ExternalClient, a.config.WeightStore, a.config.Origin)
 }
 
 // instrumentUpstream adds metrics and traces to the calls that a client makes to the host's upstreams.
 func (a *Agent) instrumentUpstream(c *http.Client) {
-	a.Telemetry.Upstreams(c, a.upstreamsByURL)
-	a.Telemetry.Traces.Client(c, telemetry.NameUpstreamCall)
+	a.Telemetry.ObserveUpstreamCalls(c, a.upstreamsByURL)
+	a.Telemetry.Traces.Client(c, telemetry.UpstreamSpanName)
 }
--- a/internal/agent/load.go
+++ b/internal/agent/load.go
@@ -27,7 +27,7 @@
 
 // loadReport returns the load of the run's upstream. If ended is set, the report leaves out the run itself.
 func (a *Agent) loadReport(x *execution, ended bool) *routing.Report {
-	r := a.upstreamLoadReport(x.start.Upstream, x.env.Cache)
+	r := a.upstreamLoadReport(x.start.Upstream, x.env.CachePosition)
 	if ended && r.Running > 0 && a.isCounted(x.start.ID) {
 		r.Running--
 	}
@@ -42,7 +42,7 @@
 }
 
 // upstreamLoadReport returns the load of an upstream and the changes of its prefix cache since seen.
-func (a *Agent) upstreamLoadReport(upstream string, seen routing.CacheMark) *routing.Report {
+func (a *Agent) upstreamLoadReport(upstream string, seen routing.CachePosition) *routing.Report {
 	var r routing.Report
 	a.Loop.View(func(s *core.State) { r = s.Runs.Load.Report(time.Now(), upstream, seen) })
 	return &r
@@ -66,7 +66,7 @@
 func (a *Agent) pollEnginesOnce(ctx context.Context, cursors map[string]int64) {
 	var serving []rollout.Upstream
 	a.Loop.View(func(s *core.State) {
-		for _, name := range s.Rollout.Order {
+		for _, name := range s.Rollout.Names {
 			u := s.Rollout.Upstreams[name]
 			if u.Kind == setting.Engine && u.Phase == member.Serving {
 				serving = append(serving, *u)
@@ -91,7 +91,7 @@
 		return
 	}
 	cursors[u.Name] = batch.Next
-	ev := run.CacheRead{Upstream: u.Name, Boot: state.BootID}
+	ev := run.CacheRead{Upstream: u.Name, BootID: state.BootID}
 	for _, e := range batch.Events {
 		if prefix, ok := routing.ParsePrefix(e.Prefix); ok {
 			ev.Events = append(ev.Events, routing.CacheEvent{Prefix: prefix, Evicted: e.Kind == engine.EvictedKind})
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -34,12 +34,12 @@
 
 // enableOrders has the core acquire the incarnation and start sending orders to engines.
 func (a *Agent) enableOrders() {
-	a.Loop.Step(rollout.Begin{Host: a.Config.Name, Holder: uuid.NewString(), Timing: a.config.Orders})
+	a.Loop.Step(rollout.OrdersEnabled{Host: a.Config.Name, Holder: uuid.NewString(), Timing: a.config.Orders})
 }
 
 // releaseIncarnation ends the orders and releases the incarnation, so that the agent's successor need not wait for it.
 func (a *Agent) releaseIncarnation() {
-	a.Loop.Step(rollout.ReleaseAsked{})
+	a.Loop.Step(rollout.ReleaseRequested{})
 	deadline := time.Now().Add(releaseTimeout)
 	for time.Now().Before(deadline) && a.holdsIncarnation() {
 		time.Sleep(step.TickInterval)
@@ -67,8 +67,8 @@
 	case rollout.CancelOrder:
 		a.cancelOrder(e.Order)
 	case rollout.OutOfService:
-		logevent.Warn(a.Log, logevent.OutOfService).Str("upstream", e.Upstream).Str("why", string(e.Why)).Msg("out of service")
-		if e.Why == rollout.ReasonChanged {
+		logevent.Warn(a.Log, logevent.OutOfService).Str("upstream", e.Upstream).Str("why", string(e.Reason)).Msg("out of service")
+		if e.Reason == rollout.ReasonChanged {
 			a.cancelRunsOn(e.Upstream)
 		}
 	case rollout.InService:
@@ -90,7 +90,7 @@
 		a.Loop.Step(rollout.StateFailed{Upstream: e.Upstream, Serial: e.Serial})
 		return
 	}
-	a.Loop.Step(rollout.StateRead{Upstream: e.Upstream, Serial: e.Serial, Reading: rollout.Reading{
+	a.Loop.Step(rollout.StateRead{Upstream: e.Upstream, Serial: e.Serial, Reading: rollout.EngineState{
 		BootID: state.BootID, Digest: state.Digest, Generation: state.Generation, Fencing: state.Fencing,
 		Loading: state.Loading, Role: setting.Role(state.Role),
 	}})
@@ -146,7 +146,7 @@
 		logevent.Warn(a.Log, logevent.LoadFailed).Str("upstream", upstream).Err(err).Msg("order failed")
 		outcome = rollout.OrderFailed
 	}
-	if errors.Is(err, engine.ErrOldFencing) {
+	if errors.Is(err, engine.ErrSupersededFencing) {
 		outcome = rollout.OrderRefused
 	}
 	a.Loop.Step(rollout.OrderEnded{Upstream: upstream, Order: serial, Outcome: outcome})
@@ -158,7 +158,7 @@
 		return err
 	}
 	allowed := false
-	a.Loop.View(func(s *core.State) { allowed = s.Rollout.MayOrder(upstream, time.Now()) })
+	a.Loop.View(func(s *core.State) { allowed = s.Rollout.OrderAllowed(upstream, time.Now()) })
 	if !allowed {
 		return errOrderNotAllowed
 	}
--- a/internal/agent/orders_paused_test.go
+++ b/internal/agent/orders_paused_test.go
@@ -32,14 +32,14 @@
 // generate sends a request through the agent and returns the digest that the response states, or the failure.
 func (r *testAgent) generate(name, id string, tokens int) (string, *failure) {
 	env := frame.Envelope{Request: id, Attempt: 1, Upstream: name, Target: "/v1/generate", Incarnation: r.selfIncarnation}
-	decision := r.Decide(func(call uint64) step.Event {
-		return run.Asked{Call: call, Message: message(env), Upstream: name}
+	decision := r.CallCore(func(call uint64) step.Event {
+		return run.StartRequested{Call: call, Message: message(env), Upstream: name}
 	})
 	start, ok := decision.(run.Start)
 	if !ok {
 		return "", &failure{code: decision.(run.Refuse).Code, ran: code.NotRun}
 	}
-	body, err := json.Marshal(engine.GenerateCall{Prompt: id, MaxTokens: tokens})
+	body, err := json.Marshal(engine.GenerateRequest{Prompt: id, MaxTokens: tokens})
 	require.NoError(r.b.t, err)
 	req := httptest.NewRequest(http.MethodPost, "/", bytes.NewReader(body))
 	req.Header.Set(frame.MethodHeader, http.MethodPost)
@@ -72,7 +72,7 @@
 	if f != nil {
 		return "", f
 	}
-	var a engine.GenerateAnswer
+	var a engine.GenerateResponse
 	if json.Unmarshal(raw, &a) != nil {
 		return "", &failure{code: mixedAnswer, ran: code.DidRun}
 	}
--- a/internal/agent/orders_platform.go
+++ b/internal/agent/orders_platform.go
@@ -89,7 +89,7 @@
 	item, err = a.Objects.Put(ctx, key, value, ifVersion)
 	var other *objectapi.ConflictError
 	if errors.As(err, &other) {
-		return other.Present, true, nil
+		return other.Current, true, nil
 	}
 	item.Value = value
 	return item, false, err
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -125,7 +125,7 @@
 		return run.Probe{BootID: state.BootID}
 	}
 	if ctx.Err() != nil {
-		return run.Probe{Silent: true}
+		return run.Probe{TimedOut: true}
 	}
 	// The connection was refused or reset, or the status code shows that the engine is not up.
 	return run.Probe{Refused: true}
@@ -147,7 +147,7 @@
 		_ = conn.Close()
 		return run.Probe{}
 	}
-	return run.Probe{Refused: ctx.Err() == nil, Silent: ctx.Err() != nil}
+	return run.Probe{Refused: ctx.Err() == nil, TimedOut: ctx.Err() != nil}
 }
 
 // newProber returns an engine client that opens a new connection for each probe.
@@ -175,4 +175,6 @@
 }
 
 // recheck has the core read an upstream's state at once, so that a crashed upstream gets no further requests.
-func (a *Agent) recheck(start run.Start) { a.Loop.Step(rollout.Doubted{Upstream: start.Upstream}) }
+func (a *Agent) recheck(start run.Start) {
+	a.Loop.Step(rollout.StateReadRequested{Upstream: start.Upstream})
+}
--- a/internal/agent/recover.go
+++ b/internal/agent/recover.go
@@ -7,7 +7,7 @@
 func (a *Agent) withPanicRecovery(call func() *failure) (f *failure) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			a.NotePanic("run", cause)
+			a.ReportPanic("run", cause)
 			f = &failure{code: code.InternalFault, ran: code.Unknown}
 		}
 	}()
--- a/internal/agent/response.go
+++ b/internal/agent/response.go
@@ -75,7 +75,7 @@
 	if resp.ContentLength >= 0 || chunked || noBody {
 		return nil
 	}
-	return &failure{code: code.EndlessAnswer, ran: code.DidRun}
+	return &failure{code: code.UnterminatedAnswer, ran: code.DidRun}
 }
 
 // serviceUnavailable returns the failure for a 503 response of an engine. Only the two errors in notRunErrors mean that
--- a/internal/agent/rollout_test.go
+++ b/internal/agent/rollout_test.go
@@ -309,7 +309,7 @@
 }
 
 // TestDrainDoesNotAbortRequests guards against a rollout that aborts requests in flight. A request that takes longer than
-// Timing.Drain must end with the weights with which it started.
+// Timing.DrainWarning must end with the weights with which it started.
 func TestDrainDoesNotAbortRequests(t *testing.T) {
 	forEachFencing(t, func(t *testing.T, f setting.Fencing) {
 		b := newTestEnv(t, f, "e0", "e1")
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -70,7 +70,7 @@
 
 // writeHeartbeat sends a heartbeat frame and reports whether the connection accepted it.
 func writeHeartbeat(w http.ResponseWriter) bool {
-	if frame.Write(w, frame.TypeBeat, nil) != nil {
+	if frame.Write(w, frame.TypeHeartbeat, nil) != nil {
 		return false
 	}
 	return http.NewResponseController(w).Flush() == nil
@@ -122,14 +122,14 @@
 func (a *Agent) awaitDecision(w http.ResponseWriter, r *http.Request, env frame.Envelope) step.Effect {
 	call, ch, done := a.Calls.Open()
 	defer done()
-	if env.Mark != nil {
-		a.Loop.Step(record.Received{Records: []record.Record{*env.Mark}})
+	if env.CrashRecord != nil {
+		a.Loop.Step(record.Received{Records: []record.Record{*env.CrashRecord}})
 	}
-	a.Loop.Step(run.Asked{
+	a.Loop.Step(run.StartRequested{
 		Call: call, Message: message(env), Upstream: env.Upstream,
-		Fingerprint: env.Fingerprint, Alone: env.Alone, Digest: env.Digest,
+		Fingerprint: env.Fingerprint, Exclusive: env.Exclusive, Digest: env.Digest,
 	})
-	heartbeats := time.NewTicker(frame.BeatInterval)
+	heartbeats := time.NewTicker(frame.HeartbeatInterval)
 	defer heartbeats.Stop()
 	for {
 		select {
@@ -201,7 +201,7 @@
 
 // fence prevents an attempt from starting and cancels it if it runs. It returns whether the attempt was executed.
 func (a *Agent) fence(env frame.Envelope) code.Ran {
-	d := a.Decide(func(call uint64) step.Event { return run.Fenced{Call: call, Message: message(env)} })
+	d := a.CallCore(func(call uint64) step.Event { return run.FenceRequested{Call: call, Message: message(env)} })
 	answer := d.(run.FenceAnswer)
 	if answer.Running {
 		a.cancelRun(answer.ID)
@@ -240,7 +240,7 @@
 	if x.weightsChanged.Load() {
 		f = &failure{code: code.WeightsChanged, ran: code.DidRun}
 	}
-	done := run.Finished{ID: x.start.ID, Ran: code.DidRun, Whole: f == nil}
+	done := run.Finished{ID: x.start.ID, Ran: code.DidRun, Complete: f == nil}
 	if f != nil {
 		done.Ran = f.ran
 		a.reportFailure(x, f)
@@ -261,14 +261,14 @@
 	a.Loop.Step(run.Crashed{ID: x.start.ID})
 	a.recheck(x.start)
 	var listeners []string
-	a.Loop.View(func(s *core.State) { listeners = s.MarkListeners() })
+	a.Loop.View(func(s *core.State) { listeners = s.MarkReceivers() })
 	if f.mark = a.suspectMark(x.env.Fingerprint); f.mark != nil {
 		// The caller may retry at another entry as soon as it receives the failure, so the entries receive the mark first.
 		ctx, cancel := context.WithTimeout(context.Background(), a.config.MarkTimeout)
 		defer cancel()
 		a.Deliver(ctx, listeners, []record.Record{*f.mark})
 	}
-	logevent.Warn(a.Log, logevent.RequestSuspect).Str("request", x.env.Request).Str("fingerprint", x.env.Fingerprint).
+	logevent.Warn(a.Log, logevent.RequestSuspected).Str("request", x.env.Request).Str("fingerprint", x.env.Fingerprint).
 		Str("upstream", x.start.Upstream).Msg("request suspect")
 }
 
@@ -302,7 +302,7 @@
 // relayFrames writes the frames of a response to one connection. It reports true if the response has ended or another
 // connection has replaced this one, and false if the connection broke.
 func (a *Agent) relayFrames(w http.ResponseWriter, r *http.Request, x *execution, reader int, withHead bool) bool {
-	heartbeats := time.NewTicker(frame.BeatInterval)
+	heartbeats := time.NewTicker(frame.HeartbeatInterval)
 	defer heartbeats.Stop()
 	control := http.NewResponseController(w)
 	for {
@@ -310,7 +310,7 @@
 		if s.replaced {
 			return true
 		}
-		_ = control.SetWriteDeadline(time.Now().Add(frame.SilenceLimit))
+		_ = control.SetWriteDeadline(time.Now().Add(frame.FrameTimeout))
 		if a.writeSnapshot(w, x, s, &withHead) != nil || control.Flush() != nil {
 			return false
 		}
@@ -358,11 +358,11 @@
 }
 
 func failFrame(id run.ID, f *failure, load *routing.Report) frame.Fail {
-	return frame.Fail{Request: id.Request, Attempt: id.Attempt, Code: f.code, Ran: f.ran, Crashed: f.crashed, Mark: f.mark, Load: load}
+	return frame.Fail{Request: id.Request, Attempt: id.Attempt, Code: f.code, Ran: f.ran, Crashed: f.crashed, CrashRecord: f.mark, Load: load}
 }
 
 func (a *Agent) writeFail(w http.ResponseWriter, env frame.Envelope, f *failure) {
-	_ = frame.WriteJSON(w, frame.TypeFail, failFrame(message(env).ID, f, a.upstreamLoadReport(env.Upstream, env.Cache)))
+	_ = frame.WriteJSON(w, frame.TypeFail, failFrame(message(env).ID, f, a.upstreamLoadReport(env.Upstream, env.CachePosition)))
 }
 
 // failure is the reason why a response is not complete, and whether the request was executed.
--- a/internal/agent/upstream.go
+++ b/internal/agent/upstream.go
@@ -87,13 +87,13 @@
 	defer func() { _ = resp.Body.Close() }()
 	x.recordActivity()
 	a.Loop.Step(run.FirstByte{ID: x.start.ID})
-	a.Loop.Step(weights.FirstByte{Upstream: x.start.Upstream, Took: time.Since(startedAt)})
+	a.Loop.Step(weights.FirstByte{Upstream: x.start.Upstream, Latency: time.Since(startedAt)})
 	return a.receiveResponse(x, req.Method, resp)
 }
 
 // clientFor returns a client whose transport can't send the request twice.
 func (a *Agent) clientFor(x *execution, req *http.Request) *http.Client {
-	if x.env.Once || req.Body == http.NoBody {
+	if x.env.AtMostOnce || req.Body == http.NoBody {
 		return a.singleUseClient
 	}
 	return a.pooledClient
--- a/internal/capacity/measured_rows.go
+++ b/internal/capacity/measured_rows.go
@@ -72,14 +72,14 @@
 		memory := ownerMemory(p.Size)
 		rows = append(rows, Row{"claim owner", fmt.Sprintf("memory of an hour's records, at %s claims a second", formatNumber(p.Size)),
 			formatNumber(memory) + " MiB", formatNumber(budget.MiB) + " MiB", headroom(memory, budget.MiB), Calculated,
-			fmt.Sprintf("%d bytes a record (benchmark, one run), %d partitions; the first budget that gives way: %s claims a second fill it", claimRecordBytes, claim.Partitions, formatNumber(ownerClaims(budget)))})
+			fmt.Sprintf("%d bytes a record (benchmark, one run), %d partitions; the first budget that gives way: %s claims a second fill it", claimRecordBytes, claim.PartitionCount, formatNumber(ownerClaims(budget)))})
 	}
 	return rows
 }
 
 // ownerMemory returns the memory of one partition's records in MiB, for a rate of claims a second in the whole fleet.
 func ownerMemory(claims float64) float64 {
-	return claims / claim.Partitions * claimRetentionSeconds * claimRecordBytes / (1 << 20)
+	return claims / claim.PartitionCount * claimRetentionSeconds * claimRecordBytes / (1 << 20)
 }
 
 // ownerClaims returns the rate of claims a second at which the records of one partition alone fill a process's memory budget.
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -243,4 +243,4 @@
 const pushCopies = 2 * record.Fanout
 
 // watchCalls returns the calls a second of one watcher while nothing changes.
-func watchCalls() float64 { return 1 / watch.Wait.Seconds() }
+func watchCalls() float64 { return 1 / watch.WatchTimeout.Seconds() }
--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -85,7 +85,7 @@
 	total := list + changes
 	return []Row{
 		{"watcher", "list of hosts: bytes a second", formatNumber(list), formatNumber(budget.BytesPerSecond), headroom(list, budget.BytesPerSecond), Calculated,
-			fmt.Sprintf("a reading of %d KB each %.0f s by each watcher, %d watchers by turns", size.Nodes*listedHostBytes/1000, interval, watch.PerPlace*size.Places)},
+			fmt.Sprintf("a reading of %d KB each %.0f s by each watcher, %d watchers by turns", size.Nodes*listedHostBytes/1000, interval, watch.WatchersPerDataCentre*size.Places)},
 		{"watcher", "watch of settings: bytes a second", formatNumber(changes), formatNumber(budget.BytesPerSecond), headroom(changes, budget.BytesPerSecond), Calculated,
 			fmt.Sprintf("an object with its full history is %.0f bytes; the relay leaves the history out", object)},
 		{"watcher", "both together", formatNumber(total), formatNumber(budget.BytesPerSecond), headroom(total, budget.BytesPerSecond), Calculated, "beside what every process spends"},
@@ -99,17 +99,17 @@
 func objectBytes(size Size) float64 {
 	s := typicalSetting(size)
 	o := &setting.Object{}
-	for version := range uint64(setting.FullHistory + setting.SlimHistory + 1) {
-		o = o.Next(1<<40+version, &s, setting.Stamp{Change: s.Change, Author: s.Author, At: s.At})
+	for version := range uint64(setting.FullHistory + setting.MetadataHistory + 1) {
+		o = o.Next(1<<40+version, &s, setting.ChangeInfo{Change: s.Change, Author: s.Author, At: s.At})
 	}
 	return float64(encodedSize("", o))
 }
 
 func platformRows(all Measurements, size Size) []Row {
-	watchers := float64(watch.PerPlace * size.Places)
+	watchers := float64(watch.WatchersPerDataCentre * size.Places)
 	calls := watchers*watchCalls() + watchers*size.ChangesPerDay/secondsPerDay
 	perPlace := float64(size.Nodes / size.Places)
-	outage := float64(size.Places) * (2/watch.LastRetry.Seconds() + math.Log(perPlace)/watch.RankPause.Seconds())
+	outage := float64(size.Places) * (2/watch.MaxRetry.Seconds() + math.Log(perPlace)/watch.RankDelay.Seconds())
 	rows := []Row{
 		{"platform", "reads a second for settings", formatNumber(calls), formatNumber(PlatformReads), headroom(calls, PlatformReads), Calculated,
 			"watchers by place, not by host; see the slope of objectapi_calls_per_s"},
@@ -162,7 +162,7 @@
 	burst := rates.burstPhases*phaseBytes(b) + offerBytes() + comparisonBytes(size, rates)
 	lines := []string{
 		fmt.Sprintf("Claim owners' memory: %s claims a second that must not run twice fill a process's %s MiB with an hour's records of one partition (worked out from %d bytes a record). More partitions than %d come first.",
-			formatNumber(ownerClaims(TargetBudget)), formatNumber(TargetBudget.MiB), claimRecordBytes, claim.Partitions),
+			formatNumber(ownerClaims(TargetBudget)), formatNumber(TargetBudget.MiB), claimRecordBytes, claim.PartitionCount),
 		fmt.Sprintf("Entries' control bytes during a burst: %s a second against %s (worked out). The records alone, in and out, are %s. Fewer and larger messages, in a smaller encoding, come next.",
 			formatNumber(burst), formatNumber(TargetBudget.BytesPerSecond), formatNumber(2*rates.burstPhases*float64(b.Phase))),
 		fmt.Sprintf("The watchers' reading of the list of hosts, %d KB each time: at ten times the hosts the interval grows to %.0f s, which is slow for a departed host; local evidence carries until then.",
--- a/internal/claims/cluster_test.go
+++ b/internal/claims/cluster_test.go
@@ -284,15 +284,15 @@
 // newClaim returns a claim of a key by a request.
 func newClaim(key, request string) claim.Claim {
 	return claim.Claim{
-		Key: claim.HashKey("team", "service", key), Request: request, Fingerprint: 7, KeyTime: claim.Time(key), RunFor: 3000,
+		Key: claim.HashKey("team", "service", key), RequestID: request, Fingerprint: 7, KeyTime: claim.KeyTimestamp(key), RunTimeoutMS: 3000,
 	}
 }
 
 // settlement returns a settlement of a claim. If the call ran, the stored response's body is the request id.
 func settlement(c claim.Claim, s claim.Status) claim.Settlement {
-	t := claim.Settlement{Key: c.Key, Request: c.Request, KeyTime: c.KeyTime, Status: s}
+	t := claim.Settlement{Key: c.Key, RequestID: c.RequestID, KeyTime: c.KeyTime, Status: s}
 	if s == claim.Ran {
-		t.Answer = &claim.Answer{Status: http.StatusOK, Body: []byte(c.Request)}
+		t.Answer = &claim.StoredResponse{Status: http.StatusOK, Body: []byte(c.RequestID)}
 	}
 	return t
 }
--- a/internal/claims/faults_test.go
+++ b/internal/claims/faults_test.go
@@ -189,9 +189,9 @@
 func (f *faultCase) attempt(n *node) attemptResult {
 	c := newClaim(f.key, uuid.NewString())
 	begin := time.Now()
-	a := n.Make(context.Background(), c)
+	a := n.Claim(context.Background(), c)
 	if a.Verdict == claim.Granted {
-		f.cluster.runCall(f.key, c.Request)
+		f.cluster.runCall(f.key, c.RequestID)
 		n.Settle(settlement(c, claim.Ran))
 	}
 	return attemptResult{verdict: a.Verdict, duration: time.Since(begin)}
@@ -215,17 +215,17 @@
 func TestOutageRejectsClaimsImmediately(t *testing.T) {
 	cl := newCluster(t, 3)
 	warm := newClaim("warm", "w")
-	require.Equal(t, claim.Granted, cl.nodes[0].Make(context.Background(), warm).Verdict)
+	require.Equal(t, claim.Granted, cl.nodes[0].Claim(context.Background(), warm).Verdict)
 	cl.setFaults(`{"outage":true}`)
 	key := uuid.Must(uuid.NewV7()).String()
 	for _, n := range cl.nodes {
-		a := n.Make(context.Background(), newClaim(key, uuid.NewString()))
+		a := n.Claim(context.Background(), newClaim(key, uuid.NewString()))
 		require.Equal(t, claim.NotRecorded, a.Verdict)
 		require.GreaterOrEqual(t, a.RetryAfterMS, claim.MinRetryAfter.Milliseconds())
 	}
 	cl.setFaults(`{"outage":false}`)
 	require.Eventually(t, func() bool {
-		return cl.nodes[1].Make(context.Background(), newClaim(key, uuid.NewString())).Verdict == claim.Granted
+		return cl.nodes[1].Claim(context.Background(), newClaim(key, uuid.NewString())).Verdict == claim.Granted
 	}, 5*time.Second, 50*time.Millisecond)
 }
 
@@ -236,11 +236,11 @@
 	n := cl.nodes[0]
 	n.setHook(nil)
 	limited := claims.New(claims.Config{Self: n.address, Objects: newRateLimitedPlatform(t), Peers: n, Claims: testConfig(), Timing: testTiming()})
-	first := limited.Make(context.Background(), newClaim("a", "r1"))
+	first := limited.Claim(context.Background(), newClaim("a", "r1"))
 	require.Equal(t, claim.Granted, first.Verdict)
-	second := limited.Make(context.Background(), newClaim("a2", "r2"))
+	second := limited.Claim(context.Background(), newClaim("a2", "r2"))
 	for i := 0; second.Verdict == claim.Granted && i < 10; i++ {
-		second = limited.Make(context.Background(), newClaim(fmt.Sprintf("b%d", i), "r"))
+		second = limited.Claim(context.Background(), newClaim(fmt.Sprintf("b%d", i), "r"))
 	}
 	require.Equal(t, claim.NotRecorded, second.Verdict)
 	require.Positive(t, second.RetryAfterMS)
--- a/internal/claims/handlers.go
+++ b/internal/claims/handlers.go
@@ -44,5 +44,5 @@
 	if err := control.Decode(params, &t); err != nil {
 		return nil, err
 	}
-	return Answer{Verdict: s.settleAsOwner(ctx, t)}, nil
+	return Result{Verdict: s.settleAsOwner(ctx, t)}, nil
 }
--- a/internal/claims/history_test.go
+++ b/internal/claims/history_test.go
@@ -182,17 +182,17 @@
 		}
 		c := newClaim(key, uuid.NewString())
 		begin := h.now()
-		a := n.Make(context.Background(), c)
+		a := n.Claim(context.Background(), c)
 		out := output{verdict: a.Verdict}
-		if a.Kept != nil {
-			out.storedBy = string(a.Kept.Body)
+		if a.StoredResponse != nil {
+			out.storedBy = string(a.StoredResponse.Body)
 		}
-		h.add(caller, input{key: key, kind: opClaim, request: c.Request}, out, begin, h.now())
+		h.add(caller, input{key: key, kind: opClaim, request: c.RequestID}, out, begin, h.now())
 		if a.Verdict == claim.Granted {
 			cl.useGrant(h, rng, caller, n, key, c)
 			return
 		}
-		if a.Verdict != claim.NotRecorded && a.Verdict != claim.Unsure {
+		if a.Verdict != claim.NotRecorded && a.Verdict != claim.MaybeRecorded {
 			return
 		}
 	}
@@ -205,17 +205,17 @@
 	switch fate := rng.IntN(10); {
 	case fate < 3:
 		n.Settle(settlement(c, claim.Released))
-		h.add(caller, input{key: key, kind: opRelease, request: c.Request}, output{}, begin, endOfHistory)
+		h.add(caller, input{key: key, kind: opRelease, request: c.RequestID}, output{}, begin, endOfHistory)
 		return
 	case fate < 4:
 		return // The entry crashed before it sent the call.
 	case fate < 5:
-		cl.runCall(key, c.Request) // The entry crashed before it could report how the call ended.
+		cl.runCall(key, c.RequestID) // The entry crashed before it could report how the call ended.
 	default:
-		cl.runCall(key, c.Request)
+		cl.runCall(key, c.RequestID)
 		n.Settle(settlement(c, claim.Ran))
 	}
-	h.add(caller, input{key: key, kind: opRun, request: c.Request}, output{}, begin, h.now())
+	h.add(caller, input{key: key, kind: opRun, request: c.RequestID}, output{}, begin, h.now())
 }
 
 // injectFaults injects one fault after another until stop is closed, then ends all faults.
--- a/internal/claims/partition.go
+++ b/internal/claims/partition.go
@@ -149,7 +149,7 @@
 // rejectedByPlatform reports whether the platform itself refused the call, so that it certainly had no effect. Other
 // errors, such as those of a gateway, may be returned after the write took effect.
 func rejectedByPlatform(err error) bool {
-	var refused *objectapi.RefusedError
+	var refused *objectapi.RejectedError
 	if !errors.As(err, &refused) {
 		return false
 	}
@@ -162,7 +162,7 @@
 
 // retryAfter returns the Retry-After delay in the platform's refusal, or 0 if there is none.
 func retryAfter(err error) time.Duration {
-	var refused *objectapi.RefusedError
+	var refused *objectapi.RejectedError
 	if errors.As(err, &refused) {
 		return refused.RetryAfter
 	}
--- a/internal/claims/service.go
+++ b/internal/claims/service.go
@@ -41,7 +41,7 @@
 // Service claims idempotency keys and records the outcomes of their calls.
 type Service struct {
 	config     Config
-	partitions [claim.Partitions]*partition
+	partitions [claim.PartitionCount]*partition
 	// background counts the settlements that are still being recorded.
 	background sync.WaitGroup
 
@@ -60,33 +60,33 @@
 	return s
 }
 
-// Answer is the result of a claim.
-type Answer struct {
+// Result is the result of a claim.
+type Result struct {
 	Verdict claim.Verdict `json:"verdict"`
 	// RetryAfterMS is the delay after which the caller may repeat its request, in milliseconds.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
-	// Kept is the stored response to replay; nil unless the verdict is Replayed.
-	Kept *claim.Answer `json:"kept,omitempty"`
+	// StoredResponse is the stored response to replay; nil unless the verdict is Replayed.
+	StoredResponse *claim.StoredResponse `json:"kept,omitempty"`
 }
 
-// Make claims a key. Unless the verdict is Granted, the call must not be sent, neither then nor later.
-func (s *Service) Make(ctx context.Context, c claim.Claim) Answer {
+// Claim claims a key. Unless the verdict is Granted, the call must not be sent, neither then nor later.
+func (s *Service) Claim(ctx context.Context, c claim.Claim) Result {
 	// A caller that disconnects must not close the connection to an owner, which other claims share.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.config.Timing.ClaimTimeout)
 	defer cancel()
 	a := s.claimFromOwners(ctx, c)
 	if a.Verdict == claim.Granted && ctx.Err() != nil {
-		a = Answer{Verdict: claim.Unsure}
+		a = Result{Verdict: claim.MaybeRecorded}
 	}
-	if a.Verdict == claim.Unsure {
-		s.Settle(claim.Settlement{Key: c.Key, Request: c.Request, KeyTime: c.KeyTime, Status: claim.Released})
+	if a.Verdict == claim.MaybeRecorded {
+		s.Settle(claim.Settlement{Key: c.Key, RequestID: c.RequestID, KeyTime: c.KeyTime, Status: claim.Released})
 	}
 	return a
 }
 
 // claimFromOwners sends the claim to the partition's owner and, if that does not answer, to the owners after it. An
 // owner that did not answer may have recorded the claim; the next one finds it in the record by its request id.
-func (s *Service) claimFromOwners(ctx context.Context, c claim.Claim) Answer {
+func (s *Service) claimFromOwners(ctx context.Context, c claim.Claim) Result {
 	maybeRecorded := false
 	for _, address := range s.ownersToCall(c.Key) {
 		if !s.mayCall(address) {
@@ -98,11 +98,11 @@
 			continue
 		}
 		if maybeRecorded && a.Verdict == claim.NotRecorded {
-			a.Verdict = claim.Unsure
+			a.Verdict = claim.MaybeRecorded
 		}
 		return a
 	}
-	return Answer{Verdict: claim.Unsure, RetryAfterMS: claim.MinRetryAfter.Milliseconds()}
+	return Result{Verdict: claim.MaybeRecorded, RetryAfterMS: claim.MinRetryAfter.Milliseconds()}
 }
 
 // dialFailed reports whether no connection was made, so that the call certainly had no effect.
@@ -149,7 +149,7 @@
 }
 
 // claimFrom sends the claim to one owner.
-func (s *Service) claimFrom(ctx context.Context, address string, c claim.Claim) (Answer, error) {
+func (s *Service) claimFrom(ctx context.Context, address string, c claim.Claim) (Result, error) {
 	if address == s.config.Self {
 		return s.ClaimAsOwner(ctx, c), ctx.Err()
 	}
@@ -157,13 +157,13 @@
 	ctx, cancel := context.WithTimeout(ctx, s.config.Timing.ForwardTimeout)
 	defer cancel()
 	timeout := min(s.config.Timing.OwnerTimeout, time.Until(deadline))
-	var a Answer
+	var a Result
 	err := s.call(ctx, address, claimMethod, claimMessage{Claim: c, TimeoutMS: timeout.Milliseconds()}, &a)
 	return a, err
 }
 
 // ClaimAsOwner claims a key with this process as the partition's owner.
-func (s *Service) ClaimAsOwner(ctx context.Context, c claim.Claim) Answer {
+func (s *Service) ClaimAsOwner(ctx context.Context, c claim.Claim) Result {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(s.config.Timing.ClaimTimeout)
@@ -171,10 +171,10 @@
 	p := s.partitions[c.Key.Partition()]
 	e, ok := p.submit(ctx, func(op uint64) event { return claim.ClaimRequested{Op: op, Claim: c, Deadline: deadline} })
 	if !ok {
-		return Answer{Verdict: claim.Unsure}
+		return Result{Verdict: claim.MaybeRecorded}
 	}
-	a := Answer{Verdict: e.Verdict, RetryAfterMS: e.RetryAfter.Milliseconds(), Kept: e.Answer}
-	if e.Verdict == claim.Replayed && a.Kept == nil {
+	a := Result{Verdict: e.Verdict, RetryAfterMS: e.RetryAfter.Milliseconds(), StoredResponse: e.Answer}
+	if e.Verdict == claim.Replayed && a.StoredResponse == nil {
 		a = s.readStoredAnswer(ctx, c.Key, e.AnswersName)
 	}
 	return a
@@ -182,13 +182,13 @@
 
 // readStoredAnswer reads a stored response from its AnswerSegment object. If it can't be read, the verdict is
 // AlreadyRan.
-func (s *Service) readStoredAnswer(ctx context.Context, k claim.Key, segment string) Answer {
+func (s *Service) readStoredAnswer(ctx context.Context, k claim.Key, segment string) Result {
 	var kept claim.AnswerSegment
 	item, err := s.config.Objects.Get(ctx, segment)
 	if err != nil || json.Unmarshal(item.Value, &kept) != nil || kept.Answers[k] == nil {
-		return Answer{Verdict: claim.AlreadyRan}
+		return Result{Verdict: claim.AlreadyRan}
 	}
-	return Answer{Verdict: claim.Replayed, Kept: kept.Answers[k]}
+	return Result{Verdict: claim.Replayed, StoredResponse: kept.Answers[k]}
 }
 
 // Settle records how the call of a claim ended. It returns immediately and retries in the background for
@@ -227,7 +227,7 @@
 		if address == s.config.Self {
 			return s.settleAsOwner(ctx, t) == claim.Settled
 		}
-		var a Answer
+		var a Result
 		err := s.call(ctx, address, settleMethod, t, &a)
 		if err == nil {
 			return a.Verdict == claim.Settled
--- a/internal/claims/settle_test.go
+++ b/internal/claims/settle_test.go
@@ -31,8 +31,8 @@
 	cl := newCluster(t, 3)
 	f := newFaultCase(cl)
 	c := newClaim(f.key, uuid.NewString())
-	require.Equal(t, claim.Granted, f.third.Make(context.Background(), c).Verdict)
-	cl.runCall(f.key, c.Request)
+	require.Equal(t, claim.Granted, f.third.Claim(context.Background(), c).Verdict)
+	cl.runCall(f.key, c.RequestID)
 	injected := f.injectOnce(flt, point)
 	f.third.Settle(settlement(c, claim.Ran))
 	require.Eventually(t, injected, 20*time.Second, 5*time.Millisecond)
@@ -54,9 +54,9 @@
 	cl := newCluster(t, 3)
 	f := newFaultCase(cl)
 	c := newClaim(f.key, uuid.NewString())
-	c.RunFor = 3000
-	require.Equal(t, claim.Granted, f.third.Make(context.Background(), c).Verdict)
-	cl.runCall(f.key, c.Request)
+	c.RunTimeoutMS = 3000
+	require.Equal(t, claim.Granted, f.third.Claim(context.Background(), c).Verdict)
+	cl.runCall(f.key, c.RequestID)
 	f.third.kill()
 	require.Equal(t, claim.StillRunning, f.attempt(f.next).verdict)
 	require.Eventually(t, func() bool {
@@ -73,7 +73,7 @@
 	cl := newCluster(t, 3)
 	f := newFaultCase(cl)
 	c := newClaim(f.key, uuid.NewString())
-	require.Equal(t, claim.Granted, f.third.Make(context.Background(), c).Verdict)
+	require.Equal(t, claim.Granted, f.third.Claim(context.Background(), c).Verdict)
 	f.third.Settle(settlement(c, claim.Released))
 	require.Eventually(t, func() bool { return f.attempt(f.next).verdict == claim.Granted }, 5*time.Second, 10*time.Millisecond)
 	// A late duplicate of the release must not release the claim of the new holder.
@@ -92,7 +92,7 @@
 	for range 200 {
 		key := uuid.Must(uuid.NewV7()).String()
 		c := newClaim(key, key)
-		require.Equal(t, claim.Granted, cl.nodes[0].Make(t.Context(), c).Verdict)
+		require.Equal(t, claim.Granted, cl.nodes[0].Claim(t.Context(), c).Verdict)
 		cl.nodes[0].Settle(settlement(c, claim.Ran))
 		keys = append(keys, key)
 	}
@@ -102,9 +102,9 @@
 		n.kill()
 	}
 	for _, key := range keys {
-		a := fresh.Make(t.Context(), newClaim(key, uuid.NewString()))
+		a := fresh.Claim(t.Context(), newClaim(key, uuid.NewString()))
 		require.Equal(t, claim.Replayed, a.Verdict)
-		require.Equal(t, key, string(a.Kept.Body), "the response of another key")
+		require.Equal(t, key, string(a.StoredResponse.Body), "the response of another key")
 	}
 }
 
@@ -123,8 +123,8 @@
 		return errConnectionCut
 	})
 	c := newClaim(f.key, uuid.NewString())
-	c.RunFor = time.Hour.Milliseconds()
-	require.Equal(t, claim.Unsure, f.third.Make(t.Context(), c).Verdict)
+	c.RunTimeoutMS = time.Hour.Milliseconds()
+	require.Equal(t, claim.MaybeRecorded, f.third.Claim(t.Context(), c).Verdict)
 	cl.setFaults(`{"outage":false}`)
 	require.Eventually(t, func() bool { return f.attempt(f.next).verdict == claim.Granted }, 8*time.Second, 50*time.Millisecond)
 	require.Equal(t, 1, cl.runCounts()[f.key])
@@ -136,7 +136,7 @@
 	cl := newCluster(t, 3)
 	f := newFaultCase(cl)
 	warm := samePartition(f.key)
-	require.Equal(t, claim.Granted, f.third.Make(t.Context(), newClaim(warm, "w")).Verdict)
+	require.Equal(t, claim.Granted, f.third.Claim(t.Context(), newClaim(warm, "w")).Verdict)
 	f.owner.pause()
 	require.Equal(t, claim.Granted, f.attempt(f.third).verdict)
 	before := f.third.callsTo(f.owner.address)
@@ -156,8 +156,8 @@
 	cl := newCluster(t, 2)
 	f := &faultCase{cluster: cl, key: uuid.Must(uuid.NewV7()).String()}
 	c := newClaim(f.key, uuid.NewString())
-	require.Equal(t, claim.Granted, cl.nodes[0].Make(t.Context(), c).Verdict)
-	cl.runCall(f.key, c.Request)
+	require.Equal(t, claim.Granted, cl.nodes[0].Claim(t.Context(), c).Verdict)
+	cl.runCall(f.key, c.RequestID)
 	cl.setFaults(`{"outage":true}`)
 	cl.nodes[0].Settle(settlement(c, claim.Ran))
 	time.Sleep(3 * testTiming().SettleAttemptTimeout)
@@ -176,7 +176,7 @@
 	f := newFaultCase(cl)
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
-	a := f.third.Make(gone, newClaim(f.key, uuid.NewString()))
+	a := f.third.Claim(gone, newClaim(f.key, uuid.NewString()))
 	require.Equal(t, claim.Granted, a.Verdict)
 	next := &faultCase{cluster: cl, key: samePartition(f.key)}
 	require.Equal(t, claim.Granted, next.attempt(f.third).verdict)
@@ -207,9 +207,9 @@
 	})
 	require.Eventually(t, func() bool {
 		repeat := last
-		repeat.Request = uuid.NewString()
+		repeat.RequestID = uuid.NewString()
 		repeat.Fingerprint = 0 // As in a record of a settlement without its claim.
-		a := fresh.Make(t.Context(), repeat)
+		a := fresh.Claim(t.Context(), repeat)
 		return a.Verdict == claim.Replayed || a.Verdict == claim.AlreadyRan
 	}, 15*time.Second, 20*time.Millisecond)
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -68,7 +68,7 @@
 	_, _ = fmt.Fprintf(w, `
 Each flag can also be set by an environment variable: -object-api by %s. The flag takes precedence.
 New operators start with docs/operators/first-week.md. The numbers in errors are explained by: samphireweir codes
-`, config.Variable("object-api"))
+`, config.EnvName("object-api"))
 }
 
 // fail writes err to w and returns the exit status of a failed command.
@@ -86,7 +86,7 @@
 // loadFlagsFrom is loadFlags for the environment environ, a list of NAME=value.
 func loadFlagsFrom(fs *flag.FlagSet, environ []string, c checker) error {
 	if fs.NArg() > 0 {
-		return code.Errorf(code.BadProcess, "arguments", "%q, want flags only, such as -name host-17", strings.Join(fs.Args(), " "))
+		return code.Errorf(code.BadProcessSetting, "arguments", "%q, want flags only, such as -name host-17", strings.Join(fs.Args(), " "))
 	}
 	if err := config.FromEnvironment(fs, environ, knownVariables()); err != nil {
 		return err
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -18,7 +18,7 @@
 func TestFlagsPageMatchesCommands(t *testing.T) {
 	page, err := os.ReadFile("../../docs/FLAGS.md")
 	require.NoError(t, err)
-	require.Equal(t, FlagsPage(), string(page))
+	require.Equal(t, FlagsMarkdown(), string(page))
 }
 
 // TestEveryCommandHasHelp checks that each command has a synopsis and an example whose flags exist, and that the help of each flag
@@ -35,7 +35,7 @@
 			requireFlagsExist(t, c.command, usage)
 			flagsOf(c.command).VisitAll(func(f *flag.Flag) {
 				require.Greater(t, len(f.Usage), 20, f.Name)
-				require.Contains(t, f.Usage, config.Variable(f.Name), f.Name)
+				require.Contains(t, f.Usage, config.EnvName(f.Name), f.Name)
 			})
 		})
 	}
--- a/internal/cli/evacuate.go
+++ b/internal/cli/evacuate.go
@@ -54,19 +54,19 @@
 	fs.StringVar(&c.dataCentre, "data-centre", "", "name of the data centre")
 	fs.BoolVar(&c.end, "end", false, "end the evacuation")
 	fs.BoolVar(&c.dryRun, "dry-run", false, "print the affected slots and change nothing")
-	config.Describe(fs)
+	config.AddEnvNames(fs)
 }
 
 // Check returns an error for the first flag that is invalid or contradicts another one.
 func (c *evacuateCommand) Check() error {
 	if _, err := netip.ParseAddrPort(c.store); err != nil {
-		return code.Errorf(code.BadProcess, "-store", "%q, want IP:PORT", c.store)
+		return code.Errorf(code.BadProcessSetting, "-store", "%q, want IP:PORT", c.store)
 	}
 	if c.dataCentre == "" {
-		return code.Errorf(code.BadProcess, "-data-centre", "empty, want the name of a data centre")
+		return code.Errorf(code.BadProcessSetting, "-data-centre", "empty, want the name of a data centre")
 	}
 	if c.end && c.dryRun {
-		return code.Errorf(code.SettingsClash, "-end, -dry-run", "want one of them")
+		return code.Errorf(code.ConflictingSettings, "-end, -dry-run", "want one of them")
 	}
 	return nil
 }
@@ -106,7 +106,7 @@
 	if c.dryRun {
 		return nil
 	}
-	if err := store.AskEvacuation(ctx, c.dataCentre); err != nil {
+	if err := store.StartEvacuation(ctx, c.dataCentre); err != nil {
 		return code.Errorf(code.PlatformDown, c.dataCentre, "%v", err)
 	}
 	_, err = fmt.Fprintf(out, "%s is evacuated: confirmed\n", c.dataCentre)
@@ -159,7 +159,7 @@
 		count.slots += u.Slots
 	}
 	if !found {
-		return nil, code.Errorf(code.BadProcess, "-data-centre", "%q has no upstream that accepts requests, want the name of a data centre", c.dataCentre)
+		return nil, code.Errorf(code.BadProcessSetting, "-data-centre", "%q has no upstream that accepts requests, want the name of a data centre", c.dataCentre)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].service < list[j].service })
 	return list, nil
--- a/internal/cli/evacuate_test.go
+++ b/internal/cli/evacuate_test.go
@@ -29,7 +29,7 @@
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.AddService("i-1")
-	fleet.Place = "bunbury-a"
+	fleet.DataCentre = "bunbury-a"
 	fleet.AddService("i-2")
 	fleet.AddService("i-3")
 	store := fleet.Host(standin.NextIP(), false).Store
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -72,10 +72,10 @@
 		}
 	}
 	if given != 1 || c.sample < 0 {
-		return code.Errorf(code.BadProcess, "-request, -belief, -sample, -losses, -install", "want one of them, and a positive number for -sample")
+		return code.Errorf(code.BadProcessSetting, "-request, -belief, -sample, -losses, -install", "want one of them, and a positive number for -sample")
 	}
 	if _, _, err := c.version(); c.install != "" && err != nil {
-		return code.Errorf(code.BadProcess, "-install", "%q, want MODEL/VERSION", c.install)
+		return code.Errorf(code.BadProcessSetting, "-install", "%q, want MODEL/VERSION", c.install)
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 
 // print writes the explanation for which the flags ask.
 func (c *explainCommand) print(w io.Writer, log *story.Log) error {
-	_, _ = fmt.Fprintf(w, "%d lines, %d malformed lines, %d lines dropped by their processes\n\n", len(log.Lines), log.Bad, log.Dropped)
+	_, _ = fmt.Fprintf(w, "%d lines, %d malformed lines, %d lines dropped by their processes\n\n", len(log.Lines), log.Malformed, log.Dropped)
 	switch {
 	case c.request != "":
 		v, ok := log.Explain(c.request)
@@ -143,7 +143,7 @@
 		return log.Installs(model, version).Print(w)
 	case c.belief != "":
 		topic, of, _ := strings.Cut(c.belief, "/")
-		return log.Belief(topic, of).Print(w)
+		return log.StateChanges(topic, of).Print(w)
 	}
 	return c.printSample(w, log)
 }
--- a/internal/cli/flags.go
+++ b/internal/cli/flags.go
@@ -45,13 +45,13 @@
 func knownVariables() map[string]bool {
 	known := map[string]bool{}
 	for _, c := range allCommands() {
-		flagsOf(c.command).VisitAll(func(f *flag.Flag) { known[config.Variable(f.Name)] = true })
+		flagsOf(c.command).VisitAll(func(f *flag.Flag) { known[config.EnvName(f.Name)] = true })
 	}
 	return known
 }
 
-// FlagsPage returns the content of docs/FLAGS.md, in Markdown.
-func FlagsPage() string {
+// FlagsMarkdown returns the content of docs/FLAGS.md, in Markdown.
+func FlagsMarkdown() string {
 	var b strings.Builder
 	b.WriteString("# Flags and variables\n\nPrinted by `samphireweir flags`; a test checks that this page matches the binary. Each flag can also be set by an environment\n")
 	b.WriteString("variable; the flag takes precedence. A variable that begins with " + config.EnvPrefix + " and that no command reads is rejected at start (6002).\n")
@@ -71,7 +71,7 @@
 		if value == "" {
 			value = "-"
 		}
-		rows += fmt.Sprintf("| -%s | %s | %s | %s |\n", f.Name, config.Variable(f.Name), value, usage)
+		rows += fmt.Sprintf("| -%s | %s | %s | %s |\n", f.Name, config.EnvName(f.Name), value, usage)
 	})
 	if rows == "" {
 		return
@@ -95,6 +95,6 @@
 
 // Execute prints the page.
 func (*flagsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	_, _ = fmt.Fprint(os.Stdout, FlagsPage())
+	_, _ = fmt.Fprint(os.Stdout, FlagsMarkdown())
 	return subcommands.ExitSuccess
 }
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -49,19 +49,19 @@
 	fs.IntVar(&c.metricsPort, "metrics-port", 0, "port for metrics on the host's address; 0 turns them off")
 	fs.StringVar(&c.logLevel, "log-level", "info", "minimum level of log lines: debug, info, warn or error")
 	c.trace.Flags(fs)
-	config.Describe(fs)
+	config.AddEnvNames(fs)
 }
 
 // Check returns an error for the first setting that is missing or invalid.
 func (c *platformConfig) Check() error {
 	if c.boot == "" {
-		return code.Errorf(code.BadProcess, "-boot", "empty, want the path of the platform's settings file")
+		return code.Errorf(code.BadProcessSetting, "-boot", "empty, want the path of the platform's settings file")
 	}
 	if c.metricsPort < 0 || c.metricsPort > 65535 {
-		return code.Errorf(code.BadProcess, "-metrics-port", "%d, want 0 to 65535", c.metricsPort)
+		return code.Errorf(code.BadProcessSetting, "-metrics-port", "%d, want 0 to 65535", c.metricsPort)
 	}
 	if _, err := zerolog.ParseLevel(c.logLevel); err != nil {
-		return code.Errorf(code.BadProcess, "-log-level", "%q, want debug, info, warn or error", c.logLevel)
+		return code.Errorf(code.BadProcessSetting, "-log-level", "%q, want debug, info, warn or error", c.logLevel)
 	}
 	return c.trace.Check()
 }
@@ -84,8 +84,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if host.Memory > 0 {
-		debug.SetMemoryLimit(int64(float64(host.Memory) * memoryFraction))
+	if host.MemoryBytes > 0 {
+		debug.SetMemoryLimit(int64(float64(host.MemoryBytes) * memoryFraction))
 	}
 	lines := boundedlog.New(os.Stdout, role, host.Name)
 	stop, done := make(chan struct{}), make(chan struct{})
--- a/internal/cli/processes.go
+++ b/internal/cli/processes.go
@@ -31,7 +31,7 @@
 // SetFlags defines the command's flags.
 func (c *entryCommand) SetFlags(fs *flag.FlagSet) {
 	c.config.Flags(fs)
-	config.Describe(fs)
+	config.AddEnvNames(fs)
 }
 
 // Execute runs the process until SIGTERM or SIGINT.
@@ -69,7 +69,7 @@
 // SetFlags defines the command's flags.
 func (c *agentCommand) SetFlags(fs *flag.FlagSet) {
 	c.config.Flags(fs)
-	config.Describe(fs)
+	config.AddEnvNames(fs)
 }
 
 // Execute runs the process until SIGTERM or SIGINT.
--- a/internal/cli/reference.go
+++ b/internal/cli/reference.go
@@ -32,7 +32,7 @@
 
 // Execute prints the page to standard output.
 func (*codesCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	_, _ = fmt.Fprint(os.Stdout, code.Page())
+	_, _ = fmt.Fprint(os.Stdout, code.Markdown())
 	return subcommands.ExitSuccess
 }
 
@@ -52,7 +52,7 @@
 
 // Execute prints the page to standard output.
 func (*eventsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	_, _ = fmt.Fprint(os.Stdout, logevent.Page())
+	_, _ = fmt.Fprint(os.Stdout, logevent.Markdown())
 	return subcommands.ExitSuccess
 }
 
@@ -72,7 +72,7 @@
 
 // Execute prints the page to standard output.
 func (*metricsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	_, _ = fmt.Fprint(os.Stdout, telemetry.Page())
+	_, _ = fmt.Fprint(os.Stdout, telemetry.Markdown())
 	return subcommands.ExitSuccess
 }
 
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -26,7 +26,7 @@
 func (p *platformProcess) watchSettings(path string, reload <-chan os.Signal) {
 	last, err := os.ReadFile(path)
 	if err != nil {
-		logevent.Warn(p.log, logevent.BadEntry).Err(err).Msg("failed to read settings file")
+		logevent.Warn(p.log, logevent.MalformedObject).Err(err).Msg("failed to read settings file")
 	}
 	for {
 		select {
@@ -39,7 +39,7 @@
 		}
 		last = raw
 		if _, err := platform.DecodeSettings(string(raw)); err != nil {
-			logevent.Warn(p.log, logevent.BadEntry).Err(err).Msg("changed settings file is invalid")
+			logevent.Warn(p.log, logevent.MalformedObject).Err(err).Msg("changed settings file is invalid")
 			continue
 		}
 		logevent.Info(p.log, logevent.SettingsFileChanged).Msg("settings file changed")
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -108,7 +108,7 @@
 	}
 	for _, n := range []struct{ field, value string }{{"-team", t.team}, {"-service", t.service}} {
 		if !setting.ValidName(n.value) {
-			return code.Errorf(code.BadProcess, n.field, "%q, want a name of a-z, 0-9 and - such as %q", n.value, "summary-model")
+			return code.Errorf(code.BadProcessSetting, n.field, "%q, want a name of a-z, 0-9 and - such as %q", n.value, "summary-model")
 		}
 	}
 	if t.process != "" {
@@ -122,12 +122,12 @@
 // client returns an HTTP client for the platform that traces changes of settings.
 func (t *target) client() *http.Client {
 	client := &http.Client{Timeout: operatorTimeout}
-	t.trace.AtOnce = true
+	t.trace.Synchronous = true
 	traces, err := telemetry.NewTraces(t.trace, "operator", t.asTeam, os.Stderr)
 	if err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "tracing is off, exporter failed:", err)
 	}
-	traces.Client(client, telemetry.NameOutsideCall)
+	traces.Client(client, telemetry.PlatformSpanName)
 	return client
 }
 
@@ -174,7 +174,7 @@
 		return err
 	}
 	if c.wait && c.process == "" {
-		return code.Errorf(code.SettingsClash, "-wait and -process", "-wait wants -process, the operators' address of any process, such as http://10.0.0.5:7071")
+		return code.Errorf(code.ConflictingSettings, "-wait and -process", "-wait wants -process, the operators' address of any process, such as http://10.0.0.5:7071")
 	}
 	if c.asTeam == "" || c.team == c.asTeam || c.team == c.otherTeam {
 		return nil
@@ -196,10 +196,10 @@
 // finish prints an accepted change and, with -wait, waits until it is in force everywhere.
 func (c *change) finish(ctx context.Context, verb string, a operator.Applied) subcommands.ExitStatus {
 	_, _ = fmt.Fprintf(os.Stdout, "%s %s at revision %d %s\n", verb, a.Key, a.Revision, a.Digest)
-	if a.Settled {
+	if a.Recovered {
 		_, _ = fmt.Fprintln(os.Stdout, "  the platform's answer was lost; a later attempt confirmed the change")
 	}
-	for _, later := range a.Over {
+	for _, later := range a.LaterChanges {
 		_, _ = fmt.Fprintf(os.Stdout, "  a later change followed: version %d by %s\n", later.Version, later.Author)
 	}
 	if !c.wait {
@@ -223,7 +223,7 @@
 func (o *optionalVersion) Set(text string) error {
 	var v uint64
 	if _, err := fmt.Sscan(text, &v); err != nil {
-		return code.Errorf(code.BadProcess, "-if-version", "%q, want a version such as 17, as `settings get` prints it", text)
+		return code.Errorf(code.BadProcessSetting, "-if-version", "%q, want a version such as 17, as `settings get` prints it", text)
 	}
 	o.value = &v
 	return nil
@@ -239,7 +239,7 @@
 }
 
 // describeFlags adds the name of its environment variable to the help of each flag.
-func describeFlags(fs *flag.FlagSet) { config.Describe(fs) }
+func describeFlags(fs *flag.FlagSet) { config.AddEnvNames(fs) }
 
 // versionSeen returns the version that the operator saw, from -if-version. If it is absent, the error names the present version.
 func (c *change) versionSeen(ctx context.Context) (uint64, error) {
--- a/internal/cli/settings_read.go
+++ b/internal/cli/settings_read.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return fail(os.Stderr, err)
 	}
-	list := operator.Show(state)
+	list := operator.History(state)
 	if c.json {
 		return printJSON(list)
 	}
@@ -119,7 +119,7 @@
 }
 
 // printHistory prints the changes as a table.
-func printHistory(list []setting.Past) {
+func printHistory(list []setting.HistoryEntry) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "VERSION\tAUTHOR\tAT\tCHANGE\tWHAT")
 	for i, p := range list {
@@ -128,7 +128,7 @@
 		case p.Deleted:
 			what = "deleted"
 		case p.Setting != nil && i+1 < len(list) && (list[i+1].Setting != nil || list[i+1].Deleted):
-			what = operator.Lines(setting.Diff(list[i+1].Setting, p.Setting), " ")
+			what = operator.FormatChanges(setting.Diff(list[i+1].Setting, p.Setting), " ")
 		case p.Setting != nil:
 			what = "set"
 		}
@@ -191,7 +191,7 @@
 	if err != nil {
 		return fail(os.Stderr, err)
 	}
-	_, _ = fmt.Fprintln(os.Stdout, state.Key+operator.Lines(setting.Diff(from, to), "\n  "))
+	_, _ = fmt.Fprintln(os.Stdout, state.Key+operator.FormatChanges(setting.Diff(from, to), "\n  "))
 	return subcommands.ExitSuccess
 }
 
@@ -200,7 +200,7 @@
 	if version.value == nil || *version.value == state.Version {
 		return state.Setting(), nil
 	}
-	past, ok := state.Object.PastAt(*version.value)
+	past, ok := state.Object.HistoryAt(*version.value)
 	if !ok || (past.Setting == nil && !past.Deleted) {
 		return nil, code.Errorf(code.SettingMissing, state.Key, "the history doesn't hold version %d in full; `settings history` lists the versions that it holds", *version.value)
 	}
--- a/internal/cli/settings_test.go
+++ b/internal/cli/settings_test.go
@@ -30,7 +30,7 @@
 	require.NoError(t, c.Check(), "the operator's own team is the default")
 	require.Equal(t, "settings/karrakin/draftbench", c.key())
 	c.wait = true
-	require.Equal(t, code.SettingsClash, codeOf(c.Check()))
+	require.Equal(t, code.ConflictingSettings, codeOf(c.Check()))
 }
 
 // TestApplyRequiresTheVersionSeen guards against an apply that overwrites changes unseen, because the file names no version and the present
--- a/internal/cli/settings_write.go
+++ b/internal/cli/settings_write.go
@@ -109,7 +109,7 @@
 	}
 	changes := setting.Diff(state.Setting(), s)
 	_, _ = fmt.Fprintf(os.Stdout, "dry run, nothing is changed\nservice %s, version %d: %d fields differ%s\n",
-		state.Key, state.Version, len(changes), operator.Lines(changes, "\n  "))
+		state.Key, state.Version, len(changes), operator.FormatChanges(changes, "\n  "))
 	if c.process == "" {
 		_, _ = fmt.Fprintln(os.Stdout, "add -process URL to see which hosts would change")
 		return subcommands.ExitSuccess
@@ -123,16 +123,16 @@
 }
 
 // fleet returns a client of the process of -process.
-func (t *target) fleet() *operator.Fleet {
-	return &operator.Fleet{Base: strings.TrimSuffix(t.process, "/"), HTTP: &http.Client{Timeout: operatorTimeout}}
+func (t *target) fleet() *operator.FleetClient {
+	return &operator.FleetClient{Base: strings.TrimSuffix(t.process, "/"), HTTP: &http.Client{Timeout: operatorTimeout}}
 }
 
 // printPreview writes what a setting would change at the hosts; size is the size of its weights in bytes.
 func printPreview(w io.Writer, p fleet.Preview, size int64) {
 	_, _ = fmt.Fprintf(w, "copies: %d hosts would fetch %d bytes each\n", p.Hosts, size)
 	_, _ = fmt.Fprintf(w, "upstreams: %d would load the version%s\n  %d would stop serving the service%s\n  %d unchanged\n", len(p.Load), formatNames(p.Load), len(p.Drop), formatNames(p.Drop), p.Keep)
-	for _, s := range p.Short {
-		_, _ = fmt.Fprintf(w, "too few upstreams in %s: %d required, %d available\n", s.Place, s.Want, s.Have)
+	for _, s := range p.Shortages {
+		_, _ = fmt.Fprintf(w, "too few upstreams in %s: %d required, %d available\n", s.Place, s.Requested, s.Have)
 	}
 	if len(p.Services) > 0 {
 		_, _ = fmt.Fprintf(w, "services that share these hosts: %s\n", strings.Join(p.Services, ", "))
@@ -163,7 +163,7 @@
 		return subcommands.ExitSuccess
 	}
 	_, _ = fmt.Fprintf(os.Stderr, "accepted, but not in force everywhere yet: %d of %d processes; %d lagging%s; %d without an answer%s\n",
-		inForce.Current, inForce.Processes, inForce.LaggingCount, formatNames(inForce.Lagging), inForce.SilentCount, formatNames(inForce.Silent))
+		inForce.Current, inForce.Processes, inForce.LaggingCount, formatNames(inForce.Lagging), inForce.UnresponsiveCount, formatNames(inForce.Unresponsive))
 	return fail(os.Stderr, err)
 }
 
@@ -202,7 +202,7 @@
 		return fail(os.Stderr, err)
 	}
 	if c.to.value == nil {
-		return fail(os.Stderr, code.Errorf(code.BadProcess, "-to", "missing, want a version that `settings history` lists"))
+		return fail(os.Stderr, code.Errorf(code.BadProcessSetting, "-to", "missing, want a version that `settings history` lists"))
 	}
 	seen, err := c.versionSeen(ctx)
 	if err != nil {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -66,7 +66,7 @@
 		return node.CheckURL("process", c.process)
 	}
 	if c.hostList == "" {
-		return code.Errorf(code.BadProcess, "-process", "empty, want the operators' address of any process, such as http://10.0.0.5:7071, or -host-list and -secret")
+		return code.Errorf(code.BadProcessSetting, "-process", "empty, want the operators' address of any process, such as http://10.0.0.5:7071, or -host-list and -secret")
 	}
 	return node.CheckURL("host-list", c.hostList)
 }
@@ -91,7 +91,7 @@
 func (c *statusCommand) read(ctx context.Context) (fleet.Status, error) {
 	client := &http.Client{Timeout: statusTimeout}
 	if c.process != "" {
-		return (&operator.Fleet{Base: strings.TrimSuffix(c.process, "/"), HTTP: client}).Status(ctx)
+		return (&operator.FleetClient{Base: strings.TrimSuffix(c.process, "/"), HTTP: client}).Status(ctx)
 	}
 	hosts, err := hostlist.NewClient(c.hostList, client).Hosts(ctx)
 	if err != nil {
@@ -102,7 +102,7 @@
 	err = code.Errorf(code.SettingMissing, "-host-list", "the host list is empty")
 	for _, h := range hosts[:min(len(hosts), maxStatusAttempts)] {
 		var status fleet.Status
-		status, err = (&operator.Fleet{Base: "http://" + h.Address, HTTP: client, Secret: c.secret}).Status(ctx)
+		status, err = (&operator.FleetClient{Base: "http://" + h.Address, HTTP: client, Secret: c.secret}).Status(ctx)
 		if err == nil {
 			return status, nil
 		}
@@ -118,8 +118,8 @@
 		ready = "NOT READY"
 	}
 	_, _ = fmt.Fprintf(w, "answer of %s %s in %s (%s): %s; settings complete up to revision %d, platform last read %v ago\n",
-		p.Role, p.Name, p.Place, p.Region, ready, p.CompleteTo, (time.Duration(p.PlatformSilentMS) * time.Millisecond).Round(100*time.Millisecond))
-	_, _ = fmt.Fprintf(w, "hosts: %d live, %d shutting down, %d without a report yet\n\n", s.Hosts.Live, s.Hosts.Leaving, s.Hosts.Unheard)
+		p.Role, p.Name, p.Place, p.Region, ready, p.CompleteTo, (time.Duration(p.PlatformDataAgeMS) * time.Millisecond).Round(100*time.Millisecond))
+	_, _ = fmt.Fprintf(w, "hosts: %d live, %d shutting down, %d without a report yet\n\n", s.Hosts.Live, s.Hosts.Leaving, s.Hosts.NotAdvertised)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "SERVICE\tREVISION\tWEIGHTS\tPLACE\tWANT\tSERVING\tLOADING\tOTHER VERSION")
 	for _, service := range s.Services {
@@ -143,7 +143,7 @@
 		if i > 0 {
 			key, revision, weights = "", "", ""
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\n", key, revision, weights, c.Place, c.Want, c.Serving, c.Loading, c.Other)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\n", key, revision, weights, c.Place, c.Requested, c.Serving, c.Loading, c.Other)
 	}
 	if len(s.Places) == 0 {
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t-\t0\t0\t0\t0\n", s.Key, s.Revision, s.Weights)
--- a/internal/cli/weights.go
+++ b/internal/cli/weights.go
@@ -61,13 +61,13 @@
 	fs.StringVar(&c.model, "model", "", "show only this model")
 	fs.BoolVar(&c.asJSON, "json", false, "print the answer of the process as JSON")
 	fs.DurationVar(&c.watch, "watch", 0, "interval of updates, until interrupted; 0 shows the state once")
-	config.Describe(fs)
+	config.AddEnvNames(fs)
 }
 
 // Check returns an error if -operators is missing.
 func (c *weightsCommand) Check() error {
 	if c.operators == "" {
-		return code.Errorf(code.BadProcess, "-operators", "empty, want the operators' address of an agent or entry, IP:PORT")
+		return code.Errorf(code.BadProcessSetting, "-operators", "empty, want the operators' address of an agent or entry, IP:PORT")
 	}
 	return nil
 }
@@ -133,8 +133,8 @@
 
 // writeBursts writes the bursts of a model, or of all models if model is empty.
 func writeBursts(w io.Writer, view core.BurstView, model string) error {
-	if view.Silent > 0 {
-		_, _ = fmt.Fprintf(w, "%d hosts that take part did not answer and are not counted\n", view.Silent)
+	if view.Unanswered > 0 {
+		_, _ = fmt.Fprintf(w, "%d hosts that take part did not answer and are not counted\n", view.Unanswered)
 	}
 	shown := 0
 	for _, b := range view.Bursts {
--- a/internal/code/code.go
+++ b/internal/code/code.go
@@ -23,62 +23,62 @@
 
 // The result codes.
 const (
-	BadPath           Code = 1001
-	BodyTooLarge      Code = 1002
-	BadHeader         Code = 1003
-	DeadlinePassed    Code = 1004
-	CallerGone        Code = 1005
-	TargetTooLong     Code = 1006
-	BodyTooSlow       Code = 1007
-	SystemPath        Code = 1008
-	InternalFault     Code = 1009
-	MalformedRequest  Code = 1010
-	UnknownKey        Code = 1011
-	NoSuchService     Code = 2001
-	NoUpstream        Code = 2002
-	Overloaded        Code = 2003
-	RetriesExhausted  Code = 2004
-	ClientOverShare   Code = 2005
-	Quarantined       Code = 2006
-	Stopping          Code = 2007
-	NotReady          Code = 2008
-	NoSuchRoute       Code = 2009
-	HeldBack          Code = 2010
-	NoCommonHome      Code = 2011
-	MemoryFull        Code = 2012
-	ClaimUnavailable  Code = 3001
-	AlreadyRun        Code = 3002
-	OutcomeUnknown    Code = 3003
-	KeyTooOld         Code = 3004
-	KeyReused         Code = 3005
-	StillRunning      Code = 3006
-	KeyAhead          Code = 3007
-	UpstreamDied      Code = 4001
-	UpstreamSilent    Code = 4002
-	UpstreamLoading   Code = 4003
-	WeightsChanged    Code = 4004
-	AttemptFenced     Code = 4005
-	StreamBroken      Code = 4006
-	ChunkCorrupt      Code = 4007
-	MemoryTooSmall    Code = 4008
-	BadManifest       Code = 4009
-	SourceUnavailable Code = 4020
-	SourceChanged     Code = 4021
-	AgentRestarted    Code = 4041
-	UpstreamReserved  Code = 4042
-	EndlessAnswer     Code = 4043
-	AnswerMismatch    Code = 4044
-	BadSetting        Code = 5001
-	SettingConflict   Code = 5002
-	OtherTeam         Code = 5003
-	SettingMissing    Code = 5004
-	VersionUnknown    Code = 5005
-	PlatformDown      Code = 5006
-	BadProcess        Code = 6001
-	UnknownVariable   Code = 6002
-	SettingsClash     Code = 6003
-	BadMessage        Code = 7001
-	NotAuthorized     Code = 7002
+	BadPath             Code = 1001
+	BodyTooLarge        Code = 1002
+	BadHeader           Code = 1003
+	DeadlinePassed      Code = 1004
+	CallerGone          Code = 1005
+	TargetTooLong       Code = 1006
+	BodyTooSlow         Code = 1007
+	SystemPath          Code = 1008
+	InternalFault       Code = 1009
+	MalformedRequest    Code = 1010
+	UnknownKey          Code = 1011
+	NoSuchService       Code = 2001
+	NoUpstream          Code = 2002
+	Overloaded          Code = 2003
+	RetriesExhausted    Code = 2004
+	ClientOverShare     Code = 2005
+	Quarantined         Code = 2006
+	Stopping            Code = 2007
+	NotReady            Code = 2008
+	NoSuchRoute         Code = 2009
+	RequestQuarantined  Code = 2010
+	NoCommonHome        Code = 2011
+	MemoryFull          Code = 2012
+	ClaimUnavailable    Code = 3001
+	AlreadyRun          Code = 3002
+	OutcomeUnknown      Code = 3003
+	KeyTooOld           Code = 3004
+	KeyReused           Code = 3005
+	StillRunning        Code = 3006
+	KeyInFuture         Code = 3007
+	UpstreamDied        Code = 4001
+	UpstreamSilent      Code = 4002
+	UpstreamLoading     Code = 4003
+	WeightsChanged      Code = 4004
+	AttemptFenced       Code = 4005
+	StreamBroken        Code = 4006
+	ChunkCorrupt        Code = 4007
+	MemoryTooSmall      Code = 4008
+	BadManifest         Code = 4009
+	SourceUnavailable   Code = 4020
+	SourceChanged       Code = 4021
+	AgentRestarted      Code = 4041
+	UpstreamReserved    Code = 4042
+	UnterminatedAnswer  Code = 4043
+	AnswerMismatch      Code = 4044
+	BadSetting          Code = 5001
+	SettingConflict     Code = 5002
+	OtherTeam           Code = 5003
+	SettingMissing      Code = 5004
+	VersionUnknown      Code = 5005
+	PlatformDown        Code = 5006
+	BadProcessSetting   Code = 6001
+	UnknownVariable     Code = 6002
+	ConflictingSettings Code = 6003
+	BadMessage          Code = 7001
+	NotAuthorized       Code = 7002
 )
 
 // Entry describes a code for the catalogue.
@@ -115,7 +115,7 @@
 	{Stopping, "stopping", http.StatusServiceUnavailable, "This process is shutting down; send the request again, it will reach another."},
 	{NotReady, "not ready", http.StatusServiceUnavailable, "This process has not read the settings yet."},
 	{NoSuchRoute, "no such route", http.StatusNotFound, "No route of the manifest in force has this host and path."},
-	{HeldBack, "held back", http.StatusServiceUnavailable, "Upstreams went down under this request; it is not sent to more of them until Retry-After has passed."},
+	{RequestQuarantined, "held back", http.StatusServiceUnavailable, "Upstreams went down under this request; it is not sent to more of them until Retry-After has passed."},
 	{NoCommonHome, "no common home", http.StatusServiceUnavailable, "The route and the client account are bound to regions of which they have none in common; the request was not run. An operator must change one of the two."},
 	{MemoryFull, "memory full", http.StatusServiceUnavailable, "This process holds as much for its callers as it has memory for, and there is none to end for it; the request was not run. Come back after Retry-After, which reaches another process."},
 	{ClaimUnavailable, "claim unavailable", http.StatusServiceUnavailable, "The platform can't record that this request runs at most once, so it was not run; come back after Retry-After."},
@@ -124,7 +124,7 @@
 	{KeyTooOld, "key too old", http.StatusConflict, "The key carries a time before the retention of claims, so whether it ran is not known any more; it is not run. Check the outcome, then use a new key."},
 	{KeyReused, "key reused", http.StatusUnprocessableEntity, "The idempotency key came before with another request; this one was not run. Use a key for one request only."},
 	{StillRunning, "still running", http.StatusConflict, "A request with this idempotency key may be running now; come back after Retry-After with the same key for its answer."},
-	{KeyAhead, "key ahead of time", http.StatusBadRequest, "The key carries a time that is more than ten minutes ahead, so it was not run; set the clock that makes the keys."},
+	{KeyInFuture, "key ahead of time", http.StatusBadRequest, "The key carries a time that is more than ten minutes ahead, so it was not run; set the clock that makes the keys."},
 	{UpstreamDied, "upstream died", http.StatusBadGateway, "The upstream ended while the request was with it."},
 	{UpstreamSilent, "upstream silent", http.StatusGatewayTimeout, "Nothing came from the upstream within the time limit."},
 	{UpstreamLoading, "upstream loading", http.StatusServiceUnavailable, "The upstream has no weights or is loading."},
@@ -138,7 +138,7 @@
 	{SourceChanged, "source changed", 0, "The source's content of the version is no longer what the setting's digest names; apply the setting again."},
 	{AgentRestarted, "agent restarted", http.StatusBadGateway, "The agent beside the upstream is another life of it than the request was sent to; the field ran says what is known."},
 	{UpstreamReserved, "upstream reserved", http.StatusServiceUnavailable, "The upstream is kept for a request that must run alone; this one was not run there."},
-	{EndlessAnswer, "answer without an end", http.StatusBadGateway, "The upstream's answer had neither a length nor chunks, so a whole one can't be told from a cut one; it was withheld."},
+	{UnterminatedAnswer, "answer without an end", http.StatusBadGateway, "The upstream's answer had neither a length nor chunks, so a whole one can't be told from a cut one; it was withheld."},
 	{AnswerMismatch, "answer mismatch", http.StatusBadGateway, "What came is not the answer to this request, or not the same answer as before the break."},
 	{BadSetting, "bad setting", 0, "The setting is refused; the text names the field and a right value."},
 	{SettingConflict, "setting conflict", 0, "Another operator changed the setting since you read it; look at the difference and apply again."},
@@ -146,9 +146,9 @@
 	{SettingMissing, "setting missing", 0, "There is no such setting."},
 	{VersionUnknown, "version unknown", 0, "Neither weight store nor origin knows this model, adapter and version."},
 	{PlatformDown, "platform down", 0, "The object API did not answer; nothing was changed unless the text says so."},
-	{BadProcess, "bad process setting", 0, "A flag or variable has a bad value; the text names it and what would be right."},
+	{BadProcessSetting, "bad process setting", 0, "A flag or variable has a bad value; the text names it and what would be right."},
 	{UnknownVariable, "unknown variable", 0, "A variable with the prefix SAMPHIREWEIR_ is not one that this command reads."},
-	{SettingsClash, "process settings clash", 0, "Two process settings can't stand together; the text names both."},
+	{ConflictingSettings, "process settings clash", 0, "Two process settings can't stand together; the text names both."},
 	{BadMessage, "bad message", http.StatusBadRequest, "A message between processes is malformed; the text names the field."},
 	{NotAuthorized, "not authorized", http.StatusUnauthorized, "The message does not carry the shared secret."},
 }
--- a/internal/code/page.go
+++ b/internal/code/page.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Page returns the content of docs/CODES.md, in Markdown.
-func Page() string {
+// Markdown returns the content of docs/CODES.md, in Markdown.
+func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\nPrinted by `samphireweir codes`; a test checks that this page matches the binary.\n\n")
 	b.WriteString("| code | name | HTTP | meaning |\n|---|---|---|---|\n")
--- a/internal/code/page_test.go
+++ b/internal/code/page_test.go
@@ -13,7 +13,7 @@
 func TestCodesPageMatchesCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CODES.md")
 	require.NoError(t, err)
-	require.Equal(t, code.Page(), string(page))
+	require.Equal(t, code.Markdown(), string(page))
 }
 
 // TestCatalogueNumbersAreUnique guards against a number that is given to two results.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,18 +16,18 @@
 // EnvPrefix is the prefix of the names of all environment variables of the system.
 const EnvPrefix = "SAMPHIREWEIR_"
 
-// Variable returns the name of the environment variable for a flag: SAMPHIREWEIR_LINK_RATE for "link-rate".
-func Variable(flagName string) string {
+// EnvName returns the name of the environment variable for a flag: SAMPHIREWEIR_LINK_RATE for "link-rate".
+func EnvName(flagName string) string {
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flagName, "-", "_"))
 }
 
-// Describe adds the name of the environment variable to each flag's help text, and prefixes the errors of parsing flags
+// AddEnvNames adds the name of the environment variable to each flag's help text, and prefixes the errors of parsing flags
 // with their result code.
-func Describe(fs *flag.FlagSet) {
+func AddEnvNames(fs *flag.FlagSet) {
 	fs.SetOutput(codeWriter{fs.Output()})
 	fs.VisitAll(func(f *flag.Flag) {
 		if !strings.Contains(f.Usage, EnvPrefix) {
-			f.Usage += " (variable " + Variable(f.Name) + ")"
+			f.Usage += " (variable " + EnvName(f.Name) + ")"
 		}
 	})
 }
@@ -42,7 +42,7 @@
 func (w codeWriter) Write(p []byte) (int, error) {
 	for _, prefix := range flagErrorPrefixes {
 		if bytes.HasPrefix(p, []byte(prefix)) {
-			_, _ = fmt.Fprintf(w.Writer, "samphireweir %d %s: ", code.BadProcess, code.BadProcess.Describe().Name)
+			_, _ = fmt.Fprintf(w.Writer, "samphireweir %d %s: ", code.BadProcessSetting, code.BadProcessSetting.Describe().Name)
 		}
 	}
 	return w.Writer.Write(p)
@@ -54,7 +54,7 @@
 	given := map[string]bool{}
 	fs.Visit(func(f *flag.Flag) { given[f.Name] = true })
 	known := map[string]string{}
-	fs.VisitAll(func(f *flag.Flag) { known[Variable(f.Name)] = f.Name })
+	fs.VisitAll(func(f *flag.Flag) { known[EnvName(f.Name)] = f.Name })
 	for _, pair := range environ {
 		name, value, _ := strings.Cut(pair, "=")
 		if !strings.HasPrefix(name, EnvPrefix) {
@@ -68,7 +68,7 @@
 			continue
 		}
 		if err := fs.Set(flagName, value); err != nil {
-			return code.Errorf(code.BadProcess, name, "%q: %v; want %s", value, err, validExample(fs.Lookup(flagName)))
+			return code.Errorf(code.BadProcessSetting, name, "%q: %v; want %s", value, err, validExample(fs.Lookup(flagName)))
 		}
 	}
 	return nil
@@ -86,15 +86,15 @@
 // dash.
 func CheckListen(field, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return code.Errorf(code.BadProcess, "-"+field, "%q, want IP:PORT such as 10.0.0.5:7070, or port 0 for any", value)
+		return code.Errorf(code.BadProcessSetting, "-"+field, "%q, want IP:PORT such as 10.0.0.5:7070, or port 0 for any", value)
 	}
 	return nil
 }
 
-// CheckApart returns an error if two listeners have the same address. Port 0 stands for any free port and never clashes.
-func CheckApart(fieldA, a, fieldB, b string) error {
+// CheckDistinct returns an error if two listeners have the same address. Port 0 stands for any free port and never clashes.
+func CheckDistinct(fieldA, a, fieldB, b string) error {
 	if a != b || strings.HasSuffix(a, ":0") {
 		return nil
 	}
-	return code.Errorf(code.SettingsClash, fmt.Sprintf("-%s and -%s", fieldA, fieldB), "both %s, want two addresses or ports", a)
+	return code.Errorf(code.ConflictingSettings, fmt.Sprintf("-%s and -%s", fieldA, fieldB), "both %s, want two addresses or ports", a)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,7 +37,7 @@
 // TestDescribeAddsVariableToHelp guards against flag help that does not name the environment variable.
 func TestDescribeAddsVariableToHelp(t *testing.T) {
 	fs, _, _ := flags()
-	config.Describe(fs)
+	config.AddEnvNames(fs)
 	require.Contains(t, fs.Lookup("link-rate").Usage, "SAMPHIREWEIR_LINK_RATE")
 }
 
@@ -57,6 +57,6 @@
 	for _, bad := range []string{"", "7070", "localhost:7070", "10.0.0.5", "10.0.0.5:x"} {
 		require.ErrorContains(t, config.CheckListen("peers-listen", bad), "6001 bad process setting: -peers-listen")
 	}
-	require.NoError(t, config.CheckApart("a", "10.0.0.5:0", "b", "10.0.0.5:0"))
-	require.ErrorContains(t, config.CheckApart("a", "10.0.0.5:1", "b", "10.0.0.5:1"), "6003")
+	require.NoError(t, config.CheckDistinct("a", "10.0.0.5:0", "b", "10.0.0.5:0"))
+	require.ErrorContains(t, config.CheckDistinct("a", "10.0.0.5:1", "b", "10.0.0.5:1"), "6003")
 }
--- a/internal/control/codec.go
+++ b/internal/control/codec.go
@@ -59,6 +59,6 @@
 // count adds a message to the meter, including its length prefix.
 func (c boundedCodec) count(direction string, length int) {
 	if c.meter != nil {
-		c.meter.ControlBytes(direction, lengthSize+length)
+		c.meter.CountControlBytes(direction, lengthSize+length)
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -40,8 +40,8 @@
 
 // Meter counts control calls and the bytes of their messages. The direction is DirectionIn or DirectionOut.
 type Meter interface {
-	ControlCall(method, direction string)
-	ControlBytes(direction string, n int)
+	CountControlCall(method, direction string)
+	CountControlBytes(direction string, n int)
 }
 
 // The directions of calls and messages.
@@ -53,11 +53,11 @@
 // noopMeter is a Meter that counts nothing.
 type noopMeter struct{}
 
-// ControlCall does nothing.
-func (noopMeter) ControlCall(string, string) {}
+// CountControlCall does nothing.
+func (noopMeter) CountControlCall(string, string) {}
 
-// ControlBytes does nothing.
-func (noopMeter) ControlBytes(string, int) {}
+// CountControlBytes does nothing.
+func (noopMeter) CountControlBytes(string, int) {}
 
 // Authorize adds the shared secret of the processes to the headers of a request.
 func Authorize(h http.Header, secret string) { h.Set("Authorization", "Bearer "+secret) }
@@ -103,7 +103,7 @@
 func (s *Server) dispatch(ctx context.Context, from string, req *jsonrpc2.Request) (any, error) {
 	h, ok := s.handlers[req.Method]
 	if ok {
-		s.Meter.ControlCall(req.Method, DirectionIn)
+		s.Meter.CountControlCall(req.Method, DirectionIn)
 	} else {
 		return nil, &jsonrpc2.Error{Code: int64(code.BadMessage), Message: "unknown method " + req.Method}
 	}
@@ -193,7 +193,7 @@
 // Call calls a method of the peer at address and decodes the response into result. It closes the connection if the call
 // fails otherwise than by an error response.
 func (p *Pool) Call(ctx context.Context, address, method string, params, result any) error {
-	p.Meter.ControlCall(method, DirectionOut)
+	p.Meter.CountControlCall(method, DirectionOut)
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	c, err := p.conn(ctx, address)
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -13,7 +13,7 @@
 var epoch = time.Unix(1000, 0)
 
 func newAsk(id, client string, weight int) Ask {
-	return Ask{ID: id, Client: client, Priority: DefaultPriority, Weight: weight, Deadline: epoch.Add(time.Minute)}
+	return Ask{ID: id, Account: client, Priority: DefaultPriority, Weight: weight, Deadline: epoch.Add(time.Minute)}
 }
 
 func equalFit(string) int { return 0 }
@@ -45,7 +45,7 @@
 	require.Equal(t, fmt.Sprint("wait", MinQueueCapacity-1), refused[0].ID, "the last request of the flood is evicted")
 	require.Equal(t, code.ClientOverShare, refused[0].Code)
 	require.GreaterOrEqual(t, refused[0].After, MinRetryAfter)
-	g.Left("run0", true)
+	g.Remove("run0", true)
 	id, ok := g.Next(equalFit)
 	require.True(t, ok)
 	require.Equal(t, "small", id)
@@ -132,7 +132,7 @@
 		g.Admit(at(i*10), newAsk(id, "a", 1), false)
 		if i%3 == 0 {
 			next, _ := g.Next(equalFit)
-			g.Left(next, true)
+			g.Remove(next, true)
 		}
 		g.Sweep(at(i * 10))
 	}
@@ -162,7 +162,7 @@
 	admitted, refused := g.Admit(epoch, limited("third"), true)
 	require.False(t, admitted)
 	require.Equal(t, code.ClientOverShare, refused[0].Code)
-	g.Left("0", true)
+	g.Remove("0", true)
 	admitted, _ = g.Admit(epoch, limited("fourth"), true)
 	require.True(t, admitted)
 }
@@ -231,19 +231,19 @@
 	for range InitialLimit {
 		l.Add()
 	}
-	l.Queue(epoch, 0, 12)
+	l.QueueReport(epoch, 0, 12)
 	require.Equal(t, InitialLimit/2, l.Limit(), "a report from before the batch was filled at most halves the limit")
-	l.Queue(epoch.Add(time.Second), 8, 0)
+	l.QueueReport(epoch.Add(time.Second), 8, 0)
 	require.Greater(t, l.Limit(), InitialLimit/2)
 	l = NewLimiter()
 	for range InitialLimit {
 		l.Add()
 	}
-	l.Queue(epoch, 8, 24)
+	l.QueueReport(epoch, 8, 24)
 	require.Equal(t, 10, l.Limit())
 	l.FirstByte(epoch, time.Second)
 	require.Equal(t, 10, l.Limit(), "a recent queue report takes precedence over first-byte times")
-	l.Queue(epoch.Add(time.Second), 8, 0)
+	l.QueueReport(epoch.Add(time.Second), 8, 0)
 	require.Equal(t, 11, l.Limit())
 }
 
--- a/internal/core/admission/fleet.go
+++ b/internal/core/admission/fleet.go
@@ -11,8 +11,8 @@
 // Demand is the record that one entry publishes. It holds the number of requests in flight, waiting or recently refused
 // at this entry, by service and client account. Only client accounts with a fleet-wide limit are included.
 type Demand struct {
-	Entry   string                    `json:"entry"`
-	Clients map[string]map[string]int `json:"clients,omitempty"`
+	Entry    string                    `json:"entry"`
+	Accounts map[string]map[string]int `json:"clients,omitempty"`
 }
 
 // Fleet holds the demand records of all entries of the fleet.
@@ -39,8 +39,8 @@
 	}
 }
 
-// Heard stores the demand record that an entry published. Records of this entry are stored too.
-func (f *Fleet) Heard(d Demand) { f.demands[d.Entry] = d }
+// SetDemand stores the demand record that an entry published. Records of this entry are stored too.
+func (f *Fleet) SetDemand(d Demand) { f.demands[d.Entry] = d }
 
 // Cap returns how many requests of a client account this entry may have in flight, given the account's fleet-wide
 // limit.
@@ -50,7 +50,7 @@
 	}
 	demand := make(map[string]int, len(f.demands))
 	for entry, d := range f.demands {
-		demand[entry] = d.Clients[service][name]
+		demand[entry] = d.Accounts[service][name]
 	}
 	return Share(limit, f.self, f.entries, demand)
 }
--- a/internal/core/admission/flood_test.go
+++ b/internal/core/admission/flood_test.go
@@ -57,7 +57,7 @@
 			id string
 		})
 		s.now = done.at
-		s.gate.Left(done.id, true)
+		s.gate.Remove(done.id, true)
 		s.answered[clientOf(done.id)]++
 		s.gate.Sweep(s.now)
 		if id, ok := s.gate.Next(equalFit); ok {
@@ -93,7 +93,7 @@
 		}
 		s.sent[client]++
 		id := fmt.Sprint(client, " ", s.sent[client])
-		a := Ask{ID: id, Client: client, Priority: DefaultPriority, Weight: 1, Deadline: s.now.Add(time.Minute)}
+		a := Ask{ID: id, Account: client, Priority: DefaultPriority, Weight: 1, Deadline: s.now.Add(time.Minute)}
 		if admitted, _ := s.gate.Admit(s.now, a, len(s.running) < s.concurrency); admitted {
 			s.start(id)
 		}
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -35,7 +35,7 @@
 // Ask describes a request that asks for admission.
 type Ask struct {
 	ID       string
-	Client   string
+	Account  string
 	Priority int
 	// Weight is the share of the client account relative to the others; values below 1 count as 1.
 	Weight int
@@ -263,8 +263,8 @@
 	return refused
 }
 
-// Left removes a request that is in flight or waiting. answered reports whether it was answered.
-func (g *Gate) Left(id string, answered bool) {
+// Remove removes a request that is in flight or waiting. answered reports whether it was answered.
+func (g *Gate) Remove(id string, answered bool) {
 	if name, ok := g.admitted[id]; ok {
 		delete(g.admitted, id)
 		g.accounts[name].inFlight--
@@ -284,10 +284,10 @@
 	}
 }
 
-// Back moves a request that was admitted, but found no upstream with free capacity, to the front of its account's
+// Requeue moves a request that was admitted, but found no upstream with free capacity, to the front of its account's
 // queue.
-func (g *Gate) Back(now time.Time, ask Ask) {
-	g.Left(ask.ID, false)
+func (g *Gate) Requeue(now time.Time, ask Ask) {
+	g.Remove(ask.ID, false)
 	expiresAt := now.Add(MaxWait)
 	if ask.Deadline.Before(expiresAt) {
 		expiresAt = ask.Deadline
@@ -326,14 +326,14 @@
 
 func (g *Gate) recordAdmission(ask Ask) {
 	g.account(ask).inFlight++
-	g.admitted[ask.ID] = ask.Client
+	g.admitted[ask.ID] = ask.Account
 }
 
 func (g *Gate) account(ask Ask) *account {
-	acct := g.accounts[ask.Client]
+	acct := g.accounts[ask.Account]
 	if acct == nil {
 		acct = &account{}
-		g.accounts[ask.Client] = acct
+		g.accounts[ask.Account] = acct
 	}
 	acct.weight = max(1, ask.Weight)
 	return acct
--- a/internal/core/admission/limiter.go
+++ b/internal/core/admission/limiter.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// Queue adapts the limit to an engine's own report on its batch, which arrives with a delay. It bounds the limit by the
+// QueueReport adapts the limit to an engine's own report on its batch, which arrives with a delay. It bounds the limit by the
 // number of requests that the engine runs at once plus a short queue.
-func (l *Limiter) Queue(now time.Time, running, waiting int) {
+func (l *Limiter) QueueReport(now time.Time, running, waiting int) {
 	l.batch = math.Max(float64(running), l.batch*DecreaseFactor)
 	maxQueue := math.Max(MinEngineQueue, EngineQueueShare*l.batch)
 	l.queueReportAt = now
--- a/internal/core/bursts.go
+++ b/internal/core/bursts.go
@@ -13,14 +13,14 @@
 // BurstView is a process's view of all bursts in the fleet, for operators.
 type BurstView struct {
 	Bursts []FleetBurst `json:"bursts"`
-	// Here is the progress of this host; empty on an entry.
-	Here []weights.Progress `json:"here,omitempty"`
+	// Local is the progress of this host; empty on an entry.
+	Local []weights.Progress `json:"here,omitempty"`
 	// Share is the fraction of this host's link that transfers may use now.
 	Share float64 `json:"share"`
 	// Sent counts the bytes sent to hosts in this data centre, elsewhere in the region and in other regions.
 	Sent []int64 `json:"sent"`
-	// Silent counts the hosts that did not report their progress.
-	Silent int `json:"silent,omitempty"`
+	// Unanswered counts the hosts that did not report their progress.
+	Unanswered int `json:"silent,omitempty"`
 }
 
 // FleetBurst is the distribution of one version to all hosts that the settings choose to run it.
@@ -66,7 +66,7 @@
 // Bursts describes the bursts of all engine settings in force. progress holds the reports of the hosts that TakingPart
 // lists, by address. For a host without one it uses the advertisement.
 func (s *State) Bursts(now time.Time, progress map[string][]weights.Summary) BurstView {
-	v := BurstView{Bursts: []FleetBurst{}, Here: s.Weights.View(now), Share: s.Weights.Yield.Share, Sent: s.Weights.Uploads.Sent[:]}
+	v := BurstView{Bursts: []FleetBurst{}, Local: s.Weights.View(now), Share: s.Weights.Yield.Share, Sent: s.Weights.Uploads.Sent[:]}
 	byDigest := map[string]int{}
 	for _, key := range s.engineKeys() {
 		target := s.Settings[key].Setting
@@ -117,8 +117,8 @@
 	return places
 }
 
-// TakingPart returns the addresses of the listed hosts, without this one, that have an engine of a setting in force.
-func (s *State) TakingPart() []string {
+// BurstHosts returns the addresses of the listed hosts, without this one, that have an engine of a setting in force.
+func (s *State) BurstHosts() []string {
 	keys := map[string]bool{}
 	for _, key := range s.engineKeys() {
 		keys[key] = true
@@ -212,7 +212,7 @@
 	for i, n := range w.From {
 		p.From[i] += n
 	}
-	if w.Trouble != 0 {
-		p.Stuck = append(p.Stuck, StuckHost{Host: host, Code: w.Trouble, Text: w.Trouble.Describe().Help})
+	if w.BlockedBy != 0 {
+		p.Stuck = append(p.Stuck, StuckHost{Host: host, Code: w.BlockedBy, Text: w.BlockedBy.Describe().Help})
 	}
 }
--- a/internal/core/bursts_test.go
+++ b/internal/core/bursts_test.go
@@ -31,7 +31,7 @@
 	progress := map[string][]weights.Summary{}
 	addHost := func(host, place string, phase member.Phase, digest string, w ...weights.Summary) {
 		a := member.Advert{Host: host, Address: host + ":1", Place: place, Region: "west", Role: member.Agent}
-		if w[0].Trouble != 0 {
+		if w[0].BlockedBy != 0 {
 			a.Weights = w
 		} else {
 			progress[a.Address] = w
@@ -46,9 +46,9 @@
 	}
 	addHost("h1", "perth-a", member.Serving, "d1", weights.Summary{Digest: "d1", Percent: 100, From: [4]int64{1, 2, 3, 4}})
 	addHost("h2", "perth-a", member.Idle, "", weights.Summary{Digest: "d1", Percent: 50, Rate: 10, LeftMS: 700})
-	addHost("h3", "karratha-a", member.Idle, "", weights.Summary{Digest: "d1", Trouble: code.MemoryTooSmall})
+	addHost("h3", "karratha-a", member.Idle, "", weights.Summary{Digest: "d1", BlockedBy: code.MemoryTooSmall})
 	reduce(member.ListRead{Hosts: listed})
-	require.ElementsMatch(t, []string{"h1:1", "h2:1", "h3:1"}, s.TakingPart())
+	require.ElementsMatch(t, []string{"h1:1", "h2:1", "h3:1"}, s.BurstHosts())
 	places := s.Bursts(now, progress).Bursts[0].Places
 	require.Equal(t, "karratha-a", places[0].Place)
 	require.Equal(t, []StuckHost{{Host: "h3", Code: code.MemoryTooSmall, Text: code.MemoryTooSmall.Describe().Help}}, places[0].Stuck)
--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -22,8 +22,8 @@
 type Upstream struct {
 	// ID identifies the upstream. A restarted upstream may reuse its ID; see Life.
 	ID string
-	// Born is the upstream's start time by its own clock, in milliseconds since 1970; 0 when it is unknown.
-	Born       int64
+	// StartedAt is the upstream's start time by its own clock, in milliseconds since 1970; 0 when it is unknown.
+	StartedAt  int64
 	Service    string
 	Address    string
 	DataCentre string
@@ -33,43 +33,43 @@
 	Draining bool
 	// Versions maps each model to the version of its weights that the upstream holds completely.
 	Versions map[string]int64
-	// ColdLeft is the remaining cold time according to the entry. ColdUntil is the resulting end of the cold time, set by the
+	// ColdRemaining is the remaining cold time according to the entry. ColdUntil is the resulting end of the cold time, set by the
 	// reducer; see Service.
-	ColdLeft  time.Duration
-	ColdUntil time.Time
+	ColdRemaining time.Duration
+	ColdUntil     time.Time
 	// Revision is the store revision of the entry.
 	Revision int64
 }
 
-// Life identifies one instance of an upstream, from its start to its end. Observations of one instance don't apply to the next.
-type Life struct {
-	ID   string
-	Born int64
+// Instance identifies one instance of an upstream, from its start to its end. Observations of one instance don't apply to the next.
+type Instance struct {
+	ID        string
+	StartedAt int64
 }
 
-// Life returns the instance that the entry describes.
-func (u *Upstream) Life() Life { return Life{ID: u.ID, Born: u.Born} }
+// Instance returns the instance that the entry describes.
+func (u *Upstream) Instance() Instance { return Instance{ID: u.ID, StartedAt: u.StartedAt} }
 
 // State is the known state of the manifest, the upstreams, the versions in force and the evacuations.
 type State struct {
 	// Manifest is nil until a manifest has been read.
 	Manifest  *Manifest
 	Upstreams map[string]*Upstream
-	// Changes counts the changes of Upstreams and evacuations. Values derived from them are stale when it has increased.
-	Changes uint64
+	// ChangeCount counts the changes of Upstreams and evacuations. Values derived from them are stale when it has increased.
+	ChangeCount uint64
 	// Versions maps each model to the version in force.
-	Versions map[string]Naming
+	Versions map[string]Activation
 	// FollowsEvacuations is set where operators may evacuate data centres. The process must then know the evacuations before
 	// it is ready.
 	FollowsEvacuations bool
 	// evacuations maps each data centre that was ever evacuated to its last known evacuation state.
 	evacuations map[string]evacuation
 	// history maps each model to its activations, in the order in which they were received.
-	history map[string][]Naming
-	// ListedSince is the assumed activation time of a version that is already in the store when this process first lists it, until
+	history map[string][]Activation
+	// ListedActivatedAt is the assumed activation time of a version that is already in the store when this process first lists it, until
 	// another process reports the version's age. The store has no activation time, and every process that knew it may have
 	// ended before this one started. The zero time stands for the time of the list.
-	ListedSince time.Time
+	ListedActivatedAt time.Time
 
 	// byAddress maps each address to the IDs of the upstreams registered there. A stale or forged entry makes more than one.
 	byAddress map[string][]string
@@ -130,8 +130,8 @@
 // TopicListed reports that all objects of a topic were read.
 type TopicListed struct{ Topic Topic }
 
-// StoreHeard reports that the store answered a call.
-type StoreHeard struct{}
+// StoreAnswered reports that the store answered a call.
+type StoreAnswered struct{}
 
 // StoreFailed reports that a call to the store failed.
 type StoreFailed struct{}
@@ -155,13 +155,13 @@
 func (TopicListed) Event() {}
 
 // Event marks the type as an event.
-func (StoreHeard) Event() {}
+func (StoreAnswered) Event() {}
 
 // Event marks the type as an event.
 func (StoreFailed) Event() {}
 
-// Change tells the shell to log a change of the known state.
-type Change struct {
+// StateChanged tells the shell to log a change of the known state.
+type StateChanged struct {
 	// Topic is the kind of object that changed.
 	Topic Topic
 	// Name is the upstream's ID, the model or the data centre; empty for the manifest.
@@ -173,12 +173,12 @@
 }
 
 // Effect marks the type as an effect.
-func (Change) Effect() {}
+func (StateChanged) Effect() {}
 
 // NewState returns an empty state.
 func NewState() *State {
 	return &State{
-		Upstreams: map[string]*Upstream{}, Versions: map[string]Naming{}, history: map[string][]Naming{}, listed: map[Topic]bool{},
+		Upstreams: map[string]*Upstream{}, Versions: map[string]Activation{}, history: map[string][]Activation{}, listed: map[Topic]bool{},
 		byAddress: map[string][]string{}, reportedStarts: map[string]reportedStart{}, removed: map[string]int64{}, lapsing: map[string]time.Time{},
 		evacuations: map[string]evacuation{},
 	}
@@ -196,7 +196,7 @@
 // Reduce handles one input and returns the effects to carry out.
 func (s *State) Reduce(in step.Input) []step.Effect {
 	switch ev := in.Event.(type) {
-	case StoreHeard:
+	case StoreAnswered:
 		s.storeHeard(in.Now)
 	case StoreFailed:
 		if s.failingSince.IsZero() {
@@ -214,13 +214,13 @@
 		return s.upstreamRemoved(in.Now, ev)
 	case UpstreamUnreadable:
 		return s.upstreamUnreadable(ev)
-	case EvacuationAsked:
+	case EvacuationStarted:
 		return s.evacuate(ev.DataCentre, evacuation{active: true, revision: ev.Revision})
 	case EvacuationEnded:
 		return s.evacuate(ev.DataCentre, evacuation{revision: ev.Revision})
 	case EvacuationsListed:
 		return s.evacuationsListed(ev)
-	case VersionNamed:
+	case VersionActivated:
 		return s.versionActivated(in.Now, ev)
 	case step.Tick:
 		return s.expire(in.Now)
@@ -241,7 +241,7 @@
 	}
 	s.manifestRevision = ev.Revision
 	s.Manifest = ev.Manifest
-	return []step.Effect{Change{Topic: ManifestTopic, Value: "in force", Revision: ev.Revision}}
+	return []step.Effect{StateChanged{Topic: ManifestTopic, Value: "in force", Revision: ev.Revision}}
 }
 
 func (s *State) upstreamsListed(now time.Time, ev UpstreamsListed) []step.Effect {
@@ -271,24 +271,24 @@
 	if old != nil && u.Revision < old.Revision {
 		return nil
 	}
-	if old != nil && u.Born == 0 && old.Born > 0 {
+	if old != nil && u.StartedAt == 0 && old.StartedAt > 0 {
 		// The upstream itself would have given its start time, so another process wrote this entry.
 		return s.upstreamUnreadable(UpstreamUnreadable{ID: u.ID, Revision: u.Revision})
 	}
-	if old != nil && u.Born < old.Born {
+	if old != nil && u.StartedAt < old.StartedAt {
 		return nil // A delayed write of an earlier instance.
 	}
 	delete(s.lapsing, u.ID)
 	delete(s.removed, u.ID)
 	s.put(old, u.withColdUntil(now, old))
-	if old != nil && old.Draining == u.Draining && old.Born == u.Born {
+	if old != nil && old.Draining == u.Draining && old.StartedAt == u.StartedAt {
 		return nil
 	}
 	value := "ready"
 	if u.Draining {
 		value = "draining"
 	}
-	return []step.Effect{Change{Topic: UpstreamTopic, Name: u.ID, Value: value, Revision: u.Revision}}
+	return []step.Effect{StateChanged{Topic: UpstreamTopic, Name: u.ID, Value: value, Revision: u.Revision}}
 }
 
 // withColdUntil returns a copy of u with ColdUntil set. A revision that was read before, as in a repeated list, doesn't
@@ -296,10 +296,10 @@
 func (u *Upstream) withColdUntil(now time.Time, old *Upstream) *Upstream {
 	next := *u
 	switch {
-	case old != nil && old.Revision == u.Revision && old.Born == u.Born:
+	case old != nil && old.Revision == u.Revision && old.StartedAt == u.StartedAt:
 		next.ColdUntil = old.ColdUntil
-	case u.ColdLeft > 0:
-		next.ColdUntil = now.Add(u.ColdLeft)
+	case u.ColdRemaining > 0:
+		next.ColdUntil = now.Add(u.ColdRemaining)
 	}
 	return &next
 }
@@ -307,7 +307,7 @@
 // put stores u in place of old, which is nil for a new upstream.
 func (s *State) put(old, u *Upstream) {
 	s.Upstreams[u.ID] = u
-	s.Changes++
+	s.ChangeCount++
 	if old != nil && old.Address == u.Address {
 		return
 	}
@@ -338,18 +338,18 @@
 	return s.drop(ev.ID, ev.Revision)
 }
 
-// Reborn records that an upstream has restarted under the same ID, when its agent reports the later start time before the store
+// RecordRestart records that an upstream has restarted under the same ID, when its agent reports the later start time before the store
 // does. A new instance holds no weights and counts as cold until it reports otherwise.
-func (s *State) Reborn(now time.Time, id string, startedAt int64) {
+func (s *State) RecordRestart(now time.Time, id string, startedAt int64) {
 	u := s.Upstreams[id]
-	if u == nil || startedAt <= u.Born {
+	if u == nil || startedAt <= u.StartedAt {
 		return
 	}
 	next := *u
-	next.Born, next.Versions = startedAt, map[string]int64{}
+	next.StartedAt, next.Versions = startedAt, map[string]int64{}
 	next.ColdUntil = now.Add(s.coldFor(u.Service))
 	s.Upstreams[id] = &next
-	s.Changes++
+	s.ChangeCount++
 }
 
 // coldFor returns how long an upstream of the service is cold after a start.
@@ -357,7 +357,7 @@
 	if s.Manifest == nil || s.Manifest.Services[service] == nil {
 		return 0
 	}
-	return s.Manifest.Services[service].ColdFor
+	return s.Manifest.Services[service].ColdDuration
 }
 
 func (s *State) upstreamRemoved(now time.Time, ev UpstreamRemoved) []step.Effect {
@@ -379,10 +379,10 @@
 		s.unlink(u)
 	}
 	delete(s.Upstreams, id)
-	s.Changes++
+	s.ChangeCount++
 	delete(s.lapsing, id)
 	s.removed[id] = revision
-	return []step.Effect{Change{Topic: UpstreamTopic, Name: id, Value: "gone", Revision: revision}}
+	return []step.Effect{StateChanged{Topic: UpstreamTopic, Name: id, Value: "gone", Revision: revision}}
 }
 
 func (s *State) expire(now time.Time) []step.Effect {
@@ -395,8 +395,8 @@
 	return effects
 }
 
-// At returns the upstream at an address whose start time is startedAt, or else the one that registered there last; nil for none.
-func (s *State) At(address string, startedAt int64) *Upstream {
+// UpstreamAt returns the upstream at an address whose start time is startedAt, or else the one that registered there last; nil for none.
+func (s *State) UpstreamAt(address string, startedAt int64) *Upstream {
 	var last *Upstream
 	for _, id := range s.byAddress[address] {
 		u := s.Upstreams[id]
@@ -407,8 +407,8 @@
 	return last
 }
 
-// AllAt returns all upstreams that are registered at an address. At most one of them is running there.
-func (s *State) AllAt(address string) []*Upstream {
+// UpstreamsAt returns all upstreams that are registered at an address. At most one of them is running there.
+func (s *State) UpstreamsAt(address string) []*Upstream {
 	var list []*Upstream
 	for _, id := range s.byAddress[address] {
 		list = append(list, s.Upstreams[id])
@@ -418,7 +418,7 @@
 
 // preferredOver reports whether u is the better match than other for an instance that started at startedAt.
 func (u *Upstream) preferredOver(other *Upstream, startedAt int64) bool {
-	if matches, otherMatches := u.Born == startedAt, other.Born == startedAt; startedAt > 0 && matches != otherMatches {
+	if matches, otherMatches := u.StartedAt == startedAt, other.StartedAt == startedAt; startedAt > 0 && matches != otherMatches {
 		return matches
 	}
 	return u.Revision > other.Revision
@@ -434,29 +434,29 @@
 // back. It is longer than the interval between two reports of an agent.
 const staleStartWindow = 2500 * time.Millisecond
 
-// Confirm records the start time that an agent reports for the upstream at an address, in milliseconds since 1970.
-func (s *State) Confirm(now time.Time, address string, startedAt int64) {
+// RecordStart records the start time that an agent reports for the upstream at an address, in milliseconds since 1970.
+func (s *State) RecordStart(now time.Time, address string, startedAt int64) {
 	known := s.reportedStarts[address]
 	if len(s.byAddress[address]) == 0 || startedAt <= 0 || startedAt < known.startedAt && now.Sub(known.receivedAt) < staleStartWindow {
 		return
 	}
 	s.reportedStarts[address] = reportedStart{startedAt: startedAt, receivedAt: now}
 	if startedAt != known.startedAt {
-		s.Changes++
+		s.ChangeCount++
 	}
 }
 
 // Superseded reports whether an upstream's instance has ended although its entry remains: its agent reports a later start, or a
 // later entry at the same address has the same start time.
 func (s *State) Superseded(u *Upstream) bool {
-	if u.Born <= 0 {
+	if u.StartedAt <= 0 {
 		return false
 	}
-	if s.reportedStarts[u.Address].startedAt > u.Born {
+	if s.reportedStarts[u.Address].startedAt > u.StartedAt {
 		return true
 	}
 	for _, id := range s.byAddress[u.Address] {
-		if other := s.Upstreams[id]; other.Born == u.Born && other.Revision > u.Revision {
+		if other := s.Upstreams[id]; other.StartedAt == u.StartedAt && other.Revision > u.Revision {
 			return true
 		}
 	}
--- a/internal/core/catalog/catalog_test.go
+++ b/internal/core/catalog/catalog_test.go
@@ -68,9 +68,9 @@
 // once: if the silence counts as an outage, the upstream stays in use for 2 s longer than allowed.
 func TestIdleStoreIsNotAnOutage(t *testing.T) {
 	s := catalog.NewState()
-	s.Reduce(at(0, catalog.StoreHeard{}))
+	s.Reduce(at(0, catalog.StoreAnswered{}))
 	s.Reduce(at(0, catalog.UpstreamsListed{Revision: 10, Upstreams: []*catalog.Upstream{upstream("a", 4)}}))
-	s.Reduce(at(4*time.Second, catalog.StoreHeard{}))
+	s.Reduce(at(4*time.Second, catalog.StoreAnswered{}))
 	s.Reduce(at(4*time.Second, catalog.UpstreamRemoved{ID: "a", Revision: 12}))
 	require.Empty(t, s.Upstreams)
 }
@@ -81,7 +81,7 @@
 	s := catalog.NewState()
 	s.Reduce(at(0, catalog.UpstreamsListed{Revision: 10, Upstreams: []*catalog.Upstream{upstream("a", 4), upstream("b", 5)}}))
 	s.Reduce(at(time.Second, catalog.StoreFailed{}))
-	s.Reduce(at(5*time.Second, catalog.StoreHeard{}))
+	s.Reduce(at(5*time.Second, catalog.StoreAnswered{}))
 	s.Reduce(at(5*time.Second, catalog.UpstreamsListed{Revision: 30}))
 	require.Len(t, s.Upstreams, 2)
 	s.Reduce(at(6*time.Second, catalog.UpstreamChanged{Upstream: upstream("a", 33)}))
@@ -97,7 +97,7 @@
 	draining.Draining = true
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: draining}))
 	s.Reduce(at(0, catalog.StoreFailed{}))
-	s.Reduce(at(5*time.Second, catalog.StoreHeard{}))
+	s.Reduce(at(5*time.Second, catalog.StoreAnswered{}))
 	s.Reduce(at(5*time.Second, catalog.UpstreamRemoved{ID: "a", Revision: 12}))
 	require.Empty(t, s.Upstreams)
 }
@@ -107,8 +107,8 @@
 func TestEachVersionIsRequiredAtItsOwnTime(t *testing.T) {
 	s := catalog.NewState()
 	within := 6 * time.Second
-	s.Reduce(at(0, catalog.VersionNamed{Model: "m", Version: 2, Revision: 5}))
-	s.Reduce(at(2*time.Second, catalog.VersionNamed{Model: "m", Version: 3, Revision: 6}))
+	s.Reduce(at(0, catalog.VersionActivated{Model: "m", Version: 2, Revision: 5}))
+	s.Reduce(at(2*time.Second, catalog.VersionActivated{Model: "m", Version: 3, Revision: 6}))
 	require.Equal(t, int64(0), s.RequiredVersion("m", begin.Add(5*time.Second), within))
 	require.Equal(t, int64(2), s.RequiredVersion("m", begin.Add(7*time.Second), within))
 	require.Equal(t, int64(3), s.RequiredVersion("m", begin.Add(8*time.Second), within))
@@ -119,10 +119,10 @@
 // The earlier time must determine when the version is required.
 func TestEarliestKnownActivationTimeOfAVersionWins(t *testing.T) {
 	s := catalog.NewState()
-	s.Reduce(at(9*time.Second, catalog.VersionNamed{Model: "m", Version: 2, Revision: 5}))
-	s.Reduce(at(9*time.Second, catalog.VersionNamed{Model: "m", Version: 2, Revision: 5, Age: 9 * time.Second}))
+	s.Reduce(at(9*time.Second, catalog.VersionActivated{Model: "m", Version: 2, Revision: 5}))
+	s.Reduce(at(9*time.Second, catalog.VersionActivated{Model: "m", Version: 2, Revision: 5, Age: 9 * time.Second}))
 	require.Equal(t, int64(2), s.RequiredVersion("m", begin.Add(9*time.Second), 6*time.Second))
-	s.Reduce(at(10*time.Second, catalog.VersionNamed{Model: "m", Version: 1, Revision: 2}))
+	s.Reduce(at(10*time.Second, catalog.VersionActivated{Model: "m", Version: 1, Revision: 2}))
 	require.Equal(t, int64(2), s.Versions["m"].Version, "an older version is never restored")
 }
 
@@ -132,9 +132,9 @@
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: upstream("old", 4)}))
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: upstream("new", 6)}))
 	s.Reduce(at(0, catalog.UpstreamRemoved{ID: "old", Revision: 8}))
-	require.Equal(t, "new", s.At("10.0.0.1:80", 0).ID)
+	require.Equal(t, "new", s.UpstreamAt("10.0.0.1:80", 0).ID)
 	s.Reduce(at(0, catalog.UpstreamRemoved{ID: "new", Revision: 9}))
-	require.Nil(t, s.At("10.0.0.1:80", 0))
+	require.Nil(t, s.UpstreamAt("10.0.0.1:80", 0))
 }
 
 func TestRoutesByHostAndLongestPrefix(t *testing.T) {
@@ -151,7 +151,7 @@
 	r := &catalog.Route{Shares: []catalog.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	count := map[string]int{}
 	for draw := range uint64(100) {
-		count[r.Pick(draw)]++
+		count[r.PickService(draw)]++
 	}
 	require.Equal(t, map[string]int{"a": 90, "b": 10}, count)
 }
@@ -189,8 +189,8 @@
 	s := catalog.NewState()
 	_, ok := s.Successor("m", 1)
 	require.False(t, ok)
-	s.Reduce(step.Input{Now: begin.Add(time.Second), Event: catalog.VersionNamed{Model: "m", Version: 3, Revision: 2}})
-	s.Reduce(step.Input{Now: begin.Add(2 * time.Second), Event: catalog.VersionNamed{Model: "m", Version: 2, Revision: 1, Age: 2 * time.Second}})
+	s.Reduce(step.Input{Now: begin.Add(time.Second), Event: catalog.VersionActivated{Model: "m", Version: 3, Revision: 2}})
+	s.Reduce(step.Input{Now: begin.Add(2 * time.Second), Event: catalog.VersionActivated{Model: "m", Version: 2, Revision: 1, Age: 2 * time.Second}})
 	first, ok := s.Successor("m", 1)
 	require.True(t, ok)
 	require.Equal(t, int64(2), first.Version)
@@ -202,17 +202,17 @@
 }
 
 // activated returns a report of the activation of version 2 with its age.
-func activated(age time.Duration, assumed bool) catalog.VersionNamed {
-	return catalog.VersionNamed{Model: "m", Version: 2, Revision: 9, Age: age, Assumed: assumed}
+func activated(age time.Duration, assumed bool) catalog.VersionActivated {
+	return catalog.VersionActivated{Model: "m", Version: 2, Revision: 9, Age: age, Assumed: assumed}
 }
 
 // TestKnownAgeReplacesAnAssumedOne has a process find a version when it starts and then receive reports of its age. A known age must replace
 // an assumed one, and an assumed age must never replace a known one.
 func TestKnownAgeReplacesAnAssumedOne(t *testing.T) {
 	s := catalog.NewState()
-	s.ListedSince = begin.Add(-5 * time.Second)
-	found := catalog.VersionNamed{Model: "m", Version: 2, Revision: 9, Listed: true}
-	age := func() time.Duration { return begin.Sub(s.Versions["m"].Since) }
+	s.ListedActivatedAt = begin.Add(-5 * time.Second)
+	found := catalog.VersionActivated{Model: "m", Version: 2, Revision: 9, Listed: true}
+	age := func() time.Duration { return begin.Sub(s.Versions["m"].ActivatedAt) }
 	discovered := s.Reduce(at(0, found))
 	require.Len(t, discovered, 2)
 	require.True(t, s.Versions["m"].Assumed)
@@ -224,7 +224,7 @@
 
 	s.Reduce(at(0, activated(6*time.Second, true)))
 	require.Equal(t, 6*time.Second, age(), "the older of two assumed ages wins")
-	require.True(t, s.Told(begin, time.Hour)[0].Assumed, "an assumed age is reported as assumed")
+	require.True(t, s.ReportedActivations(begin, time.Hour)[0].Assumed, "an assumed age is reported as assumed")
 
 	effects := s.Reduce(at(0, activated(2*time.Second, false)))
 	require.Len(t, effects, 1, "the corrected age changes the engines' load turns")
@@ -242,13 +242,13 @@
 // an older age is reported.
 func TestVersionFirstSeenInALaterListIsAssumedNew(t *testing.T) {
 	s := catalog.NewState()
-	s.ListedSince = begin.Add(-5 * time.Second)
-	s.Reduce(at(0, catalog.VersionNamed{Model: "m", Version: 1, Revision: 3, Listed: true}))
+	s.ListedActivatedAt = begin.Add(-5 * time.Second)
+	s.Reduce(at(0, catalog.VersionActivated{Model: "m", Version: 1, Revision: 3, Listed: true}))
 	s.Reduce(at(0, catalog.TopicListed{Topic: catalog.VersionTopic}))
-	s.Reduce(at(2*time.Second, catalog.VersionNamed{Model: "m", Version: 2, Revision: 9, Listed: true}))
-	require.Equal(t, begin.Add(2*time.Second), s.Versions["m"].Since)
+	s.Reduce(at(2*time.Second, catalog.VersionActivated{Model: "m", Version: 2, Revision: 9, Listed: true}))
+	require.Equal(t, begin.Add(2*time.Second), s.Versions["m"].ActivatedAt)
 	s.Reduce(at(3*time.Second, activated(6*time.Second, true)))
-	require.Equal(t, begin.Add(-3*time.Second), s.Versions["m"].Since, "the older assumed age, which others reported, wins")
+	require.Equal(t, begin.Add(-3*time.Second), s.Versions["m"].ActivatedAt, "the older assumed age, which others reported, wins")
 }
 
 // TestReportedActivationsMayStillBeRequired activates three versions in sequence. A process that starts needs every version that may still
@@ -256,11 +256,11 @@
 func TestReportedActivationsMayStillBeRequired(t *testing.T) {
 	s := catalog.NewState()
 	for version := int64(1); version <= 3; version++ {
-		s.Reduce(at(time.Duration(version)*time.Second, catalog.VersionNamed{Model: "m", Version: version, Revision: version}))
+		s.Reduce(at(time.Duration(version)*time.Second, catalog.VersionActivated{Model: "m", Version: version, Revision: version}))
 	}
 	reported := func(now time.Duration) []int64 {
 		var versions []int64
-		for _, n := range s.Told(begin.Add(now), 8*time.Second) {
+		for _, n := range s.ReportedActivations(begin.Add(now), 8*time.Second) {
 			versions = append(versions, n.Version)
 		}
 		return versions
--- a/internal/core/catalog/evacuation.go
+++ b/internal/core/catalog/evacuation.go
@@ -7,8 +7,8 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// EvacuationAsked reports that the operator started the evacuation of a data centre: no more requests may be sent to its upstreams.
-type EvacuationAsked struct {
+// EvacuationStarted reports that the operator started the evacuation of a data centre: no more requests may be sent to its upstreams.
+type EvacuationStarted struct {
 	DataCentre string
 	Revision   int64
 }
@@ -26,7 +26,7 @@
 }
 
 // Event marks the type as an event.
-func (EvacuationAsked) Event() {}
+func (EvacuationStarted) Event() {}
 
 // Event marks the type as an event.
 func (EvacuationEnded) Event() {}
@@ -67,10 +67,10 @@
 	if e.active == known.active {
 		return nil
 	}
-	s.Changes++
+	s.ChangeCount++
 	value := "ended"
 	if e.active {
 		value = "evacuated"
 	}
-	return []step.Effect{Change{Topic: EvacuationTopic, Name: dataCentre, Value: value, Revision: e.revision}}
+	return []step.Effect{StateChanged{Topic: EvacuationTopic, Name: dataCentre, Value: value, Revision: e.revision}}
 }
--- a/internal/core/catalog/evacuation_test.go
+++ b/internal/core/catalog/evacuation_test.go
@@ -12,13 +12,13 @@
 // revision is known.
 func TestEvacuationsFollowTheRevision(t *testing.T) {
 	s := catalog.NewState()
-	require.NotEmpty(t, s.Reduce(at(0, catalog.EvacuationAsked{DataCentre: "a", Revision: 5})))
+	require.NotEmpty(t, s.Reduce(at(0, catalog.EvacuationStarted{DataCentre: "a", Revision: 5})))
 	require.True(t, s.Evacuated("a"))
 	s.Reduce(at(0, catalog.EvacuationsListed{Revision: 4}))
 	require.True(t, s.Evacuated("a"), "the list is older")
 	require.NotEmpty(t, s.Reduce(at(0, catalog.EvacuationEnded{DataCentre: "a", Revision: 7})))
 	require.False(t, s.Evacuated("a"))
-	s.Reduce(at(0, catalog.EvacuationAsked{DataCentre: "a", Revision: 5}))
+	s.Reduce(at(0, catalog.EvacuationStarted{DataCentre: "a", Revision: 5}))
 	require.False(t, s.Evacuated("a"), "the event is older than the end of the evacuation")
 	s.Reduce(at(0, catalog.EvacuationsListed{Revision: 6, DataCentres: []string{"a"}}))
 	require.False(t, s.Evacuated("a"), "the list is older than the end of the evacuation")
--- a/internal/core/catalog/instances_test.go
+++ b/internal/core/catalog/instances_test.go
@@ -14,7 +14,7 @@
 
 func instance(startedAt, revision int64) *catalog.Upstream {
 	u := upstream("a", revision)
-	u.Born, u.Versions = startedAt, map[string]int64{"m": 1}
+	u.StartedAt, u.Versions = startedAt, map[string]int64{"m": 1}
 	return u
 }
 
@@ -25,7 +25,7 @@
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(100, 4)}))
 	require.NotEmpty(t, s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(200, 5)})), "a new instance is a change")
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(100, 6)}))
-	require.Equal(t, int64(200), s.Upstreams["a"].Born)
+	require.Equal(t, int64(200), s.Upstreams["a"].StartedAt)
 }
 
 // TestAgentReportsANewInstanceBeforeTheStore covers a restart that the agent reports before the store does: the entry of the earlier
@@ -33,12 +33,12 @@
 func TestAgentReportsANewInstanceBeforeTheStore(t *testing.T) {
 	s := catalog.NewState()
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(100, 4)}))
-	s.Reborn(begin, "a", 200)
-	require.Equal(t, catalog.Life{ID: "a", Born: 200}, s.Upstreams["a"].Life())
+	s.RecordRestart(begin, "a", 200)
+	require.Equal(t, catalog.Instance{ID: "a", StartedAt: 200}, s.Upstreams["a"].Instance())
 	require.Empty(t, s.Upstreams["a"].Versions, "the new instance holds no weights")
-	s.Reborn(begin, "a", 100)
+	s.RecordRestart(begin, "a", 100)
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(100, 5)}))
-	require.Equal(t, int64(200), s.Upstreams["a"].Born)
+	require.Equal(t, int64(200), s.Upstreams["a"].StartedAt)
 }
 
 // TestEntryWithoutTheKnownStartTimeIsRejected covers an entry that lacks the start time which the upstream has already given, so that
@@ -57,10 +57,10 @@
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(100, 4)}))
 	other := upstream("b", 9)
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: other}))
-	require.Equal(t, "a", s.At("10.0.0.1:80", 100).ID)
-	require.Equal(t, "b", s.At("10.0.0.1:80", 0).ID)
+	require.Equal(t, "a", s.UpstreamAt("10.0.0.1:80", 100).ID)
+	require.Equal(t, "b", s.UpstreamAt("10.0.0.1:80", 0).ID)
 	s.Reduce(at(0, catalog.UpstreamRemoved{ID: "b", Revision: 10}))
-	require.Equal(t, "a", s.At("10.0.0.1:80", 0).ID)
+	require.Equal(t, "a", s.UpstreamAt("10.0.0.1:80", 0).ID)
 }
 
 // TestCurrentInstanceAtAnAddressSurvivesClockJumps restarts an engine repeatedly at one address, each time under another ID, while its
@@ -76,18 +76,18 @@
 			clock += rapid.Int64Range(-2_400_000, 2_400_000).Draw(t, "jump")
 			revision++
 			previous, current = current, &catalog.Upstream{
-				ID: fmt.Sprint("life-", i), Born: clock + now.Sub(begin).Milliseconds(), Service: "model", Address: "10.0.0.9:8080", Revision: revision,
+				ID: fmt.Sprint("life-", i), StartedAt: clock + now.Sub(begin).Milliseconds(), Service: "model", Address: "10.0.0.9:8080", Revision: revision,
 			}
 			s.Reduce(step.Input{Now: now, Event: catalog.UpstreamChanged{Upstream: current}})
 			for range 12 {
 				now = now.Add(300 * time.Millisecond)
-				s.Confirm(now, current.Address, current.Born)
+				s.RecordStart(now, current.Address, current.StartedAt)
 			}
-			if previous != nil && previous.Born < current.Born && rapid.Bool().Draw(t, "late report") {
-				s.Confirm(now, previous.Address, previous.Born)
+			if previous != nil && previous.StartedAt < current.StartedAt && rapid.Bool().Draw(t, "late report") {
+				s.RecordStart(now, previous.Address, previous.StartedAt)
 			}
 			require.False(t, s.Superseded(s.Upstreams[current.ID]))
-			if previous != nil && previous.Born < current.Born {
+			if previous != nil && previous.StartedAt < current.StartedAt {
 				require.True(t, s.Superseded(s.Upstreams[previous.ID]))
 			}
 		}
--- a/internal/core/catalog/manifest.go
+++ b/internal/core/catalog/manifest.go
@@ -46,9 +46,9 @@
 	Objective time.Duration
 	// GapObjective is the maximum gap between two events of a stream that meets its objective; 0 when it is unknown.
 	GapObjective time.Duration
-	// CallerPatience is how long callers of a stream wait for the first event, and for each following one, before they disconnect;
+	// CallerTimeout is how long callers of a stream wait for the first event, and for each following one, before they disconnect;
 	// 0 when it is unknown.
-	CallerPatience time.Duration
+	CallerTimeout time.Duration
 	// MaxUpstreams is the maximum number of upstreams that one request is sent to.
 	MaxUpstreams int
 	// Priority is the priority of the route's requests; 0 is the highest.
@@ -57,8 +57,8 @@
 	Anonymous bool
 	// Resumable is set when a stream may continue at another upstream.
 	Resumable bool
-	// Homes are the home regions of the route, to which its requests are confined; see package residency.
-	Homes residency.Regions
+	// HomeRegions are the home regions of the route, to which its requests are confined; see package residency.
+	HomeRegions residency.Regions
 }
 
 // Repeatable reports whether a request of the route may run more than once.
@@ -75,12 +75,12 @@
 type Engine struct {
 	// Slots is the number of requests that an engine processes concurrently.
 	Slots int
-	// Tokens is the number of prompt and answer tokens that fit into an engine's memory; 0 when it is unknown.
-	Tokens int
-	// ReadRate is the number of prompt tokens that an engine reads per second; 0 when it is unknown.
-	ReadRate float64
-	// UsualPrompt is the mean prompt length in tokens; 0 when it is unknown.
-	UsualPrompt float64
+	// MemoryTokens is the number of prompt and answer tokens that fit into an engine's memory; 0 when it is unknown.
+	MemoryTokens int
+	// PromptTokensPerSecond is the number of prompt tokens that an engine reads per second; 0 when it is unknown.
+	PromptTokensPerSecond float64
+	// MeanPromptTokens is the mean prompt length in tokens; 0 when it is unknown.
+	MeanPromptTokens float64
 	// ChunkBytes and Chunks are the size in bytes and the number of the chunks that make up a model's weights.
 	ChunkBytes int64
 	Chunks     int
@@ -97,19 +97,19 @@
 	// Origin is the address of the weights origin when this service is the origin, else empty.
 	Origin     string
 	DataCentre string
-	// ColdFor is how long an upstream is cold after a start. ColdRate is the total rate that a cold upstream accepts from all entries,
+	// ColdDuration is how long an upstream is cold after a start. ColdRate is the total rate that a cold upstream accepts from all entries,
 	// in requests per second. Both are 0 where upstreams accept the full load from their start.
-	ColdFor  time.Duration
-	ColdRate float64
+	ColdDuration time.Duration
+	ColdRate     float64
 }
 
-// Account is a client account.
-type Account struct {
+// ClientAccount is a client account.
+type ClientAccount struct {
 	Name string
 	// Priority overrides the route's priority unless it is nil.
 	Priority *int
-	// Homes are the home regions of the account, to which its requests are confined; see package residency.
-	Homes residency.Regions
+	// HomeRegions are the home regions of the account, to which its requests are confined; see package residency.
+	HomeRegions residency.Regions
 }
 
 // Manifest is one version of the operator's configuration.
@@ -122,13 +122,13 @@
 	// HasAccounts is set when callers must present an API key.
 	HasAccounts bool
 	// accounts maps API keys to client accounts.
-	accounts map[string]*Account
+	accounts map[string]*ClientAccount
 	// routes maps each host to its routes, sorted by descending length of the prefix.
 	routes map[string][]*Route
 }
 
 // NewManifest returns a manifest with the given routes, and client accounts by API key.
-func NewManifest(version int64, routes []*Route, accounts map[string]*Account) *Manifest {
+func NewManifest(version int64, routes []*Route, accounts map[string]*ClientAccount) *Manifest {
 	m := &Manifest{Version: version, accounts: accounts, routes: map[string][]*Route{}, Services: map[string]*Service{}}
 	for _, r := range routes {
 		m.routes[r.Host] = append(m.routes[r.Host], r)
@@ -150,15 +150,15 @@
 }
 
 // Account returns the client account with the API key; nil for none.
-func (m *Manifest) Account(key string) *Account {
+func (m *Manifest) Account(key string) *ClientAccount {
 	if key == "" {
 		return nil
 	}
 	return m.accounts[key]
 }
 
-// Pick returns the service for a request to the route, chosen by weight. draw is a random number.
-func (r *Route) Pick(draw uint64) string {
+// PickService returns the service for a request to the route, chosen by weight. draw is a random number.
+func (r *Route) PickService(draw uint64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
--- a/internal/core/catalog/notice.go
+++ b/internal/core/catalog/notice.go
@@ -8,12 +8,12 @@
 	// together, and may be 0.
 	Limited   bool
 	RateLimit float64
-	// Garbled is set when the reported limit is malformed. The limit that was reported before stays in effect.
-	Garbled bool
+	// Malformed is set when the reported limit is malformed. The limit that was reported before stays in effect.
+	Malformed bool
 	// Leaving is set when the upstream is shutting down.
 	Leaving bool
 	// RetryAfter is the backoff that the upstream requested from this entry when it rejected a request; 0 when there is none.
 	RetryAfter time.Duration
-	// ColdLeft is the remaining time for which the upstream is cold; 0 when it isn't cold or doesn't report it.
-	ColdLeft time.Duration
+	// ColdRemaining is the remaining time for which the upstream is cold; 0 when it isn't cold or doesn't report it.
+	ColdRemaining time.Duration
 }
--- a/internal/core/catalog/version.go
+++ b/internal/core/catalog/version.go
@@ -9,25 +9,25 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// VersionMargin is how long before the deadline for a new version entries start to require that version. An engine starts a
+// RequireVersionMargin is how long before the deadline for a new version entries start to require that version. An engine starts a
 // request with its first token, which follows the attempt within 1 s at the usual load. At a full or slow engine it takes longer;
 // a request that hasn't started shortly before the end is withdrawn (package forward).
-const VersionMargin = 1300 * time.Millisecond
+const RequireVersionMargin = 1300 * time.Millisecond
 
-// Naming is the activation of a version of weights: the operator put the version in force.
-type Naming struct {
+// Activation is the activation of a version of weights: the operator put the version in force.
+type Activation struct {
 	Model    string
 	Version  int64
 	Revision int64
-	// Since is the earliest time at which any process is known to have received the activation.
-	Since time.Time
+	// ActivatedAt is the earliest time at which any process is known to have received the activation.
+	ActivatedAt time.Time
 	// Assumed is set while Since is an assumption: the version was found in a list, and no process that received the
 	// activation has reported its age.
 	Assumed bool
 }
 
-// VersionNamed reports that a version of weights is in force according to the store.
-type VersionNamed struct {
+// VersionActivated reports that a version of weights is in force according to the store.
+type VersionActivated struct {
 	Model    string
 	Version  int64
 	Revision int64
@@ -41,13 +41,13 @@
 }
 
 // Event marks the type as an event.
-func (VersionNamed) Event() {}
+func (VersionActivated) Event() {}
 
-// NamingChanged tells the shell that an activation was received for the first time, or that its known age was corrected.
-type NamingChanged struct{ Naming Naming }
+// ActivationChanged tells the shell that an activation was received for the first time, or that its known age was corrected.
+type ActivationChanged struct{ Activation Activation }
 
 // Effect marks the type as an effect.
-func (NamingChanged) Effect() {}
+func (ActivationChanged) Effect() {}
 
 const (
 	// maxActivations bounds the activations kept per model. Only those of the last seconds are needed.
@@ -57,13 +57,13 @@
 	ageJitter = 100 * time.Millisecond
 )
 
-func (s *State) versionActivated(now time.Time, ev VersionNamed) []step.Effect {
-	activation := Naming{Model: ev.Model, Version: ev.Version, Revision: ev.Revision, Since: now.Add(-ev.Age), Assumed: ev.Assumed}
+func (s *State) versionActivated(now time.Time, ev VersionActivated) []step.Effect {
+	activation := Activation{Model: ev.Model, Version: ev.Version, Revision: ev.Revision, ActivatedAt: now.Add(-ev.Age), Assumed: ev.Assumed}
 	if ev.Listed {
 		activation.Assumed = true
 	}
-	if ev.Listed && !s.listed[VersionTopic] && s.ListedSince.Before(now) && !s.ListedSince.IsZero() {
-		activation.Since = s.ListedSince
+	if ev.Listed && !s.listed[VersionTopic] && s.ListedActivatedAt.Before(now) && !s.ListedActivatedAt.IsZero() {
+		activation.ActivatedAt = s.ListedActivatedAt
 	}
 	effects := s.record(&activation)
 	known, ok := s.Versions[ev.Model]
@@ -74,18 +74,18 @@
 	if ok && ev.Version == known.Version {
 		return effects
 	}
-	change := Change{Topic: VersionTopic, Name: ev.Model, Value: strconv.FormatInt(ev.Version, 10), Revision: ev.Revision}
+	change := StateChanged{Topic: VersionTopic, Name: ev.Model, Value: strconv.FormatInt(ev.Version, 10), Revision: ev.Revision}
 	return append([]step.Effect{change}, effects...)
 }
 
 // record stores an activation, or merges it with the known activation of the same version: n becomes the better of the two.
-func (s *State) record(n *Naming) []step.Effect {
+func (s *State) record(n *Activation) []step.Effect {
 	list := s.history[n.Model]
-	i := slices.IndexFunc(list, func(known Naming) bool { return known.Version == n.Version })
+	i := slices.IndexFunc(list, func(known Activation) bool { return known.Version == n.Version })
 	if i < 0 {
 		list = append(list, *n)
 		s.history[n.Model] = list[max(0, len(list)-maxActivations):]
-		return []step.Effect{NamingChanged{Naming: *n}}
+		return []step.Effect{ActivationChanged{Activation: *n}}
 	}
 	known := list[i]
 	if !n.betterThan(known) {
@@ -93,27 +93,27 @@
 		return nil
 	}
 	list[i] = *n
-	if correction := known.Since.Sub(n.Since).Abs(); correction < ageJitter {
+	if correction := known.ActivatedAt.Sub(n.ActivatedAt).Abs(); correction < ageJitter {
 		return nil
 	}
-	return []step.Effect{NamingChanged{Naming: *n}}
+	return []step.Effect{ActivationChanged{Activation: *n}}
 }
 
 // betterThan reports whether n is better information than what is known about the same activation. A known age replaces an assumed
 // one, even if it makes the version younger; otherwise the earlier time wins.
-func (n Naming) betterThan(known Naming) bool {
+func (n Activation) betterThan(known Activation) bool {
 	if n.Assumed != known.Assumed {
 		return known.Assumed
 	}
-	return n.Since.Before(known.Since)
+	return n.ActivatedAt.Before(known.ActivatedAt)
 }
 
-// Told returns the activations to report to other processes: those of versions that may still be required, when each version must be
+// ReportedActivations returns the activations to report to other processes: those of versions that may still be required, when each version must be
 // in use within the given time after its activation. The store has only the newest one, and a process that starts needs the earlier
 // ones until the newest is required. Per model, the newest version comes first, so that a host that receives all of them doesn't
 // start to fetch a superseded version.
-func (s *State) Told(now time.Time, within time.Duration) []Naming {
-	var list []Naming
+func (s *State) ReportedActivations(now time.Time, within time.Duration) []Activation {
+	var list []Activation
 	for model, history := range s.history {
 		required := s.RequiredVersion(model, now, within)
 		for _, n := range history {
@@ -122,7 +122,9 @@
 			}
 		}
 	}
-	slices.SortFunc(list, func(a, b Naming) int { return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(b.Version, a.Version)) })
+	slices.SortFunc(list, func(a, b Activation) int {
+		return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(b.Version, a.Version))
+	})
 	return list
 }
 
@@ -131,7 +133,7 @@
 func (s *State) RequiredVersion(model string, now time.Time, within time.Duration) int64 {
 	required := int64(0)
 	for _, n := range s.history[model] {
-		if now.Sub(n.Since) >= within {
+		if now.Sub(n.ActivatedAt) >= within {
 			required = max(required, n.Version)
 		}
 	}
@@ -140,9 +142,9 @@
 
 // Successor returns the activation from which a version's expiry is counted: the earliest activation of a newer version. ok is false when
 // there is none.
-func (s *State) Successor(model string, version int64) (first Naming, ok bool) {
+func (s *State) Successor(model string, version int64) (first Activation, ok bool) {
 	for _, n := range s.history[model] {
-		if n.Version > version && (!ok || n.Since.Before(first.Since)) {
+		if n.Version > version && (!ok || n.ActivatedAt.Before(first.ActivatedAt)) {
 			first, ok = n, true
 		}
 	}
--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -48,13 +48,13 @@
 	// Deadline is the deadline of the call, in Unix milliseconds.
 	Deadline int64 `json:"u,omitempty"`
 	// Answer is the stored response while the record is in the head.
-	Answer *Answer `json:"a,omitempty"`
+	Answer *StoredResponse `json:"a,omitempty"`
 	// AnswersName names the AnswerSegment object that holds the stored response of a sealed record.
 	AnswersName string `json:"i,omitempty"`
 }
 
-// Answer is an upstream's response, stored to be replayed when the caller repeats its request.
-type Answer struct {
+// StoredResponse is an upstream's response, stored to be replayed when the caller repeats its request.
+type StoredResponse struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
@@ -63,21 +63,21 @@
 // Claim is a request for permission to send the call of a key.
 type Claim struct {
 	Key         Key    `json:"key"`
-	Request     string `json:"request"`
+	RequestID   string `json:"request"`
 	Fingerprint uint64 `json:"fingerprint"`
 	KeyTime     int64  `json:"key_time,omitempty"`
-	// RunFor is the longest time that the call may take, in milliseconds.
-	RunFor int64 `json:"run_for_ms"`
+	// RunTimeoutMS is the longest time that the call may take, in milliseconds.
+	RunTimeoutMS int64 `json:"run_for_ms"`
 }
 
 // Settlement reports how the call of a claimed key ended.
 type Settlement struct {
-	Key     Key    `json:"key"`
-	Request string `json:"request"`
-	KeyTime int64  `json:"key_time,omitempty"`
+	Key       Key    `json:"key"`
+	RequestID string `json:"request"`
+	KeyTime   int64  `json:"key_time,omitempty"`
 	// Status is Unknown, Ran or Released.
-	Status Status  `json:"status"`
-	Answer *Answer `json:"answer,omitempty"`
+	Status Status          `json:"status"`
+	Answer *StoredResponse `json:"answer,omitempty"`
 }
 
 // Verdict is the result of a Claim or a Settlement.
@@ -106,7 +106,7 @@
 	// NotRecorded: the claim or settlement is certainly not recorded.
 	NotRecorded
 	// Unsure: the claim is not granted but may have been recorded; the asking process must release it.
-	Unsure
+	MaybeRecorded
 )
 
 // Config sets the limits of a partition. Zero fields take the defaults.
@@ -140,11 +140,11 @@
 	// MinRetention is the min retention. It is longer than the time in which callers resend plus the clock skew
 	// between processes.
 	MinRetention = time.Minute
-	// MaxAhead is how far in the future a key's time may be. It is more than the clock skew.
-	MaxAhead = 10 * time.Minute
-	// MaxAnswer is the max body size of a stored response, in bytes. With headers and encoding, a stored response
+	// MaxKeyAhead is how far in the future a key's time may be. It is more than the clock skew.
+	MaxKeyAhead = 10 * time.Minute
+	// MaxResponseBodyBytes is the max body size of a stored response, in bytes. With headers and encoding, a stored response
 	// takes at most twice that.
-	MaxAnswer = 16 << 10
+	MaxResponseBodyBytes = 16 << 10
 	// MinRetryAfter is the min Retry-After delay of a claim that is not recorded and of a call that is still running.
 	// It is also the min backoff after the platform refused a write or could not be read.
 	MinRetryAfter = time.Second
@@ -189,7 +189,7 @@
 }
 
 // size estimates the encoded size of a, in bytes. The body is encoded as base64, which takes 4 bytes for 3.
-func (a *Answer) size() int {
+func (a *StoredResponse) size() int {
 	n := len(a.Body)*4/3 + estimatedRecordBytes
 	for name, values := range a.Header {
 		n += len(name) + 8
@@ -200,5 +200,5 @@
 	return n
 }
 
-// Keepable reports whether a is small enough to be stored.
-func (a *Answer) Keepable() bool { return a.size() <= 2*MaxAnswer }
+// FitsLimit reports whether a is small enough to be stored.
+func (a *StoredResponse) FitsLimit() bool { return a.size() <= 2*MaxResponseBodyBytes }
--- a/internal/core/claim/commit.go
+++ b/internal/core/claim/commit.go
@@ -65,7 +65,7 @@
 		if o.stage != batched || o.claim == nil || r.now.Before(o.deadline) {
 			return 0, false
 		}
-		if c, ok := s.nextChanges[o.claim.Key]; ok && c.RequestID == o.claim.Request && c.Status == Claimed {
+		if c, ok := s.nextChanges[o.claim.Key]; ok && c.RequestID == o.claim.RequestID && c.Status == Claimed {
 			c.Status = Released
 			s.nextChanges[o.claim.Key] = c
 		}
@@ -114,7 +114,7 @@
 			return NotRecorded, true
 		case !r.now.Before(o.deadline):
 			// The claim is recorded, but the asking process no longer waits for it: the grant must not be used.
-			return Unsure, true
+			return MaybeRecorded, true
 		}
 		return Granted, true
 	})
@@ -123,7 +123,7 @@
 // claimRecorded reports whether the claim is durably recorded.
 func (s *State) claimRecorded(c *Claim) bool {
 	record, ok := s.durable[c.Key]
-	return ok && record.RequestID == c.Request && record.Status == Claimed
+	return ok && record.RequestID == c.RequestID && record.Status == Claimed
 }
 
 // putRecord adds a record to the durable records in memory. It drops the request id of a call that ran, to save
--- a/internal/core/claim/decide.go
+++ b/internal/core/claim/decide.go
@@ -32,14 +32,14 @@
 	if c.KeyTime != 0 && c.KeyTime < f.horizon {
 		return decision{verdict: KeyTooOld, final: true}
 	}
-	if c.KeyTime > f.now+MaxAhead.Milliseconds() {
+	if c.KeyTime > f.now+MaxKeyAhead.Milliseconds() {
 		return decision{verdict: KeyAhead, final: true}
 	}
 	r := f.current
 	switch {
 	case r == nil:
 		return grant(c, f)
-	case r.RequestID == c.Request:
+	case r.RequestID == c.RequestID:
 		return decideOwnClaim(r)
 	case r.Status == Released:
 		return grant(c, f)
@@ -55,8 +55,8 @@
 		return decision{verdict: NotRecorded}
 	}
 	return decision{verdict: Granted, record: &Record{
-		Key: c.Key, RequestID: c.Request, Status: Claimed, Fingerprint: c.Fingerprint,
-		KeyTime: c.KeyTime, ClaimedAt: f.now, Deadline: f.now + c.RunFor,
+		Key: c.Key, RequestID: c.RequestID, Status: Claimed, Fingerprint: c.Fingerprint,
+		KeyTime: c.KeyTime, ClaimedAt: f.now, Deadline: f.now + c.RunTimeoutMS,
 	}}
 }
 
@@ -92,9 +92,9 @@
 	r := f.current
 	if r == nil {
 		// The claim may still be on its way. The record prevents a grant when it arrives.
-		return decision{verdict: Settled, record: applySettlement(Record{Key: t.Key, RequestID: t.Request, KeyTime: t.KeyTime, ClaimedAt: f.now}, t)}
+		return decision{verdict: Settled, record: applySettlement(Record{Key: t.Key, RequestID: t.RequestID, KeyTime: t.KeyTime, ClaimedAt: f.now}, t)}
 	}
-	if r.RequestID != t.Request {
+	if r.RequestID != t.RequestID {
 		return done
 	}
 	if r.Status == Claimed || (r.Status == Unknown && t.Status == Ran) {
--- a/internal/core/claim/decide_test.go
+++ b/internal/core/claim/decide_test.go
@@ -14,7 +14,7 @@
 
 // TestDecideClaim covers each decision on a claim. A wrong one lets a call run twice or refuses a call for no reason.
 func TestDecideClaim(t *testing.T) {
-	asked := Claim{Request: "mine", Fingerprint: 1, KeyTime: decideNow, RunFor: 1000}
+	asked := Claim{RequestID: "mine", Fingerprint: 1, KeyTime: decideNow, RunTimeoutMS: 1000}
 	held := func(status Status, change func(*Record)) *Record {
 		r := &Record{RequestID: "other", Status: status, Fingerprint: 1, Deadline: decideNow + 1}
 		if change != nil {
@@ -33,15 +33,15 @@
 		{name: "below the horizon", facts: decisionInput{horizon: decideNow + 1}, want: KeyTooOld},
 		{name: "at the horizon", facts: decisionInput{horizon: decideNow}, want: Granted, written: true},
 		{name: "no time, any horizon", claim: func(c *Claim) { c.KeyTime = 0 }, facts: decisionInput{horizon: decideNow}, want: Granted, written: true},
-		{name: "too far ahead", claim: func(c *Claim) { c.KeyTime += MaxAhead.Milliseconds() + 1 }, want: KeyAhead},
-		{name: "ahead as clocks differ", claim: func(c *Claim) { c.KeyTime += MaxAhead.Milliseconds() }, want: Granted, written: true},
+		{name: "too far ahead", claim: func(c *Claim) { c.KeyTime += MaxKeyAhead.Milliseconds() + 1 }, want: KeyAhead},
+		{name: "ahead as clocks differ", claim: func(c *Claim) { c.KeyTime += MaxKeyAhead.Milliseconds() }, want: Granted, written: true},
 		{name: "no time and full", claim: func(c *Claim) { c.KeyTime = 0 }, facts: decisionInput{untimedFull: true}, want: NotRecorded},
 		{name: "timed and full", facts: decisionInput{untimedFull: true}, want: Granted, written: true},
 		{name: "running", facts: decisionInput{current: held(Claimed, nil)}, want: StillRunning},
 		{name: "past its deadline", facts: decisionInput{current: held(Claimed, func(r *Record) { r.Deadline = decideNow })}, want: OutcomeUnknown},
 		{name: "unknown", facts: decisionInput{current: held(Unknown, nil)}, want: OutcomeUnknown},
 		{name: "ran", facts: decisionInput{current: held(Ran, nil)}, want: AlreadyRan},
-		{name: "ran and kept in the head", facts: decisionInput{current: held(Ran, func(r *Record) { r.Answer = &Answer{} })}, want: Replayed},
+		{name: "ran and kept in the head", facts: decisionInput{current: held(Ran, func(r *Record) { r.Answer = &StoredResponse{} })}, want: Replayed},
 		{name: "ran and kept in a segment", facts: decisionInput{current: held(Ran, func(r *Record) { r.AnswersName = "x" })}, want: Replayed},
 		{name: "released", facts: decisionInput{current: held(Released, nil)}, want: Granted, written: true},
 		{name: "released, another request", facts: decisionInput{current: held(Released, func(r *Record) { r.Fingerprint = 2 })}, want: Granted, written: true},
@@ -92,7 +92,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			d := decideSettlement(Settlement{Request: "mine", Status: c.status}, decisionInput{now: decideNow, current: c.present})
+			d := decideSettlement(Settlement{RequestID: "mine", Status: c.status}, decisionInput{now: decideNow, current: c.present})
 			require.Equal(t, Settled, d.verdict)
 			if c.want == 0 {
 				require.Nil(t, d.record)
@@ -106,18 +106,18 @@
 // TestEndingMatchesWhatIsKnownOfTheCall guards against settling a claim with an outcome that is not known: released
 // though the call was sent and may have run, or unknown though the agent refused it before it ran.
 func TestEndingMatchesWhatIsKnownOfTheCall(t *testing.T) {
-	require.Equal(t, Released, Ending(false, false, ""), "never sent")
-	require.Equal(t, Released, Ending(true, false, code.NotRun), "fenced by the agent")
-	require.Equal(t, Unknown, Ending(true, false, ""), "caller gone, or the answer aborted")
-	require.Equal(t, Unknown, Ending(true, false, code.Unknown))
-	require.Equal(t, Ran, Ending(true, false, code.DidRun), "its answer was withheld")
-	require.Equal(t, Ran, Ending(true, true, ""))
+	require.Equal(t, Released, SettlementStatus(false, false, ""), "never sent")
+	require.Equal(t, Released, SettlementStatus(true, false, code.NotRun), "fenced by the agent")
+	require.Equal(t, Unknown, SettlementStatus(true, false, ""), "caller gone, or the answer aborted")
+	require.Equal(t, Unknown, SettlementStatus(true, false, code.Unknown))
+	require.Equal(t, Ran, SettlementStatus(true, false, code.DidRun), "its answer was withheld")
+	require.Equal(t, Ran, SettlementStatus(true, true, ""))
 }
 
 // TestOnlyGrantedAndSettledAreNotRefusals guards against a verdict that lets a call run without a grant. Each refusal
 // needs a code of the 3000 range, which belongs to claims, and an HTTP status.
 func TestOnlyGrantedAndSettledAreNotRefusals(t *testing.T) {
-	for v := Granted; v <= Unsure; v++ {
+	for v := Granted; v <= MaybeRecorded; v++ {
 		r, refuses := v.Refusal()
 		require.Equal(t, v != Granted && v != Settled, refuses)
 		if refuses {
@@ -131,11 +131,11 @@
 // be swept too early, and a repeat would run again.
 func TestTimeIsReadFromUUIDv7KeysOnly(t *testing.T) {
 	before := time.Now().UnixMilli()
-	got := Time(uuid.Must(uuid.NewV7()).String())
+	got := KeyTimestamp(uuid.Must(uuid.NewV7()).String())
 	require.GreaterOrEqual(t, got, before)
 	require.LessOrEqual(t, got, time.Now().UnixMilli()+1)
 	for _, key := range []string{uuid.NewString(), "", "order-17", "urn:uuid:" + uuid.Must(uuid.NewV7()).String()} {
-		require.Zero(t, Time(key), key)
+		require.Zero(t, KeyTimestamp(key), key)
 	}
 }
 
--- a/internal/core/claim/event.go
+++ b/internal/core/claim/event.go
@@ -93,7 +93,7 @@
 	Verdict    Verdict
 	RetryAfter time.Duration
 	// Answer is the stored response of a replay, unless AnswersName names the AnswerSegment to read it from.
-	Answer      *Answer
+	Answer      *StoredResponse
 	AnswersName string
 }
 
--- a/internal/core/claim/head.go
+++ b/internal/core/claim/head.go
@@ -32,7 +32,7 @@
 
 // AnswerSegment is the value of an object named by Segment.AnswersName.
 type AnswerSegment struct {
-	Answers map[Key]*Answer `json:"answers"`
+	Answers map[Key]*StoredResponse `json:"answers"`
 }
 
 // NewSegment is a segment that must be written before the head that names it.
--- a/internal/core/claim/key.go
+++ b/internal/core/claim/key.go
@@ -12,8 +12,8 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// Partitions is the number of partitions. It is part of the stored format: all processes must use the same value.
-const Partitions = 8
+// PartitionCount is the number of partitions. It is part of the stored format: all processes must use the same value.
+const PartitionCount = 8
 
 // objectPrefix is the prefix of the claims' objects in the object API.
 const objectPrefix = "claims/"
@@ -33,7 +33,7 @@
 
 // Partition returns the number of the key's partition.
 func (k Key) Partition() int {
-	return int(binary.BigEndian.Uint64(k[:8]) % Partitions)
+	return int(binary.BigEndian.Uint64(k[:8]) % PartitionCount)
 }
 
 // MarshalText encodes the key for JSON.
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// Time returns the timestamp in an idempotency key, in Unix milliseconds, or 0 if the key contains none. Only a UUID
+// KeyTimestamp returns the timestamp in an idempotency key, in Unix milliseconds, or 0 if the key contains none. Only a UUID
 // of version 7 in its canonical form of 36 characters contains one.
-func Time(key string) int64 {
+func KeyTimestamp(key string) int64 {
 	const customaryLength = 36
 	if len(key) != customaryLength {
 		return 0
--- a/internal/core/claim/partition.go
+++ b/internal/core/claim/partition.go
@@ -178,7 +178,7 @@
 // failureVerdict returns the verdict on an operation that is given up and, as far as this process knows, not recorded.
 func (o *op) failureVerdict() Verdict {
 	if o.maybeRecorded {
-		return Unsure
+		return MaybeRecorded
 	}
 	return NotRecorded
 }
@@ -201,7 +201,7 @@
 func (r *reduction) newReply(o *op, d decision) Reply {
 	a := Reply{Op: o.id, Verdict: d.verdict}
 	switch d.verdict {
-	case NotRecorded, Unsure, StillRunning:
+	case NotRecorded, MaybeRecorded, StillRunning:
 		a.RetryAfter = r.retryAfter()
 	case Replayed:
 		a.Answer, a.AnswersName = d.current.Answer, d.current.AnswersName
--- a/internal/core/claim/partition_test.go
+++ b/internal/core/claim/partition_test.go
@@ -55,14 +55,14 @@
 
 func (d *partitionDriver) claim(key, request string) uint64 {
 	d.opCount++
-	c := claim.Claim{Key: claim.HashKey("t", "s", key), Request: request, Fingerprint: 1, KeyTime: d.now.UnixMilli(), RunFor: 1000}
+	c := claim.Claim{Key: claim.HashKey("t", "s", key), RequestID: request, Fingerprint: 1, KeyTime: d.now.UnixMilli(), RunTimeoutMS: 1000}
 	d.step(claim.ClaimRequested{Op: d.opCount, Claim: c, Deadline: d.now.Add(time.Second)})
 	return d.opCount
 }
 
-func (d *partitionDriver) settle(key, request string, status claim.Status, answer *claim.Answer) uint64 {
+func (d *partitionDriver) settle(key, request string, status claim.Status, answer *claim.StoredResponse) uint64 {
 	d.opCount++
-	s := claim.Settlement{Key: claim.HashKey("t", "s", key), Request: request, Status: status, Answer: answer}
+	s := claim.Settlement{Key: claim.HashKey("t", "s", key), RequestID: request, Status: status, Answer: answer}
 	d.step(claim.SettlementRequested{Op: d.opCount, Settlement: s, Deadline: d.now.Add(time.Minute)})
 	return d.opCount
 }
@@ -149,7 +149,7 @@
 	op := d.claim("a", "r")
 	d.step(claim.Uncertain{})
 	d.step(claim.LoadFailed{})
-	require.Equal(t, claim.Unsure, d.verdicts[op])
+	require.Equal(t, claim.MaybeRecorded, d.verdicts[op])
 }
 
 // TestPausedOwnerLosesTheConditionalWrite guards against two owners that both grant a key. While one owner is paused,
@@ -176,7 +176,7 @@
 	op := d.claim("a", "r")
 	d.now = d.now.Add(2 * time.Second)
 	d.completeCall()
-	require.Equal(t, claim.Unsure, d.verdicts[op])
+	require.Equal(t, claim.MaybeRecorded, d.verdicts[op])
 }
 
 // TestReleaseBlocksItsLateClaim guards against a claim that arrives after its own release and is granted though nobody
@@ -238,7 +238,7 @@
 	d.completeCall()
 	d.completeCall()
 	d.opCount++
-	d.step(claim.ClaimRequested{Op: d.opCount, Claim: claim.Claim{Key: claim.HashKey("t", "s", "x"), Request: "r"}, Deadline: d.now.Add(time.Second)})
+	d.step(claim.ClaimRequested{Op: d.opCount, Claim: claim.Claim{Key: claim.HashKey("t", "s", "x"), RequestID: "r"}, Deadline: d.now.Add(time.Second)})
 	require.Equal(t, claim.NotRecorded, d.verdicts[d.opCount])
 }
 
@@ -247,7 +247,7 @@
 // read the older head could then grant such a key again.
 func TestRecordsAreSealedAndSweptAfterRetention(t *testing.T) {
 	d := newPartitionDriver(t, claim.Config{SealBytes: 500, Retention: time.Minute}).load()
-	answer := &claim.Answer{Status: 200, Body: []byte("kept")}
+	answer := &claim.StoredResponse{Status: 200, Body: []byte("kept")}
 	begin := d.now.UnixMilli()
 	for i := range 8 {
 		key := fmt.Sprint("k", i)
@@ -277,7 +277,7 @@
 	d.completeCall()
 	require.NotEmpty(t, d.sweptObjects)
 	d.opCount++
-	old := claim.Claim{Key: claim.HashKey("t", "s", "k0"), Request: "r9", Fingerprint: 1, KeyTime: begin}
+	old := claim.Claim{Key: claim.HashKey("t", "s", "k0"), RequestID: "r9", Fingerprint: 1, KeyTime: begin}
 	d.step(claim.ClaimRequested{Op: d.opCount, Claim: old, Deadline: d.now.Add(time.Second)})
 	require.Equal(t, claim.KeyTooOld, d.verdicts[d.opCount])
 }
--- a/internal/core/claim/seal.go
+++ b/internal/core/claim/seal.go
@@ -70,7 +70,7 @@
 func (s *State) sealSegment(records []Record, timed bool) []NewSegment {
 	s.segmentCount++
 	g := Segment{Name: segmentKey(s.partition, s.writer, s.segmentCount, "records"), Timed: timed}
-	answers := map[Key]*Answer{}
+	answers := map[Key]*StoredResponse{}
 	answersName := segmentKey(s.partition, s.writer, s.segmentCount, "answers")
 	for i, record := range records {
 		g.Newest = max(g.Newest, record.retentionStart())
--- a/internal/core/claim/simulation_test.go
+++ b/internal/core/claim/simulation_test.go
@@ -104,7 +104,7 @@
 		id[6], id[8], id[15] = 0x70, 0x80, byte(len(sim.keys))
 		text = id.String()
 	}
-	sim.keys = append(sim.keys, &keyModel{key: claim.HashKey("t", "s", text), time: claim.Time(text)})
+	sim.keys = append(sim.keys, &keyModel{key: claim.HashKey("t", "s", text), time: claim.KeyTimestamp(text)})
 }
 
 func (sim *simulation) restart(i int) {
@@ -174,16 +174,16 @@
 	req.attempts++
 	o.ops[sim.opCount] = req
 	k := sim.keys[req.key]
-	c := claim.Claim{Key: k.key, Request: req.id, Fingerprint: req.fingerprint, KeyTime: k.time, RunFor: 2000}
+	c := claim.Claim{Key: k.key, RequestID: req.id, Fingerprint: req.fingerprint, KeyTime: k.time, RunTimeoutMS: 2000}
 	sim.step(t, o, claim.ClaimRequested{Op: sim.opCount, Claim: c, Deadline: sim.now.Add(o.skew + within)})
 }
 
 func (sim *simulation) sendSettlement(t require.TestingT, o *process, req *callerRequest) {
 	sim.opCount++
 	k := sim.keys[req.key]
-	s := claim.Settlement{Key: k.key, Request: req.id, KeyTime: k.time, Status: req.outcome}
+	s := claim.Settlement{Key: k.key, RequestID: req.id, KeyTime: k.time, Status: req.outcome}
 	if req.outcome == claim.Ran && req.key%3 != 0 {
-		s.Answer = &claim.Answer{Status: 200, Body: []byte(req.id)}
+		s.Answer = &claim.StoredResponse{Status: 200, Body: []byte(req.id)}
 	}
 	sim.step(t, o, claim.SettlementRequested{Op: sim.opCount, Settlement: s, Deadline: sim.now.Add(time.Hour)})
 }
@@ -278,7 +278,7 @@
 			total[v] += n
 		}
 	})
-	for v := claim.Granted; v <= claim.Unsure; v++ {
+	for v := claim.Granted; v <= claim.MaybeRecorded; v++ {
 		if v == claim.KeyAhead {
 			continue // No key of the simulation is ahead of time.
 		}
--- a/internal/core/claim/verdict.go
+++ b/internal/core/claim/verdict.go
@@ -17,10 +17,10 @@
 	OutcomeUnknown: {code.OutcomeUnknown, code.Unknown},
 	StillRunning:   {code.StillRunning, code.Unknown},
 	KeyTooOld:      {code.KeyTooOld, code.Unknown},
-	KeyAhead:       {code.KeyAhead, code.NotRun},
+	KeyAhead:       {code.KeyInFuture, code.NotRun},
 	KeyReused:      {code.KeyReused, code.NotRun},
 	NotRecorded:    {code.ClaimUnavailable, code.NotRun},
-	Unsure:         {code.ClaimUnavailable, code.NotRun},
+	MaybeRecorded:  {code.ClaimUnavailable, code.NotRun},
 }
 
 // Refusal returns the response to the caller; ok is false for a verdict that is not a refusal.
@@ -29,9 +29,9 @@
 	return r, ok
 }
 
-// Ending returns the status to settle a granted claim with. sent reports whether the call was ever sent, and complete
+// SettlementStatus returns the status to settle a granted claim with. sent reports whether the call was ever sent, and complete
 // whether its complete response arrived. ran is the statement of the refusal; it is empty if there was none.
-func Ending(sent, complete bool, ran code.Ran) Status {
+func SettlementStatus(sent, complete bool, ran code.Ran) Status {
 	switch {
 	case complete || ran == code.DidRun:
 		return Ran
--- a/internal/core/cluster_test.go
+++ b/internal/core/cluster_test.go
@@ -219,7 +219,7 @@
 	c.count(message)
 	target := c.reachable(p, to)
 	if target == nil {
-		c.after(callTimeout, func() { c.step(p, member.DialFailed{Address: to}) })
+		c.after(callTimeout, func() { c.step(p, member.CallFailed{Address: to}) })
 		return
 	}
 	c.after(latency, func() {
@@ -227,11 +227,11 @@
 		target.waiting[target.lastCall] = func(e step.Effect) {
 			c.count(e)
 			if c.reachable(target, p.listed.Address) != p {
-				c.after(callTimeout, func() { c.step(p, member.DialFailed{Address: to}) })
+				c.after(callTimeout, func() { c.step(p, member.CallFailed{Address: to}) })
 				return
 			}
 			c.after(latency, func() {
-				c.step(p, member.DialWorked{Address: to})
+				c.step(p, member.CallSucceeded{Address: to})
 				c.step(p, answer(e))
 			})
 		}
@@ -259,16 +259,16 @@
 	case record.Exchange:
 		c.call(p, e.To, e,
 			func(call uint64) step.Event {
-				return record.Asked{Call: call, From: from, Common: e.Common, Dynamic: e.Dynamic, Standing: e.Standing}
+				return record.ExchangeAsked{Call: call, From: from, Common: e.Common, Dynamic: e.Dynamic, Standing: e.Standing}
 			},
 			func(a step.Effect) step.Event {
-				got := a.(record.Answer)
-				return record.Answered{From: e.To, Same: got.Same, Digest: got.Digest, Standing: got.Standing}
+				got := a.(record.ExchangeAnswer)
+				return record.ExchangeAnswered{From: e.To, Same: got.Same, Digest: got.Digest, Standing: got.Standing}
 			})
 	case record.Compare:
 		c.call(p, e.To, e,
 			func(call uint64) step.Event {
-				return record.CompareAsked{Call: call, Buckets: e.Buckets, Versions: e.Versions, Prints: e.Prints}
+				return record.CompareAsked{Call: call, Buckets: e.Buckets, Versions: e.Versions, Fingerprints: e.Fingerprints}
 			},
 			func(a step.Effect) step.Event {
 				got := a.(record.CompareAnswer)
@@ -276,11 +276,15 @@
 			})
 	case record.Offer:
 		c.call(p, e.To, e,
-			func(call uint64) step.Event { return record.Offered{Call: call, From: from, Prints: e.Prints} },
-			func(a step.Effect) step.Event { return record.Wanted{From: e.To, Prints: a.(record.OfferAnswer).Wants} })
+			func(call uint64) step.Event {
+				return record.Offered{Call: call, From: from, Fingerprints: e.Fingerprints}
+			},
+			func(a step.Effect) step.Event {
+				return record.OfferAnswered{From: e.To, Fingerprints: a.(record.OfferAnswer).Wants}
+			})
 	case record.OfferAnswer:
 		c.completeCall(p, e.Call, e)
-	case record.Answer:
+	case record.ExchangeAnswer:
 		c.completeCall(p, e.Call, e)
 	case record.CompareAnswer:
 		c.completeCall(p, e.Call, e)
@@ -316,7 +320,7 @@
 	if c.platformDown || c.platformSilent || p.isolated || c.partitioned != nil && c.partitioned(p.listed.Place, platformPlace) {
 		wait := latency
 		if c.platformSilent {
-			wait = watch.Wait + 2*time.Second
+			wait = watch.WatchTimeout + 2*time.Second
 		}
 		c.after(wait, func() { c.step(p, watch.ReadFailed{}) })
 		return
@@ -328,7 +332,7 @@
 		c.after(latency, func() { c.step(p, core.PlatformListed{Revision: revision, Records: list}) })
 	case watch.Watch:
 		if e.After+c.watchWindow < c.revision {
-			c.after(latency, func() { c.step(p, watch.ReadFailed{Gone: true}) })
+			c.after(latency, func() { c.step(p, watch.ReadFailed{Compacted: true}) })
 			return
 		}
 		c.poll(p, e, c.now+e.Wait)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -121,8 +121,8 @@
 	Records  []record.Record
 }
 
-// StopAsked is the event that a graceful shutdown has begun.
-type StopAsked struct{}
+// StopRequested is the event that a graceful shutdown has begun.
+type StopRequested struct{}
 
 // Event marks the type as an event.
 func (Started) Event() {}
@@ -134,7 +134,7 @@
 func (PlatformWatched) Event() {}
 
 // Event marks the type as an event.
-func (StopAsked) Event() {}
+func (StopRequested) Event() {}
 
 // SettingChanged is the effect that reports a new revision of a setting in force in this process.
 type SettingChanged struct {
@@ -168,22 +168,22 @@
 		return s.advertise(in)
 	case PlatformListed, PlatformWatched, watch.ReadFailed, watch.HostsFailed, member.ListRead:
 		return s.reducePlatform(in)
-	case ServedRead:
+	case ServedReceived:
 		s.applyServed(ev)
 		return nil
-	case StopAsked:
+	case StopRequested:
 		return s.stopAsked(in)
-	case record.Published, record.Received, record.Asked, record.Answered, record.CompareAsked, record.Compared,
-		record.Offered, record.Wanted:
+	case record.Published, record.Received, record.ExchangeAsked, record.ExchangeAnswered, record.CompareAsked, record.Compared,
+		record.Offered, record.OfferAnswered:
 		return s.reduceRecords(in)
-	case member.DialFailed, member.DialWorked:
+	case member.CallFailed, member.CallSucceeded:
 		s.Members.Reduce(in)
 		return nil
 	case weights.Event:
 		return s.reduceWeights(in)
 	case rollout.Event, incarnation.Event, slot.Event:
 		return s.reduceRollout(in)
-	case run.Asked, run.Fenced, run.FirstByte, run.LoadRead, run.CacheRead:
+	case run.StartRequested, run.FenceRequested, run.FirstByte, run.LoadRead, run.CacheRead:
 		return s.Runs.Reduce(in, s.Rollout, s.Suspects)
 	case run.Crashed:
 		return s.crashed(in, ev)
@@ -207,7 +207,7 @@
 	effects = append(effects, s.publishDemand(in)...)
 	effects = append(effects, s.plan(in)...)
 	effects = append(effects, s.reduceWeights(in)...)
-	if s.Weights.TroubleDue(in) || s.phasesPending && !in.Now.Before(s.nextPhases) {
+	if s.Weights.BlockedReportDue(in) || s.phasesPending && !in.Now.Before(s.nextPhases) {
 		effects = append(effects, s.advertise(in)...)
 	}
 	return append(effects, s.reduceRollout(in)...)
@@ -216,8 +216,8 @@
 func (s *State) stopAsked(in step.Input) []step.Effect {
 	s.leaving = true
 	s.stopping = true
-	s.Requests.Reduce(withEvent(in, request.StopAsked{}), s.Members, s.Suspects)
-	s.Runs.Reduce(withEvent(in, run.StopAsked{}), s.Rollout, s.Suspects)
+	s.Requests.Reduce(withEvent(in, request.StopRequested{}), s.Members, s.Suspects)
+	s.Runs.Reduce(withEvent(in, run.StopRequested{}), s.Rollout, s.Suspects)
 	return s.advertise(in)
 }
 
--- a/internal/core/crashing_test.go
+++ b/internal/core/crashing_test.go
@@ -53,7 +53,7 @@
 // attempt is an attempt of an entry to run the request on an agent's engine.
 type attempt struct {
 	entry string
-	try   request.Try
+	try   request.Attempt
 }
 
 func newCrashSimulation(seed uint64, entries, agents, copies int) *crashSimulation {
@@ -138,7 +138,7 @@
 	c.runLater(func() {
 		c.step(entry, request.Received{
 			ID: id, Team: "t", Service: "s", Deadline: epoch.Add(time.Hour), Replayable: true, Fingerprint: crashingRequest,
-			Terms: request.Terms{Client: "c", Weight: 1},
+			Terms: request.Terms{Account: "c", Weight: 1},
 		})
 	})
 }
@@ -160,7 +160,7 @@
 		}
 		c.runLater(func() { c.step(e.To, record.Received{From: address, Records: e.Records}) })
 	case request.Send:
-		c.startAttempt(attempt{entry: address, try: e.Try})
+		c.startAttempt(attempt{entry: address, try: e.Attempt})
 	case request.Refuse:
 		c.step(address, request.Ended{ID: e.ID})
 		c.send(address)
@@ -183,7 +183,7 @@
 // startAttempt sends an attempt to its agent, with the entry's mark if the request must run alone.
 func (c *crashSimulation) startAttempt(a attempt) {
 	var marks []record.Record
-	if a.try.Alone {
+	if a.try.Exclusive {
 		marks = c.mark(a.entry)
 	}
 	agent := a.try.Target.Address
@@ -191,9 +191,9 @@
 		c.call++
 		c.attempts[c.call] = a
 		c.step(agent, record.Received{Records: marks})
-		c.step(agent, run.Asked{
-			Call: c.call, Upstream: "e", Fingerprint: crashingRequest, Alone: a.try.Alone,
-			Message: run.Message{ID: run.ID{Request: a.try.ID, Attempt: a.try.Attempt}, Incarnation: 1, Entry: a.entry, Sequence: a.try.Sequence},
+		c.step(agent, run.StartRequested{
+			Call: c.call, Upstream: "e", Fingerprint: crashingRequest, Exclusive: a.try.Exclusive,
+			Message: run.Message{ID: run.ID{Request: a.try.ID, Attempt: a.try.Number}, Incarnation: 1, Entry: a.entry, Sequence: a.try.Sequence},
 		})
 	})
 }
@@ -219,7 +219,7 @@
 
 // pushMark delivers the agent's mark to all its listeners and then calls then, which reports the failure.
 func (c *crashSimulation) pushMark(agent string, then func()) {
-	listeners := c.procs[agent].MarkListeners()
+	listeners := c.procs[agent].MarkReceivers()
 	left := len(listeners)
 	marks := c.mark(agent)
 	for _, entry := range listeners {
@@ -236,7 +236,7 @@
 func (c *crashSimulation) fail(agent string, a attempt, why code.Code, ran code.Ran, marks []record.Record) {
 	c.runLater(func() {
 		c.step(a.entry, record.Received{From: agent, Records: marks})
-		c.step(a.entry, request.AttemptFailed{ID: a.try.ID, Attempt: a.try.Attempt, Code: why, Ran: ran})
+		c.step(a.entry, request.AttemptFailed{ID: a.try.ID, Attempt: a.try.Number, Code: why, Ran: ran})
 	})
 }
 
@@ -267,7 +267,7 @@
 	t.Parallel()
 	const seeds, entries, agents, copies = 100, 3, 10, 3
 	for seed := range uint64(seeds) {
-		c := newSkewedCrashSimulation(seed, entries, agents, copies, 2*suspect.QuarantineFor)
+		c := newSkewedCrashSimulation(seed, entries, agents, copies, 2*suspect.QuarantineDuration)
 		c.run()
 		require.LessOrEqual(t, len(c.crashed), entries+1, "seed %d", seed)
 	}
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -55,7 +55,7 @@
 		}
 		var d admission.Demand
 		if json.Unmarshal(r.Value, &d) == nil && d.Entry != "" {
-			s.Requests.Fleet.Heard(d)
+			s.Requests.Fleet.SetDemand(d)
 		}
 	}
 }
@@ -66,9 +66,9 @@
 		return nil
 	}
 	s.demand.next = in.Now.Add(MinDemandInterval)
-	d := admission.Demand{Entry: s.Self.Address, Clients: s.limitedDemand()}
+	d := admission.Demand{Entry: s.Self.Address, Accounts: s.limitedDemand()}
 	value, err := json.Marshal(d)
-	if err != nil || string(value) == s.demand.last || (s.demand.last == "" && len(d.Clients) == 0) {
+	if err != nil || string(value) == s.demand.last || (s.demand.last == "" && len(d.Accounts) == 0) {
 		return nil
 	}
 	s.demand.last = string(value)
--- a/internal/core/forward/backoff_test.go
+++ b/internal/core/forward/backoff_test.go
@@ -20,8 +20,8 @@
 
 // requestBackoff has an upstream decline a request that was sent just now, and request a backoff.
 func (r *rig) requestBackoff(id string, duration time.Duration) {
-	instance := r.state.Catalog.Upstreams[id].Life()
-	r.step(forward.Noticed{Upstream: instance, Sent: begin.Add(r.now), Outcome: forward.Declined, Notice: catalog.Notice{RetryAfter: duration}})
+	instance := r.state.Catalog.Upstreams[id].Instance()
+	r.step(forward.AnswerHeadReceived{Upstream: instance, Sent: begin.Add(r.now), Outcome: forward.Declined, Notice: catalog.Notice{RetryAfter: duration}})
 }
 
 // TestUpstreamInBackoffGetsNoRequests guards against an entry that ignores the Retry-After of a declined request and counts it as
@@ -35,7 +35,7 @@
 		id, inBackoff, after := uint64(0), 0, 0
 		for r.now = 0; r.now < 4*time.Second; r.now += 50 * time.Millisecond {
 			id++
-			r.step(forward.LoadTold{Address: "u1", Versions: map[string]int64{"m": 1}, Entries: 1, Near: 1}) // It has capacity.
+			r.step(forward.LoadReported{Address: "u1", Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1}) // It has capacity.
 			for _, s := range sentAttempts(r.arrive(id, service.path)) {
 				switch {
 				case s.Upstream.ID != "u1":
@@ -44,7 +44,7 @@
 				case r.now >= backoffGrace:
 					inBackoff++
 				}
-				r.step(forward.SendEnded{ID: s.ID, Outcome: forward.Answered})
+				r.step(forward.AttemptEnded{ID: s.ID, Outcome: forward.Answered})
 			}
 		}
 		require.LessOrEqual(t, inBackoff, backoffProbes, service.name)
@@ -63,7 +63,7 @@
 	refuse := only[forward.Refuse](t, r.arrive(1, bookings))
 	require.Equal(t, code.NoUpstream, refuse.Code)
 	require.Equal(t, code.NotRun, refuse.Ran)
-	require.Contains(t, refuse.Why, "2 that sent Retry-After")
+	require.Contains(t, refuse.Reason, "2 that sent Retry-After")
 	require.GreaterOrEqual(t, refuse.RetryAfter, 3*time.Second)
 	require.Less(t, refuse.RetryAfter, 5*time.Second)
 	r.now = 2900 * time.Millisecond
@@ -75,12 +75,12 @@
 func TestBackoffIsNotShortened(t *testing.T) {
 	r := newRig()
 	r.add("u1", "desk", "perth-a", 6)
-	instance := r.state.Catalog.Upstreams["u1"].Life()
+	instance := r.state.Catalog.Upstreams["u1"].Instance()
 	r.now = time.Second
 	r.requestBackoff("u1", 3*time.Second)
 	r.requestBackoff("u1", time.Second)
-	r.step(forward.Noticed{Upstream: instance, Sent: begin, Outcome: forward.Answered})
-	r.step(forward.Noticed{Upstream: instance, Sent: begin, Outcome: forward.Declined})
+	r.step(forward.AnswerHeadReceived{Upstream: instance, Sent: begin, Outcome: forward.Answered})
+	r.step(forward.AnswerHeadReceived{Upstream: instance, Sent: begin, Outcome: forward.Declined})
 	r.add("u1", "desk", "perth-a", 6)
 	r.now = 3500 * time.Millisecond
 	require.Empty(t, sentIDs(r.arrive(1, lookups)))
@@ -92,12 +92,12 @@
 // backoff.
 func TestBackoffEndsWithTheInstance(t *testing.T) {
 	r := newRig()
-	u := catalog.Upstream{ID: "d1", Born: 1000, Service: "desk", Address: "a", DataCentre: "perth-a", Slots: 6, Revision: 1}
+	u := catalog.Upstream{ID: "d1", StartedAt: 1000, Service: "desk", Address: "a", DataCentre: "perth-a", Slots: 6, Revision: 1}
 	r.applyCatalog(catalog.UpstreamChanged{Upstream: &u})
 	r.requestBackoff("d1", time.Minute)
 	require.Empty(t, sentIDs(r.arrive(1, lookups)))
 	again := u
-	again.Born, again.Revision = 2000, 2
+	again.StartedAt, again.Revision = 2000, 2
 	r.applyCatalog(catalog.UpstreamChanged{Upstream: &again})
 	require.Len(t, sentIDs(r.arrive(2, lookups)), 1)
 }
@@ -115,8 +115,8 @@
 			id++
 			for _, s := range sentAttempts(r.arrive(id, lookups)) {
 				n++
-				r.step(forward.Noticed{Upstream: s.Upstream.Life(), Sent: begin.Add(r.now), Outcome: outcome})
-				r.step(forward.SendEnded{ID: id, Outcome: outcome})
+				r.step(forward.AnswerHeadReceived{Upstream: s.Upstream.Instance(), Sent: begin.Add(r.now), Outcome: outcome})
+				r.step(forward.AttemptEnded{ID: id, Outcome: outcome})
 			}
 		}
 		return n
@@ -143,7 +143,7 @@
 	r := newRig()
 	r.add("u1", "desk", "perth-a", 6)
 	only[forward.Send](t, r.arrive(1, bookings))
-	r.step(forward.SendEnded{ID: 1, Outcome: forward.NotSent})
+	r.step(forward.AttemptEnded{ID: 1, Outcome: forward.NotSent})
 	r.add("u2", "desk", "perth-a", 6)
 	r.requestBackoff("u2", 9*time.Second)
 	require.Less(t, only[forward.Refuse](t, r.arrive(2, bookings)).RetryAfter, 3*time.Second)
--- a/internal/core/forward/bench_test.go
+++ b/internal/core/forward/bench_test.go
@@ -18,15 +18,15 @@
 			r := newRig()
 			for i := range n {
 				r.add(fmt.Sprintf("m%d", i), "model", []string{"perth-a", "bunbury-a"}[i%2], 16)
-				r.step(forward.LoadTold{Address: fmt.Sprintf("m%d", i), Occupied: 8, Versions: map[string]int64{"m": 1}, Entries: 1, Near: 1})
+				r.step(forward.LoadReported{Address: fmt.Sprintf("m%d", i), RequestCount: 8, Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1})
 			}
 			id := uint64(0)
 			for b.Loop() {
 				id++
 				r.now += time.Nanosecond
 				r.arriveWithTimeout(id, 6*time.Second)
-				r.step(forward.Began{ID: id})
-				r.step(forward.SendEnded{ID: id, Outcome: forward.Answered})
+				r.step(forward.Started{ID: id})
+				r.step(forward.AttemptEnded{ID: id, Outcome: forward.Answered})
 			}
 		})
 	}
@@ -39,7 +39,7 @@
 		b.Run(fmt.Sprintf("%d requests", n), func(b *testing.B) {
 			r := newRig()
 			r.add("m1", "model", "perth-a", 10*n)
-			r.applyCatalog(catalog.VersionNamed{Model: "m", Version: 1, Revision: 50})
+			r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 1, Revision: 50})
 			r.now = 20 * time.Second
 			for id := range uint64(n) {
 				r.arrive(id+1, reports)
--- a/internal/core/forward/capacity.go
+++ b/internal/core/forward/capacity.go
@@ -27,7 +27,7 @@
 // fitsMemory reports whether an engine's memory holds that many tokens. An engine that runs out of memory evicts a request that it
 // has started, or crashes.
 func (t *target) fitsMemory(tokens int) bool {
-	return t.engine == nil || t.engine.Tokens <= 0 || tokens <= t.engine.Tokens
+	return t.engine == nil || t.engine.MemoryTokens <= 0 || tokens <= t.engine.MemoryTokens
 }
 
 // occupied returns how many requests the upstream has, as far as this entry knows.
@@ -51,7 +51,7 @@
 // maxPendingTokens returns how many prompt tokens this entry may have pending at the engine: its share of what all entries may
 // have. The more entries there are, the more engines each one can choose from, so that prompts spread out and none waits.
 func (t *target) maxPendingTokens() float64 {
-	entries := t.load.report.Near
+	entries := t.load.report.NearEntries
 	if t.distance > 0 {
 		entries = t.load.report.Entries
 	}
@@ -60,8 +60,8 @@
 
 // prefillRate returns how many prompt tokens per second the engine processes at its present speed.
 func (t *target) prefillRate() float64 {
-	if t.engine != nil && t.engine.ReadRate > 0 {
-		return t.engine.ReadRate / t.slowdown()
+	if t.engine != nil && t.engine.PromptTokensPerSecond > 0 {
+		return t.engine.PromptTokensPerSecond / t.slowdown()
 	}
 	return defaultPrefillRate / t.slowdown()
 }
@@ -103,12 +103,12 @@
 // shareOfFree returns how many requests this entry may send to the engine before its next load report, in addition to those whose
 // slots it frees itself. It is this entry's share of the free slots, since all entries that receive the report fill them at the
 // same time; see also prefillPrompts. The random number draw decides how the share is rounded.
-func (t *target) shareOfFree(ev LoadTold, draw uint64) int {
-	slots, entries := t.slots(), ev.Near
+func (t *target) shareOfFree(ev LoadReported, draw uint64) int {
+	slots, entries := t.slots(), ev.NearEntries
 	if t.distance > 0 {
-		slots, entries = max(1, slots-farReservedSlots), ev.Entries-ev.Near
+		slots, entries = max(1, slots-farReservedSlots), ev.Entries-ev.NearEntries
 	}
-	share := math.Min(float64(max(0, slots-ev.Occupied)), t.prefillPrompts()) / float64(max(1, entries))
+	share := math.Min(float64(max(0, slots-ev.RequestCount)), t.prefillPrompts()) / float64(max(1, entries))
 	requests := math.Floor(share)
 	if float64(mix(draw))/math.MaxUint64 < share-requests { // Round up at random, so that on average no fraction of a slot is lost.
 		requests++
@@ -116,13 +116,13 @@
 	return int(requests)
 }
 
-// prefillPrompts returns how many prompts of the usual length the engine processes within Policy.ReadAhead. The entries together
+// prefillPrompts returns how many prompts of the usual length the engine processes within Policy.PrefillAhead. The entries together
 // send no more at once, so that an engine that returns empty is filled at the speed at which it processes prompts.
 func (t *target) prefillPrompts() float64 {
-	if t.engine == nil || t.engine.UsualPrompt <= 0 {
+	if t.engine == nil || t.engine.MeanPromptTokens <= 0 {
 		return math.MaxInt
 	}
-	return math.Max(1, t.prefillRate()*t.prefillAhead.Seconds()/t.engine.UsualPrompt)
+	return math.Max(1, t.prefillRate()*t.prefillAhead.Seconds()/t.engine.MeanPromptTokens)
 }
 
 // shareUsedUp reports whether this entry has used its share of the engine's free slots.
--- a/internal/core/forward/cold.go
+++ b/internal/core/forward/cold.go
@@ -44,12 +44,12 @@
 		return
 	}
 	t.load.coldPacer.slotLifetime = coldSlotLifetime
-	t.load.coldPacer.setLimit(now, coldRateFactor*t.coldRate, s.limitShare(t.Life()), step.Score(s.Self.Name, t.ID))
+	t.load.coldPacer.setLimit(now, coldRateFactor*t.coldRate, s.limitShare(t.Instance()), step.Score(s.Self.Name, t.ID))
 }
 
 // setColdPacerOf calls setColdPacer for an upstream's instance if it is still the current one.
-func (s *State) setColdPacerOf(now time.Time, instance catalog.Life) {
-	if u := s.Catalog.Upstreams[instance.ID]; u != nil && u.Life() == instance {
+func (s *State) setColdPacerOf(now time.Time, instance catalog.Instance) {
+	if u := s.Catalog.Upstreams[instance.ID]; u != nil && u.Instance() == instance {
 		s.setColdPacer(now, s.target(u))
 	}
 }
--- a/internal/core/forward/cold_test.go
+++ b/internal/core/forward/cold_test.go
@@ -30,7 +30,7 @@
 	if i >= near {
 		dataCentre = "bunbury-a"
 	}
-	r.state.Catalog.Manifest.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{}, ColdRate: coldRate, ColdFor: coldFor}
+	r.state.Catalog.Manifest.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{}, ColdRate: coldRate, ColdDuration: coldFor}
 	r.registerCold("m1", dataCentre, left, startedAt)
 	return r
 }
@@ -38,8 +38,8 @@
 func (r *rig) registerCold(id, dataCentre string, left time.Duration, startedAt int64) {
 	r.next++
 	r.applyCatalog(catalog.UpstreamChanged{Upstream: &catalog.Upstream{
-		ID: id, Born: startedAt, Service: "model", Address: id, DataCentre: dataCentre, Slots: 500, Revision: int64(r.next),
-		Versions: map[string]int64{"m": 1}, ColdLeft: left,
+		ID: id, StartedAt: startedAt, Service: "model", Address: id, DataCentre: dataCentre, Slots: 500, Revision: int64(r.next),
+		Versions: map[string]int64{"m": 1}, ColdRemaining: left,
 	}})
 }
 
@@ -58,7 +58,7 @@
 			for now := time.Duration(0); now < coldFor; now += interval {
 				for _, r := range entries {
 					r.now = now
-					effects := r.step(forward.LoadTold{Address: "m1", Born: 100, Versions: map[string]int64{"m": 1}, Entries: len(entries), Near: size.near})
+					effects := r.step(forward.LoadReported{Address: "m1", StartedAt: 100, Versions: map[string]int64{"m": 1}, Entries: len(entries), NearEntries: size.near})
 					effects = append(effects, r.step(step.Tick{})...)
 					idle := now > 2*time.Second && now < 3*time.Second // Idle entries could save up send slots.
 					for range perInterval {
@@ -68,7 +68,7 @@
 					}
 					for _, send := range sentAttempts(effects) {
 						arrivals = append(arrivals, now)
-						r.step(forward.SendEnded{ID: send.ID, Outcome: forward.Answered})
+						r.step(forward.AttemptEnded{ID: send.ID, Outcome: forward.Answered})
 					}
 				}
 			}
@@ -113,7 +113,7 @@
 	r.registerCold("m1", "perth-a", coldFor, 100)
 	require.Less(t, r.sendBurst(), coldRate)
 	r = newColdRig(0, 1, 0, 100)
-	r.step(forward.Noticed{Upstream: catalog.Life{ID: "m1", Born: 100}, Outcome: forward.Declined, Notice: catalog.Notice{ColdLeft: coldFor}})
+	r.step(forward.AnswerHeadReceived{Upstream: catalog.Instance{ID: "m1", StartedAt: 100}, Outcome: forward.Declined, Notice: catalog.Notice{ColdRemaining: coldFor}})
 	require.Less(t, r.sendBurst(), coldRate)
 	r.now = coldFor
 	require.Greater(t, r.sendBurst(), 100, "the cold period is over")
@@ -123,7 +123,7 @@
 // reported.
 func TestRestartedEngineIsCold(t *testing.T) {
 	r := newColdRig(0, 1, 0, 100)
-	r.step(forward.LoadTold{Address: "m1", Born: 200, Versions: map[string]int64{"m": 1}, Entries: 1, Near: 1})
+	r.step(forward.LoadReported{Address: "m1", StartedAt: 200, Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1})
 	require.Less(t, r.sendBurst(), coldRate)
 }
 
--- a/internal/core/forward/crash_simulation_test.go
+++ b/internal/core/forward/crash_simulation_test.go
@@ -139,7 +139,7 @@
 
 // sendReports has an agent send its engine's load report and the crashes that it knows of to all entries.
 func (c *crashSimulation) sendReports(g *crashEngine) {
-	report := forward.LoadTold{Address: g.name, Born: g.startedAt, Entries: len(c.entries), Near: len(c.entries)}
+	report := forward.LoadReported{Address: g.name, StartedAt: g.startedAt, Entries: len(c.entries), NearEntries: len(c.entries)}
 	if !g.down {
 		report.Versions = map[string]int64{"m": 1}
 	}
@@ -147,7 +147,7 @@
 	for _, e := range c.entries {
 		c.datagram(func() {
 			c.step(e, report)
-			c.step(e, forward.CrashesTold{Reports: known})
+			c.step(e, forward.CrashesReported{Reports: known})
 		})
 	}
 }
@@ -180,7 +180,7 @@
 	e.now = c.now
 	for _, effect := range e.step(ev) {
 		switch effect := effect.(type) {
-		case forward.Suspected:
+		case forward.QuarantineStarted:
 			c.sendHeartbeats(e)
 		case forward.Send:
 			if c.now-e.started >= quarantineDelay || e.started == 0 {
@@ -200,18 +200,18 @@
 func (c *crashSimulation) runCopy(e *crashEntry, send forward.Send) {
 	g := c.engines[send.Upstream.ID]
 	if g.down {
-		c.deliver(func() { c.step(e, forward.SendEnded{ID: send.ID, Outcome: forward.NotSent}) })
+		c.deliver(func() { c.step(e, forward.AttemptEnded{ID: send.ID, Outcome: forward.NotSent}) })
 		return
 	}
 	startedAt, partial := g.startedAt, c.rng.IntN(2) == 0
 	if partial {
-		c.after(c.randomDelay(meanRun), func() { c.step(e, forward.Began{ID: send.ID}) })
+		c.after(c.randomDelay(meanRun), func() { c.step(e, forward.Started{ID: send.ID}) })
 	}
 	c.after(c.randomDelay(meanRun), func() {
 		if !g.down && g.startedAt == startedAt {
 			c.crash(g)
 		}
-		c.deliver(func() { c.step(e, forward.SendEnded{ID: send.ID, Outcome: forward.Broken, Partial: partial}) })
+		c.deliver(func() { c.step(e, forward.AttemptEnded{ID: send.ID, Outcome: forward.Broken, Partial: partial}) })
 	})
 }
 
@@ -257,9 +257,9 @@
 // three upstreams, however many copies it gets at once, and no entry sends a copy later than quarantineDelay after the third crash
 // overall.
 func (c *crashSimulation) checkBounds(name string) {
-	require.GreaterOrEqual(c.t, len(c.crashTimes), quarantine.CrashesToHold, name)
-	require.LessOrEqual(c.t, len(c.crashTimes), quarantine.CrashesToHold*len(c.entries), name)
-	third := c.crashTimes[quarantine.CrashesToHold-1]
+	require.GreaterOrEqual(c.t, len(c.crashTimes), quarantine.CrashThreshold, name)
+	require.LessOrEqual(c.t, len(c.crashTimes), quarantine.CrashThreshold*len(c.entries), name)
+	third := c.crashTimes[quarantine.CrashThreshold-1]
 	for _, at := range c.countedSends {
 		require.LessOrEqual(c.t, at, third+quarantineDelay, "%s: sent %v after the third crash", name, at-third)
 	}
--- a/internal/core/forward/evacuation_test.go
+++ b/internal/core/forward/evacuation_test.go
@@ -33,11 +33,11 @@
 		only[forward.Send](t, r.arrive(1, reports))
 		only[forward.Send](t, r.arrive(2, reports))
 		if unreported {
-			r.state.Greet()
+			r.state.ChooseHeartbeatTargets()
 		}
 		r.evacuate("perth-a")
 		require.Equal(t, "far", only[forward.Send](t, r.arrive(3, reports)).Upstream.ID)
-		resumed := r.step(forward.SendEnded{ID: 1, Outcome: forward.Broken, Partial: true})
+		resumed := r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Broken, Partial: true})
 		for _, send := range sentAttempts(resumed) {
 			require.Equal(t, "far", send.Upstream.ID)
 		}
@@ -50,7 +50,7 @@
 			r.now += 20 * time.Millisecond
 			require.Empty(t, sentAttempts(r.step(step.Tick{})))
 		}
-		require.Empty(t, sentAttempts(r.step(forward.SendEnded{ID: 2, Outcome: forward.Answered})), "the free slot there is not used")
+		require.Empty(t, sentAttempts(r.step(forward.AttemptEnded{ID: 2, Outcome: forward.Answered})), "the free slot there is not used")
 		r.evacuate()
 		require.NotEqual(t, "far", only[forward.Send](t, r.arrive(20, reports)).Upstream.ID, "it is used again at once")
 	}
@@ -67,7 +67,7 @@
 	require.Equal(t, "karratha-a", only[forward.Send](t, r.arrive(1, lookups)).Upstream.ID)
 	r.next++
 	r.applyCatalog(catalog.EvacuationEnded{DataCentre: "bunbury-a", Revision: int64(r.next)})
-	r.state.Catalog.Reduce(step.Input{Now: begin, Event: catalog.EvacuationAsked{DataCentre: "karratha-a", Revision: int64(r.next) + 1}})
+	r.state.Catalog.Reduce(step.Input{Now: begin, Event: catalog.EvacuationStarted{DataCentre: "karratha-a", Revision: int64(r.next) + 1}})
 	require.Equal(t, "bunbury-a", only[forward.Send](t, r.arrive(2, lookups)).Upstream.ID)
 }
 
@@ -83,5 +83,5 @@
 	require.Equal(t, code.NoUpstream, refuse.Code)
 	require.Equal(t, code.NotRun, refuse.Ran)
 	require.Positive(t, refuse.RetryAfter)
-	require.Contains(t, refuse.Why, "1 evacuated")
+	require.Contains(t, refuse.Reason, "1 evacuated")
 }
--- a/internal/core/forward/forward.go
+++ b/internal/core/forward/forward.go
@@ -25,9 +25,9 @@
 	Region     string
 	// Regions maps data centres to regions.
 	Regions map[string]string
-	Retries hostconfig.Retries
-	// VersionTime is how long requests may still start on an older version after a newer one was activated.
-	VersionTime time.Duration
+	Retries hostconfig.RetryBudget
+	// VersionLifetime is how long requests may still start on an older version after a newer one was activated.
+	VersionLifetime time.Duration
 	// Policy is DefaultPolicy unless it is set.
 	Policy Policy
 }
@@ -75,30 +75,30 @@
 	Model string
 	// Budget is how long the caller waits for its answer, measured from the request's head; 0 if it does not say.
 	Budget time.Duration
-	// Reading is how long reading the body took after the head was read.
-	Reading time.Duration
+	// BodyReadTime is how long reading the body took after the head was read.
+	BodyReadTime time.Duration
 	// Size is the length of the body in bytes.
 	Size int64
-	// Prompt is the length of the prompt in tokens, and Answer the maximum length of the answer; 0 if unknown.
-	Prompt, Answer int
+	// PromptTokens is the length of the prompt in tokens, and Answer the maximum length of the answer; 0 if unknown.
+	PromptTokens, MaxAnswerTokens int
 	// Fingerprint identifies the request's content and its caller, independent of the request's ID; 0 if unknown.
 	Fingerprint uint64
 }
 
-// Began is the event that the first event of an answer was received: the upstream has processed the prompt.
-type Began struct {
+// Started is the event that the first event of an answer was received: the upstream has processed the prompt.
+type Started struct {
 	ID uint64
 	// Version is the version of the weights on which the upstream started the request; 0 if it does not say.
 	Version int64
 }
 
-// SendEnded is the event that an attempt ended.
-type SendEnded struct {
+// AttemptEnded is the event that an attempt ended.
+type AttemptEnded struct {
 	ID      uint64
 	Outcome Outcome
 	// Partial is set if part of the answer was passed on to the caller, and Quiet is the time since the last part.
-	Partial bool
-	Quiet   time.Duration
+	Partial       bool
+	SinceLastPart time.Duration
 }
 
 // TimedOut is the event that a request's deadline has passed.
@@ -113,42 +113,42 @@
 // CallerGone is the event that the caller closed its connection.
 type CallerGone struct{ ID uint64 }
 
-// LoadTold is the event that a load report was received from the agent that runs beside an engine.
-type LoadTold struct {
+// LoadReported is the event that a load report was received from the agent that runs beside an engine.
+type LoadReported struct {
 	// Address is the engine's address.
 	Address string
-	// Born is the engine's start time; see catalog.Upstream.
-	Born int64
-	// Occupied is the number of requests that the engine has running or queued.
-	Occupied int
-	// Closing is set while the engine loads weights, or is about to, and does not accept requests.
-	Closing bool
+	// StartedAt is the engine's start time; see catalog.Upstream.
+	StartedAt int64
+	// RequestCount is the number of requests that the engine has running or queued.
+	RequestCount int
+	// NotAccepting is set while the engine loads weights, or is about to, and does not accept requests.
+	NotAccepting bool
 	// Versions are the versions that the engine holds completely, by model.
 	Versions map[string]int64
 	// RateLimit is the limit that the engine reported to its agent, in requests per second from all entries together; nil for none.
 	RateLimit *float64
 	// Leaving is set if the engine told its agent that it is shutting down.
 	Leaving bool
-	// ColdLeft is how much longer the engine is cold, as it told its agent; 0 if it does not say.
-	ColdLeft time.Duration
+	// ColdRemaining is how much longer the engine is cold, as it told its agent; 0 if it does not say.
+	ColdRemaining time.Duration
 	// Slowdown is the engine's processing time relative to what its service declares, as a factor; 0 if it does not say.
 	Slowdown float64
 	// Entries is the number of entries that this agent reports to, and Near the number of these in its data centre.
-	Entries int
-	Near    int
+	Entries     int
+	NearEntries int
 }
 
-// StopAsked is the event that a graceful shutdown began.
-type StopAsked struct{}
+// ShutdownStarted is the event that a graceful shutdown began.
+type ShutdownStarted struct{}
 
 // Event marks the type as an event.
 func (Arrived) Event() {}
 
 // Event marks the type as an event.
-func (Began) Event() {}
+func (Started) Event() {}
 
 // Event marks the type as an event.
-func (SendEnded) Event() {}
+func (AttemptEnded) Event() {}
 
 // Event marks the type as an event.
 func (TimedOut) Event() {}
@@ -157,23 +157,23 @@
 func (CallerGone) Event() {}
 
 // Event marks the type as an event.
-func (LoadTold) Event() {}
+func (LoadReported) Event() {}
 
 // Event marks the type as an event.
-func (StopAsked) Event() {}
+func (ShutdownStarted) Event() {}
 
 // Admitted tells the shell the deadline of a request and the route whose terms apply to it.
 type Admitted struct {
-	ID    uint64
-	Route *catalog.Route
-	By    time.Time
+	ID       uint64
+	Route    *catalog.Route
+	Deadline time.Time
 }
 
 // Send has the shell send a request to an upstream: one attempt.
 type Send struct {
 	ID uint64
-	// Number counts the attempts of the request from 1.
-	Number   int
+	// Attempt counts the attempts of the request from 1.
+	Attempt  int
 	Upstream *catalog.Upstream
 	// Account is the name of the client account; empty if the caller has none.
 	Account string
@@ -181,17 +181,17 @@
 	Homes    residency.Bound
 	Priority int
 	// Version is the version of weights that the upstream must hold; 0 for any.
-	Version int64
-	By      time.Time
-	// Patience is the timeout for the first event or answer, after which the attempt counts as silent; 0 for the request's
+	Version  int64
+	Deadline time.Time
+	// FirstEventTimeout is the timeout for the first event or answer, after which the attempt counts as silent; 0 for the request's
 	// deadline.
-	Patience time.Duration
-	// GapPatience is the timeout between two events of a stream; 0 for the request's deadline.
-	GapPatience time.Duration
+	FirstEventTimeout time.Duration
+	// GapTimeout is the timeout between two events of a stream; 0 for the request's deadline.
+	GapTimeout time.Duration
 	// Resume is set if the upstream must resume an answer that another upstream began.
 	Resume bool
-	// CameBack is set if the caller was probably refused before.
-	CameBack bool
+	// Returning is set if the caller was probably refused before.
+	Returning bool
 }
 
 // Refuse ends a request without an upstream's answer.
@@ -199,12 +199,12 @@
 	ID   uint64
 	Code code.Code
 	Ran  code.Ran
-	// Why is the reason in words for the log, with the values that the decision was based on.
-	Why string
+	// Reason is the reason in words for the log, with the values that the decision was based on.
+	Reason string
 	// RetryAfter is the delay after which the caller may retry; 0 for none.
 	RetryAfter time.Duration
-	// CameBack is set if the caller was probably refused before.
-	CameBack bool
+	// Returning is set if the caller was probably refused before.
+	Returning bool
 }
 
 // Deliver has the shell pass on the error that an upstream answered with.
@@ -212,8 +212,8 @@
 
 // Abort ends an answer that was partly passed on, in a way that the caller can't mistake for a complete answer.
 type Abort struct {
-	ID  uint64
-	Why string
+	ID     uint64
+	Reason string
 }
 
 // Effect marks the type as an effect.
@@ -240,7 +240,7 @@
 	manifest *catalog.Manifest
 	route    *catalog.Route
 	service  string
-	account  *catalog.Account
+	account  *catalog.ClientAccount
 	// homes are the regions in which the request may be, according to manifest.
 	homes residency.Bound
 	// requestedModel is the model that the caller named, and model the one that applies; model is empty for a plain service.
@@ -254,7 +254,7 @@
 	// returning is set if the caller was probably refused before. Its answer can then only be late, measured from its first try.
 	returning bool
 	// instance is the upstream that the request is with; zero if none.
-	instance catalog.Life
+	instance catalog.Instance
 	// sentAt is when the current attempt was sent.
 	sentAt time.Time
 	// prompt is the length of the prompt in tokens. awaitingFirstEvent is set until the upstream sends the first event.
@@ -274,7 +274,7 @@
 	// arrived.
 	partial    bool
 	progressAt time.Time
-	tried      map[catalog.Life]bool
+	tried      map[catalog.Instance]bool
 }
 
 // State is what an entry knows about its requests and the load of the upstreams.
@@ -286,7 +286,7 @@
 	Crashes *quarantine.Table
 
 	requests       map[uint64]*request
-	loads          map[catalog.Life]*load
+	loads          map[catalog.Instance]*load
 	targets        targets
 	retryBudgets   map[string]*retryBudget
 	callerTimeouts callerTimeouts
@@ -322,7 +322,7 @@
 		self.Policy = DefaultPolicy()
 	}
 	return &State{
-		Self: self, Catalog: c, requests: map[uint64]*request{}, loads: map[catalog.Life]*load{},
+		Self: self, Catalog: c, requests: map[uint64]*request{}, loads: map[catalog.Instance]*load{},
 		retryBudgets: map[string]*retryBudget{}, callerTimeouts: callerTimeouts{}, Crashes: quarantine.NewTable(),
 		breaks: map[uint64][]breakRecord{}, queues: map[string][]uint64{}, lastQueuedAt: map[string]time.Time{},
 	}
@@ -333,21 +333,21 @@
 	switch ev := in.Event.(type) {
 	case Arrived:
 		return s.arrived(in, ev)
-	case Began:
+	case Started:
 		return s.started(in, ev)
-	case SendEnded:
+	case AttemptEnded:
 		return s.sendEnded(in, ev)
 	case TimedOut:
 		return s.timedOut(in, ev)
 	case CallerGone:
 		return s.callerGone(in, ev.ID)
-	case LoadTold:
+	case LoadReported:
 		return s.loadReported(in, ev)
-	case CrashesTold:
+	case CrashesReported:
 		return s.crashesReported(in, ev)
-	case Noticed:
+	case AnswerHeadReceived:
 		return s.noticed(in, ev)
-	case StopAsked:
+	case ShutdownStarted:
 		s.stopping = true
 	case step.Tick:
 		s.forget(in.Now)
@@ -359,5 +359,5 @@
 	return nil
 }
 
-// Open returns the number of requests in flight.
-func (s *State) Open() int { return len(s.requests) }
+// InFlight returns the number of requests in flight.
+func (s *State) InFlight() int { return len(s.requests) }
