--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -40,13 +40,13 @@
 		{Name: "reports", Host: "h", Prefix: reports, Kind: catalog.Streaming, Resumable: true, MaxUpstreams: 2, Shares: share("model"), Timeout: 6 * time.Second, Objective: 500 * time.Millisecond},
 		{Name: "notes", Host: "h", Prefix: notes, Kind: catalog.Streaming, MaxUpstreams: 2, Shares: share("model"), Timeout: 6 * time.Second, Objective: 500 * time.Millisecond},
 	}
-	accounts := map[string]*catalog.Account{"key-1": {Name: "karrakin"}, "key-2": {Name: "harrowgate"}}
+	accounts := map[string]*catalog.ClientAccount{"key-1": {Name: "karrakin"}, "key-2": {Name: "harrowgate"}}
 	m := catalog.NewManifest(1, routes, accounts)
 	m.HasAccounts = true
 	c := catalog.NewState()
 	self := forward.Self{
 		DataCentre: "perth-a", Region: "perth", Regions: map[string]string{"perth-a": "perth", "bunbury-a": "southwest"},
-		Retries: hostconfig.Retries{Ratio: 0.2, Extra: 100, Window: 10 * time.Second}, VersionTime: 8 * time.Second,
+		Retries: hostconfig.RetryBudget{Ratio: 0.2, Base: 100, Window: 10 * time.Second}, VersionLifetime: 8 * time.Second,
 	}
 	r := &rig{state: forward.NewState(self, c)}
 	r.applyCatalog(catalog.ManifestRead{Revision: 1, Manifest: m})
@@ -106,7 +106,7 @@
 	require.Equal(t, code.UnknownKey, refuse.Code)
 	refuse = only[forward.Refuse](t, r.step(forward.Arrived{ID: 3, Host: "h", Path: "/nowhere/", Key: "key-1"}))
 	require.Equal(t, code.NoSuchRoute, refuse.Code)
-	require.Equal(t, 1, r.state.Open())
+	require.Equal(t, 1, r.state.InFlight())
 }
 
 // TestRequestIsRefusedAsNotReadyBeforeTheManifestIsKnown guards against telling callers of a starting entry that their route does
@@ -127,7 +127,7 @@
 		r.add("d1", "desk", "perth-a", 6)
 		r.add("d2", "desk", "perth-a", 6)
 		only[forward.Send](t, r.arrive(1, bookings))
-		effects := r.step(forward.SendEnded{ID: 1, Outcome: outcome})
+		effects := r.step(forward.AttemptEnded{ID: 1, Outcome: outcome})
 		for _, e := range effects {
 			_, again := e.(forward.Send)
 			require.False(t, again, outcome)
@@ -148,9 +148,9 @@
 		r.add("d1", "desk", "perth-a", 6)
 		r.add("d2", "desk", "perth-a", 6)
 		first := only[forward.Send](t, r.arrive(1, bookings))
-		second := only[forward.Send](t, r.step(forward.SendEnded{ID: 1, Outcome: outcome}))
+		second := only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: outcome}))
 		require.NotEqual(t, first.Upstream.ID, second.Upstream.ID)
-		refuse := only[forward.Refuse](t, r.step(forward.SendEnded{ID: 1, Outcome: outcome}))
+		refuse := only[forward.Refuse](t, r.step(forward.AttemptEnded{ID: 1, Outcome: outcome}))
 		require.Equal(t, code.NotRun, refuse.Ran)
 		require.Positive(t, refuse.RetryAfter)
 	}
@@ -211,14 +211,14 @@
 					partial = partial || rapid.Bool().Draw(t, "partial")
 				}
 			}
-			effects = r.step(forward.SendEnded{ID: 1, Outcome: o, Partial: partial})
+			effects = r.step(forward.AttemptEnded{ID: 1, Outcome: o, Partial: partial})
 			if o == forward.Answered {
 				ended = true
 				require.Empty(t, effects)
 			}
 		}
 		require.True(t, ended)
-		require.Zero(t, r.state.Open())
+		require.Zero(t, r.state.InFlight())
 	})
 }
 
@@ -237,11 +237,11 @@
 	r.add("m1", "model", "perth-a", 6)
 	r.add("m2", "model", "perth-a", 6)
 	first := only[forward.Send](t, r.arrive(1, reports))
-	require.Positive(t, first.GapPatience)
-	second := only[forward.Send](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Broken, Partial: true}))
+	require.Positive(t, first.GapTimeout)
+	second := only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Broken, Partial: true}))
 	require.True(t, second.Resume)
 	require.NotEqual(t, first.Upstream.ID, second.Upstream.ID)
-	require.Zero(t, second.Patience, "the last attempt has no timeout but the deadline")
+	require.Zero(t, second.FirstEventTimeout, "the last attempt has no timeout but the deadline")
 }
 
 // TestNearUpstreamsAreFilledFirst guards against sending requests to another data centre while this one has capacity.
@@ -259,7 +259,7 @@
 	r.add("m1", "model", "perth-a", 4)
 	r.add("m2", "model", "perth-a", 4)
 	report := func(address string, occupied int, notAccepting bool) {
-		r.step(forward.LoadTold{Address: address, Occupied: occupied, Closing: notAccepting, Versions: map[string]int64{"m": 1}})
+		r.step(forward.LoadReported{Address: address, RequestCount: occupied, NotAccepting: notAccepting, Versions: map[string]int64{"m": 1}})
 	}
 	report("m1", 3, false)
 	report("m2", 0, false)
@@ -283,7 +283,7 @@
 	r.add("m1", "model", "perth-a", 1)
 	r.add("m2", "model", "bunbury-a", 1)
 	report := func(address string) {
-		r.step(forward.LoadTold{Address: address, Versions: map[string]int64{"m": 1}})
+		r.step(forward.LoadReported{Address: address, Versions: map[string]int64{"m": 1}})
 	}
 	report("m1")
 	report("m2")
@@ -291,7 +291,7 @@
 	report("m2")
 	require.Equal(t, "m2", only[forward.Send](t, r.arrive(1, reports)).Upstream.ID)
 	require.Empty(t, sentIDs(r.arrive(2, reports)), "waiting for a slot at the other engine is better")
-	require.Equal(t, "m2", only[forward.Send](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Answered})).Upstream.ID)
+	require.Equal(t, "m2", only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Answered})).Upstream.ID)
 	r.applyCatalog(catalog.UpstreamRemoved{ID: "m2", Revision: 9})
 	require.Equal(t, "m1", only[forward.Send](t, r.arrive(3, reports)).Upstream.ID, "no other engine is usable")
 }
@@ -304,7 +304,7 @@
 	only[forward.Send](t, r.arrive(1, reports))
 	only[forward.Admitted](t, r.arrive(2, reports))
 	only[forward.Admitted](t, r.arrive(3, reports))
-	require.Equal(t, uint64(2), only[forward.Send](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Answered})).ID)
+	require.Equal(t, uint64(2), only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Answered})).ID)
 	r.now += 199 * time.Millisecond
 	require.Empty(t, r.step(step.Tick{}))
 	r.now += time.Millisecond
@@ -327,7 +327,7 @@
 	for i := range 8 {
 		r.add(fmt.Sprintf("d%d", i), "desk", "perth-a", 1000)
 	}
-	r.step(forward.LoadTold{Address: "d0", Entries: 4})
+	r.step(forward.LoadReported{Address: "d0", Entries: 4})
 	retries := 0
 	const requests = 300
 	for id := uint64(1); id <= requests; id++ {
@@ -340,7 +340,7 @@
 			if _, ok := effects[len(effects)-1].(forward.Send); !ok {
 				break
 			}
-			effects = r.step(forward.SendEnded{ID: id, Outcome: forward.Broken})
+			effects = r.step(forward.AttemptEnded{ID: id, Outcome: forward.Broken})
 			if len(effects) > 0 {
 				if _, again := effects[0].(forward.Send); again {
 					retries++
--- a/internal/core/forward/free_share_test.go
+++ b/internal/core/forward/free_share_test.go
@@ -23,9 +23,9 @@
 				r := newRig()
 				r.rand = round*entries + entry
 				r.add("m1", "model", dataCentre, slots)
-				report := forward.LoadTold{Address: "m1", Occupied: occupied, Versions: map[string]int64{"m": 1}, Entries: entries}
+				report := forward.LoadReported{Address: "m1", RequestCount: occupied, Versions: map[string]int64{"m": 1}, Entries: entries}
 				if dataCentre == "perth-a" {
-					report.Near = entries
+					report.NearEntries = entries
 				}
 				r.step(report)
 				for id := uint64(1); id <= slots; id++ {
@@ -43,11 +43,11 @@
 func TestEntryMayReuseASlotThatItFrees(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 12)
-	report := forward.LoadTold{Address: "m1", Occupied: 8, Versions: map[string]int64{"m": 1}, Entries: 4, Near: 4}
+	report := forward.LoadReported{Address: "m1", RequestCount: 8, Versions: map[string]int64{"m": 1}, Entries: 4, NearEntries: 4}
 	r.step(report)
 	require.Len(t, sentIDs(r.arrive(1, reports)), 1)
 	require.Empty(t, sentIDs(r.arrive(2, reports)))
-	require.Equal(t, []uint64{2}, sentIDs(r.step(forward.SendEnded{ID: 1, Outcome: forward.Answered})))
+	require.Equal(t, []uint64{2}, sentIDs(r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Answered})))
 	r.now += 20 * time.Millisecond
 	require.Empty(t, sentIDs(r.arrive(3, reports)))
 	require.Equal(t, []uint64{3}, sentIDs(r.step(report)), "the next load report brings a new share")
@@ -57,7 +57,7 @@
 func TestUnreportedEnginesArePausedAfterADecline(t *testing.T) {
 	r := newFleetRig("entry-1", 70, 0)
 	targets := map[string]bool{}
-	for _, u := range r.state.Greet() {
+	for _, u := range r.state.ChooseHeartbeatTargets() {
 		targets[u.ID] = true
 	}
 	for id := range uint64(64) {
@@ -70,7 +70,7 @@
 		if len(sentIDs(effects)) == 0 {
 			return false
 		}
-		r.step(forward.SendEnded{ID: next, Outcome: forward.Declined})
+		r.step(forward.AttemptEnded{ID: next, Outcome: forward.Declined})
 		r.step(forward.CallerGone{ID: next})
 		return true
 	}
@@ -89,8 +89,8 @@
 // version.
 func TestUnreportedEnginesAreUsedWhenNoOtherIsUsable(t *testing.T) {
 	r := newFleetRig("entry-1", 70, 0)
-	for _, u := range r.state.Greet() {
-		r.step(forward.LoadTold{Address: u.Address, Closing: true, Versions: map[string]int64{"m": 1}})
+	for _, u := range r.state.ChooseHeartbeatTargets() {
+		r.step(forward.LoadReported{Address: u.Address, NotAccepting: true, Versions: map[string]int64{"m": 1}})
 	}
 	var last *catalog.Upstream
 	for id := range uint64(6) {
@@ -123,8 +123,8 @@
 func TestRequestsToUnreportedEnginesAreLimitedWhileFull(t *testing.T) {
 	r := newFleetRig("entry-1", 80, 0)
 	report := func() {
-		for _, u := range r.state.Greet() {
-			r.step(forward.LoadTold{Address: u.Address, Occupied: 1, Versions: map[string]int64{"m": 1}, Entries: 1, Near: 1})
+		for _, u := range r.state.ChooseHeartbeatTargets() {
+			r.step(forward.LoadReported{Address: u.Address, RequestCount: 1, Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1})
 		}
 	}
 	report()
@@ -142,10 +142,10 @@
 	unreported := arrive(10)
 	require.Len(t, unreported, 3)
 	require.Empty(t, arrive(1), "three requests wait there for their first event")
-	r.step(forward.Began{ID: unreported[0]})
+	r.step(forward.Started{ID: unreported[0]})
 	require.Empty(t, arrive(1), "one of them waited longer than half of its objective")
-	r.step(forward.Began{ID: unreported[1]})
-	r.step(forward.Began{ID: unreported[2]})
+	r.step(forward.Started{ID: unreported[1]})
+	r.step(forward.Started{ID: unreported[2]})
 	require.Empty(t, arrive(1), "the pause doubles")
 	r.now += 4 * time.Second
 	report()
--- a/internal/core/forward/heartbeat.go
+++ b/internal/core/forward/heartbeat.go
@@ -15,9 +15,9 @@
 	maxFarAgents  = 32
 )
 
-// Greet chooses the engines whose agents get heartbeats from this entry, in an order specific to the entry, and records them. The
+// ChooseHeartbeatTargets chooses the engines whose agents get heartbeats from this entry, in an order specific to the entry, and records them. The
 // entry uses the other engines only when the chosen ones have no capacity.
-func (s *State) Greet() []*catalog.Upstream {
+func (s *State) ChooseHeartbeatTargets() []*catalog.Upstream {
 	var near, far []string
 	for id, u := range s.Catalog.Upstreams {
 		switch {
@@ -55,8 +55,8 @@
 
 // estimateEntries estimates the number of entries from how many send heartbeats to one agent. Each entry sends heartbeats to a part
 // of the agents only, and that part is the same for all entries.
-func (s *State) estimateEntries(ev LoadTold) int {
-	near, far := float64(ev.Near), float64(ev.Entries-ev.Near)
+func (s *State) estimateEntries(ev LoadReported) int {
+	near, far := float64(ev.NearEntries), float64(ev.Entries-ev.NearEntries)
 	if s.heartbeatTargets == nil {
 		return ev.Entries
 	}
--- a/internal/core/forward/heartbeat_test.go
+++ b/internal/core/forward/heartbeat_test.go
@@ -28,7 +28,7 @@
 func TestAllAgentsOfASmallFleetGetHeartbeats(t *testing.T) {
 	r := newFleetRig("entry-1", 15, 30)
 	r.add("d1", "desk", "perth-a", 6)
-	require.Len(t, r.state.Greet(), 45)
+	require.Len(t, r.state.ChooseHeartbeatTargets(), 45)
 }
 
 // TestEachAgentOfALargeFleetGetsHeartbeatsFromSomeEntries guards against agents without heartbeats, and against agents that get
@@ -37,7 +37,7 @@
 	const entries, near, far = 40, 100, 200
 	counts := map[string]int{}
 	for i := range entries {
-		for _, u := range newFleetRig(fmt.Sprintf("entry-%d", i), near, far).state.Greet() {
+		for _, u := range newFleetRig(fmt.Sprintf("entry-%d", i), near, far).state.ChooseHeartbeatTargets() {
 			counts[u.ID]++
 		}
 	}
@@ -52,18 +52,18 @@
 // TestRetryBudgetIsSharedWhenEntriesReachPartOfTheAgents guards against a wrong estimate of the number of entries, and so a wrong
 // retry budget, when each agent gets heartbeats from a part of the entries only.
 func TestRetryBudgetIsSharedWhenEntriesReachPartOfTheAgents(t *testing.T) {
-	retries := func(near, far int, report forward.LoadTold) int {
+	retries := func(near, far int, report forward.LoadReported) int {
 		r := newFleetRig("entry-1", near, far)
 		for i := range 20 {
 			r.add(fmt.Sprintf("desk-%d", i), "desk", "perth-a", 100)
 		}
-		r.state.Greet()
+		r.state.ChooseHeartbeatTargets()
 		report.Address = "near-0"
 		r.step(report)
 		count := 0
 		for id := range uint64(60) {
 			r.arrive(id, lookups)
-			for _, e := range r.step(forward.SendEnded{ID: id, Outcome: forward.Declined}) {
+			for _, e := range r.step(forward.AttemptEnded{ID: id, Outcome: forward.Declined}) {
 				if _, again := e.(forward.Send); again {
 					count++
 				}
@@ -72,10 +72,10 @@
 		return count
 	}
 	// 128 agents here and 320 elsewhere: half and a tenth of them get heartbeats, so 5 and 3 entries stand for 10 and 30.
-	part := retries(128, 320, forward.LoadTold{Entries: 8, Near: 5})
-	complete := retries(10, 20, forward.LoadTold{Entries: 40, Near: 10})
+	part := retries(128, 320, forward.LoadReported{Entries: 8, NearEntries: 5})
+	complete := retries(10, 20, forward.LoadReported{Entries: 40, NearEntries: 10})
 	require.Equal(t, complete, part)
-	require.Less(t, complete, retries(10, 20, forward.LoadTold{Entries: 8, Near: 5}))
+	require.Less(t, complete, retries(10, 20, forward.LoadReported{Entries: 8, NearEntries: 5}))
 }
 
 // TestEngineWithoutHeartbeatIsUsedWhenTheOthersAreFull guards against refusals while engines whose agents get no heartbeats have
@@ -83,7 +83,7 @@
 func TestEngineWithoutHeartbeatIsUsedWhenTheOthersAreFull(t *testing.T) {
 	r := newFleetRig("entry-1", 70, 0)
 	targets := map[string]bool{}
-	for _, u := range r.state.Greet() {
+	for _, u := range r.state.ChooseHeartbeatTargets() {
 		targets[u.ID] = true
 	}
 	require.Len(t, targets, 64)
@@ -105,12 +105,12 @@
 			r.add(fmt.Sprintf("d%d", i), "desk", "perth-a", 6)
 		}
 		for _, n := range counts {
-			r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: n, Near: n})
+			r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: n, NearEntries: n})
 		}
 		count := 0
 		for id := range uint64(60) {
 			r.arrive(id, lookups)
-			count += len(sentIDs(r.step(forward.SendEnded{ID: id, Outcome: forward.Declined})))
+			count += len(sentIDs(r.step(forward.AttemptEnded{ID: id, Outcome: forward.Declined})))
 		}
 		return count
 	}
--- a/internal/core/forward/homes_test.go
+++ b/internal/core/forward/homes_test.go
@@ -23,10 +23,10 @@
 	var routes []*catalog.Route
 	for _, prefix := range []string{bookings, lookups, reports, notes} {
 		next := *previous.Route("h", prefix)
-		next.Homes = route
+		next.HomeRegions = route
 		routes = append(routes, &next)
 	}
-	m := catalog.NewManifest(int64(r.next), routes, map[string]*catalog.Account{"key-1": {Name: "karrakin", Homes: account}})
+	m := catalog.NewManifest(int64(r.next), routes, map[string]*catalog.ClientAccount{"key-1": {Name: "karrakin", HomeRegions: account}})
 	m.HasAccounts, m.Services = true, previous.Services
 	r.applyCatalog(catalog.ManifestRead{Revision: int64(r.next), Manifest: m})
 }
@@ -34,7 +34,7 @@
 // allowedIn reports whether the manifest in force allows a request of key-1 in a region. It does not use the code under test.
 func (r *rig) allowedIn(region string) bool {
 	m := r.state.Catalog.Manifest
-	for _, homes := range []residency.Regions{m.Route("h", reports).Homes, m.Account("key-1").Homes} {
+	for _, homes := range []residency.Regions{m.Route("h", reports).HomeRegions, m.Account("key-1").HomeRegions} {
 		if len(homes) > 0 && !slices.Contains(homes, region) {
 			return false
 		}
@@ -62,7 +62,7 @@
 			r.add(fmt.Sprintf("d%d", i), "desk", dataCentre, 1)
 		}
 		if rapid.Bool().Draw(rt, "strangers") {
-			r.state.Greet()
+			r.state.ChooseHeartbeatTargets()
 		}
 		open, next := []uint64{}, uint64(0)
 		for range rapid.IntRange(5, 40).Draw(rt, "steps") {
@@ -74,13 +74,13 @@
 				check(r.step(step.Tick{}))
 			case 2:
 				id := fmt.Sprintf("m%d", rapid.IntRange(0, 4).Draw(rt, "engine"))
-				check(r.step(forward.LoadTold{Address: id, Versions: map[string]int64{"m": 1}, Entries: 1, Near: 1}))
+				check(r.step(forward.LoadReported{Address: id, Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1}))
 			case 3:
 				if len(open) > 0 {
 					outcome := rapid.SampledFrom([]forward.Outcome{forward.Broken, forward.Declined, forward.NotSent, forward.Silent, forward.Answered}).Draw(rt, "outcome")
 					partial := outcome == forward.Broken && rapid.Bool().Draw(rt, "partial")
 					id := rapid.SampledFrom(open).Draw(rt, "id")
-					check(r.step(forward.SendEnded{ID: id, Outcome: outcome, Partial: partial}))
+					check(r.step(forward.AttemptEnded{ID: id, Outcome: outcome, Partial: partial}))
 				}
 			default:
 				next++
@@ -100,7 +100,7 @@
 	refuse := only[forward.Refuse](t, r.arrive(1, lookups))
 	require.Equal(t, code.NoCommonHome, refuse.Code)
 	require.Equal(t, code.NotRun, refuse.Ran)
-	require.Zero(t, r.state.Open())
+	require.Zero(t, r.state.InFlight())
 }
 
 // TestRequestIsRefusedAtOnceWhileItsHomeHasNoUpstream guards against a request that is sent elsewhere, or waits until its deadline,
@@ -124,5 +124,5 @@
 	only[forward.Send](t, r.arrive(1, reports))
 	r.add("m2", "model", "bunbury-a", 4)
 	r.setHomes(residency.Regions{"perth"}, nil)
-	only[forward.Abort](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Broken, Partial: true}))
+	only[forward.Abort](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Broken, Partial: true}))
 }
--- a/internal/core/forward/instance_test.go
+++ b/internal/core/forward/instance_test.go
@@ -14,7 +14,7 @@
 func (r *rig) register(id string, startedAt int64) {
 	r.next++
 	r.applyCatalog(catalog.UpstreamChanged{Upstream: &catalog.Upstream{
-		ID: id, Born: startedAt, Service: "model", Address: id, DataCentre: "perth-a", Slots: 4, Revision: int64(r.next), Versions: map[string]int64{"m": 1},
+		ID: id, StartedAt: startedAt, Service: "model", Address: id, DataCentre: "perth-a", Slots: 4, Revision: int64(r.next), Versions: map[string]int64{"m": 1},
 	}})
 }
 
@@ -27,10 +27,10 @@
 	}
 	for startedAt := int64(1); startedAt <= 3; startedAt++ {
 		r.register("m1", startedAt)
-		r.step(forward.LoadTold{Address: "m1", Born: startedAt, Versions: map[string]int64{"m": 1}})
+		r.step(forward.LoadReported{Address: "m1", StartedAt: startedAt, Versions: map[string]int64{"m": 1}})
 		only[forward.Send](t, r.step(arrived(uint64(startedAt))))
-		r.step(forward.SendEnded{ID: uint64(startedAt), Outcome: forward.Broken})
-		suspected := r.step(forward.LoadTold{Address: "m1", Born: startedAt + 1})
+		r.step(forward.AttemptEnded{ID: uint64(startedAt), Outcome: forward.Broken})
+		suspected := r.step(forward.LoadReported{Address: "m1", StartedAt: startedAt + 1})
 		require.Len(t, suspected, map[bool]int{true: 1}[startedAt == 3], "instance %d", startedAt)
 	}
 	r.register("m1", 4)
@@ -42,7 +42,7 @@
 	r := newRig()
 	r.register("m1", 100)
 	only[forward.Send](t, r.arrive(1, reports))
-	r.step(forward.SendEnded{ID: 1, Outcome: forward.NotSent})
+	r.step(forward.AttemptEnded{ID: 1, Outcome: forward.NotSent})
 	only[forward.Refuse](t, r.arrive(2, reports))
 	r.register("m1", 200)
 	only[forward.Send](t, r.arrive(3, reports))
@@ -55,10 +55,10 @@
 	r.register("m1", 100)
 	only[forward.Send](t, r.arrive(1, reports))
 	r.register("m1", 200)
-	r.step(forward.LoadTold{Address: "m1", Born: 200, Versions: map[string]int64{"m": 1}})
-	r.step(forward.LoadTold{Address: "m1", Born: 100, Closing: true, Occupied: 4})
-	again := only[forward.Send](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Broken}))
-	require.Equal(t, int64(200), again.Upstream.Born)
+	r.step(forward.LoadReported{Address: "m1", StartedAt: 200, Versions: map[string]int64{"m": 1}})
+	r.step(forward.LoadReported{Address: "m1", StartedAt: 100, NotAccepting: true, RequestCount: 4})
+	again := only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Broken}))
+	require.Equal(t, int64(200), again.Upstream.StartedAt)
 }
 
 // TestSlotsAreLimitedToTheServicesSlots guards against a registration by another writer that claims 1000 slots for an engine with
@@ -67,7 +67,7 @@
 	r := newRig()
 	r.state.Catalog.Manifest.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{Slots: 2}}
 	r.add("m1", "model", "perth-a", 1000)
-	r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 1}})
+	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}})
 	only[forward.Send](t, r.arrive(1, reports))
 	r.now += 10 * time.Millisecond
 	only[forward.Send](t, r.arrive(2, reports))
@@ -80,13 +80,13 @@
 	register := func(r *rig, id string, startedAt int64, versions map[string]int64) {
 		r.next++
 		r.applyCatalog(catalog.UpstreamChanged{Upstream: &catalog.Upstream{
-			ID: id, Born: startedAt, Service: "model", Address: "10.0.0.9:8080", DataCentre: "perth-a", Slots: 4, Revision: int64(r.next), Versions: versions,
+			ID: id, StartedAt: startedAt, Service: "model", Address: "10.0.0.9:8080", DataCentre: "perth-a", Slots: 4, Revision: int64(r.next), Versions: versions,
 		}})
 	}
 	report := func(r *rig, versions map[string]int64) {
-		r.step(forward.LoadTold{Address: "10.0.0.9:8080", Born: 200, Versions: versions, Entries: 1, Near: 1})
+		r.step(forward.LoadReported{Address: "10.0.0.9:8080", StartedAt: 200, Versions: versions, Entries: 1, NearEntries: 1})
 	}
-	reportStarting := func(r *rig) { r.step(forward.LoadTold{Address: "10.0.0.9:8080", Entries: 1, Near: 1}) }
+	reportStarting := func(r *rig) { r.step(forward.LoadReported{Address: "10.0.0.9:8080", Entries: 1, NearEntries: 1}) }
 	for _, reportFirst := range []bool{true, false} {
 		r := newRig()
 		register(r, "before", 100, map[string]int64{"m": 1})
@@ -116,11 +116,11 @@
 	register := func(id string, startedAt int64) {
 		r.next++
 		r.applyCatalog(catalog.UpstreamChanged{Upstream: &catalog.Upstream{
-			ID: id, Born: startedAt, Service: "model", Address: "10.0.0.9:8080", DataCentre: "perth-a", Slots: 4, Revision: int64(r.next), Versions: map[string]int64{"m": 1},
+			ID: id, StartedAt: startedAt, Service: "model", Address: "10.0.0.9:8080", DataCentre: "perth-a", Slots: 4, Revision: int64(r.next), Versions: map[string]int64{"m": 1},
 		}})
 	}
 	report := func(startedAt int64) {
-		r.step(forward.LoadTold{Address: "10.0.0.9:8080", Born: startedAt, Versions: map[string]int64{"m": 1}, Entries: 1, Near: 1})
+		r.step(forward.LoadReported{Address: "10.0.0.9:8080", StartedAt: startedAt, Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1})
 	}
 	register("ahead", 2_400_000)
 	report(2_400_000)
--- a/internal/core/forward/leaving_test.go
+++ b/internal/core/forward/leaving_test.go
@@ -14,8 +14,8 @@
 
 // reportLeaving has an upstream say in an answer that it is shutting down.
 func (r *rig) reportLeaving(id string, outcome forward.Outcome) {
-	instance := r.state.Catalog.Upstreams[id].Life()
-	r.step(forward.Noticed{Upstream: instance, Sent: begin.Add(r.now), Outcome: outcome, Notice: catalog.Notice{Leaving: true}})
+	instance := r.state.Catalog.Upstreams[id].Instance()
+	r.step(forward.AnswerHeadReceived{Upstream: instance, Sent: begin.Add(r.now), Outcome: outcome, Notice: catalog.Notice{Leaving: true}})
 }
 
 // TestUpstreamThatSaysItIsLeavingGetsNoRequests guards against requests to an upstream that told this entry that it is shutting
@@ -32,11 +32,11 @@
 			require.Equal(t, code.NoUpstream, refuse.Code, "it is refused at once")
 			require.Equal(t, code.NotRun, refuse.Ran)
 			r.add("u1", service.name, "perth-a", 6) // The store's update is late.
-			r.step(forward.LoadTold{Address: "u1", Versions: map[string]int64{"m": 1}, Entries: 1, Near: 1})
+			r.step(forward.LoadReported{Address: "u1", Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1})
 			require.Empty(t, sentIDs(r.arrive(2, service.path)), "it is still leaving")
 			r.add("u2", service.name, "bunbury-a", 6)
 			require.Equal(t, "u2", only[forward.Send](t, r.arrive(3, service.path)).Upstream.ID)
-			require.Empty(t, sentIDs(r.step(forward.SendEnded{ID: 3, Outcome: forward.Declined})), "it gets no retries either")
+			require.Empty(t, sentIDs(r.step(forward.AttemptEnded{ID: 3, Outcome: forward.Declined})), "it gets no retries either")
 		}
 	}
 }
@@ -48,7 +48,7 @@
 	only[forward.Send](t, r.arrive(1, reports))
 	require.Empty(t, sentIDs(r.arrive(2, reports)))
 	r.reportLeaving("m1", forward.Answered)
-	require.Empty(t, sentIDs(r.step(forward.SendEnded{ID: 1, Outcome: forward.Answered})))
+	require.Empty(t, sentIDs(r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Answered})))
 }
 
 // TestLeavingAppliesToOneInstanceOnly guards against excluding a restarted upstream, or another one at the same address, in place
@@ -57,10 +57,10 @@
 	r := newRig()
 	upstream := func(id string, startedAt int64) *catalog.Upstream {
 		r.next++
-		return &catalog.Upstream{ID: id, Born: startedAt, Service: "desk", Address: "a", DataCentre: "perth-a", Slots: 6, Revision: int64(r.next)}
+		return &catalog.Upstream{ID: id, StartedAt: startedAt, Service: "desk", Address: "a", DataCentre: "perth-a", Slots: 6, Revision: int64(r.next)}
 	}
 	r.applyCatalog(catalog.UpstreamChanged{Upstream: upstream("d1", 1000)})
-	first := r.state.Catalog.Upstreams["d1"].Life()
+	first := r.state.Catalog.Upstreams["d1"].Instance()
 	r.reportLeaving("d1", forward.Misdirected)
 	require.Len(t, sentIDs(r.arrive(1, lookups)), 1, "another upstream at the address sent the notice")
 	r.reportLeaving("d1", forward.Broken)
@@ -69,7 +69,7 @@
 	require.Empty(t, sentIDs(r.arrive(3, lookups)))
 	r.applyCatalog(catalog.UpstreamChanged{Upstream: upstream("d1", 2000)})
 	require.Len(t, sentIDs(r.arrive(4, lookups)), 1)
-	r.step(forward.Noticed{Upstream: first, Outcome: forward.Answered, Notice: catalog.Notice{Leaving: true}})
+	r.step(forward.AnswerHeadReceived{Upstream: first, Outcome: forward.Answered, Notice: catalog.Notice{Leaving: true}})
 	require.Len(t, sentIDs(r.arrive(5, lookups)), 1, "the notice is from the earlier instance")
 }
 
@@ -92,7 +92,7 @@
 func TestUpstreamThatReportsLeavingToItsAgentGetsNoRequests(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 6)
-	report := forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: 1, Near: 1, Leaving: true}
+	report := forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1, Leaving: true}
 	r.step(report)
 	require.Empty(t, sentIDs(r.arrive(1, reports)))
 	report.Leaving = false
--- a/internal/core/forward/load.go
+++ b/internal/core/forward/load.go
@@ -27,7 +27,7 @@
 	pendingPromptTokens int
 	// tokens is how many tokens of the upstream's memory this entry's requests may take.
 	tokens     int
-	report     LoadTold
+	report     LoadReported
 	reportedAt time.Time
 	// nearEntries is the number of entries in the upstream's data centre, as counted by its agent.
 	nearEntries recentMax
@@ -58,7 +58,7 @@
 	brokenRequests []brokenRequest
 }
 
-func (s *State) load(instance catalog.Life) *load {
+func (s *State) load(instance catalog.Instance) *load {
 	l := s.loads[instance]
 	if l == nil {
 		l = &load{}
@@ -91,35 +91,35 @@
 func (l *load) hasReport(now time.Time) bool { return now.Sub(l.reportedAt) < reportLifetime }
 
 // notAccepting reports whether the engine's agent says that it does not accept requests now.
-func (l *load) notAccepting(now time.Time) bool { return l.report.Closing && l.hasReport(now) }
+func (l *load) notAccepting(now time.Time) bool { return l.report.NotAccepting && l.hasReport(now) }
 
-func (s *State) loadReported(in step.Input, ev LoadTold) []step.Effect {
+func (s *State) loadReported(in step.Input, ev LoadReported) []step.Effect {
 	if ev.Entries > 0 {
 		s.estimatedEntries = s.estimateEntries(ev)
 		s.recentEntries.add(in.Now, s.estimatedEntries)
 	}
-	s.Catalog.Confirm(in.Now, ev.Address, ev.Born)
-	u := s.Catalog.At(ev.Address, ev.Born)
-	if u == nil || ev.Born > 0 && ev.Born < u.Born {
+	s.Catalog.RecordStart(in.Now, ev.Address, ev.StartedAt)
+	u := s.Catalog.UpstreamAt(ev.Address, ev.StartedAt)
+	if u == nil || ev.StartedAt > 0 && ev.StartedAt < u.StartedAt {
 		return nil // The report is about an earlier instance.
 	}
 	var effects []step.Effect
-	if ev.Born > u.Born && u.Born > 0 {
-		effects = s.foundDown(in, u.Life())
-		s.Catalog.Reborn(in.Now, u.ID, ev.Born)
+	if ev.StartedAt > u.StartedAt && u.StartedAt > 0 {
+		effects = s.foundDown(in, u.Instance())
+		s.Catalog.RecordRestart(in.Now, u.ID, ev.StartedAt)
 		u = s.Catalog.Upstreams[u.ID]
 	}
 	if len(ev.Versions) == 0 {
 		s.markUnloaded(in.Now, ev)
 	}
-	l := s.load(u.Life())
+	l := s.load(u.Instance())
 	if lostWeights(l.report, ev) {
-		effects = append(effects, s.foundDown(in, u.Life())...)
+		effects = append(effects, s.foundDown(in, u.Instance())...)
 	}
 	l.report, l.reportedAt = ev, in.Now
-	l.nearEntries.add(in.Now, ev.Near)
-	l.otherRequests = max(0, ev.Occupied-l.inFlight)
-	l.noteCold(in.Now, ev.ColdLeft)
+	l.nearEntries.add(in.Now, ev.NearEntries)
+	l.otherRequests = max(0, ev.RequestCount-l.inFlight)
+	l.noteCold(in.Now, ev.ColdRemaining)
 	t := s.target(u)
 	l.remainingShare = t.shareOfFree(ev, in.Rand)
 	s.setColdPacer(in.Now, t)
@@ -127,16 +127,16 @@
 		l.leavingAt = in.Now
 	}
 	if limit := ev.RateLimit; limit != nil && *limit >= 0 && !math.IsInf(*limit, 0) {
-		l.limitPacer.setLimit(in.Now, *limit, s.limitShare(u.Life()), in.Rand) // An answer without a limit ends it, like any other limit.
+		l.limitPacer.setLimit(in.Now, *limit, s.limitShare(u.Instance()), in.Rand) // An answer without a limit ends it, like any other limit.
 	}
 	return append(effects, s.serveQueue(in, u.Service)...)
 }
 
 // markUnloaded records for each upstream registered at the report's address that has no report yet that the engine there holds no
 // weights. While the engine starts, its agent can't say which of these upstreams it is.
-func (s *State) markUnloaded(now time.Time, ev LoadTold) {
-	for _, u := range s.Catalog.AllAt(ev.Address) {
-		l := s.load(u.Life())
+func (s *State) markUnloaded(now time.Time, ev LoadReported) {
+	for _, u := range s.Catalog.UpstreamsAt(ev.Address) {
+		l := s.load(u.Instance())
 		if l.reportedAt.IsZero() {
 			l.report, l.reportedAt = ev, now
 		}
@@ -178,7 +178,7 @@
 	s.forgotAt = now
 	for instance, l := range s.loads {
 		u := s.Catalog.Upstreams[instance.ID]
-		if (u == nil || u.Born != instance.Born) && l.inFlight == 0 && now.Sub(l.reportedAt) > reportLifetime && !l.keepsState(now) {
+		if (u == nil || u.StartedAt != instance.StartedAt) && l.inFlight == 0 && now.Sub(l.reportedAt) > reportLifetime && !l.keepsState(now) {
 			delete(s.loads, instance)
 		}
 	}
--- a/internal/core/forward/notice.go
+++ b/internal/core/forward/notice.go
@@ -7,10 +7,10 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// Noticed is the event that the head of an answer was received.
-type Noticed struct {
+// AnswerHeadReceived is the event that the head of an answer was received.
+type AnswerHeadReceived struct {
 	// Upstream is the instance that the request was sent to, and Sent is when.
-	Upstream catalog.Life
+	Upstream catalog.Instance
 	Sent     time.Time
 	// Outcome is the outcome as far as the head shows it: Answered for an answer that may be passed on.
 	Outcome Outcome
@@ -18,13 +18,13 @@
 }
 
 // Event marks the type as an event.
-func (Noticed) Event() {}
+func (AnswerHeadReceived) Event() {}
 
 // ran reports whether the upstream ran the request.
-func (ev Noticed) ran() bool { return ev.Outcome == Answered || ev.Outcome == ServerFailed }
+func (ev AnswerHeadReceived) ran() bool { return ev.Outcome == Answered || ev.Outcome == ServerFailed }
 
-// UpstreamSaid has the shell log that an upstream's statement about itself has changed.
-type UpstreamSaid struct {
+// NoticeChanged has the shell log that an upstream's statement about itself has changed.
+type NoticeChanged struct {
 	Upstream string
 	Notice   catalog.Notice
 	// Before is the previous statement.
@@ -32,10 +32,10 @@
 }
 
 // Effect marks the type as an effect.
-func (UpstreamSaid) Effect() {}
+func (NoticeChanged) Effect() {}
 
 // noticed handles an upstream's statement about itself.
-func (s *State) noticed(in step.Input, ev Noticed) []step.Effect {
+func (s *State) noticed(in step.Input, ev AnswerHeadReceived) []step.Effect {
 	if ev.Outcome == Misdirected || ev.Outcome == Broken {
 		return nil // It is from another upstream, or its sender is unknown.
 	}
@@ -49,14 +49,14 @@
 	if ev.Notice.Leaving {
 		l.leavingAt = in.Now
 	}
-	if l.noteCold(in.Now, ev.Notice.ColdLeft); ev.Notice.ColdLeft > 0 {
+	if l.noteCold(in.Now, ev.Notice.ColdRemaining); ev.Notice.ColdRemaining > 0 {
 		s.setColdPacerOf(in.Now, ev.Upstream)
 	}
 	before := l.notice
 	l.notice = ev.Notice
-	l.notice.ColdLeft = 0 // It shrinks with each answer, which is not a change to log.
+	l.notice.ColdRemaining = 0 // It shrinks with each answer, which is not a change to log.
 	if before == l.notice {
 		return nil
 	}
-	return []step.Effect{UpstreamSaid{Upstream: ev.Upstream.ID, Notice: ev.Notice, Before: before}}
+	return []step.Effect{NoticeChanged{Upstream: ev.Upstream.ID, Notice: ev.Notice, Before: before}}
 }
--- a/internal/core/forward/outcome_test.go
+++ b/internal/core/forward/outcome_test.go
@@ -18,7 +18,7 @@
 	r := newRig()
 	r.add("d1", "desk", "perth-a", 6)
 	only[forward.Send](t, r.arrive(1, bookings))
-	r.step(forward.SendEnded{ID: 1, Outcome: forward.NotSent})
+	r.step(forward.AttemptEnded{ID: 1, Outcome: forward.NotSent})
 	only[forward.Refuse](t, r.arrive(2, bookings))
 	r.now += 400 * time.Millisecond
 	only[forward.Send](t, r.arrive(3, bookings))
@@ -30,7 +30,7 @@
 	r.add("m1", "model", "perth-a", 2)
 	only[forward.Send](t, r.arrive(1, reports))
 	r.step(forward.CallerGone{ID: 1})
-	require.Zero(t, r.state.Open())
+	require.Zero(t, r.state.InFlight())
 	only[forward.Send](t, r.arrive(2, reports))
 }
 
@@ -44,7 +44,7 @@
 			r.add(fmt.Sprintf("m%d", i), "model", "perth-a", 6)
 		}
 		first := only[forward.Send](t, r.arrive(1, path))
-		second := only[forward.Send](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Unsent}))
+		second := only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Unsent}))
 		require.NotEqual(t, first.Upstream.ID, second.Upstream.ID)
 		refuse := only[forward.Refuse](t, r.step(forward.TimedOut{ID: 1, Unsent: true}))
 		require.Equal(t, code.NotRun, refuse.Ran, path)
@@ -60,7 +60,7 @@
 	r.add("d0", "desk", "perth-a", 6)
 	for id := uint64(1); id < 6; id++ {
 		only[forward.Send](t, r.arrive(id, lookups))
-		r.step(forward.SendEnded{ID: id, Outcome: forward.Unsent})
+		r.step(forward.AttemptEnded{ID: id, Outcome: forward.Unsent})
 	}
 }
 
@@ -72,11 +72,11 @@
 		r.add("d0", "desk", "perth-a", 6)
 		only[forward.Send](t, r.arrive(1, bookings))
 		only[forward.Send](t, r.arrive(2, bookings))
-		r.step(forward.SendEnded{ID: 1, Outcome: forward.Silent})
+		r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Silent})
 		r.step(end)
 		r.now += 400 * time.Millisecond
 		only[forward.Send](t, r.arrive(3, bookings))
-		r.step(forward.SendEnded{ID: 3, Outcome: forward.Silent})
+		r.step(forward.AttemptEnded{ID: 3, Outcome: forward.Silent})
 		r.now += 400 * time.Millisecond
 		require.Empty(t, sentIDs(r.arrive(4, bookings)), "%T: the second time it is avoided twice as long", end)
 	}
--- a/internal/core/forward/pick.go
+++ b/internal/core/forward/pick.go
@@ -153,7 +153,7 @@
 }
 
 // newSample returns an empty sample.
-func (s *State) newSample() sample { return sample{maxSize: s.Self.Policy.Choices} }
+func (s *State) newSample() sample { return sample{maxSize: s.Self.Policy.SampleSize} }
 
 // consider takes an upstream that could accept a request: into the sample if it has capacity, else as a full one.
 func (s *sample) consider(in step.Input, t *target, r *request) {
@@ -243,7 +243,7 @@
 		}
 	}
 	homes := ""
-	if !r.homes.Free() {
+	if !r.homes.Unrestricted() {
 		homes = fmt.Sprintf("in its homes (%s): ", r.homes)
 	}
 	return homes + fmt.Sprintf("%d registered, %d evacuated, %d draining, %d avoided after failures, %d loading, %d that sent Retry-After, %d without the required weights or already tried, %d at their rate limit, %d full",
--- a/internal/core/forward/policy.go
+++ b/internal/core/forward/policy.go
@@ -10,25 +10,25 @@
 	WaitShare float64
 	// OldestFirst serves the request that has waited longest first, in place of the newest.
 	OldestFirst bool
-	// ReadAhead is how much prompt processing (prefill) the entries queue at an engine at once. An engine processes prompts one
+	// PrefillAhead is how much prompt processing (prefill) the entries queue at an engine at once. An engine processes prompts one
 	// after the other, so a request beyond this waits about that long in addition to the usual time to the first event.
-	ReadAhead time.Duration
-	// KeepFree is how long free capacity is reserved for first tries after one of them had to wait. A request whose caller returned
+	PrefillAhead time.Duration
+	// ReserveFor is how long free capacity is reserved for first tries after one of them had to wait. A request whose caller returned
 	// after a refusal is not given that capacity, since it can only be late. A longer time refuses more of the returning callers
 	// again.
-	KeepFree time.Duration
-	// BlindAtOnce is how many of an entry's requests may wait for their first event at engines without a load report while an
+	ReserveFor time.Duration
+	// MaxUnreported is how many of an entry's requests may wait for their first event at engines without a load report while an
 	// engine with one is full. No entry in another data centre knows an engine's load: if each sent its excess requests there, the
 	// engine's queue would fill.
-	BlindAtOnce int
-	// Choices is how many of the nearest upstreams are compared for a request, at most maxChoices; see pick.
-	Choices int
-	// BeginShare is the part of the latency objective within which an engine is expected to start a request that is sent shortly
+	MaxUnreported int
+	// SampleSize is how many of the nearest upstreams are compared for a request, at most maxChoices; see pick.
+	SampleSize int
+	// StartShare is the part of the latency objective within which an engine is expected to start a request that is sent shortly
 	// before the engine's version expires.
-	BeginShare float64
+	StartShare float64
 }
 
 // DefaultPolicy returns the production parameters.
 func DefaultPolicy() Policy {
-	return Policy{WaitShare: 0.4, ReadAhead: 90 * time.Millisecond, KeepFree: 100 * time.Millisecond, BlindAtOnce: 3, Choices: 2, BeginShare: 0.5}
+	return Policy{WaitShare: 0.4, PrefillAhead: 90 * time.Millisecond, ReserveFor: 100 * time.Millisecond, MaxUnreported: 3, SampleSize: 2, StartShare: 0.5}
 }
--- a/internal/core/forward/prefill_test.go
+++ b/internal/core/forward/prefill_test.go
@@ -24,7 +24,7 @@
 // arrivePrompt has a request arrive with a prompt of the given number of tokens.
 func (r *rig) arrivePrompt(id uint64, tokens int) []step.Effect {
 	return r.step(forward.Arrived{
-		ID: id, Host: "h", Path: reports + "x", Key: "key-1", Model: "m", Budget: 6 * time.Second, Prompt: tokens,
+		ID: id, Host: "h", Path: reports + "x", Key: "key-1", Model: "m", Budget: 6 * time.Second, PromptTokens: tokens,
 	})
 }
 
@@ -35,18 +35,18 @@
 	r := newRig()
 	r.add("m1", "model", "perth-a", 16)
 	report := func(notAccepting bool) []uint64 {
-		return sentIDs(r.step(forward.LoadTold{Address: "m1", Closing: notAccepting, Versions: map[string]int64{"m": 1}}))
+		return sentIDs(r.step(forward.LoadReported{Address: "m1", NotAccepting: notAccepting, Versions: map[string]int64{"m": 1}}))
 	}
 	r.add("m2", "model", "perth-a", 1)
 	report(true)
-	r.step(forward.LoadTold{Address: "m2", Occupied: 1, Versions: map[string]int64{"m": 1}})
+	r.step(forward.LoadReported{Address: "m2", RequestCount: 1, Versions: map[string]int64{"m": 1}})
 	for id := uint64(1); id <= 10; id++ {
 		require.Empty(t, sentIDs(r.arrivePrompt(id, 1000)))
 	}
 	first := report(false)
 	require.Len(t, first, 2, "90 ms of prefill are 2,700 tokens")
 	require.Empty(t, report(false))
-	r.step(forward.Began{ID: first[0]})
+	r.step(forward.Started{ID: first[0]})
 	require.Len(t, sentIDs(r.step(step.Tick{})), 1, "there is capacity for the next prompt once one was processed")
 }
 
@@ -65,9 +65,9 @@
 	r.add("m1", "model", "perth-a", 16)
 	only[forward.Send](t, r.arrivePrompt(1, 100))
 	r.add("m2", "model", "perth-a", 16)
-	r.step(forward.LoadTold{Address: "m1", Closing: true, Versions: map[string]int64{"m": 1}})
+	r.step(forward.LoadReported{Address: "m1", NotAccepting: true, Versions: map[string]int64{"m": 1}})
 	only[forward.Send](t, r.arrivePrompt(2, 9000))
-	again := only[forward.Send](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Broken, Partial: true}))
+	again := only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Broken, Partial: true}))
 	require.Equal(t, "m2", again.Upstream.ID)
 }
 
@@ -81,7 +81,7 @@
 	}{{"perth-a", 15, true}, {"perth-a", 16, false}, {"bunbury-a", 13, true}, {"bunbury-a", 14, false}} {
 		r := newRig()
 		r.add("m1", "model", c.dataCentre, 16)
-		r.step(forward.LoadTold{Address: "m1", Occupied: c.occupied, Versions: map[string]int64{"m": 1}})
+		r.step(forward.LoadReported{Address: "m1", RequestCount: c.occupied, Versions: map[string]int64{"m": 1}})
 		require.Equal(t, c.sent, len(sentIDs(r.arrivePrompt(1, 100))) == 1, "%+v", c)
 	}
 }
@@ -95,7 +95,7 @@
 	}{{"perth-a", 1, 5}, {"perth-a", 2, 2}, {"perth-a", 5, 1}, {"bunbury-a", 1, 1}} {
 		r := newRig()
 		r.add("m1", "model", c.dataCentre, 100)
-		r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: 6, Near: c.near})
+		r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: 6, NearEntries: c.near})
 		sent := 0
 		for id := uint64(1); id <= 10; id++ {
 			sent += len(sentIDs(r.arrivePrompt(id, 500)))
--- a/internal/core/forward/quarantine.go
+++ b/internal/core/forward/quarantine.go
@@ -17,25 +17,25 @@
 // crash to be attributed to the request. A request whose connection breaks at a healthy upstream is not suspect.
 const crashWindow = 1500 * time.Millisecond
 
-// CrashesTold is the event that another process reported what it knows about requests that crash upstreams.
-type CrashesTold struct{ Reports []quarantine.Report }
+// CrashesReported is the event that another process reported what it knows about requests that crash upstreams.
+type CrashesReported struct{ Reports []quarantine.Report }
 
 // Event marks the type as an event.
-func (CrashesTold) Event() {}
+func (CrashesReported) Event() {}
 
-// Suspected tells the shell that a request is quarantined from now on, because this entry counted the crash that reached the
+// QuarantineStarted tells the shell that a request is quarantined from now on, because this entry counted the crash that reached the
 // threshold.
-type Suspected struct {
+type QuarantineStarted struct {
 	Fingerprint uint64
 	// Upstream is the one that crashed last.
 	Upstream string
 }
 
-// HeldBack tells the shell that a request is quarantined from now on because another process reported it.
-type HeldBack struct {
+// Quarantined tells the shell that a request is quarantined from now on because another process reported it.
+type Quarantined struct {
 	Fingerprint uint64
-	// Left is the remaining time of the quarantine.
-	Left time.Duration
+	// Remaining is the remaining time of the quarantine.
+	Remaining time.Duration
 }
 
 // CrashesDropped tells the shell how many crashes were not recorded because the table is full; see quarantine.Table.
@@ -45,10 +45,10 @@
 func (CrashesDropped) Effect() {}
 
 // Effect marks the type as an effect.
-func (Suspected) Effect() {}
+func (QuarantineStarted) Effect() {}
 
 // Effect marks the type as an effect.
-func (HeldBack) Effect() {}
+func (Quarantined) Effect() {}
 
 // brokenRequest is a request whose attempt broke at an upstream.
 type brokenRequest struct {
@@ -57,10 +57,10 @@
 }
 
 // crashesReported merges another process's report on crashes.
-func (s *State) crashesReported(in step.Input, ev CrashesTold) []step.Effect {
+func (s *State) crashesReported(in step.Input, ev CrashesReported) []step.Effect {
 	var effects []step.Effect
 	for _, fingerprint := range s.Crashes.Merge(in.Now, ev.Reports) {
-		effects = append(effects, HeldBack{Fingerprint: fingerprint, Left: s.Crashes.Held(in.Now, fingerprint)})
+		effects = append(effects, Quarantined{Fingerprint: fingerprint, Remaining: s.Crashes.Remaining(in.Now, fingerprint)})
 		effects = append(effects, s.stopQuarantined(in, fingerprint)...)
 	}
 	return effects
@@ -71,11 +71,11 @@
 func (s *State) stopQuarantined(in step.Input, fingerprint uint64) []step.Effect {
 	var effects []step.Effect
 	for _, r := range s.copies(fingerprint) {
-		if r.instance == (catalog.Life{}) {
+		if r.instance == (catalog.Instance{}) {
 			reject, _ := s.quarantined(in, r)
 			effects = append(effects, s.endRequest(in, r, reject)...)
 		} else if r.awaitingFirstEvent {
-			effects = append(effects, Withdraw{ID: r.id, Number: r.attempts})
+			effects = append(effects, Withdraw{ID: r.id, Attempt: r.attempts})
 		}
 	}
 	return effects
@@ -95,13 +95,13 @@
 
 // quarantined reports whether a request must not be sent because of the upstreams that crashed while running it, and why.
 func (s *State) quarantined(in step.Input, r *request) (rejection, bool) {
-	if left := s.Crashes.Held(in.Now, r.fingerprint); left > 0 {
+	if left := s.Crashes.Remaining(in.Now, r.fingerprint); left > 0 {
 		why := fmt.Sprintf("requests with fingerprint %d crashed upstreams; quarantined for another %v", r.fingerprint, left)
-		return rejection{code: code.HeldBack, reason: why, retryAfter: left}, true
+		return rejection{code: code.RequestQuarantined, reason: why, retryAfter: left}, true
 	}
-	if atRisk := s.atRisk(in.Now, r); atRisk >= quarantine.CrashesToHold {
+	if atRisk := s.atRisk(in.Now, r); atRisk >= quarantine.CrashThreshold {
 		why := fmt.Sprintf("%d upstreams crashed recently on fingerprint %d, may have crashed, or hold a copy of it", atRisk, r.fingerprint)
-		return rejection{code: code.HeldBack, reason: why, retryAfter: s.retryAfter(in)}, true
+		return rejection{code: code.RequestQuarantined, reason: why, retryAfter: s.retryAfter(in)}, true
 	}
 	return rejection{}, false
 }
@@ -112,7 +112,7 @@
 // sum is limited to CrashesToHold, so that concurrent copies crash no more upstreams than successive ones.
 func (s *State) atRisk(now time.Time, r *request) int {
 	down := map[uint32]bool{}
-	for _, upstream := range s.Crashes.Crashes(now, r.fingerprint) {
+	for _, upstream := range s.Crashes.RecentCrashes(now, r.fingerprint) {
 		down[upstream] = true
 	}
 	count := len(down)
@@ -124,9 +124,9 @@
 	if count == 0 {
 		return 0
 	}
-	busy := map[catalog.Life]bool{}
+	busy := map[catalog.Instance]bool{}
 	for _, other := range s.copies(r.fingerprint) {
-		if other.instance != (catalog.Life{}) {
+		if other.instance != (catalog.Instance{}) {
 			busy[other.instance] = true
 		}
 	}
@@ -135,7 +135,7 @@
 
 // breakRecord is where and when an attempt broke.
 type breakRecord struct {
-	upstream catalog.Life
+	upstream catalog.Instance
 	brokeAt  time.Time
 }
 
@@ -148,13 +148,13 @@
 }
 
 // instanceKey identifies an upstream's instance between processes.
-func instanceKey(instance catalog.Life) uint32 {
-	return uint32(step.Score(instance.ID, strconv.FormatInt(instance.Born, 10)))
+func instanceKey(instance catalog.Instance) uint32 {
+	return uint32(step.Score(instance.ID, strconv.FormatInt(instance.StartedAt, 10)))
 }
 
 // trackCrashes updates the crash records of a request and its upstream at the end of an attempt. An answer that broke off does not
 // count as an answer, even if part of it was passed on.
-func (s *State) trackCrashes(in step.Input, r *request, ev SendEnded) []step.Effect {
+func (s *State) trackCrashes(in step.Input, r *request, ev AttemptEnded) []step.Effect {
 	switch ev.Outcome {
 	case Answered:
 		s.Crashes.Answered(in.Now, r.fingerprint)
@@ -189,7 +189,7 @@
 }
 
 // foundDown attributes the crash of an upstream that was found down to the requests that broke there shortly before.
-func (s *State) foundDown(in step.Input, upstream catalog.Life) []step.Effect {
+func (s *State) foundDown(in step.Input, upstream catalog.Instance) []step.Effect {
 	l := s.load(upstream)
 	l.foundDownAt = in.Now
 	var effects []step.Effect
@@ -200,11 +200,11 @@
 	return effects
 }
 
-func (s *State) recordCrash(in step.Input, fingerprint uint64, upstream catalog.Life) []step.Effect {
+func (s *State) recordCrash(in step.Input, fingerprint uint64, upstream catalog.Instance) []step.Effect {
 	if !s.Crashes.Crashed(in.Now, fingerprint, instanceKey(upstream), in.Now) {
 		return nil
 	}
-	suspected := Suspected{Fingerprint: fingerprint, Upstream: upstream.ID}
+	suspected := QuarantineStarted{Fingerprint: fingerprint, Upstream: upstream.ID}
 	return append([]step.Effect{suspected}, s.stopQuarantined(in, fingerprint)...)
 }
 
@@ -225,9 +225,9 @@
 }
 
 // lostWeights reports whether an engine that held weights holds none now, as after a crash.
-func lostWeights(before, now LoadTold) bool { return holdsWeights(before) && !holdsWeights(now) }
+func lostWeights(before, now LoadReported) bool { return holdsWeights(before) && !holdsWeights(now) }
 
-func holdsWeights(l LoadTold) bool {
+func holdsWeights(l LoadReported) bool {
 	for _, version := range l.Versions {
 		if version > 0 {
 			return true
--- a/internal/core/forward/quarantine_test.go
+++ b/internal/core/forward/quarantine_test.go
@@ -31,8 +31,8 @@
 }
 
 // quarantinedElsewhere returns the report of another process that a request is quarantined.
-func quarantinedElsewhere(fingerprint uint64) forward.CrashesTold {
-	return forward.CrashesTold{Reports: []quarantine.Report{{Fingerprint: fingerprint, HeldMS: quarantine.HoldFor.Milliseconds()}}}
+func quarantinedElsewhere(fingerprint uint64) forward.CrashesReported {
+	return forward.CrashesReported{Reports: []quarantine.Report{{Fingerprint: fingerprint, RemainingMS: quarantine.QuarantineDuration.Milliseconds()}}}
 }
 
 // arriveCopy has a copy of the request with the fingerprint arrive.
@@ -67,10 +67,10 @@
 	r := newEnginesRig(6)
 	only[forward.Send](t, r.arriveCopy(1, crashingFingerprint))
 	r.step(quarantinedElsewhere(crashingFingerprint))
-	effects := r.step(forward.SendEnded{ID: 1, Outcome: forward.Broken})
+	effects := r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Broken})
 	require.Empty(t, sentIDs(effects))
 	require.Equal(t, code.Unknown, only[forward.Refuse](t, effects).Ran, "its engine may have run it")
-	require.Zero(t, r.state.Open())
+	require.Zero(t, r.state.InFlight())
 }
 
 // TestQueuedCopyIsRefusedOnQuarantine guards against a queued copy that is sent when a slot becomes free during a quarantine. It is
@@ -81,11 +81,11 @@
 	require.Empty(t, sentIDs(r.arriveCopy(1, crashingFingerprint)))
 	refuse := only[forward.Refuse](t, r.step(quarantinedElsewhere(crashingFingerprint)))
 	require.Equal(t, uint64(1), refuse.ID)
-	require.Equal(t, code.HeldBack, refuse.Code)
+	require.Equal(t, code.RequestQuarantined, refuse.Code)
 	require.Equal(t, code.NotRun, refuse.Ran)
 	require.Positive(t, refuse.RetryAfter)
 	for id := uint64(100); id < 100+others; id++ {
-		require.NotContains(t, sentIDs(r.step(forward.SendEnded{ID: id, Outcome: forward.Answered})), uint64(1))
+		require.NotContains(t, sentIDs(r.step(forward.AttemptEnded{ID: id, Outcome: forward.Answered})), uint64(1))
 	}
 }
 
@@ -95,7 +95,7 @@
 	only[forward.Send](t, r.arriveCopy(1, crashingFingerprint))
 	r.step(quarantinedElsewhere(crashingFingerprint))
 	require.Empty(t, sentIDs(r.arriveCopy(2, crashingFingerprint)))
-	require.Empty(t, sentIDs(r.step(forward.SendEnded{ID: 1, Outcome: forward.Broken, Partial: true})))
+	require.Empty(t, sentIDs(r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Broken, Partial: true})))
 	require.Empty(t, sentIDs(r.arriveCopy(3, crashingFingerprint)))
 }
 
@@ -107,10 +107,10 @@
 	for id := uint64(1); id < 9; id++ {
 		for sent := sentAttempts(r.arriveCopy(id, crashingFingerprint)); len(sent) == 1; {
 			at := sent[0].Upstream.ID
-			r.step(forward.Began{ID: id})
-			ended := r.step(forward.SendEnded{ID: id, Outcome: forward.Broken, Partial: true})
-			r.step(forward.LoadTold{Address: at, Versions: map[string]int64{"m": 1}})
-			r.step(forward.LoadTold{Address: at})
+			r.step(forward.Started{ID: id})
+			ended := r.step(forward.AttemptEnded{ID: id, Outcome: forward.Broken, Partial: true})
+			r.step(forward.LoadReported{Address: at, Versions: map[string]int64{"m": 1}})
+			r.step(forward.LoadReported{Address: at})
 			crashed++
 			sent = sentAttempts(ended)
 		}
@@ -125,8 +125,8 @@
 	only[forward.Send](t, before.arriveCopy(1, crashingFingerprint))
 	only[forward.Send](t, after.arriveCopy(1, crashingFingerprint))
 	before.step(quarantinedElsewhere(crashingFingerprint))
-	before.step(forward.SendEnded{ID: 1, Outcome: forward.Answered})
-	after.step(forward.SendEnded{ID: 1, Outcome: forward.Answered})
+	before.step(forward.AttemptEnded{ID: 1, Outcome: forward.Answered})
+	after.step(forward.AttemptEnded{ID: 1, Outcome: forward.Answered})
 	after.step(quarantinedElsewhere(crashingFingerprint))
 	require.Empty(t, sentIDs(before.arriveCopy(2, crashingFingerprint)))
 	require.Empty(t, sentIDs(after.arriveCopy(2, crashingFingerprint)))
@@ -139,17 +139,17 @@
 	var quarantined int
 	for id := uint64(1); id <= 3; id++ {
 		at := only[forward.Send](t, r.arriveCopy(id, crashingFingerprint)).Upstream.ID
-		r.step(forward.LoadTold{Address: at, Versions: map[string]int64{"m": 1}})
-		r.step(forward.LoadTold{Address: at})
-		for _, e := range r.step(forward.SendEnded{ID: id, Outcome: forward.Broken}) {
-			if _, ok := e.(forward.Suspected); ok {
+		r.step(forward.LoadReported{Address: at, Versions: map[string]int64{"m": 1}})
+		r.step(forward.LoadReported{Address: at})
+		for _, e := range r.step(forward.AttemptEnded{ID: id, Outcome: forward.Broken}) {
+			if _, ok := e.(forward.QuarantineStarted); ok {
 				quarantined++
 			}
 		}
 		r.step(forward.CallerGone{ID: id})
 	}
 	require.Equal(t, 1, quarantined)
-	require.Equal(t, code.HeldBack, only[forward.Refuse](t, r.arriveCopy(9, crashingFingerprint)).Code)
+	require.Equal(t, code.RequestQuarantined, only[forward.Refuse](t, r.arriveCopy(9, crashingFingerprint)).Code)
 }
 
 // TestNonResumableRequestIsQuarantined guards against a non-resumable stream that crashes engines without limit because its caller
@@ -163,9 +163,9 @@
 			continue
 		}
 		at := sent[0].Upstream.ID
-		r.step(forward.SendEnded{ID: id, Outcome: forward.Broken})
-		r.step(forward.LoadTold{Address: at, Versions: map[string]int64{"m": 1}})
-		r.step(forward.LoadTold{Address: at})
+		r.step(forward.AttemptEnded{ID: id, Outcome: forward.Broken})
+		r.step(forward.LoadReported{Address: at, Versions: map[string]int64{"m": 1}})
+		r.step(forward.LoadReported{Address: at})
 		crashed++
 	}
 	require.Equal(t, 3, crashed)
@@ -177,10 +177,10 @@
 	r := newEnginesRig(6)
 	only[forward.Send](t, r.arriveCopy(1, crashingFingerprint))
 	only[forward.Send](t, r.arriveCopy(2, crashingFingerprint))
-	r.step(forward.Began{ID: 2})
-	require.Equal(t, forward.Withdraw{ID: 1, Number: 1}, only[forward.Withdraw](t, r.step(quarantinedElsewhere(crashingFingerprint))))
-	require.Equal(t, forward.Withdraw{ID: 1, Number: 1}, only[forward.Withdraw](t, r.step(step.Tick{})), "repeated until the shell has ended the attempt")
-	refuse := only[forward.Refuse](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Withdrawn}))
+	r.step(forward.Started{ID: 2})
+	require.Equal(t, forward.Withdraw{ID: 1, Attempt: 1}, only[forward.Withdraw](t, r.step(quarantinedElsewhere(crashingFingerprint))))
+	require.Equal(t, forward.Withdraw{ID: 1, Attempt: 1}, only[forward.Withdraw](t, r.step(step.Tick{})), "repeated until the shell has ended the attempt")
+	refuse := only[forward.Refuse](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Withdrawn}))
 	require.Equal(t, code.Unknown, refuse.Ran)
 }
 
@@ -190,10 +190,10 @@
 	route := func(service string, kind catalog.Kind, upstreams int) *catalog.Route {
 		return &catalog.Route{Name: "lookups", Host: "h", Prefix: lookups, Kind: kind, MaxUpstreams: upstreams, Shares: share(service)}
 	}
-	accounts := map[string]*catalog.Account{"key-1": {Name: "karrakin"}}
+	accounts := map[string]*catalog.ClientAccount{"key-1": {Name: "karrakin"}}
 	for name, c := range map[string]struct {
 		routes   []*catalog.Route
-		accounts map[string]*catalog.Account
+		accounts map[string]*catalog.ClientAccount
 		// to is the service that the second attempt goes to; empty if there must be none.
 		to string
 	}{
@@ -203,7 +203,7 @@
 		"one upstream from now on":  {[]*catalog.Route{route("desk", catalog.Idempotent, 1)}, accounts, ""},
 		"route removed":             {nil, accounts, ""},
 		"key revoked":               {[]*catalog.Route{route("desk", catalog.Idempotent, 2)}, nil, ""},
-		"key of another account":    {[]*catalog.Route{route("desk", catalog.Idempotent, 2)}, map[string]*catalog.Account{"key-1": {Name: "harrowgate"}}, ""},
+		"key of another account":    {[]*catalog.Route{route("desk", catalog.Idempotent, 2)}, map[string]*catalog.ClientAccount{"key-1": {Name: "harrowgate"}}, ""},
 		"route and another service": {[]*catalog.Route{route("nobody", catalog.Idempotent, 2)}, accounts, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -215,7 +215,7 @@
 			m := catalog.NewManifest(2, c.routes, c.accounts)
 			m.HasAccounts = true
 			r.applyCatalog(catalog.ManifestRead{Revision: 500, Manifest: m})
-			effects := r.step(forward.SendEnded{ID: 1, Outcome: forward.Broken})
+			effects := r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Broken})
 			if c.to == "" {
 				require.Empty(t, sentIDs(effects))
 				require.Equal(t, code.Unknown, only[forward.Refuse](t, effects).Ran)
@@ -261,7 +261,7 @@
 		for again := sentAttempts(r.arriveCopy(id, crashingFingerprint)); len(again) == 1; {
 			sent++
 			r.now += time.Millisecond
-			again = sentAttempts(r.step(forward.SendEnded{ID: id, Outcome: forward.Broken}))
+			again = sentAttempts(r.step(forward.AttemptEnded{ID: id, Outcome: forward.Broken}))
 		}
 	}
 	require.Equal(t, 3, sent)
@@ -284,9 +284,9 @@
 		require.LessOrEqual(t, id, uint64(2))
 		at := only[forward.Send](t, arrive(r, id, 7)).Upstream.ID
 		for range 2 {
-			effects := r.step(forward.SendEnded{ID: id, Outcome: forward.Broken})
-			r.step(forward.LoadTold{Address: at, Versions: map[string]int64{"m": 1}})
-			suspected = append(suspected, r.step(forward.LoadTold{Address: at})...)
+			effects := r.step(forward.AttemptEnded{ID: id, Outcome: forward.Broken})
+			r.step(forward.LoadReported{Address: at, Versions: map[string]int64{"m": 1}})
+			suspected = append(suspected, r.step(forward.LoadReported{Address: at})...)
 			if len(effects) > 0 {
 				if again, ok := effects[0].(forward.Send); ok {
 					at = again.Upstream.ID
@@ -294,9 +294,9 @@
 			}
 		}
 	}
-	require.Equal(t, uint64(7), only[forward.Suspected](t, suspected).Fingerprint)
+	require.Equal(t, uint64(7), only[forward.QuarantineStarted](t, suspected).Fingerprint)
 	refuse := only[forward.Refuse](t, arrive(r, 8, 7))
-	require.Equal(t, code.HeldBack, refuse.Code)
+	require.Equal(t, code.RequestQuarantined, refuse.Code)
 	require.Equal(t, code.NotRun, refuse.Ran)
 	only[forward.Send](t, arrive(r, 9, 8))
 	other.step(quarantinedElsewhere(7))
@@ -314,8 +314,8 @@
 	}
 	for id := uint64(1); id < 6; id++ {
 		only[forward.Send](t, r.step(forward.Arrived{ID: id, Host: "h", Path: reports, Key: "key-1", Model: "m", Fingerprint: 7}))
-		r.step(forward.SendEnded{ID: id, Outcome: forward.Broken})
-		r.step(forward.SendEnded{ID: id, Outcome: forward.Broken})
+		r.step(forward.AttemptEnded{ID: id, Outcome: forward.Broken})
+		r.step(forward.AttemptEnded{ID: id, Outcome: forward.Broken})
 		r.now += time.Second
 	}
 }
@@ -329,8 +329,8 @@
 	}
 	for id := uint64(1); id < 10; id++ {
 		only[forward.Send](t, r.step(forward.Arrived{ID: id, Host: "h", Path: reports, Key: "key-1", Model: "m", Fingerprint: 7}))
-		only[forward.Send](t, r.step(forward.SendEnded{ID: id, Outcome: forward.Broken}))
-		require.Empty(t, r.step(forward.SendEnded{ID: id, Outcome: forward.Answered}))
+		only[forward.Send](t, r.step(forward.AttemptEnded{ID: id, Outcome: forward.Broken}))
+		require.Empty(t, r.step(forward.AttemptEnded{ID: id, Outcome: forward.Answered}))
 		r.now += time.Second
 	}
 }
--- a/internal/core/forward/queue_test.go
+++ b/internal/core/forward/queue_test.go
@@ -20,14 +20,14 @@
 func newFullRig(t *testing.T) *rig {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 1)
-	r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 1}})
+	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}})
 	only[forward.Send](t, r.arriveWithTimeout(1, 6*time.Second))
 	return r
 }
 
 // finish ends a request and returns the ID of the one that got its slot.
 func (r *rig) finish(t *testing.T, ended uint64) uint64 {
-	return only[forward.Send](t, r.step(forward.SendEnded{ID: ended, Outcome: forward.Answered})).ID
+	return only[forward.Send](t, r.step(forward.AttemptEnded{ID: ended, Outcome: forward.Answered})).ID
 }
 
 // TestReturningCallerGetsOnlyFreeCapacity guards against callers that return after a refusal and take capacity from first tries,
@@ -39,7 +39,7 @@
 	require.Equal(t, code.NotRun, refuse.Ran)
 	only[forward.Admitted](t, r.arriveWithTimeout(3, 5400*time.Millisecond))
 	require.Equal(t, uint64(3), r.finish(t, 1))
-	require.Empty(t, r.step(forward.SendEnded{ID: 3, Outcome: forward.Answered}))
+	require.Empty(t, r.step(forward.AttemptEnded{ID: 3, Outcome: forward.Answered}))
 	r.now += 100 * time.Millisecond
 	only[forward.Send](t, r.arriveWithTimeout(4, 4500*time.Millisecond))
 }
@@ -106,11 +106,11 @@
 func TestRequestsWaitWhileTheOnlyEngineLoadsWeights(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 4)
-	r.step(forward.LoadTold{Address: "m1", Closing: true})
+	r.step(forward.LoadReported{Address: "m1", NotAccepting: true})
 	only[forward.Admitted](t, r.arriveWithTimeout(1, 6*time.Second))
 	r.now += 100 * time.Millisecond
-	require.Equal(t, []uint64{1}, sentIDs(r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 1}})))
-	r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{}})
+	require.Equal(t, []uint64{1}, sentIDs(r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}})))
+	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{}})
 	require.Equal(t, code.NoUpstream, only[forward.Refuse](t, r.arriveWithTimeout(2, 6*time.Second)).Code, "the engine is not loading weights")
 }
 
@@ -120,11 +120,11 @@
 	r := newFullRig(t)
 	only[forward.Admitted](t, r.arriveWithTimeout(2, 6*time.Second))
 	require.Equal(t, uint64(2), r.finish(t, 1))
-	require.Empty(t, r.step(forward.SendEnded{ID: 2, Outcome: forward.Answered}))
+	require.Empty(t, r.step(forward.AttemptEnded{ID: 2, Outcome: forward.Answered}))
 	r.now += 50 * time.Millisecond
 	require.Len(t, refusals(r.arriveWithTimeout(3, 4500*time.Millisecond)), 1)
 	require.Equal(t, []uint64{4}, sentIDs(r.arriveWithTimeout(4, 6*time.Second)))
-	r.step(forward.SendEnded{ID: 4, Outcome: forward.Answered})
+	r.step(forward.AttemptEnded{ID: 4, Outcome: forward.Answered})
 	r.now += 60 * time.Millisecond
 	require.Equal(t, []uint64{5}, sentIDs(r.arriveWithTimeout(5, 4500*time.Millisecond)))
 }
@@ -136,7 +136,7 @@
 		r := newRig()
 		for i, id := range []string{"m1", "m2", "m3"} {
 			r.add(id, "model", "perth-a", 1)
-			report := forward.LoadTold{Address: id, Versions: map[string]int64{"m": 1}}
+			report := forward.LoadReported{Address: id, Versions: map[string]int64{"m": 1}}
 			if i < empty {
 				report.Versions = nil
 			}
--- a/internal/core/forward/rate_limit_test.go
+++ b/internal/core/forward/rate_limit_test.go
@@ -88,13 +88,13 @@
 		r.add(limited, service, dataCentre, 12)
 		r.add("i-other", service, dataCentre, 12)
 		if service == "model" && !(unreported && i >= near) {
-			report := forward.LoadTold{Address: limited, Versions: map[string]int64{"m": 1}, Entries: near + far, Near: near}
+			report := forward.LoadReported{Address: limited, Versions: map[string]int64{"m": 1}, Entries: near + far, NearEntries: near}
 			r.step(report)
 			report.Address = "i-other"
 			r.step(report)
 		} else {
 			r.add("i-engine", "model", dataCentre, 12) // Its agent reports the number of entries.
-			r.step(forward.LoadTold{Address: "i-engine", Versions: map[string]int64{"m": 1}, Entries: near + far, Near: near})
+			r.step(forward.LoadReported{Address: "i-engine", Versions: map[string]int64{"m": 1}, Entries: near + far, NearEntries: near})
 		}
 		f.entries = append(f.entries, &limitedEntry{rig: r, next: 1})
 	}
@@ -121,9 +121,9 @@
 					if f.unreported && i >= f.near {
 						continue
 					}
-					report := forward.LoadTold{Address: id, Versions: map[string]int64{"m": 1}, Entries: len(f.entries), Near: f.near}
+					report := forward.LoadReported{Address: id, Versions: map[string]int64{"m": 1}, Entries: len(f.entries), NearEntries: f.near}
 					if f.agentRestarted && id == limited {
-						report.Entries, report.Near = 1, min(1, f.near)
+						report.Entries, report.NearEntries = 1, min(1, f.near)
 					}
 					e.record(f, sentAttempts(e.rig.step(report)))
 				}
@@ -176,7 +176,7 @@
 	}
 	e.attempts = open
 	for _, s := range ended {
-		e.record(f, sentAttempts(e.rig.step(forward.SendEnded{ID: s.send.ID, Outcome: forward.Answered})))
+		e.record(f, sentAttempts(e.rig.step(forward.AttemptEnded{ID: s.send.ID, Outcome: forward.Answered})))
 	}
 }
 
@@ -188,10 +188,10 @@
 			e.toldAt = f.now
 		}
 	}
-	e.rig.step(forward.Noticed{
-		Upstream: s.send.Upstream.Life(), Sent: begin.Add(s.at), Outcome: forward.Answered, Notice: notice,
+	e.rig.step(forward.AnswerHeadReceived{
+		Upstream: s.send.Upstream.Instance(), Sent: begin.Add(s.at), Outcome: forward.Answered, Notice: notice,
 	})
-	e.rig.step(forward.Began{ID: s.send.ID, Version: 1})
+	e.rig.step(forward.Started{ID: s.send.ID, Version: 1})
 }
 
 // maxInWindow returns the largest number of requests in any window that ends after the given time.
@@ -262,10 +262,10 @@
 func TestRateLimitEndsWithTheAnswerToALaterRequest(t *testing.T) {
 	r := newRig()
 	r.add("d1", "desk", "perth-a", 6)
-	r.step(forward.LoadTold{Address: "d1", Entries: 10, Near: 10})
-	instance := r.state.Catalog.Upstreams["d1"].Life()
+	r.step(forward.LoadReported{Address: "d1", Entries: 10, NearEntries: 10})
+	instance := r.state.Catalog.Upstreams["d1"].Instance()
 	receive := func(sent time.Duration, outcome forward.Outcome, n catalog.Notice) {
-		r.step(forward.Noticed{Upstream: instance, Sent: begin.Add(sent), Outcome: outcome, Notice: n})
+		r.step(forward.AnswerHeadReceived{Upstream: instance, Sent: begin.Add(sent), Outcome: outcome, Notice: n})
 	}
 	next := uint64(0)
 	unlimited := func() bool {
@@ -284,7 +284,7 @@
 	receive(50*time.Millisecond, forward.Answered, catalog.Notice{})
 	require.False(t, unlimited(), "it was sent before the limit was received")
 	r.now = 200 * time.Millisecond
-	receive(150*time.Millisecond, forward.Answered, catalog.Notice{Garbled: true})
+	receive(150*time.Millisecond, forward.Answered, catalog.Notice{Malformed: true})
 	require.False(t, unlimited(), "a malformed notice does not end the limit")
 	receive(150*time.Millisecond, forward.Declined, catalog.Notice{})
 	require.False(t, unlimited(), "the request was declined")
@@ -298,17 +298,17 @@
 // against a late answer of the earlier instance that sets a limit.
 func TestRateLimitEndsWithTheInstance(t *testing.T) {
 	r := newRig()
-	first := &catalog.Upstream{ID: "m1", Born: 1000, Service: "model", Address: "m1", DataCentre: "perth-a", Slots: 4, Versions: map[string]int64{"m": 1}, Revision: 1}
+	first := &catalog.Upstream{ID: "m1", StartedAt: 1000, Service: "model", Address: "m1", DataCentre: "perth-a", Slots: 4, Versions: map[string]int64{"m": 1}, Revision: 1}
 	r.applyCatalog(catalog.UpstreamChanged{Upstream: first})
-	report := forward.LoadTold{Address: "m1", Born: 1000, Versions: map[string]int64{"m": 1}, Entries: 30, Near: 1}
+	report := forward.LoadReported{Address: "m1", StartedAt: 1000, Versions: map[string]int64{"m": 1}, Entries: 30, NearEntries: 1}
 	r.step(report)
-	withLimit := forward.Noticed{Upstream: first.Life(), Outcome: forward.Answered, Notice: catalog.Notice{Limited: true, RateLimit: 1}}
+	withLimit := forward.AnswerHeadReceived{Upstream: first.Instance(), Outcome: forward.Answered, Notice: catalog.Notice{Limited: true, RateLimit: 1}}
 	r.step(withLimit)
 	require.Empty(t, sentIDs(r.arrive(1, reports)))
-	report.Born = 2000
+	report.StartedAt = 2000
 	require.Len(t, sentIDs(r.step(report)), 1)
 	r.step(withLimit)
-	r.step(forward.SendEnded{ID: 1, Outcome: forward.Answered})
+	r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Answered})
 	require.Len(t, sentIDs(r.arrive(2, reports)), 1)
 }
 
@@ -318,13 +318,13 @@
 	r := newRig()
 	r.add("m1", "model", "perth-a", 12)
 	limit := 1.0
-	report := forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: 10, Near: 1, RateLimit: &limit}
+	report := forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: 10, NearEntries: 1, RateLimit: &limit}
 	sent := 0
 	for id := range uint64(200) {
 		r.now += 20 * time.Millisecond
 		sent += len(sentIDs(r.step(report)))
 		sent += len(sentIDs(r.arrive(id+1, reports)))
-		r.step(forward.SendEnded{ID: id + 1, Outcome: forward.Answered})
+		r.step(forward.AttemptEnded{ID: id + 1, Outcome: forward.Answered})
 	}
 	require.LessOrEqual(t, sent, 11)
 	for _, invalid := range []float64{-1, math.NaN(), math.Inf(1)} {
@@ -342,9 +342,9 @@
 func TestRateLimitOutlivesALapsedRegistration(t *testing.T) {
 	r := newRig()
 	r.add("d1", "desk", "perth-a", 6)
-	r.step(forward.LoadTold{Address: "d1", Entries: 10, Near: 10})
-	instance := r.state.Catalog.Upstreams["d1"].Life()
-	r.step(forward.Noticed{Upstream: instance, Outcome: forward.Answered, Notice: catalog.Notice{Limited: true, RateLimit: 1}})
+	r.step(forward.LoadReported{Address: "d1", Entries: 10, NearEntries: 10})
+	instance := r.state.Catalog.Upstreams["d1"].Instance()
+	r.step(forward.AnswerHeadReceived{Upstream: instance, Outcome: forward.Answered, Notice: catalog.Notice{Limited: true, RateLimit: 1}})
 	r.next++
 	r.applyCatalog(catalog.UpstreamRemoved{ID: "d1", Revision: int64(r.next)})
 	r.now = 5 * time.Second
@@ -359,11 +359,11 @@
 func TestRateLimitIsRecordedWithoutARegistration(t *testing.T) {
 	r := newRig()
 	r.add("d1", "desk", "perth-a", 6)
-	r.step(forward.LoadTold{Address: "d1", Entries: 10, Near: 10})
-	instance := r.state.Catalog.Upstreams["d1"].Life()
+	r.step(forward.LoadReported{Address: "d1", Entries: 10, NearEntries: 10})
+	instance := r.state.Catalog.Upstreams["d1"].Instance()
 	r.next++
 	r.applyCatalog(catalog.UpstreamRemoved{ID: "d1", Revision: int64(r.next)})
-	r.step(forward.Noticed{Upstream: instance, Outcome: forward.Answered, Notice: catalog.Notice{Limited: true, RateLimit: 1}})
+	r.step(forward.AnswerHeadReceived{Upstream: instance, Outcome: forward.Answered, Notice: catalog.Notice{Limited: true, RateLimit: 1}})
 	r.add("d1", "desk", "perth-a", 6)
 	sent := len(sentIDs(r.arrive(1, lookups))) + len(sentIDs(r.arrive(2, lookups)))
 	require.LessOrEqual(t, sent, 1)
--- a/internal/core/forward/ratelimit.go
+++ b/internal/core/forward/ratelimit.go
@@ -8,11 +8,11 @@
 // noteRateLimit applies the rate limit that an upstream sets, or ends the limit that it set before. Answers may overtake each
 // other, and an answer that declines a request may lack the limit. A limit therefore ends only with the answer to a request that
 // ran and that was sent after the limit was last received.
-func (s *State) noteRateLimit(in step.Input, p *pacer, ev Noticed) {
+func (s *State) noteRateLimit(in step.Input, p *pacer, ev AnswerHeadReceived) {
 	switch {
 	case ev.Notice.Limited:
 		p.setLimit(in.Now, ev.Notice.RateLimit, s.limitShare(ev.Upstream), in.Rand)
-	case !ev.Notice.Garbled && ev.ran() && ev.Sent.After(p.limitAt):
+	case !ev.Notice.Malformed && ev.ran() && ev.Sent.After(p.limitAt):
 		p.reset()
 	}
 }
@@ -23,13 +23,13 @@
 // limitShare returns the share of an upstream's limit that this entry may use; the shares of all entries add up to 1. Only the
 // agent beside an engine reports how many entries are near it. An entry without a report from that agent takes no more than it
 // would with one.
-func (s *State) limitShare(instance catalog.Life) float64 {
+func (s *State) limitShare(instance catalog.Instance) float64 {
 	entries := float64(s.recentEntries.value())
 	if entries == 0 {
 		entries = defaultEntries
 	}
 	u := s.Catalog.Upstreams[instance.ID]
-	if u == nil || u.Life() != instance {
+	if u == nil || u.Instance() != instance {
 		return 1 / entries
 	}
 	t := s.target(u)
--- a/internal/core/forward/reduce.go
+++ b/internal/core/forward/reduce.go
@@ -37,10 +37,10 @@
 	if s.stopping {
 		return refuse(ev.ID, code.Stopping, "this process is shutting down", time.Millisecond)
 	}
-	head := in.Now.Add(-ev.Reading)
+	head := in.Now.Add(-ev.BodyReadTime)
 	r := &request{
-		id: ev.ID, host: ev.Host, path: ev.Path, key: ev.Key, fingerprint: ev.Fingerprint, prompt: ev.Prompt, tokens: ev.Prompt + ev.Answer, requestedModel: ev.Model,
-		arrived: head, progressAt: head, tried: map[catalog.Life]bool{},
+		id: ev.ID, host: ev.Host, path: ev.Path, key: ev.Key, fingerprint: ev.Fingerprint, prompt: ev.PromptTokens, tokens: ev.PromptTokens + ev.MaxAnswerTokens, requestedModel: ev.Model,
+		arrived: head, progressAt: head, tried: map[catalog.Instance]bool{},
 	}
 	if reject, rejected := s.applyManifest(in, r); rejected {
 		return refuse(ev.ID, reject.code, reject.reason, 0)
@@ -50,12 +50,12 @@
 	}
 	r.deadline = head.Add(requestTimeout(r.route, ev.Budget))
 	if !in.Now.Before(r.deadline) {
-		return refuse(ev.ID, code.Overloaded, fmt.Sprintf("the deadline passed while its body was read, which took %v", ev.Reading), s.retryAfter(in))
+		return refuse(ev.ID, code.Overloaded, fmt.Sprintf("the deadline passed while its body was read, which took %v", ev.BodyReadTime), s.retryAfter(in))
 	}
 	r.returning = s.callerTimeouts.returning(in.Now, r, ev.Budget)
 	s.requests[r.id] = r
 	s.retryBudget(r.service).addRequest(in.Now)
-	effects := []step.Effect{Admitted{ID: r.id, Route: r.route, By: r.deadline}}
+	effects := []step.Effect{Admitted{ID: r.id, Route: r.route, Deadline: r.deadline}}
 	return append(effects, s.dispatch(in, r)...)
 }
 
@@ -77,7 +77,7 @@
 		return s.endRequest(in, r, reject)
 	}
 	u, found := s.pick(in, r)
-	if found == available && r.returning && in.Now.Sub(s.lastQueuedAt[r.service]) < s.Self.Policy.KeepFree {
+	if found == available && r.returning && in.Now.Sub(s.lastQueuedAt[r.service]) < s.Self.Policy.ReserveFor {
 		return s.giveUp(in, r, code.Overloaded, fmt.Sprintf("the free capacity of %s is reserved for first tries", r.service))
 	}
 	switch found {
@@ -91,7 +91,7 @@
 
 func (s *State) send(in step.Input, r *request, u *catalog.Upstream) []step.Effect {
 	r.attempts++
-	r.instance, r.sentAt = u.Life(), in.Now
+	r.instance, r.sentAt = u.Instance(), in.Now
 	r.tried[r.instance] = true
 	s.load(r.instance).inFlight++
 	s.load(r.instance).remainingShare--
@@ -106,7 +106,7 @@
 		s.unreportedWaiting++
 	}
 	e := Send{
-		ID: r.id, Number: r.attempts, Upstream: u, Homes: r.homes, Priority: r.route.Priority, By: r.deadline, Resume: r.partial, CameBack: r.returning,
+		ID: r.id, Attempt: r.attempts, Upstream: u, Homes: r.homes, Priority: r.route.Priority, Deadline: r.deadline, Resume: r.partial, Returning: r.returning,
 	}
 	if required := s.requiredVersion(in.Now, r.model); required > 0 {
 		// An engine compares versions for equality, so name the version that it holds, which may be newer than the required one.
@@ -121,11 +121,11 @@
 			e.Priority = *r.account.Priority
 		}
 	}
-	e.Patience, e.GapPatience = r.attemptTimeouts(in.Now)
+	e.FirstEventTimeout, e.GapTimeout = r.attemptTimeouts(in.Now)
 	return []step.Effect{e}
 }
 
-func (s *State) sendEnded(in step.Input, ev SendEnded) []step.Effect {
+func (s *State) sendEnded(in step.Input, ev AttemptEnded) []step.Effect {
 	r := s.requests[ev.ID]
 	if r == nil {
 		return nil
@@ -134,7 +134,7 @@
 	s.unreportedEnded(in.Now, r, ev.Outcome)
 	s.release(in, r, ev.Outcome)
 	if ev.Partial {
-		r.partial, r.progressAt = true, in.Now.Add(-ev.Quiet)
+		r.partial, r.progressAt = true, in.Now.Add(-ev.SinceLastPart)
 	}
 	if ev.Outcome.ran() {
 		r.possibleRuns++
@@ -156,7 +156,7 @@
 
 // release frees the resources that a request takes at its upstream.
 func (s *State) release(in step.Input, r *request, o Outcome) {
-	if r.instance == (catalog.Life{}) {
+	if r.instance == (catalog.Instance{}) {
 		return
 	}
 	s.markStarted(r.id)
@@ -168,10 +168,10 @@
 	if o != Misdirected || r.version == 0 {
 		l.recordOutcome(in.Now, o)
 	}
-	r.instance = catalog.Life{}
+	r.instance = catalog.Instance{}
 }
 
-func (s *State) afterAttempt(in step.Input, r *request, ev SendEnded) []step.Effect {
+func (s *State) afterAttempt(in step.Input, r *request, ev AttemptEnded) []step.Effect {
 	if ev.Outcome == Answered {
 		delete(s.requests, r.id)
 		return nil
@@ -222,7 +222,7 @@
 		return nil
 	}
 	r.partial = r.partial || ev.Partial
-	if r.instance != (catalog.Life{}) && !ev.Unsent {
+	if r.instance != (catalog.Instance{}) && !ev.Unsent {
 		r.possibleRuns++ // The upstream that it was with may have run it.
 	}
 	s.release(in, r, Withdrawn)
@@ -240,18 +240,18 @@
 func (s *State) endRequest(in step.Input, r *request, reject rejection) []step.Effect {
 	delete(s.requests, r.id)
 	if r.partial {
-		return []step.Effect{Abort{ID: r.id, Why: reject.reason}}
+		return []step.Effect{Abort{ID: r.id, Reason: reject.reason}}
 	}
 	if r.possibleRuns > 0 {
 		if reject.code != code.DeadlinePassed {
 			reject.code = code.RetriesExhausted
 		}
-		return []step.Effect{Refuse{ID: r.id, Code: reject.code, Ran: code.Unknown, Why: reject.reason, CameBack: r.returning}}
+		return []step.Effect{Refuse{ID: r.id, Code: reject.code, Ran: code.Unknown, Reason: reject.reason, Returning: r.returning}}
 	}
 	if reject.code == code.RetriesExhausted || reject.code == code.DeadlinePassed {
 		reject.code = code.Overloaded
 	}
-	return []step.Effect{Refuse{ID: r.id, Code: reject.code, Ran: code.NotRun, Why: reject.reason, RetryAfter: reject.retryAfter, CameBack: r.returning}}
+	return []step.Effect{Refuse{ID: r.id, Code: reject.code, Ran: code.NotRun, Reason: reject.reason, RetryAfter: reject.retryAfter, Returning: r.returning}}
 }
 
 func (s *State) callerGone(in step.Input, id uint64) []step.Effect {
@@ -265,5 +265,5 @@
 }
 
 func refuse(id uint64, c code.Code, why string, after time.Duration) []step.Effect {
-	return []step.Effect{Refuse{ID: id, Code: c, Ran: code.NotRun, Why: why, RetryAfter: after}}
+	return []step.Effect{Refuse{ID: id, Code: c, Ran: code.NotRun, Reason: why, RetryAfter: after}}
 }
--- a/internal/core/forward/refill_test.go
+++ b/internal/core/forward/refill_test.go
@@ -16,7 +16,7 @@
 func newEngineRig() *rig {
 	r := newRig()
 	m := *r.state.Catalog.Manifest
-	m.Services = map[string]*catalog.Service{"model": {Name: "model", Engine: &catalog.Engine{Slots: 8, ReadRate: 20000, UsualPrompt: 1000, Models: []string{"m"}}}}
+	m.Services = map[string]*catalog.Service{"model": {Name: "model", Engine: &catalog.Engine{Slots: 8, PromptTokensPerSecond: 20000, MeanPromptTokens: 1000, Models: []string{"m"}}}}
 	r.applyCatalog(catalog.ManifestRead{Revision: 2, Manifest: &m})
 	return r
 }
@@ -32,12 +32,12 @@
 			r := newEngineRig()
 			r.rand = round*entries + entry
 			r.add("m1", "model", "perth-a", 8)
-			report := forward.LoadTold{Address: "m1", Closing: true, Versions: map[string]int64{"m": 1}, Entries: entries, Near: entries}
+			report := forward.LoadReported{Address: "m1", NotAccepting: true, Versions: map[string]int64{"m": 1}, Entries: entries, NearEntries: entries}
 			r.step(report)
 			for id := uint64(1); id <= waiting; id++ {
 				require.Empty(t, sentIDs(r.arrivePrompt(id, 10)))
 			}
-			report.Closing = false
+			report.NotAccepting = false
 			sent += len(sentIDs(r.step(report)))
 		}
 	}
@@ -50,7 +50,7 @@
 	r := newEngineRig()
 	r.add("frozen", "model", "perth-a", 8)
 	r.add("well", "model", "perth-a", 1)
-	healthy := forward.LoadTold{Address: "well", Occupied: 0, Versions: map[string]int64{"m": 1}, Entries: 1, Near: 1}
+	healthy := forward.LoadReported{Address: "well", RequestCount: 0, Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1}
 	frozen := healthy
 	frozen.Address = "frozen"
 	r.step(frozen)
@@ -60,17 +60,17 @@
 	}
 	for range 30 { // 600 ms, more than the objective, in which only one agent sends reports and only one request starts.
 		r.now += 20 * time.Millisecond
-		healthy.Occupied = 1
+		healthy.RequestCount = 1
 		r.step(healthy)
 		r.step(step.Tick{})
 	}
 	require.Empty(t, sentIDs(r.arrivePrompt(3, 10)), "the frozen engine has seven free slots according to its last report")
-	healthy.Occupied = 0
+	healthy.RequestCount = 0
 	for id := uint64(1); id <= 2; id++ {
-		r.step(forward.SendEnded{ID: id, Outcome: forward.Answered})
+		r.step(forward.AttemptEnded{ID: id, Outcome: forward.Answered})
 	}
 	r.step(healthy)
-	require.Equal(t, 1, r.state.Open(), "the third went to the healthy engine")
+	require.Equal(t, 1, r.state.InFlight(), "the third went to the healthy engine")
 }
 
 // TestStaleReportsAreNoReasonToRefuse guards against refusals by an entry that receives no datagrams, so that the reports of all
@@ -78,7 +78,7 @@
 func TestStaleReportsAreNoReasonToRefuse(t *testing.T) {
 	r := newEngineRig()
 	r.add("m1", "model", "perth-a", 8)
-	r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: 1, Near: 1})
+	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1})
 	r.now += 2 * time.Second
 	r.step(step.Tick{})
 	require.Len(t, sentIDs(r.arrivePrompt(1, 10)), 1)
@@ -89,17 +89,17 @@
 func TestEngineWithOverdueRequestIsUsedLast(t *testing.T) {
 	r := newEngineRig()
 	r.add("hangs", "model", "perth-a", 8)
-	hangs := forward.LoadTold{Address: "hangs", Versions: map[string]int64{"m": 1}, Entries: 1, Near: 1}
+	hangs := forward.LoadReported{Address: "hangs", Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1}
 	r.step(hangs)
 	require.Len(t, sentIDs(r.arrivePrompt(1, 10)), 1)
 	r.now += 600 * time.Millisecond
 	r.step(step.Tick{})
-	hangs.Occupied = 1
+	hangs.RequestCount = 1
 	r.step(hangs)
 	r.add("far", "model", "bunbury-a", 8)
-	r.step(forward.LoadTold{Address: "far", Versions: map[string]int64{"m": 1}, Entries: 1})
+	r.step(forward.LoadReported{Address: "far", Versions: map[string]int64{"m": 1}, Entries: 1})
 	require.Equal(t, "far", only[forward.Send](t, r.arrivePrompt(2, 10)).Upstream.ID)
-	r.step(forward.Began{ID: 1})
+	r.step(forward.Started{ID: 1})
 	r.step(step.Tick{})
 	require.Equal(t, "hangs", only[forward.Send](t, r.arrivePrompt(3, 10)).Upstream.ID, "it answers again and is nearer")
 }
@@ -109,8 +109,8 @@
 // once with a long Retry-After.
 func TestUnreportedEnginesAreNotUsedWhileReportedOnesAreEmpty(t *testing.T) {
 	r := newFleetRig("entry-1", 80, 0)
-	for _, u := range r.state.Greet() {
-		r.step(forward.LoadTold{Address: u.Address, Entries: 35, Near: 35})
+	for _, u := range r.state.ChooseHeartbeatTargets() {
+		r.step(forward.LoadReported{Address: u.Address, Entries: 35, NearEntries: 35})
 	}
 	refuse := only[forward.Refuse](t, r.arrive(1, notes))
 	require.GreaterOrEqual(t, refuse.RetryAfter, 2*time.Second)
@@ -123,8 +123,8 @@
 	for i := range 65 {
 		r.add(fmt.Sprintf("near-%d", i), "model", "perth-a", 8)
 	}
-	for _, u := range r.state.Greet() {
-		r.step(forward.LoadTold{Address: u.Address, Occupied: 99, Versions: map[string]int64{"m": 1}, Entries: 35, Near: 35})
+	for _, u := range r.state.ChooseHeartbeatTargets() {
+		r.step(forward.LoadReported{Address: u.Address, RequestCount: 99, Versions: map[string]int64{"m": 1}, Entries: 35, NearEntries: 35})
 	}
 	sent := 0
 	for id := range uint64(5) {
--- a/internal/core/forward/rejection.go
+++ b/internal/core/forward/rejection.go
@@ -45,13 +45,13 @@
 	if r.possibleRuns > 0 && accountName(account) != accountName(r.account) {
 		return rejection{code: code.UnknownKey, reason: fmt.Sprintf("the key belongs to another client account in manifest %d", m.Version)}, true
 	}
-	bound := residency.Of(route.Homes, accountHomes(account))
-	if bound.Nowhere() {
+	bound := residency.NewBound(route.HomeRegions, accountHomes(account))
+	if bound.Empty() {
 		return rejection{code: code.NoCommonHome, reason: fmt.Sprintf("route and client account have no home in common (%s) in manifest %d", bound, m.Version)}, true
 	}
 	r.manifest, r.route, r.account, r.homes = m, route, account, bound
 	if !r.partial && !route.Serves(r.service) { // Only the service that began an answer can resume it.
-		r.service = route.Pick(in.Rand)
+		r.service = route.PickService(in.Rand)
 	}
 	r.model = s.modelFor(r)
 	return rejection{}, false
@@ -67,15 +67,15 @@
 }
 
 // accountHomes returns the homes of a client account, or nil for a caller without an account.
-func accountHomes(a *catalog.Account) residency.Regions {
+func accountHomes(a *catalog.ClientAccount) residency.Regions {
 	if a == nil {
 		return nil
 	}
-	return a.Homes
+	return a.HomeRegions
 }
 
 // accountName returns the name of a client account, or "" for a caller without an account.
-func accountName(a *catalog.Account) string {
+func accountName(a *catalog.ClientAccount) string {
 	if a == nil {
 		return ""
 	}
--- a/internal/core/forward/retry_after.go
+++ b/internal/core/forward/retry_after.go
@@ -57,7 +57,7 @@
 	var all, reported usableCount
 	required := s.requiredVersion(now, r.model)
 	for _, t := range s.targetsFor(now, r) {
-		usable := t.usable(now, r, required) || r.tried[t.Life()] && !now.Before(t.load.avoidUntil)
+		usable := t.usable(now, r, required) || r.tried[t.Instance()] && !now.Before(t.load.avoidUntil)
 		all.add(usable)
 		if t.load.hasReport(now) {
 			reported.add(usable)
--- a/internal/core/forward/retry_budget.go
+++ b/internal/core/forward/retry_budget.go
@@ -49,12 +49,12 @@
 func (b *retryBudget) addRetry(now time.Time) { b.current(now).retries++ }
 
 // allows reports whether one more retry is within this entry's share of the budget.
-func (b *retryBudget) allows(now time.Time, r hostconfig.Retries, entries int) bool {
+func (b *retryBudget) allows(now time.Time, r hostconfig.RetryBudget, entries int) bool {
 	if entries <= 0 {
 		entries = defaultEntries
 	}
 	requests, retries := b.sums(now, r.Window+bucketDuration)
-	allowed := budgetSafetyFactor * (r.Ratio*float64(requests) + r.Extra/float64(entries))
+	allowed := budgetSafetyFactor * (r.Ratio*float64(requests) + r.Base/float64(entries))
 	return float64(retries+1) <= allowed
 }
 
--- a/internal/core/forward/slow_engine_test.go
+++ b/internal/core/forward/slow_engine_test.go
@@ -14,11 +14,11 @@
 // newSlowFleet returns an entry with a slow engine nearby and a normal one far away, with four slots each.
 func newSlowFleet(slowdown float64) *rig {
 	r := newRig()
-	r.state.Catalog.Manifest.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{ReadRate: 20000, UsualPrompt: 1000}}
+	r.state.Catalog.Manifest.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{PromptTokensPerSecond: 20000, MeanPromptTokens: 1000}}
 	r.add("slow", "model", "perth-a", 4)
 	r.add("far", "model", "bunbury-a", 4)
-	r.step(forward.LoadTold{Address: "slow", Versions: map[string]int64{"m": 1}, Entries: 2, Near: 1, Slowdown: slowdown})
-	r.step(forward.LoadTold{Address: "far", Versions: map[string]int64{"m": 1}, Entries: 2, Near: 1})
+	r.step(forward.LoadReported{Address: "slow", Versions: map[string]int64{"m": 1}, Entries: 2, NearEntries: 1, Slowdown: slowdown})
+	r.step(forward.LoadReported{Address: "far", Versions: map[string]int64{"m": 1}, Entries: 2, NearEntries: 1})
 	return r
 }
 
@@ -43,12 +43,12 @@
 func TestSlowEngineGetsFewerPromptTokens(t *testing.T) {
 	sent := func(slowdown float64) int {
 		r := newRig()
-		r.state.Catalog.Manifest.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{ReadRate: 100000, UsualPrompt: 1000}}
+		r.state.Catalog.Manifest.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{PromptTokensPerSecond: 100000, MeanPromptTokens: 1000}}
 		r.add("m1", "model", "perth-a", 100)
 		n := 0
 		for id := range uint64(20) {
-			r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: 1, Near: 1, Slowdown: slowdown, Occupied: n})
-			ev := forward.Arrived{ID: id + 1, Host: "h", Path: reports, Key: "key-1", Model: "m", Prompt: 1000}
+			r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1, Slowdown: slowdown, RequestCount: n})
+			ev := forward.Arrived{ID: id + 1, Host: "h", Path: reports, Key: "key-1", Model: "m", PromptTokens: 1000}
 			n += len(sentIDs(r.step(ev)))
 		}
 		return n
@@ -63,6 +63,6 @@
 func TestSlowdownFollowsTheLatestReport(t *testing.T) {
 	r := newSlowFleet(2.5)
 	r.now = 200 * time.Millisecond
-	r.step(forward.LoadTold{Address: "slow", Versions: map[string]int64{"m": 1}, Entries: 2, Near: 1, Slowdown: 1})
+	r.step(forward.LoadReported{Address: "slow", Versions: map[string]int64{"m": 1}, Entries: 2, NearEntries: 1, Slowdown: 1})
 	require.Equal(t, "slow", only[forward.Send](t, r.arrive(1, reports)).Upstream.ID, fmt.Sprint(r.now))
 }
--- a/internal/core/forward/target.go
+++ b/internal/core/forward/target.go
@@ -30,7 +30,7 @@
 	evacuated bool
 	// entries is how many entries may send it requests, as estimated from load reports.
 	entries int
-	// prefillAhead is Policy.ReadAhead.
+	// prefillAhead is Policy.PrefillAhead.
 	prefillAhead time.Duration
 	// hash is the upstream's hash, which yields an order that differs between requests.
 	hash uint64
@@ -48,8 +48,8 @@
 // targetsOf returns the upstreams of a service, the nearest first.
 func (s *State) targetsOf(now time.Time, service string) []*target {
 	t := &s.targets
-	if t.byService == nil || t.changes != s.Catalog.Changes || t.manifest != s.Catalog.Manifest || t.estimatedEntries != s.estimatedEntries {
-		*t = targets{byService: map[string][]*target{}, changes: s.Catalog.Changes, manifest: s.Catalog.Manifest, estimatedEntries: s.estimatedEntries}
+	if t.byService == nil || t.changes != s.Catalog.ChangeCount || t.manifest != s.Catalog.Manifest || t.estimatedEntries != s.estimatedEntries {
+		*t = targets{byService: map[string][]*target{}, changes: s.Catalog.ChangeCount, manifest: s.Catalog.Manifest, estimatedEntries: s.estimatedEntries}
 		for _, u := range s.Catalog.Upstreams {
 			made := s.target(u)
 			s.setColdPacer(now, made)
@@ -66,7 +66,7 @@
 // search for an upstream must use it.
 func (s *State) targetsFor(now time.Time, r *request) []*target {
 	all := s.targetsOf(now, r.service)
-	if r.homes.Free() {
+	if r.homes.Unrestricted() {
 		return all
 	}
 	var allowed []*target
@@ -80,7 +80,7 @@
 
 // target returns an upstream with the values derived from it.
 func (s *State) target(u *catalog.Upstream) *target {
-	t := &target{Upstream: u, load: s.load(u.Life()), distance: s.distance(u), prefillAhead: s.Self.Policy.ReadAhead, hash: step.Score(u.ID, "")}
+	t := &target{Upstream: u, load: s.load(u.Instance()), distance: s.distance(u), prefillAhead: s.Self.Policy.PrefillAhead, hash: step.Score(u.ID, "")}
 	t.region = s.Self.Regions[u.DataCentre]
 	t.entries = s.estimatedEntries
 	if service := s.service(u); service != nil {
@@ -121,7 +121,7 @@
 		return true
 	}
 	said := !t.load.leavingAt.IsZero()
-	return said && (t.Born > 0 || now.Sub(t.load.leavingAt) < stateLifetime)
+	return said && (t.StartedAt > 0 || now.Sub(t.load.leavingAt) < stateLifetime)
 }
 
 // inactive reports whether the upstream gets no new requests until further notice.
@@ -130,7 +130,7 @@
 // usable reports whether the upstream could accept a request, disregarding its free capacity. The request must start on the
 // required version or a newer one.
 func (t *target) usable(now time.Time, r *request, required int64) bool {
-	if t.inactive(now) || now.Before(t.load.avoidUntil) || !t.load.backoff.allows(now) || len(r.tried) > 0 && r.tried[t.Life()] {
+	if t.inactive(now) || now.Before(t.load.avoidUntil) || !t.load.backoff.allows(now) || len(r.tried) > 0 && r.tried[t.Instance()] {
 		return false
 	}
 	if r.model == "" {
--- a/internal/core/forward/timeouts.go
+++ b/internal/core/forward/timeouts.go
@@ -14,10 +14,10 @@
 	if r.route.Repeatable() && r.possibleRuns+1 < r.route.MaxUpstreams {
 		first, gap = defaultFirstEventTimeout(r.route), gapTimeout
 	}
-	if r.route.CallerPatience <= 0 {
+	if r.route.CallerTimeout <= 0 {
 		return first, gap
 	}
-	callerTimeout := r.route.CallerPatience - answerMargin
+	callerTimeout := r.route.CallerTimeout - answerMargin
 	remaining := max(minAttemptTime, r.progressAt.Add(callerTimeout).Sub(now))
 	return minTimeout(first, remaining), minTimeout(gap, callerTimeout)
 }
--- a/internal/core/forward/timeouts_test.go
+++ b/internal/core/forward/timeouts_test.go
@@ -14,7 +14,7 @@
 func newTimeoutRig() *rig {
 	r := newRig()
 	for _, path := range []string{reports, notes} {
-		r.state.Catalog.Manifest.Route("h", path).CallerPatience = 2400 * time.Millisecond
+		r.state.Catalog.Manifest.Route("h", path).CallerTimeout = 2400 * time.Millisecond
 	}
 	r.add("m1", "model", "perth-a", 6)
 	r.add("m2", "model", "perth-a", 6)
@@ -25,12 +25,12 @@
 // its route allows are silent.
 func TestLastAttemptTimesOutBeforeTheCallerLeaves(t *testing.T) {
 	r := newTimeoutRig()
-	require.Equal(t, 1500*time.Millisecond, only[forward.Send](t, r.arrive(1, reports)).Patience)
+	require.Equal(t, 1500*time.Millisecond, only[forward.Send](t, r.arrive(1, reports)).FirstEventTimeout)
 	r.now = 1500 * time.Millisecond
-	last := only[forward.Send](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Silent}))
-	require.Equal(t, 750*time.Millisecond, last.Patience)
-	r.now += last.Patience
-	refusal := only[forward.Refuse](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Silent}))
+	last := only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Silent}))
+	require.Equal(t, 750*time.Millisecond, last.FirstEventTimeout)
+	r.now += last.FirstEventTimeout
+	refusal := only[forward.Refuse](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Silent}))
 	require.Equal(t, code.RetriesExhausted, refusal.Code)
 	require.Equal(t, code.Unknown, refusal.Ran)
 }
@@ -40,8 +40,8 @@
 func TestNonResumableStreamTimesOutBeforeTheCallerLeaves(t *testing.T) {
 	r := newTimeoutRig()
 	send := only[forward.Send](t, r.arrive(1, notes))
-	require.Equal(t, 2250*time.Millisecond, send.Patience)
-	require.Equal(t, 2250*time.Millisecond, send.GapPatience)
+	require.Equal(t, 2250*time.Millisecond, send.FirstEventTimeout)
+	require.Equal(t, 2250*time.Millisecond, send.GapTimeout)
 }
 
 // TestCallerTimeoutCountsFromTheLastEventPassedOn guards against a timeout that is too long for the caller when a stream breaks 1.2
@@ -50,7 +50,7 @@
 	r := newTimeoutRig()
 	only[forward.Send](t, r.arrive(1, reports))
 	r.now = 4 * time.Second
-	resumed := only[forward.Send](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Silent, Partial: true, Quiet: 1200 * time.Millisecond}))
+	resumed := only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Silent, Partial: true, SinceLastPart: 1200 * time.Millisecond}))
 	require.True(t, resumed.Resume)
-	require.Equal(t, 1050*time.Millisecond, resumed.Patience)
+	require.Equal(t, 1050*time.Millisecond, resumed.FirstEventTimeout)
 }
--- a/internal/core/forward/unreported.go
+++ b/internal/core/forward/unreported.go
@@ -17,7 +17,7 @@
 	if reported.availability == none {
 		return true
 	}
-	return !now.Before(s.unreportedResumeAt) && (!reported.anyFull || s.unreportedWaiting < s.Self.Policy.BlindAtOnce)
+	return !now.Before(s.unreportedResumeAt) && (!reported.anyFull || s.unreportedWaiting < s.Self.Policy.MaxUnreported)
 }
 
 // unreportedStarted handles the first event of an attempt at an engine without a load report.
--- a/internal/core/forward/version.go
+++ b/internal/core/forward/version.go
@@ -18,15 +18,15 @@
 // repeated with each tick until then.
 type Withdraw struct {
 	ID uint64
-	// Number is the number of the attempt; see Send.
-	Number int
+	// Attempt is the number of the attempt; see Send.
+	Attempt int
 }
 
 // Effect marks the type as an effect.
 func (Withdraw) Effect() {}
 
-// BegunLate tells the shell that an upstream started a request on a version of weights that had expired.
-type BegunLate struct {
+// StartedLate tells the shell that an upstream started a request on a version of weights that had expired.
+type StartedLate struct {
 	ID       uint64
 	Upstream string
 	// Version is the version on which the request started, and Successor the one whose activation made it expire.
@@ -35,53 +35,53 @@
 	// Late is how long after the expiry it started, and Waited how long it had been with the upstream.
 	Late   time.Duration
 	Waited time.Duration
-	// Insisted is the version that the attempt required; 0 for none.
-	Insisted int64
+	// Required is the version that the attempt required; 0 for none.
+	Required int64
 }
 
 // Effect marks the type as an effect.
-func (BegunLate) Effect() {}
+func (StartedLate) Effect() {}
 
 // requiredVersion returns the oldest version on which a request for a model may start from now on; 0 for any.
 func (s *State) requiredVersion(now time.Time, model string) int64 {
-	if s.Self.VersionTime <= 0 {
+	if s.Self.VersionLifetime <= 0 {
 		return 0
 	}
-	return s.Catalog.RequiredVersion(model, now, s.Self.VersionTime-catalog.VersionMargin)
+	return s.Catalog.RequiredVersion(model, now, s.Self.VersionLifetime-catalog.RequireVersionMargin)
 }
 
 // minVersionIfFull returns the oldest version on which a request may start if no engine with a newer one has capacity. The request
 // may go to an engine whose version is about to expire, as long as the engine is likely to start it before such requests are
 // withdrawn.
 func (s *State) minVersionIfFull(now time.Time, r *request) int64 {
-	if s.Self.VersionTime <= 0 {
+	if s.Self.VersionLifetime <= 0 {
 		return 0
 	}
 	if !r.route.Repeatable() {
 		return s.requiredVersion(now, r.model) // Once withdrawn, the request could not go to another engine.
 	}
-	margin := withdrawMargin + time.Duration(s.Self.Policy.BeginShare*float64(r.route.Objective))
-	return s.Catalog.RequiredVersion(r.model, now, s.Self.VersionTime-min(margin, catalog.VersionMargin))
+	margin := withdrawMargin + time.Duration(s.Self.Policy.StartShare*float64(r.route.Objective))
+	return s.Catalog.RequiredVersion(r.model, now, s.Self.VersionLifetime-min(margin, catalog.RequireVersionMargin))
 }
 
 // started handles the first event of an answer.
-func (s *State) started(in step.Input, ev Began) []step.Effect {
+func (s *State) started(in step.Input, ev Started) []step.Effect {
 	s.markStarted(ev.ID)
 	r := s.requests[ev.ID]
 	if r != nil {
 		s.unreportedStarted(in.Now, r)
 	}
-	if r == nil || r.model == "" || ev.Version == 0 || s.Self.VersionTime <= 0 {
+	if r == nil || r.model == "" || ev.Version == 0 || s.Self.VersionLifetime <= 0 {
 		return nil
 	}
 	successor, ok := s.Catalog.Successor(r.model, ev.Version)
-	late := in.Now.Sub(successor.Since) - s.Self.VersionTime
+	late := in.Now.Sub(successor.ActivatedAt) - s.Self.VersionLifetime
 	if !ok || late <= 0 {
 		return nil
 	}
-	return []step.Effect{BegunLate{
+	return []step.Effect{StartedLate{
 		ID: r.id, Upstream: r.instance.ID, Version: ev.Version, Successor: successor.Version, Late: late, Waited: in.Now.Sub(r.sentAt),
-		Insisted: r.version,
+		Required: r.version,
 	}}
 }
 
@@ -92,14 +92,14 @@
 func (s *State) withdrawUnstarted(in step.Input) []step.Effect {
 	var ids []uint64
 	for id, r := range s.requests {
-		if r.awaitingFirstEvent && (s.mayStartExpired(in.Now, r) || s.Crashes.Held(in.Now, r.fingerprint) > 0) {
+		if r.awaitingFirstEvent && (s.mayStartExpired(in.Now, r) || s.Crashes.Remaining(in.Now, r.fingerprint) > 0) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	var effects []step.Effect
 	for _, id := range ids {
-		effects = append(effects, Withdraw{ID: id, Number: s.requests[id].attempts})
+		effects = append(effects, Withdraw{ID: id, Attempt: s.requests[id].attempts})
 	}
 	return effects
 }
@@ -107,13 +107,13 @@
 // mayStartExpired reports whether the engine that a request is with may start it on a version that has expired by then. An engine
 // that accepted the request with a required version holds at least that version.
 func (s *State) mayStartExpired(now time.Time, r *request) bool {
-	if s.Self.VersionTime <= 0 || r.model == "" {
+	if s.Self.VersionLifetime <= 0 || r.model == "" {
 		return false
 	}
-	required := s.Catalog.RequiredVersion(r.model, now, s.Self.VersionTime-withdrawMargin)
+	required := s.Catalog.RequiredVersion(r.model, now, s.Self.VersionLifetime-withdrawMargin)
 	if required == 0 || r.version >= required {
 		return false
 	}
 	u := s.Catalog.Upstreams[r.instance.ID]
-	return u == nil || u.Life() != r.instance || s.target(u).heldVersion(now, r.model) < required
+	return u == nil || u.Instance() != r.instance || s.target(u).heldVersion(now, r.model) < required
 }
--- a/internal/core/forward/version_test.go
+++ b/internal/core/forward/version_test.go
@@ -17,18 +17,18 @@
 func TestStartOnAnExpiredVersionIsReported(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 6)
-	r.applyCatalog(catalog.VersionNamed{Model: "m", Version: 2, Revision: 50})
+	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50})
 	r.now = 6 * time.Second
 	only[forward.Send](t, r.arrive(1, reports))
 	only[forward.Send](t, r.arrive(2, reports))
 	only[forward.Send](t, r.arrive(3, reports))
 	r.now = 7900 * time.Millisecond
-	require.Empty(t, r.step(forward.Began{ID: 1, Version: 1}))
+	require.Empty(t, r.step(forward.Started{ID: 1, Version: 1}))
 	r.now = 8250 * time.Millisecond
-	require.Empty(t, r.step(forward.Began{ID: 2, Version: 2}))
-	require.Equal(t, forward.BegunLate{
+	require.Empty(t, r.step(forward.Started{ID: 2, Version: 2}))
+	require.Equal(t, forward.StartedLate{
 		ID: 3, Upstream: "m1", Version: 1, Successor: 2, Late: 250 * time.Millisecond, Waited: 2250 * time.Millisecond,
-	}, only[forward.BegunLate](t, r.step(forward.Began{ID: 3, Version: 1})))
+	}, only[forward.StartedLate](t, r.step(forward.Started{ID: 3, Version: 1})))
 }
 
 // newUnstartedRig activates version 2 and sends a request to an engine that holds version 1, a second before version 2 is required. The
@@ -37,7 +37,7 @@
 	t.Helper()
 	r := newRig()
 	r.add("m1", "model", "perth-a", 6)
-	r.applyCatalog(catalog.VersionNamed{Model: "m", Version: 2, Revision: 50})
+	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50})
 	r.now = 5700 * time.Millisecond
 	require.Equal(t, "m1", only[forward.Send](t, r.arrive(1, path)).Upstream.ID)
 	r.now = 7300 * time.Millisecond
@@ -50,11 +50,11 @@
 // waited in its engine's queue.
 func TestUnstartedRequestIsWithdrawnBeforeItsVersionExpires(t *testing.T) {
 	r := newUnstartedRig(t, reports)
-	r.step(forward.LoadTold{Address: "m1", Occupied: 1, Versions: map[string]int64{"m": 1}})
-	require.Equal(t, forward.Withdraw{ID: 1, Number: 1}, only[forward.Withdraw](t, r.step(step.Tick{})))
+	r.step(forward.LoadReported{Address: "m1", RequestCount: 1, Versions: map[string]int64{"m": 1}})
+	require.Equal(t, forward.Withdraw{ID: 1, Attempt: 1}, only[forward.Withdraw](t, r.step(step.Tick{})))
 	r.add("m2", "model", "perth-a", 6)
-	r.step(forward.LoadTold{Address: "m2", Versions: map[string]int64{"m": 2}})
-	again := only[forward.Send](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Withdrawn}))
+	r.step(forward.LoadReported{Address: "m2", Versions: map[string]int64{"m": 2}})
+	again := only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Withdrawn}))
 	require.Equal(t, "m2", again.Upstream.ID)
 	require.Equal(t, int64(2), again.Version)
 	require.Empty(t, r.step(step.Tick{}), "an engine that accepted a request with a required version holds that version")
@@ -66,7 +66,7 @@
 	for _, path := range []string{reports, notes} {
 		r := newUnstartedRig(t, path)
 		only[forward.Withdraw](t, r.step(step.Tick{}))
-		refusal := only[forward.Refuse](t, r.step(forward.SendEnded{ID: 1, Outcome: forward.Withdrawn}))
+		refusal := only[forward.Refuse](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Withdrawn}))
 		require.Equal(t, code.Unknown, refusal.Ran, "its engine may have started it in the meantime")
 	}
 }
@@ -74,14 +74,14 @@
 // TestStartedRequestIsNotWithdrawn guards against withdrawing a request that started in time.
 func TestStartedRequestIsNotWithdrawn(t *testing.T) {
 	r := newUnstartedRig(t, reports)
-	r.step(forward.Began{ID: 1, Version: 1})
+	r.step(forward.Started{ID: 1, Version: 1})
 	require.Empty(t, r.step(step.Tick{}))
 }
 
 // TestRequestIsNotWithdrawnFromAnUpdatedEngine guards against withdrawing a request whose engine holds the new version by now.
 func TestRequestIsNotWithdrawnFromAnUpdatedEngine(t *testing.T) {
 	r := newUnstartedRig(t, reports)
-	r.step(forward.LoadTold{Address: "m1", Occupied: 1, Versions: map[string]int64{"m": 2}})
+	r.step(forward.LoadReported{Address: "m1", RequestCount: 1, Versions: map[string]int64{"m": 2}})
 	require.Empty(t, r.step(step.Tick{}))
 }
 
@@ -90,11 +90,11 @@
 func TestRequiredVersionExpiresWithTheNextOne(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 6)
-	r.applyCatalog(catalog.VersionNamed{Model: "m", Version: 2, Revision: 50})
+	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50})
 	r.now = time.Second
-	r.applyCatalog(catalog.VersionNamed{Model: "m", Version: 3, Revision: 51})
+	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 3, Revision: 51})
 	r.now = 7500 * time.Millisecond
-	r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 2}})
+	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 2}})
 	require.Equal(t, int64(2), only[forward.Send](t, r.arrive(1, reports)).Version)
 	r.now = 8300 * time.Millisecond
 	require.Empty(t, r.step(step.Tick{}))
@@ -107,7 +107,7 @@
 func TestWithdrawalsDoNotCountAsFailures(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 6)
-	r.applyCatalog(catalog.VersionNamed{Model: "m", Version: 2, Revision: 50})
+	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50})
 	r.now = 5700 * time.Millisecond
 	const failures = 3
 	for id := uint64(1); id <= failures; id++ {
@@ -115,9 +115,9 @@
 	}
 	r.now = 7400 * time.Millisecond
 	for id := uint64(1); id <= failures; id++ {
-		r.step(forward.SendEnded{ID: id, Outcome: forward.Withdrawn})
+		r.step(forward.AttemptEnded{ID: id, Outcome: forward.Withdrawn})
 	}
-	r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 2}})
+	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 2}})
 	only[forward.Send](t, r.arrive(failures+1, reports))
 }
 
@@ -125,25 +125,25 @@
 // the new version. A request that is declined later must still be retried.
 func TestWithdrawalWithoutRetryDoesNotUseTheRetryBudget(t *testing.T) {
 	r := newRig()
-	r.state.Self.Retries.Extra = 0
+	r.state.Self.Retries.Base = 0
 	r.add("m1", "model", "perth-a", 40)
-	r.applyCatalog(catalog.VersionNamed{Model: "m", Version: 2, Revision: 50})
+	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50})
 	r.now = 5700 * time.Millisecond
-	r.step(forward.LoadTold{Address: "m1", Entries: 1, Near: 1, Versions: map[string]int64{"m": 1}})
+	r.step(forward.LoadReported{Address: "m1", Entries: 1, NearEntries: 1, Versions: map[string]int64{"m": 1}})
 	const requests = 20
 	for id := uint64(1); id <= requests; id++ {
 		only[forward.Send](t, r.arrive(id, reports))
 	}
 	r.now = 7400 * time.Millisecond
 	for id := uint64(1); id <= requests; id++ {
-		only[forward.Refuse](t, r.step(forward.SendEnded{ID: id, Outcome: forward.Withdrawn}))
+		only[forward.Refuse](t, r.step(forward.AttemptEnded{ID: id, Outcome: forward.Withdrawn}))
 	}
 	r.add("m2", "model", "perth-a", 40)
 	for _, engine := range []string{"m1", "m2"} {
-		r.step(forward.LoadTold{Address: engine, Entries: 1, Near: 1, Versions: map[string]int64{"m": 2}})
+		r.step(forward.LoadReported{Address: engine, Entries: 1, NearEntries: 1, Versions: map[string]int64{"m": 2}})
 	}
 	only[forward.Send](t, r.arrive(requests+1, reports))
-	only[forward.Send](t, r.step(forward.SendEnded{ID: requests + 1, Outcome: forward.Declined}))
+	only[forward.Send](t, r.step(forward.AttemptEnded{ID: requests + 1, Outcome: forward.Declined}))
 }
 
 // TestRequestWithoutModelGetsTheServicesOnlyModel guards against requests without a model that skip the version check and the slot
@@ -155,10 +155,10 @@
 	arrive := func(id uint64) []step.Effect {
 		return r.step(forward.Arrived{ID: id, Host: "h", Path: reports + "x", Key: "key-1"})
 	}
-	r.applyCatalog(catalog.VersionNamed{Model: "m", Version: 2, Revision: 50})
+	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50})
 	r.now = 7200 * time.Millisecond
 	require.Equal(t, code.NoUpstream, only[forward.Refuse](t, arrive(1)).Code, "the engine has version 1")
-	r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 2}})
+	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 2}})
 	require.Equal(t, int64(2), only[forward.Send](t, arrive(2)).Version)
 	only[forward.Send](t, arrive(3))
 	require.Empty(t, sentIDs(arrive(4)), "it has two slots")
@@ -170,7 +170,7 @@
 	newFleet := func() *rig {
 		r := newRig()
 		r.add("m1", "model", "perth-a", 6)
-		r.applyCatalog(catalog.VersionNamed{Model: "m", Version: 2, Revision: 50})
+		r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50})
 		r.now = 6900 * time.Millisecond // 1.1 s before version 1 expires.
 		return r
 	}
@@ -186,11 +186,11 @@
 
 	r = newFleet()
 	r.add("m2", "model", "bunbury-a", 6)
-	r.step(forward.LoadTold{Address: "m2", Versions: map[string]int64{"m": 2}, Entries: 1})
+	r.step(forward.LoadReported{Address: "m2", Versions: map[string]int64{"m": 2}, Entries: 1})
 	send = only[forward.Send](t, r.arrive(1, reports))
 	require.Equal(t, "m2", send.Upstream.ID, "an engine with the new version and capacity is preferred, wherever it is")
 	require.Equal(t, int64(2), send.Version)
-	r.step(forward.LoadTold{Address: "m2", Versions: map[string]int64{"m": 2}, Entries: 1, Occupied: 6})
+	r.step(forward.LoadReported{Address: "m2", Versions: map[string]int64{"m": 2}, Entries: 1, RequestCount: 6})
 	require.Equal(t, "m1", only[forward.Send](t, r.arrive(2, reports)).Upstream.ID, "a full engine with the new version is no reason to refuse")
 }
 
@@ -198,12 +198,12 @@
 func TestRequiredVersionIsEnforced(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 6)
-	r.applyCatalog(catalog.VersionNamed{Model: "m", Version: 2, Revision: 50})
+	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50})
 	r.now = 6 * time.Second
 	require.Zero(t, only[forward.Send](t, r.arrive(1, reports)).Version)
 	r.now = 7200 * time.Millisecond
 	require.Equal(t, code.NoUpstream, only[forward.Refuse](t, r.arrive(2, reports)).Code)
-	r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 2}})
+	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 2}})
 	require.Equal(t, int64(2), only[forward.Send](t, r.arrive(3, reports)).Version)
 }
 
@@ -212,12 +212,12 @@
 func TestNewerHeldVersionIsRequestedExactly(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 6)
-	r.applyCatalog(catalog.VersionNamed{Model: "m", Version: 2, Revision: 50})
+	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50})
 	r.now = 4 * time.Second
-	r.applyCatalog(catalog.VersionNamed{Model: "m", Version: 3, Revision: 51})
+	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 3, Revision: 51})
 	r.now = 7 * time.Second
-	r.step(forward.LoadTold{Address: "m1", Versions: map[string]int64{"m": 3}})
+	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 3}})
 	require.Equal(t, int64(3), only[forward.Send](t, r.arrive(1, reports)).Version)
-	r.step(forward.SendEnded{ID: 1, Outcome: forward.Misdirected})
+	r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Misdirected})
 	only[forward.Send](t, r.arrive(2, reports))
 }
--- a/internal/core/incarnation/incarnation.go
+++ b/internal/core/incarnation/incarnation.go
@@ -21,8 +21,8 @@
 const (
 	// DefaultLease is how long one renewal allows orders to engines that ignore fencing numbers.
 	DefaultLease = 15 * time.Second
-	// DefaultSettle is the maximum time for which an order can stay in flight after its holder cancelled it.
-	DefaultSettle = 5 * time.Second
+	// DefaultOrderDrain is the maximum time for which an order can stay in flight after its holder cancelled it.
+	DefaultOrderDrain = 5 * time.Second
 	// DefaultRetry is the minimum delay after a failed call. A random part of up to the same length is added.
 	DefaultRetry = 500 * time.Millisecond
 )
@@ -38,8 +38,8 @@
 type Timing struct {
 	// Lease is how long one renewal allows orders to engines that ignore fencing numbers.
 	Lease time.Duration
-	// Settle is the maximum time for which an order can stay in flight after its holder cancelled it.
-	Settle time.Duration
+	// OrderDrain is the maximum time for which an order can stay in flight after its holder cancelled it.
+	OrderDrain time.Duration
 	// Retry is the minimum delay after a failed call.
 	Retry time.Duration
 }
@@ -48,8 +48,8 @@
 	if t.Lease == 0 {
 		t.Lease = DefaultLease
 	}
-	if t.Settle == 0 {
-		t.Settle = DefaultSettle
+	if t.OrderDrain == 0 {
+		t.OrderDrain = DefaultOrderDrain
 	}
 	if t.Retry == 0 {
 		t.Retry = DefaultRetry
@@ -163,23 +163,23 @@
 // everHeld reports whether this process has ever held the incarnation.
 func (s *State) everHeld() bool { return !s.acquiredAt.IsZero() }
 
-// Settled reports whether no call is in flight and no read of the object is pending.
-func (s *State) Settled() bool { return !s.inFlight && !s.needsRead }
+// Idle reports whether no call is in flight and no read of the object is pending.
+func (s *State) Idle() bool { return !s.inFlight && !s.needsRead }
 
 // Held reports whether this process holds the incarnation, as far as it knows.
 func (s *State) Held() bool { return s.Number != 0 && !s.Superseded }
 
-// Clear reports whether orders of a previous agent can no longer reach an engine that ignores fencing numbers.
-func (s *State) Clear(now time.Time) bool {
+// FormerOrdersExpired reports whether orders of a previous agent can no longer reach an engine that ignores fencing numbers.
+func (s *State) FormerOrdersExpired(now time.Time) bool {
 	if !s.Held() {
 		return false
 	}
-	return s.noFormerOrders || now.Sub(s.acquiredAt) >= s.timing.Lease+s.timing.Settle
+	return s.noFormerOrders || now.Sub(s.acquiredAt) >= s.timing.Lease+s.timing.OrderDrain
 }
 
-// MayOrder reports whether an order may be sent at now. ignored is set when the engine ignores fencing numbers; then
+// OrdersAllowed reports whether an order may be sent at now. ignored is set when the engine ignores fencing numbers; then
 // the lease must be valid as well.
-func (s *State) MayOrder(now time.Time, ignored bool) bool {
+func (s *State) OrdersAllowed(now time.Time, ignored bool) bool {
 	if !s.Held() || s.releasing {
 		return false
 	}
@@ -187,11 +187,11 @@
 		return true
 	}
 	valid := s.timing.Lease - s.timing.Lease/leaseMarginDivisor
-	return s.Clear(now) && now.Sub(s.leaseStart) < valid
+	return s.FormerOrdersExpired(now) && now.Sub(s.leaseStart) < valid
 }
 
-// Doubt requests that the object is read again. It is called when an engine has seen a higher fencing number.
-func (s *State) Doubt() { s.needsRead = true }
+// RequestRead requests that the object is read again. It is called when an engine has seen a higher fencing number.
+func (s *State) RequestRead() { s.needsRead = true }
 
 // Release starts giving up the incarnation. The caller must have no order in flight.
 func (s *State) Release() { s.releasing = true }
@@ -282,9 +282,9 @@
 	return []step.Effect{Held{Number: s.Number}}
 }
 
-// Raise acquires a new, higher number. It is called when an engine refused the current number although this process
+// AcquireHigher acquires a new, higher number. It is called when an engine refused the current number although this process
 // is the holder.
-func (s *State) Raise(now time.Time) []step.Effect {
+func (s *State) AcquireHigher(now time.Time) []step.Effect {
 	if s.inFlight || !s.Held() {
 		return nil
 	}
--- a/internal/core/incarnation/incarnation_test.go
+++ b/internal/core/incarnation/incarnation_test.go
@@ -116,7 +116,7 @@
 			m.numbers[n] = i
 			m.highest = max(m.highest, n)
 		}
-		if p.state.MayOrder(m.now, true) {
+		if p.state.OrdersAllowed(m.now, true) {
 			allowed++
 		}
 	}
@@ -183,12 +183,12 @@
 	p := &process{state: NewState("host-1", "p", Timing{})}
 	m.processes = []*process{p}
 	m.runUntilIdle(p)
-	require.True(t, p.state.MayOrder(m.now, true))
+	require.True(t, p.state.OrdersAllowed(m.now, true))
 	m.now = m.now.Add(DefaultLease)
-	require.False(t, p.state.MayOrder(m.now, true))
-	require.True(t, p.state.MayOrder(m.now, false), "engines that check the number need no valid lease")
+	require.False(t, p.state.OrdersAllowed(m.now, true))
+	require.True(t, p.state.OrdersAllowed(m.now, false), "engines that check the number need no valid lease")
 	m.runUntilIdle(p)
-	require.True(t, p.state.MayOrder(m.now, true))
+	require.True(t, p.state.OrdersAllowed(m.now, true))
 }
 
 // runUntilIdle advances a process and answers its calls until it has none in flight.
@@ -213,9 +213,9 @@
 			m.runUntilIdle(first)
 		}
 		m.runUntilIdle(next)
-		require.Equal(t, released, next.state.Clear(m.now))
-		m.now = m.now.Add(DefaultLease + DefaultSettle)
-		require.True(t, next.state.Clear(m.now))
+		require.Equal(t, released, next.state.FormerOrdersExpired(m.now))
+		m.now = m.now.Add(DefaultLease + DefaultOrderDrain)
+		require.True(t, next.state.FormerOrdersExpired(m.now))
 		require.Greater(t, next.state.Number, first.state.Number)
 		m.runUntilIdle(first)
 		require.True(t, first.state.Superseded)
@@ -230,7 +230,7 @@
 	m.runUntilIdle(p)
 	before := p.state.Number
 	m.object.revision += 5
-	p.trackCalls(p.state.Raise(m.now))
+	p.trackCalls(p.state.AcquireHigher(m.now))
 	m.applyCall(p)
 	m.step(p, p.answer)
 	require.Greater(t, p.state.Number, before+5)
@@ -247,8 +247,8 @@
 	first.trackCalls(first.state.Advance(m.now, true))
 	m.applyCall(first)
 	m.runUntilIdle(next)
-	m.now = m.now.Add(DefaultLease + DefaultSettle)
+	m.now = m.now.Add(DefaultLease + DefaultOrderDrain)
 	m.step(first, first.answer)
-	require.True(t, next.state.Clear(m.now))
-	require.False(t, first.state.MayOrder(m.now, true))
+	require.True(t, next.state.FormerOrdersExpired(m.now))
+	require.False(t, first.state.OrdersAllowed(m.now, true))
 }
--- a/internal/core/install/install.go
+++ b/internal/core/install/install.go
@@ -63,8 +63,8 @@
 	Loading Phase = "loading"
 )
 
-// Named reports that a version of a model was activated and is to be loaded.
-type Named struct {
+// VersionActivated reports that a version of a model was activated and is to be loaded.
+type VersionActivated struct {
 	Model   string
 	Version int64
 	// Age is the minimum time for which the version has been in force.
@@ -78,24 +78,24 @@
 	Digest  string
 }
 
-// Refuted reports that the origin's present answer contradicts a digest, so that one of the two was corrupted.
-type Refuted struct{ Digest string }
+// DigestContradicted reports that the origin's present answer contradicts a digest, so that one of the two was corrupted.
+type DigestContradicted struct{ Digest string }
 
-// Complete reports that every chunk of a digest's content is on this host.
-type Complete struct{ Digest string }
+// ContentComplete reports that every chunk of a digest's content is on this host.
+type ContentComplete struct{ Digest string }
 
 // EngineRead reports the state of the engine as read from it.
 type EngineRead struct {
-	// Born is the engine's start time, in milliseconds since 1970; 0 when it is unknown.
-	Born int64
+	// StartedAt is the engine's start time, in milliseconds since 1970; 0 when it is unknown.
+	StartedAt int64
 	// Loaded maps each model to the version that the engine holds completely.
 	Loaded map[string]int64
 	// Busy is set while a load order is in progress.
 	Busy bool
-	// Sequence is the number of load orders that the engine has accepted since its start.
-	Sequence int64
-	// Occupied is the number of requests that the engine processes or has queued.
-	Occupied int
+	// OrderCount is the number of load orders that the engine has accepted since its start.
+	OrderCount int64
+	// RequestCount is the number of requests that the engine processes or has queued.
+	RequestCount int
 	// Slowdown is the engine's processing time relative to what its service declares; 0 when it is unknown.
 	Slowdown float64
 	// Notice is what the engine reports about itself besides.
@@ -110,12 +110,12 @@
 	Model   string
 	Version int64
 	OK      bool
-	// Checked is when the first chunk was read back.
-	Checked time.Time
+	// CheckedAt is when the first chunk was read back.
+	CheckedAt time.Time
 }
 
-// OrderEnded reports that the engine answered a load order, or that the call failed.
-type OrderEnded struct {
+// LoadOrderEnded reports that the engine answered a load order, or that the call failed.
+type LoadOrderEnded struct {
 	Model   string
 	Version int64
 	// Accepted is set when the engine accepted the order.
@@ -126,16 +126,16 @@
 type PeersChanged struct{ Peers []string }
 
 // Event marks the type as an event.
-func (Named) Event() {}
+func (VersionActivated) Event() {}
 
 // Event marks the type as an event.
 func (Resolved) Event() {}
 
 // Event marks the type as an event.
-func (Refuted) Event() {}
+func (DigestContradicted) Event() {}
 
 // Event marks the type as an event.
-func (Complete) Event() {}
+func (ContentComplete) Event() {}
 
 // Event marks the type as an event.
 func (EngineRead) Event() {}
@@ -147,7 +147,7 @@
 func (Prepared) Event() {}
 
 // Event marks the type as an event.
-func (OrderEnded) Event() {}
+func (LoadOrderEnded) Event() {}
 
 // Event marks the type as an event.
 func (PeersChanged) Event() {}
@@ -156,8 +156,8 @@
 type Resolve struct {
 	Model   string
 	Version int64
-	// Try is the number of earlier attempts. The more there were, the more hosts ask the origin directly.
-	Try int
+	// Attempt is the number of earlier attempts. The more there were, the more hosts ask the origin directly.
+	Attempt int
 }
 
 // Fetch reports that the versions whose chunks are wanted on this host have changed; see State.Wanted.
@@ -177,23 +177,23 @@
 	Digest  string
 }
 
-// Order has the shell send a load order to the engine.
-type Order struct {
+// LoadOrder has the shell send a load order to the engine.
+type LoadOrder struct {
 	Model   string
 	Version int64
 	// Sequence is the number of accepted orders that the engine must have for the order to apply.
 	Sequence int64
-	// Checked is when the first chunk was read back. The order must not be sent later than MaxAge after it.
-	Checked time.Time
-	MaxAge  time.Duration
+	// CheckedAt is when the first chunk was read back. The order must not be sent later than MaxAge after it.
+	CheckedAt time.Time
+	MaxAge    time.Duration
 }
 
-// Moved tells the shell to log that a model or version entered a phase.
-type Moved struct {
+// PhaseChanged tells the shell to log that a model or version entered a phase.
+type PhaseChanged struct {
 	Model   string
 	Version int64
 	Phase   Phase
-	Why     string
+	Reason  string
 }
 
 // Effect marks the type as an effect.
@@ -206,10 +206,10 @@
 func (Prepare) Effect() {}
 
 // Effect marks the type as an effect.
-func (Order) Effect() {}
+func (LoadOrder) Effect() {}
 
 // Effect marks the type as an effect.
-func (Moved) Effect() {}
+func (PhaseChanged) Effect() {}
 
 // version is one version of a model that may be loaded.
 type version struct {
@@ -262,8 +262,8 @@
 // Loaded maps each model to the version that the engine holds completely.
 func (s *State) Loaded() map[string]int64 { return s.engine.Loaded }
 
-// Closing reports whether the engine accepts no new requests now or in a moment.
-func (s *State) Closing() bool {
+// NotAccepting reports whether the engine accepts no new requests now or in a moment.
+func (s *State) NotAccepting() bool {
 	for _, m := range s.models {
 		if m.phase == Ordering || m.phase == Loading {
 			return true
@@ -274,7 +274,7 @@
 
 // LinkShare returns the fraction of the host's link that transfers may use, above 0 up to 1. It is higher while the engine is idle.
 func (s *State) LinkShare() float64 {
-	if s.engine.Occupied > 0 {
+	if s.engine.RequestCount > 0 {
 		return servingShare
 	}
 	return idleShare
@@ -283,11 +283,11 @@
 // Answered reports whether the engine has ever answered.
 func (s *State) Answered() bool { return !s.readAt.IsZero() }
 
-// Born returns the engine's start time as of the last reading, in milliseconds since 1970; 0 when it is unknown.
-func (s *State) Born() int64 { return s.engine.Born }
+// StartedAt returns the engine's start time as of the last reading, in milliseconds since 1970; 0 when it is unknown.
+func (s *State) StartedAt() int64 { return s.engine.StartedAt }
 
-// ColdLeft returns the remaining time for which the engine reports to be cold; 0 when it doesn't report any.
-func (s *State) ColdLeft() time.Duration { return s.engine.Notice.ColdLeft }
+// ColdRemaining returns the remaining time for which the engine reports to be cold; 0 when it doesn't report any.
+func (s *State) ColdRemaining() time.Duration { return s.engine.Notice.ColdRemaining }
 
 // Slowdown returns the engine's processing time relative to what its service declares; 0 when it is at most 1 or unknown.
 func (s *State) Slowdown() float64 {
@@ -309,8 +309,8 @@
 // Leaving reports whether the engine is shutting down.
 func (s *State) Leaving() bool { return s.engine.Notice.Leaving }
 
-// Occupied returns the number of requests that the engine processes or has queued.
-func (s *State) Occupied() int { return s.engine.Occupied }
+// RequestCount returns the number of requests that the engine processes or has queued.
+func (s *State) RequestCount() int { return s.engine.RequestCount }
 
 // Wanted returns the versions whose chunks are wanted on this host. It includes complete versions, because other hosts may still
 // fetch them from here.
@@ -326,8 +326,8 @@
 	return wants
 }
 
-// Newest returns the newest activated version of a model; 0 for none.
-func (s *State) Newest(name string) int64 {
+// NewestVersion returns the newest activated version of a model; 0 for none.
+func (s *State) NewestVersion(name string) int64 {
 	if m := s.models[name]; m != nil {
 		return m.newest().number
 	}
@@ -348,13 +348,13 @@
 func (s *State) Reduce(in step.Input) []step.Effect {
 	var effects []step.Effect
 	switch ev := in.Event.(type) {
-	case Named:
+	case VersionActivated:
 		effects = s.versionActivated(in, ev)
 	case Resolved:
 		effects = s.resolved(in, ev)
-	case Refuted:
+	case DigestContradicted:
 		effects = s.contradicted(in, ev)
-	case Complete:
+	case ContentComplete:
 		s.complete[ev.Digest] = true
 	case EngineRead:
 		effects = s.engineRead(in, ev)
@@ -362,7 +362,7 @@
 		s.engineFailed(in.Now)
 	case Prepared:
 		effects = s.prepared(in, ev)
-	case OrderEnded:
+	case LoadOrderEnded:
 		effects = s.orderEnded(in, ev)
 	case PeersChanged:
 		s.peers = ev.Peers
--- a/internal/core/install/install_test.go
+++ b/internal/core/install/install_test.go
@@ -53,7 +53,7 @@
 	var list []step.Effect
 	for _, e := range effects {
 		switch e.(type) {
-		case install.Moved, install.Fetch:
+		case install.PhaseChanged, install.Fetch:
 		default:
 			list = append(list, e)
 		}
@@ -63,9 +63,9 @@
 
 // fetch activates a version and completes its content.
 func (h *harness) fetch(version int64, digest string) []step.Effect {
-	h.step(install.Named{Model: "m", Version: version})
+	h.step(install.VersionActivated{Model: "m", Version: version})
 	h.step(install.Resolved{Model: "m", Version: version, Digest: digest})
-	return actions(h.step(install.Complete{Digest: digest}))
+	return actions(h.step(install.ContentComplete{Digest: digest}))
 }
 
 // TestEngineWithoutWeightsLoadsAtOnce guards against an engine that waits for a turn although it receives no requests. It also checks that
@@ -73,20 +73,20 @@
 func TestEngineWithoutWeightsLoadsAtOnce(t *testing.T) {
 	h := newHarness("10.0.0.2:7700")
 	h.read()
-	require.Contains(t, h.step(install.Named{Model: "m", Version: 1}), install.Resolve{Model: "m", Version: 1})
+	require.Contains(t, h.step(install.VersionActivated{Model: "m", Version: 1}), install.Resolve{Model: "m", Version: 1})
 	require.Contains(t, h.step(install.Resolved{Model: "m", Version: 1, Digest: "d1"}), install.Fetch{})
 	require.Equal(t, []install.Want{{Model: "m", Version: 1, Digest: "d1"}}, h.state.Wanted())
-	h.step(install.Complete{Digest: "d1"})
+	h.step(install.ContentComplete{Digest: "d1"})
 	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, h.pass(200*time.Millisecond))
 	checked := begin.Add(h.now)
-	effects := actions(h.step(install.Prepared{Model: "m", Version: 1, OK: true, Checked: checked}))
+	effects := actions(h.step(install.Prepared{Model: "m", Version: 1, OK: true, CheckedAt: checked}))
 	require.Len(t, effects, 1)
-	require.Equal(t, checked, effects[0].(install.Order).Checked)
-	require.True(t, h.state.Closing(), "no requests from the order on")
-	h.step(install.OrderEnded{Model: "m", Version: 1, Accepted: true})
-	h.engine = install.EngineRead{Loaded: map[string]int64{"m": 1}, Sequence: 1}
+	require.Equal(t, checked, effects[0].(install.LoadOrder).CheckedAt)
+	require.True(t, h.state.NotAccepting(), "no requests from the order on")
+	h.step(install.LoadOrderEnded{Model: "m", Version: 1, Accepted: true})
+	h.engine = install.EngineRead{Loaded: map[string]int64{"m": 1}, OrderCount: 1}
 	require.Empty(t, h.pass(time.Second))
-	require.False(t, h.state.Closing())
+	require.False(t, h.state.NotAccepting())
 }
 
 // TestLostOrderAnswerIsSettledByReading guards against a second load order when the engine accepted the first but its answer was lost.
@@ -95,9 +95,9 @@
 	h.read()
 	h.fetch(1, "d1")
 	h.pass(200 * time.Millisecond)
-	h.step(install.Prepared{Model: "m", Version: 1, OK: true, Checked: begin.Add(h.now)})
-	h.step(install.OrderEnded{Model: "m", Version: 1})
-	h.engine.Busy, h.engine.Sequence = true, 1
+	h.step(install.Prepared{Model: "m", Version: 1, OK: true, CheckedAt: begin.Add(h.now)})
+	h.step(install.LoadOrderEnded{Model: "m", Version: 1})
+	h.engine.Busy, h.engine.OrderCount = true, 1
 	require.Empty(t, h.pass(3*time.Second), "no further order while the engine is busy with the accepted one")
 	h.engine.Busy, h.engine.Loaded = false, map[string]int64{"m": 1}
 	require.Empty(t, h.pass(2*time.Second))
@@ -110,8 +110,8 @@
 	h.read()
 	h.fetch(1, "d1")
 	h.pass(200 * time.Millisecond)
-	h.step(install.Prepared{Model: "m", Version: 1, OK: true, Checked: begin.Add(h.now)})
-	h.step(install.OrderEnded{Model: "m", Version: 1})
+	h.step(install.Prepared{Model: "m", Version: 1, OK: true, CheckedAt: begin.Add(h.now)})
+	h.step(install.LoadOrderEnded{Model: "m", Version: 1})
 	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, h.pass(2*time.Second))
 }
 
@@ -150,18 +150,18 @@
 func TestFailedResolveIsRepeated(t *testing.T) {
 	h := newHarness()
 	h.read()
-	h.step(install.Named{Model: "m", Version: 1})
+	h.step(install.VersionActivated{Model: "m", Version: 1})
 	h.step(install.Resolved{Model: "m", Version: 1})
-	require.Equal(t, []step.Effect{install.Resolve{Model: "m", Version: 1, Try: 1}}, h.pass(500*time.Millisecond))
+	require.Equal(t, []step.Effect{install.Resolve{Model: "m", Version: 1, Attempt: 1}}, h.pass(500*time.Millisecond))
 }
 
 // TestContradictedDigestIsResolvedAgain guards against fetching forever for a corrupted digest, whose chunks exist nowhere.
 func TestContradictedDigestIsResolvedAgain(t *testing.T) {
 	h := newHarness()
 	h.read()
-	h.step(install.Named{Model: "m", Version: 1})
+	h.step(install.VersionActivated{Model: "m", Version: 1})
 	h.step(install.Resolved{Model: "m", Version: 1, Digest: "wrong"})
-	require.Equal(t, []step.Effect{install.Resolve{Model: "m", Version: 1}}, actions(h.step(install.Refuted{Digest: "wrong"})))
+	require.Equal(t, []step.Effect{install.Resolve{Model: "m", Version: 1}}, actions(h.step(install.DigestContradicted{Digest: "wrong"})))
 	require.Contains(t, h.step(install.Resolved{Model: "m", Version: 1, Digest: "right"}), install.Fetch{})
 	require.Equal(t, []install.Want{{Model: "m", Version: 1, Digest: "right"}}, h.state.Wanted())
 }
@@ -171,15 +171,15 @@
 	h := newHarness()
 	h.engine.Loaded["m"] = 1
 	h.read()
-	h.step(install.Named{Model: "m", Version: 2})
+	h.step(install.VersionActivated{Model: "m", Version: 2})
 	h.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
 	h.pass(2 * time.Second)
-	h.step(install.Named{Model: "m", Version: 3})
+	h.step(install.VersionActivated{Model: "m", Version: 3})
 	require.Empty(t, h.state.Wanted())
-	h.step(install.Complete{Digest: "d2"})
+	h.step(install.ContentComplete{Digest: "d2"})
 	require.Empty(t, h.pass(time.Second))
 	h.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
-	h.step(install.Complete{Digest: "d3"})
+	h.step(install.ContentComplete{Digest: "d3"})
 	require.Contains(t, h.pass(versionTime), install.Prepare{Model: "m", Version: 3, Digest: "d3"})
 }
 
@@ -189,20 +189,20 @@
 	h := newHarness()
 	h.engine.Loaded["m"] = 1
 	h.read()
-	h.step(install.Named{Model: "m", Version: 2})
+	h.step(install.VersionActivated{Model: "m", Version: 2})
 	h.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
 	h.pass(3 * time.Second)
-	h.step(install.Named{Model: "m", Version: 3})
+	h.step(install.VersionActivated{Model: "m", Version: 3})
 	h.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
 	require.Len(t, h.state.Wanted(), 2)
 	h.pass(time.Second)
-	h.step(install.Named{Model: "m", Version: 4})
+	h.step(install.VersionActivated{Model: "m", Version: 4})
 	h.step(install.Resolved{Model: "m", Version: 4, Digest: "d4"})
 	require.Equal(t, []install.Want{{Model: "m", Version: 2, Digest: "d2"}, {Model: "m", Version: 4, Digest: "d4"}}, h.state.Wanted())
-	h.step(install.Complete{Digest: "d2"})
+	h.step(install.ContentComplete{Digest: "d2"})
 	require.Contains(t, h.pass(versionTime), install.Prepare{Model: "m", Version: 2, Digest: "d2"})
-	h.step(install.Named{Model: "m", Version: 3})
-	require.Equal(t, int64(4), h.state.Newest("m"), "an older version never replaces a newer one")
+	h.step(install.VersionActivated{Model: "m", Version: 3})
+	require.Equal(t, int64(4), h.state.NewestVersion("m"), "an older version never replaces a newer one")
 }
 
 // TestVersionOlderThanTheLoadedOneIsNotWanted guards against fetching and keeping versions that the engine will never load.
@@ -211,12 +211,12 @@
 	h.engine.Loaded["m"] = 1
 	h.read()
 	h.fetch(2, "d2")
-	h.step(install.Named{Model: "m", Version: 3})
+	h.step(install.VersionActivated{Model: "m", Version: 3})
 	h.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
 	require.Len(t, h.state.Wanted(), 2)
 	h.engine.Loaded["m"] = 3
 	h.read()
-	h.step(install.Complete{Digest: "d3"})
+	h.step(install.ContentComplete{Digest: "d3"})
 	require.Equal(t, []install.Want{{Model: "m", Version: 3, Digest: "d3"}}, h.state.Wanted())
 }
 
@@ -233,13 +233,13 @@
 		h := &harness{state: install.NewState(host, versionTime), engine: install.EngineRead{Loaded: map[string]int64{"m": 1}}}
 		h.step(install.PeersChanged{Peers: hosts})
 		h.read()
-		h.step(install.Named{Model: "m", Version: 2})
+		h.step(install.VersionActivated{Model: "m", Version: 2})
 		h.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
 		h.pass(3 * time.Second)
-		done := hasPrepare(h.step(install.Complete{Digest: "d2"}))
+		done := hasPrepare(h.step(install.ContentComplete{Digest: "d2"}))
 		if superseded {
 			done = hasPrepare(h.pass(600*time.Millisecond)) || done
-			done = hasPrepare(h.step(install.Named{Model: "m", Version: 3})) || done
+			done = hasPrepare(h.step(install.VersionActivated{Model: "m", Version: 3})) || done
 		}
 		for !done && !hasPrepare(h.pass(100*time.Millisecond)) {
 			require.Less(t, h.now, 30*time.Second)
@@ -298,11 +298,11 @@
 			switch rapid.IntRange(0, 8).Draw(t, "event") {
 			case 0:
 				newest += int64(rapid.IntRange(0, 1).Draw(t, "newer"))
-				effects = h.step(install.Named{Model: "m", Version: newest})
+				effects = h.step(install.VersionActivated{Model: "m", Version: newest})
 			case 1:
 				effects = h.step(install.Resolved{Model: "m", Version: newest, Digest: string(rune('a' + newest%26))})
 			case 2:
-				effects = h.step(install.Complete{Digest: string(rune('a' + newest%26))})
+				effects = h.step(install.ContentComplete{Digest: string(rune('a' + newest%26))})
 			case 3:
 				effects = h.step(install.EngineFailed{})
 			case 4:
@@ -312,12 +312,12 @@
 				h.engine.Loaded = map[string]int64{"m": rapid.Int64Range(0, newest).Draw(t, "loaded")}
 				effects = h.read()
 			case 6:
-				effects = h.step(install.OrderEnded{Model: "m", Version: newest, Accepted: rapid.Bool().Draw(t, "accepted")})
+				effects = h.step(install.LoadOrderEnded{Model: "m", Version: newest, Accepted: rapid.Bool().Draw(t, "accepted")})
 			case 7:
 				ok := rapid.Bool().Draw(t, "ok")
-				effects = h.step(install.Prepared{Model: "m", Version: newest, OK: ok, Checked: begin.Add(h.now)})
+				effects = h.step(install.Prepared{Model: "m", Version: newest, OK: ok, CheckedAt: begin.Add(h.now)})
 				for _, e := range effects {
-					if _, order := e.(install.Order); order {
+					if _, order := e.(install.LoadOrder); order {
 						require.True(t, preparing && ok)
 					}
 				}
@@ -330,7 +330,7 @@
 				case install.Prepare:
 					require.False(t, h.engine.Busy, "nothing is prepared for a busy engine")
 					preparing = true
-				case install.Order:
+				case install.LoadOrder:
 					require.True(t, preparing)
 					preparing = false
 				}
@@ -343,15 +343,15 @@
 // order sequence restarts at 0, and the order that was being prepared for its previous instance must not be sent to the new one.
 func TestRestartedEngineWithTheSameIDIsOrderedAgain(t *testing.T) {
 	h := newHarness()
-	h.engine = install.EngineRead{Born: 100, Loaded: map[string]int64{}, Sequence: 7}
+	h.engine = install.EngineRead{StartedAt: 100, Loaded: map[string]int64{}, OrderCount: 7}
 	h.read()
 	h.fetch(1, "d1")
 	h.pass(200 * time.Millisecond)
-	h.engine = install.EngineRead{Born: 200, Loaded: map[string]int64{}}
+	h.engine = install.EngineRead{StartedAt: 200, Loaded: map[string]int64{}}
 	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, h.pass(300*time.Millisecond))
-	effects := actions(h.step(install.Prepared{Model: "m", Version: 1, OK: true, Checked: begin.Add(h.now)}))
+	effects := actions(h.step(install.Prepared{Model: "m", Version: 1, OK: true, CheckedAt: begin.Add(h.now)}))
 	require.Len(t, effects, 1)
-	require.Zero(t, effects[0].(install.Order).Sequence)
+	require.Zero(t, effects[0].(install.LoadOrder).Sequence)
 }
 
 // TestTransfersUseMostOfTheLinkWhileTheEngineIsIdle guards against slow transfers where no answers need the link: engines that join without
@@ -359,10 +359,10 @@
 func TestTransfersUseMostOfTheLinkWhileTheEngineIsIdle(t *testing.T) {
 	h := newHarness()
 	require.InDelta(t, 0.92, h.state.LinkShare(), 0, "nothing is known about the engine")
-	h.engine.Loaded["m"], h.engine.Occupied = 1, 2
+	h.engine.Loaded["m"], h.engine.RequestCount = 1, 2
 	h.read()
 	require.InDelta(t, 0.8, h.state.LinkShare(), 0)
-	h.engine.Occupied = 0
+	h.engine.RequestCount = 0
 	h.read()
 	require.InDelta(t, 0.92, h.state.LinkShare(), 0)
 }
--- a/internal/core/install/reduce.go
+++ b/internal/core/install/reduce.go
@@ -10,7 +10,7 @@
 )
 
 // versionActivated adds a version, or updates the activation time of a known one.
-func (s *State) versionActivated(in step.Input, ev Named) []step.Effect {
+func (s *State) versionActivated(in step.Input, ev VersionActivated) []step.Effect {
 	m := s.models[ev.Model]
 	if m == nil {
 		m = &model{name: ev.Model, phase: Idle, activatedAt: map[int64]time.Time{}}
@@ -104,7 +104,7 @@
 
 // contradicted resolves a version again whose digest the origin contradicts while it is being fetched. A complete version has passed
 // the check against its digest, so that it stays.
-func (s *State) contradicted(in step.Input, ev Refuted) []step.Effect {
+func (s *State) contradicted(in step.Input, ev DigestContradicted) []step.Effect {
 	var effects []step.Effect
 	for _, name := range s.Models() {
 		m := s.models[name]
@@ -120,8 +120,8 @@
 
 // engineRead stores a reading. A restarted engine holds no weights, and any load started on its previous instance is abandoned.
 func (s *State) engineRead(in step.Input, ev EngineRead) []step.Effect {
-	restarted := s.startedAt > 0 && ev.Born > s.startedAt
-	s.engine, s.readAt, s.startedAt = ev, in.Now, max(s.startedAt, ev.Born)
+	restarted := s.startedAt > 0 && ev.StartedAt > s.startedAt
+	s.engine, s.readAt, s.startedAt = ev, in.Now, max(s.startedAt, ev.StartedAt)
 	if !restarted {
 		return nil
 	}
@@ -158,11 +158,11 @@
 	if !ev.OK {
 		return m.enter(Waiting, in.Now.Add(prepareRetry), "chunks could not be staged")
 	}
-	order := Order{Model: m.name, Version: ev.Version, Sequence: s.engine.Sequence, Checked: ev.Checked, MaxAge: maxCheckAge}
+	order := LoadOrder{Model: m.name, Version: ev.Version, Sequence: s.engine.OrderCount, CheckedAt: ev.CheckedAt, MaxAge: maxCheckAge}
 	return append(m.enter(Ordering, in.Now.Add(orderTimeout), "chunks read back"), order)
 }
 
-func (s *State) orderEnded(in step.Input, ev OrderEnded) []step.Effect {
+func (s *State) orderEnded(in step.Input, ev LoadOrderEnded) []step.Effect {
 	m := s.modelInPhase(ev.Model, ev.Version, Ordering)
 	if m == nil {
 		return nil
@@ -193,7 +193,7 @@
 		case v.phase == Resolving && !in.Now.Before(v.nextAt):
 			v.nextAt = in.Now.Add(resolveTimeout)
 			v.attempts++
-			effects = append(effects, Resolve{Model: m.name, Version: v.number, Try: v.attempts})
+			effects = append(effects, Resolve{Model: m.name, Version: v.number, Attempt: v.attempts})
 		case v.phase == Fetching && s.complete[v.digest]:
 			v.phase = Fetched
 			if m.phase == Waiting {
@@ -334,7 +334,7 @@
 	if first.IsZero() {
 		return first
 	}
-	return first.Add(s.VersionTime - catalog.VersionMargin)
+	return first.Add(s.VersionTime - catalog.RequireVersionMargin)
 }
 
 // enter puts the engine into a phase that may end at next at the earliest.
@@ -344,6 +344,6 @@
 	return []step.Effect{m.moved(m.target, p, why)}
 }
 
-func (m *model) moved(number int64, p Phase, why string) Moved {
-	return Moved{Model: m.name, Version: number, Phase: p, Why: why}
+func (m *model) moved(number int64, p Phase, why string) PhaseChanged {
+	return PhaseChanged{Model: m.name, Version: number, Phase: p, Reason: why}
 }
--- a/internal/core/install/restart_test.go
+++ b/internal/core/install/restart_test.go
@@ -93,13 +93,13 @@
 )
 
 // host holds the settings of the fleet's hosts.
-var host = hostconfig.Host{VersionTime: versionTime, Settle: 3 * time.Second}
+var host = hostconfig.Host{VersionTime: versionTime, SettleTime: 3 * time.Second}
 
 func newFleet(entries, agents int) *fleet {
 	f := &fleet{version: 1}
 	for i := range agents {
 		f.agents = append(f.agents, &fleetAgent{
-			host: fmt.Sprintf("10.0.1.%d:7700", i), engine: install.EngineRead{Born: 1, Loaded: map[string]int64{fleetModel: 1}}, orderedAt: time.Hour,
+			host: fmt.Sprintf("10.0.1.%d:7700", i), engine: install.EngineRead{StartedAt: 1, Loaded: map[string]int64{fleetModel: 1}}, orderedAt: time.Hour,
 		})
 	}
 	f.entries = make([]*forward.State, entries)
@@ -111,25 +111,25 @@
 func (f *fleet) restart(survivors int) {
 	for i := range f.entries {
 		c := catalog.NewState()
-		c.ListedSince = begin.Add(f.now).Add(-host.ListedAge())
+		c.ListedActivatedAt = begin.Add(f.now).Add(-host.AssumedVersionAge())
 		f.entries[i] = forward.NewState(forward.Self{
 			Name: fmt.Sprintf("entry-%d", i), DataCentre: "perth-a", Region: "perth", Regions: map[string]string{"perth-a": "perth"},
-			Retries: hostconfig.Retries{Ratio: 0.2, Extra: 100, Window: 10 * time.Second}, VersionTime: versionTime,
+			Retries: hostconfig.RetryBudget{Ratio: 0.2, Base: 100, Window: 10 * time.Second}, VersionLifetime: versionTime,
 		}, c)
 		for _, ev := range f.lists() {
 			c.Reduce(f.input(ev))
 		}
-		f.versions(func(ev step.Event) { c.Reduce(f.input(ev)) }).Listed(f.object())
+		f.versions(func(ev step.Event) { c.Reduce(f.input(ev)) }).OnList(f.object())
 	}
 	for _, a := range f.agents[survivors:] {
 		a.catalog, a.install = catalog.NewState(), install.NewState(a.host, versionTime)
-		a.catalog.ListedSince = begin.Add(f.now).Add(-host.ListedAge())
+		a.catalog.ListedActivatedAt = begin.Add(f.now).Add(-host.AssumedVersionAge())
 		f.step(a, install.PeersChanged{Peers: f.hosts()})
 		f.step(a, a.engine)
 		for _, ev := range f.lists() {
 			f.step(a, ev)
 		}
-		f.versions(func(ev step.Event) { f.step(a, ev) }).Listed(f.object())
+		f.versions(func(ev step.Event) { f.step(a, ev) }).OnList(f.object())
 		if a.complete {
 			f.completeContent(a)
 		}
@@ -143,11 +143,11 @@
 		Name: "reports", Host: "h", Prefix: "/reports/", Kind: catalog.Streaming, Resumable: true, MaxUpstreams: 2,
 		Shares: []catalog.Share{{Service: "model", Weight: 1}}, Timeout: 6 * time.Second, Objective: 500 * time.Millisecond,
 	}
-	events := []step.Event{catalog.StoreHeard{}, catalog.ManifestRead{Revision: 1, Manifest: catalog.NewManifest(1, []*catalog.Route{route}, nil)}}
+	events := []step.Event{catalog.StoreAnswered{}, catalog.ManifestRead{Revision: 1, Manifest: catalog.NewManifest(1, []*catalog.Route{route}, nil)}}
 	var upstreams []*catalog.Upstream
 	for i, a := range f.agents {
 		upstreams = append(upstreams, &catalog.Upstream{
-			ID: a.host, Born: begin.Add(-time.Hour).UnixMilli(), Service: "model", Address: a.host, DataCentre: "perth-a", Slots: 16,
+			ID: a.host, StartedAt: begin.Add(-time.Hour).UnixMilli(), Service: "model", Address: a.host, DataCentre: "perth-a", Slots: 16,
 			Versions: map[string]int64{fleetModel: a.engine.Loaded[fleetModel]}, Revision: int64(2 + i),
 		})
 	}
@@ -157,7 +157,7 @@
 
 // versions returns a follower that converts the store's version objects to events, as in a real process.
 func (f *fleet) versions(handle func(step.Event)) *storewatch.Follower {
-	return storewatch.Beliefs{Step: handle, Log: zerolog.Nop()}.Follower(nil, platform.VersionKind)
+	return storewatch.Decoder{Step: handle, Log: zerolog.Nop()}.Follower(nil, platform.VersionKind)
 }
 
 // object returns the store's object of the version in force, with the store revision.
@@ -172,10 +172,10 @@
 	f.version = version
 	_, objects := f.object()
 	for _, e := range f.entries {
-		f.versions(func(ev step.Event) { e.Catalog.Reduce(f.input(ev)) }).Changed(objects)
+		f.versions(func(ev step.Event) { e.Catalog.Reduce(f.input(ev)) }).OnChanges(objects)
 	}
 	for _, a := range f.agents {
-		f.versions(func(ev step.Event) { f.step(a, ev) }).Changed(objects)
+		f.versions(func(ev step.Event) { f.step(a, ev) }).OnChanges(objects)
 	}
 }
 
@@ -190,7 +190,7 @@
 func (f *fleet) completeContent(a *fleetAgent) {
 	digest := fmt.Sprint("digest of version ", f.version)
 	f.step(a, install.Resolved{Model: fleetModel, Version: f.version, Digest: digest})
-	f.step(a, install.Complete{Digest: digest})
+	f.step(a, install.ContentComplete{Digest: digest})
 }
 
 func (f *fleet) hosts() []string {
@@ -217,14 +217,14 @@
 	}
 	for _, e := range f.entries {
 		for _, a := range f.agents {
-			e.Reduce(f.input(forward.LoadTold{
-				Address: a.host, Closing: a.install.Closing(), Versions: a.install.Loaded(), Entries: len(f.entries), Near: len(f.entries),
+			e.Reduce(f.input(forward.LoadReported{
+				Address: a.host, NotAccepting: a.install.NotAccepting(), Versions: a.install.Loaded(), Entries: len(f.entries), NearEntries: len(f.entries),
 			}))
 		}
 	}
 	if f.now%listInterval == 0 {
 		for _, a := range f.agents {
-			f.versions(func(ev step.Event) { f.step(a, ev) }).Listed(f.object())
+			f.versions(func(ev step.Event) { f.step(a, ev) }).OnList(f.object())
 		}
 	}
 	if f.now%reportInterval == 0 {
@@ -252,7 +252,7 @@
 func (f *fleet) reports(c *catalog.State) []step.Event {
 	var events []step.Event
 	now := begin.Add(f.now)
-	for _, n := range loadreport.Namings(now, c.Told(now, versionTime)) {
+	for _, n := range loadreport.Activations(now, c.ReportedActivations(now, versionTime)) {
 		events = append(events, n.Event())
 	}
 	return events
@@ -280,7 +280,7 @@
 				f.expired = append(f.expired, f.now)
 			}
 		}
-		e.Reduce(f.input(forward.SendEnded{ID: attempt.ID, Outcome: outcome}))
+		e.Reduce(f.input(forward.AttemptEnded{ID: attempt.ID, Outcome: outcome}))
 	}
 	e.Reduce(f.input(forward.CallerGone{ID: f.nextID}))
 }
@@ -292,15 +292,15 @@
 	effects = append(effects, a.install.Reduce(in)...)
 	for _, effect := range effects {
 		switch effect := effect.(type) {
-		case catalog.NamingChanged:
-			n := effect.Naming
-			f.step(a, install.Named{Model: n.Model, Version: n.Version, Age: in.Now.Sub(n.Since)})
+		case catalog.ActivationChanged:
+			n := effect.Activation
+			f.step(a, install.VersionActivated{Model: n.Model, Version: n.Version, Age: in.Now.Sub(n.ActivatedAt)})
 		case install.Prepare:
-			f.step(a, install.Prepared{Model: effect.Model, Version: effect.Version, OK: true, Checked: in.Now})
-		case install.Order:
+			f.step(a, install.Prepared{Model: effect.Model, Version: effect.Version, OK: true, CheckedAt: in.Now})
+		case install.LoadOrder:
 			a.orderedAt = min(a.orderedAt, f.now)
-			a.engine.Busy, a.engine.Sequence, a.loadedBy = true, a.engine.Sequence+1, f.now+loadTime
-			f.step(a, install.OrderEnded{Model: effect.Model, Version: effect.Version, Accepted: true})
+			a.engine.Busy, a.engine.OrderCount, a.loadedBy = true, a.engine.OrderCount+1, f.now+loadTime
+			f.step(a, install.LoadOrderEnded{Model: effect.Model, Version: effect.Version, Accepted: true})
 		}
 	}
 }
--- a/internal/core/install/superseded_test.go
+++ b/internal/core/install/superseded_test.go
@@ -26,17 +26,17 @@
 		h := &harness{state: install.NewState(host, versionTime), engine: install.EngineRead{Loaded: map[string]int64{"m": 1}}}
 		h.step(install.PeersChanged{Peers: hosts})
 		h.read()
-		h.step(install.Named{Model: "m", Version: 2})
+		h.step(install.VersionActivated{Model: "m", Version: 2})
 		h.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
 		h.pass(2 * time.Second)
-		h.step(install.Named{Model: "m", Version: 3})
+		h.step(install.VersionActivated{Model: "m", Version: 3})
 		h.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
 		h.pass(3 * time.Second)
-		done := hasPrepare(h.step(install.Complete{Digest: "d3"}))
+		done := hasPrepare(h.step(install.ContentComplete{Digest: "d3"}))
 		for !done && !hasPrepare(h.pass(100*time.Millisecond)) {
 			require.Less(t, h.now, 30*time.Second)
 		}
-		require.LessOrEqual(t, h.now, versionTime-catalog.VersionMargin, "load turn of the engine of %s, since the activation of version 2", host)
+		require.LessOrEqual(t, h.now, versionTime-catalog.RequireVersionMargin, "load turn of the engine of %s, since the activation of version 2", host)
 	}
 }
 
@@ -45,7 +45,7 @@
 // required. An engine that receives no requests must load it even for such a short time, one that still serves requests skips it, and
 // neither loads it when less than about 1 s is left.
 func TestEngineWithoutAUsableVersionLoadsOneForItsLastSeconds(t *testing.T) {
-	const secondActivation, endOfUse = 3 * time.Second, versionTime - catalog.VersionMargin
+	const secondActivation, endOfUse = 3 * time.Second, versionTime - catalog.RequireVersionMargin
 	for _, c := range []struct {
 		held  int64
 		at    time.Duration
@@ -61,11 +61,11 @@
 			h.engine.Loaded["m"] = c.held
 		}
 		h.read()
-		h.step(install.Named{Model: "m", Version: 2})
+		h.step(install.VersionActivated{Model: "m", Version: 2})
 		h.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
 		h.pass(secondActivation)
-		h.step(install.Named{Model: "m", Version: 3})
+		h.step(install.VersionActivated{Model: "m", Version: 3})
 		h.pass(c.at - secondActivation)
-		require.Equal(t, c.loads, hasPrepare(h.step(install.Complete{Digest: "d2"})) || hasPrepare(h.pass(100*time.Millisecond)), "%+v", c)
+		require.Equal(t, c.loads, hasPrepare(h.step(install.ContentComplete{Digest: "d2"})) || hasPrepare(h.pass(100*time.Millisecond)), "%+v", c)
 	}
 }
--- a/internal/core/intake/intake.go
+++ b/internal/core/intake/intake.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// MaxTarget bounds a request's path and query together, in bytes.
-	MaxTarget = 8 << 10
-	// MaxField bounds one header field, name and value, in bytes.
-	MaxField = 8 << 10
+	// MaxTargetBytes bounds a request's path and query together, in bytes.
+	MaxTargetBytes = 8 << 10
+	// MaxFieldBytes bounds one header field, name and value, in bytes.
+	MaxFieldBytes = 8 << 10
 	// MaxFields bounds the number of header fields.
 	MaxFields = 100
-	// MaxHeader bounds all header fields together, in bytes. It is below the limit between the system's own processes,
+	// MaxHeaderBytes bounds all header fields together, in bytes. It is below the limit between the system's own processes,
 	// so that a caller's header plus the system's header fields never exceeds that limit.
-	MaxHeader = 32 << 10
+	MaxHeaderBytes = 32 << 10
 )
 
 // Check checks the path, the query and the header of a request. It returns an error that names the part that exceeds a
 // limit or is malformed, or nil.
 func Check(u *url.URL, h http.Header) *code.Error {
-	if n := len(u.EscapedPath()) + len(u.RawQuery); n > MaxTarget {
-		return code.Errorf(code.TargetTooLong, "path", "%d bytes with the query, at most %d", n, MaxTarget)
+	if n := len(u.EscapedPath()) + len(u.RawQuery); n > MaxTargetBytes {
+		return code.Errorf(code.TargetTooLong, "path", "%d bytes with the query, at most %d", n, MaxTargetBytes)
 	}
 	if hasDotSegment(u.Path) {
 		return code.Errorf(code.BadPath, "path", "want no . or .. as a segment")
@@ -41,8 +41,8 @@
 	for name, values := range h {
 		for _, v := range values {
 			n := len(name) + len(v)
-			if n > MaxField {
-				return code.Errorf(code.BadHeader, truncateName(name), "%d bytes, at most %d", n, MaxField)
+			if n > MaxFieldBytes {
+				return code.Errorf(code.BadHeader, truncateName(name), "%d bytes, at most %d", n, MaxFieldBytes)
 			}
 			fields++
 			total += n
@@ -51,8 +51,8 @@
 	if fields > MaxFields {
 		return code.Errorf(code.BadHeader, "header", "%d fields, at most %d", fields, MaxFields)
 	}
-	if total > MaxHeader {
-		return code.Errorf(code.BadHeader, "header", "%d bytes, at most %d", total, MaxHeader)
+	if total > MaxHeaderBytes {
+		return code.Errorf(code.BadHeader, "header", "%d bytes, at most %d", total, MaxHeaderBytes)
 	}
 	return nil
 }
@@ -100,9 +100,9 @@
 // operations on requests of any caller. They include all paths below them.
 var systemPaths = []string{"/orders", "/state", "/events", "/admin", "/v1/kv", "/v1/cancel"}
 
-// ForSystem reports whether only the system may call a path of an upstream of the given kind. upstreamPath is decoded.
+// IsSystemPath reports whether only the system may call a path of an upstream of the given kind. upstreamPath is decoded.
 // Variants in case, slashes, backslashes and dot segments count as the same path, since a lenient upstream may accept them.
-func ForSystem(kind setting.Kind, upstreamPath string) bool {
+func IsSystemPath(kind setting.Kind, upstreamPath string) bool {
 	if kind != setting.Engine {
 		return false
 	}
--- a/internal/core/intake/intake_test.go
+++ b/internal/core/intake/intake_test.go
@@ -32,13 +32,13 @@
 		want   code.Code
 	}{
 		{"/karrakin/buyer-portal/a%2Fb?q=1", header(3, 10), 0},
-		{"/karrakin/buyer-portal/" + strings.Repeat("a", intake.MaxTarget), nil, code.TargetTooLong},
-		{"/karrakin/buyer-portal/?" + strings.Repeat("a", intake.MaxTarget), nil, code.TargetTooLong},
+		{"/karrakin/buyer-portal/" + strings.Repeat("a", intake.MaxTargetBytes), nil, code.TargetTooLong},
+		{"/karrakin/buyer-portal/?" + strings.Repeat("a", intake.MaxTargetBytes), nil, code.TargetTooLong},
 		{"/karrakin/buyer-portal/../x", nil, code.BadPath},
 		{"/karrakin/buyer-portal/%2e%2e/x", nil, code.BadPath},
 		{"/karrakin/buyer-portal/./x", nil, code.BadPath},
 		{"/karrakin/buyer-portal/..x", nil, 0},
-		{"/", header(1, intake.MaxField), code.BadHeader},
+		{"/", header(1, intake.MaxFieldBytes), code.BadHeader},
 		{"/", header(intake.MaxFields+1, 1), code.BadHeader},
 		{"/", header(5, 7<<10), code.BadHeader},
 	} {
@@ -77,21 +77,21 @@
 // all their paths are open to callers.
 func TestForSystemRecognizesAllSpellingsOfAPath(t *testing.T) {
 	for _, p := range []string{"/orders/load", "//orders//role", "/Orders/load", "/orders", "/state", "/events", "/v1/kv", "/v1/cancel", "/admin/faults", "/\\orders/load", "/x/../state"} {
-		require.True(t, intake.ForSystem(setting.Engine, p), p)
-		require.False(t, intake.ForSystem(setting.Plain, p), p)
+		require.True(t, intake.IsSystemPath(setting.Engine, p), p)
+		require.False(t, intake.IsSystemPath(setting.Plain, p), p)
 	}
 	for _, p := range []string{"/v1/generate", "/", "/ordersheet", "/v1/state"} {
-		require.False(t, intake.ForSystem(setting.Engine, p), p)
+		require.False(t, intake.IsSystemPath(setting.Engine, p), p)
 	}
 }
 
 // A body that sends single bytes at long intervals would hold a request open without end. A long body that keeps up the
 // minimum rate must not be cut.
 func TestPaceRefusesSlowBodiesOnly(t *testing.T) {
-	drip := intake.Pace{Bytes: 10, Waited: 20 * time.Second}
+	drip := intake.BodyRate{Bytes: 10, Waited: 20 * time.Second}
 	require.False(t, drip.TooSlow())
 	drip.Waited = 31 * time.Second
 	require.True(t, drip.TooSlow())
-	steady := intake.Pace{Bytes: 3600 * 1000, Waited: time.Hour}
-	require.Equal(t, intake.Silence, steady.Patience(), "a steady body is bounded only by Silence")
+	steady := intake.BodyRate{Bytes: 3600 * 1000, Waited: time.Hour}
+	require.Equal(t, intake.MaxBodyGap, steady.Timeout(), "a steady body is bounded only by Silence")
 }
--- a/internal/core/leaving.go
+++ b/internal/core/leaving.go
@@ -55,6 +55,6 @@
 		return nil
 	}
 	s.leaving = leaving
-	s.Runs.Reduce(withEvent(in, run.Leaving{Now: leaving}), s.Rollout, s.Suspects)
+	s.Runs.Reduce(withEvent(in, run.Leaving{Active: leaving}), s.Rollout, s.Suspects)
 	return s.advertise(in)
 }
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -127,30 +127,30 @@
 // ListRead is the event that the platform's host list was read.
 type ListRead struct{ Hosts []Listed }
 
-// DialFailed is the event that a host could not be reached or did not answer.
-type DialFailed struct{ Address string }
+// CallFailed is the event that a host could not be reached or did not answer.
+type CallFailed struct{ Address string }
 
-// DialWorked is the event that a host answered.
-type DialWorked struct{ Address string }
+// CallSucceeded is the event that a host answered.
+type CallSucceeded struct{ Address string }
 
 // Event marks the type as an event.
 func (ListRead) Event() {}
 
 // Event marks the type as an event.
-func (DialFailed) Event() {}
+func (CallFailed) Event() {}
 
 // Event marks the type as an event.
-func (DialWorked) Event() {}
+func (CallSucceeded) Event() {}
 
 // Reduce handles one input.
 func (s *State) Reduce(in step.Input) {
 	switch ev := in.Event.(type) {
-	case DialFailed:
+	case CallFailed:
 		if h := s.Hosts[ev.Address]; h != nil {
 			h.recordFailure(in.Now)
 			s.index.setSuspect(ev.Address, h.SuspectUntil)
 		}
-	case DialWorked:
+	case CallSucceeded:
 		if h := s.Hosts[ev.Address]; h != nil {
 			h.recordSuccess()
 			s.index.setSuspect(ev.Address, h.SuspectUntil)
--- a/internal/core/member/suspect_test.go
+++ b/internal/core/member/suspect_test.go
@@ -49,12 +49,12 @@
 	}
 	require.Equal(t, addresses, candidateAddresses(now))
 	for i, address := range addresses[:2] {
-		s.Reduce(step.Input{Now: now, Event: member.DialFailed{Address: address}})
+		s.Reduce(step.Input{Now: now, Event: member.CallFailed{Address: address}})
 		require.Equal(t, addresses[i+1:], candidateAddresses(now))
 	}
-	s.Reduce(step.Input{Now: now, Event: member.DialFailed{Address: addresses[2]}})
+	s.Reduce(step.Input{Now: now, Event: member.CallFailed{Address: addresses[2]}})
 	require.Equal(t, addresses, candidateAddresses(now), "all are suspect")
-	s.Reduce(step.Input{Now: now, Event: member.DialWorked{Address: addresses[0]}})
+	s.Reduce(step.Input{Now: now, Event: member.CallSucceeded{Address: addresses[0]}})
 	require.Equal(t, addresses[:1], candidateAddresses(now), "one is known to answer")
 	require.Equal(t, addresses, candidateAddresses(now.Add(member.SuspectDuration)))
 }
--- a/internal/core/phase_propagation_test.go
+++ b/internal/core/phase_propagation_test.go
@@ -47,9 +47,9 @@
 				Digest: strings.Repeat("0a", 32), Generation: 1 << 40,
 			}}
 			p.state.Rollout.Upstreams[name] = u
-			p.state.Rollout.Order = append(p.state.Rollout.Order, name)
+			p.state.Rollout.Names = append(p.state.Rollout.Names, name)
 		}
-		c.step(p, core.StopAsked{})
+		c.step(p, core.StopRequested{})
 	}
 	c.run(20*time.Second, tick)
 	return c
@@ -108,7 +108,7 @@
 		p := c.procs[agents[i%20]]
 		address = p.listed.Address
 		p.state.Rollout.Upstreams["engine-1"].Phase = phase
-		c.step(p, core.StopAsked{})
+		c.step(p, core.StopRequested{})
 		took := c.runUntil(maxPropagation, "phase", func() bool { return c.entriesKnow(address, "engine-1", phase) })
 		ticks := int(took / step.TickInterval)
 		maxTicks, sum, changes = max(maxTicks, ticks), sum+ticks, changes+1
@@ -150,7 +150,7 @@
 			}
 			p := c.procs[ch.address]
 			p.state.Rollout.Upstreams[ch.engine].Phase = ch.phase
-			c.step(p, core.StopAsked{})
+			c.step(p, core.StopRequested{})
 			pending = append(pending, ch)
 			i++
 		}
--- a/internal/core/phase_publish_test.go
+++ b/internal/core/phase_publish_test.go
@@ -26,7 +26,7 @@
 	publishesAtOnce := func(phase member.Phase) bool {
 		before := version()
 		s.Rollout.Upstreams["p"].Phase = phase
-		reduce(core.StopAsked{})
+		reduce(core.StopRequested{})
 		return version() > before
 	}
 	reduce(core.Started{})
@@ -37,7 +37,7 @@
 	published := version()
 	for n := range 600 {
 		s.Rollout.Upstreams["p"].Phase = []member.Phase{member.Loading, member.Idle}[n%2]
-		reduce(core.StopAsked{})
+		reduce(core.StopRequested{})
 		now = now.Add(step.TickInterval)
 		reduce(step.Tick{})
 	}
--- a/internal/core/preview.go
+++ b/internal/core/preview.go
@@ -33,12 +33,12 @@
 	}
 	for place, want := range target.Places {
 		if have := len(byPlace[place]); have < want {
-			p.Short = append(p.Short, fleet.Shortage{Place: place, Want: want, Have: have})
+			p.Shortages = append(p.Shortages, fleet.Shortage{Place: place, Requested: want, Have: have})
 		}
 	}
 	sort.Strings(p.Load)
 	sort.Strings(p.Drop)
-	sort.Slice(p.Short, func(i, j int) bool { return p.Short[i].Place < p.Short[j].Place })
+	sort.Slice(p.Shortages, func(i, j int) bool { return p.Shortages[i].Place < p.Shortages[j].Place })
 	p.Services = s.otherServices(key, changed)
 	return p
 }
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// CrashesToHold is the number of upstreams that must crash under a request, without a complete answer in between, before the request
+	// CrashThreshold is the number of upstreams that must crash under a request, without a complete answer in between, before the request
 	// is quarantined. An innocent request that runs beside a crashing one can be in flight at two of its crashes.
-	CrashesToHold = 3
-	// HoldFor is the duration of a quarantine. Upstreams are back a few seconds after a crash, and callers give up after a few attempts.
-	HoldFor = 30 * time.Second
+	CrashThreshold = 3
+	// QuarantineDuration is the duration of a quarantine. Upstreams are back a few seconds after a crash, and callers give up after a few attempts.
+	QuarantineDuration = 30 * time.Second
 	// CrashRetention is how long a crash counts towards CrashesToHold.
 	CrashRetention = 20 * time.Second
 	// minReported is the minimum remaining time of a crash or quarantine that is sent to or accepted from another process. It is longer
@@ -54,8 +54,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{records: map[uint64]*record{}} }
 
-// Held returns the remaining quarantine of a request; 0 when it is not quarantined.
-func (t *Table) Held(now time.Time, fingerprint uint64) time.Duration {
+// Remaining returns the remaining quarantine of a request; 0 when it is not quarantined.
+func (t *Table) Remaining(now time.Time, fingerprint uint64) time.Duration {
 	r := t.records[fingerprint]
 	if r == nil {
 		return 0
@@ -63,9 +63,9 @@
 	return max(0, r.quarantinedUntil.Sub(now))
 }
 
-// Crashes returns the upstream instances that crashed under a request within CrashRetention and since its last complete answer; nil for
+// RecentCrashes returns the upstream instances that crashed under a request within CrashRetention and since its last complete answer; nil for
 // none.
-func (t *Table) Crashes(now time.Time, fingerprint uint64) []uint32 {
+func (t *Table) RecentCrashes(now time.Time, fingerprint uint64) []uint32 {
 	r := t.records[fingerprint]
 	if r == nil {
 		return nil
@@ -92,10 +92,10 @@
 	r.crashes[upstream] = at
 	r.lastUpdate = now
 	t.changes++
-	if now.Before(r.quarantinedUntil) || len(t.Crashes(now, fingerprint)) < CrashesToHold {
+	if now.Before(r.quarantinedUntil) || len(t.RecentCrashes(now, fingerprint)) < CrashThreshold {
 		return false
 	}
-	r.quarantinedUntil = now.Add(HoldFor)
+	r.quarantinedUntil = now.Add(QuarantineDuration)
 	return true
 }
 
@@ -114,17 +114,17 @@
 	return r
 }
 
-// Hold applies a quarantine that another process reported with its remaining time. It reports whether the request was not quarantined
+// Quarantine applies a quarantine that another process reported with its remaining time. It reports whether the request was not quarantined
 // before.
-func (t *Table) Hold(now time.Time, fingerprint uint64, remaining time.Duration) bool {
-	if remaining < minReported || t.Held(now, fingerprint) > 0 {
+func (t *Table) Quarantine(now time.Time, fingerprint uint64, remaining time.Duration) bool {
+	if remaining < minReported || t.Remaining(now, fingerprint) > 0 {
 		return false
 	}
 	r := t.record(fingerprint)
 	if r == nil {
 		return false
 	}
-	r.lastUpdate, r.quarantinedUntil = now, now.Add(min(remaining, HoldFor))
+	r.lastUpdate, r.quarantinedUntil = now, now.Add(min(remaining, QuarantineDuration))
 	t.changes++
 	return true
 }
--- a/internal/core/quarantine/quarantine_test.go
+++ b/internal/core/quarantine/quarantine_test.go
@@ -31,20 +31,20 @@
 	require.Empty(t, sendReports(start, b, c))
 	require.True(t, c.Crashed(start, crasher, 3, start))
 	require.Equal(t, []uint64{crasher}, sendReports(start, c, a))
-	require.Positive(t, a.Held(start, crasher))
+	require.Positive(t, a.Remaining(start, crasher))
 }
 
 // A process that starts at any time during a quarantine learns of it from another process and ends it at the same time. It would run the
 // request if quarantines were reported for a shorter time than they last, such as 10 s of 30 s.
 func TestQuarantineIsReportedUntilItEnds(t *testing.T) {
 	known := quarantine.NewTable()
-	for upstream := range uint32(quarantine.CrashesToHold) {
+	for upstream := range uint32(quarantine.CrashThreshold) {
 		known.Crashed(start, crasher, upstream, start)
 	}
-	for age := time.Duration(0); age < quarantine.HoldFor-time.Second; age += time.Second {
+	for age := time.Duration(0); age < quarantine.QuarantineDuration-time.Second; age += time.Second {
 		started := quarantine.NewTable()
 		require.Equal(t, []uint64{crasher}, sendReports(start.Add(age), known, started))
-		require.Equal(t, known.Held(start.Add(age), crasher), started.Held(start.Add(age), crasher))
+		require.Equal(t, known.Remaining(start.Add(age), crasher), started.Remaining(start.Add(age), crasher))
 	}
 }
 
@@ -53,10 +53,10 @@
 func TestReportsDoNotProlongAQuarantine(t *testing.T) {
 	const latency = 300 * time.Millisecond
 	processes := []*quarantine.Table{quarantine.NewTable(), quarantine.NewTable(), quarantine.NewTable()}
-	for upstream := range uint32(quarantine.CrashesToHold) {
+	for upstream := range uint32(quarantine.CrashThreshold) {
 		processes[0].Crashed(start, crasher, upstream, start)
 	}
-	for now := start; now.Before(start.Add(quarantine.HoldFor + 3*time.Second)); now = now.Add(latency) {
+	for now := start; now.Before(start.Add(quarantine.QuarantineDuration + 3*time.Second)); now = now.Add(latency) {
 		var sent [][]quarantine.Report
 		for _, p := range processes {
 			sent = append(sent, p.Reports(now))
@@ -78,20 +78,20 @@
 	b.Crashed(start, crasher, 1, start)
 	a.Crashed(start, crasher, 2, start)
 	a.Answered(start.Add(time.Second), crasher)
-	require.Empty(t, a.Crashes(start.Add(time.Second), crasher))
+	require.Empty(t, a.RecentCrashes(start.Add(time.Second), crasher))
 	sendReports(start.Add(2*time.Second), b, a)
-	require.Empty(t, a.Crashes(start.Add(2*time.Second), crasher), "a crash before the answer does not count when it is reported later")
+	require.Empty(t, a.RecentCrashes(start.Add(2*time.Second), crasher), "a crash before the answer does not count when it is reported later")
 }
 
 // If an answer lifted a quarantine, processes that receive the answer and the crashes in a different order would disagree.
 func TestCompleteAnswerDoesNotLiftAQuarantine(t *testing.T) {
 	table := quarantine.NewTable()
-	for upstream := range uint32(quarantine.CrashesToHold) {
+	for upstream := range uint32(quarantine.CrashThreshold) {
 		table.Crashed(start, crasher, upstream, start)
 	}
 	table.Answered(start.Add(time.Second), crasher)
-	require.Positive(t, table.Held(start.Add(2*time.Second), crasher))
-	require.Zero(t, table.Held(start.Add(quarantine.HoldFor), crasher))
+	require.Positive(t, table.Remaining(start.Add(2*time.Second), crasher))
+	require.Zero(t, table.Remaining(start.Add(quarantine.QuarantineDuration), crasher))
 }
 
 // A request that is in flight at rare, unrelated crashes must not be quarantined, however many there are.
@@ -110,7 +110,7 @@
 		now, table, other := start, quarantine.NewTable(), quarantine.NewTable()
 		crashes := map[uint64]int{}
 		for fingerprint := range uint64(rapid.IntRange(1, 120).Draw(t, "requests")) {
-			crashes[fingerprint] = rapid.IntRange(2, quarantine.CrashesToHold).Draw(t, "crashes")
+			crashes[fingerprint] = rapid.IntRange(2, quarantine.CrashThreshold).Draw(t, "crashes")
 			for upstream := range uint32(crashes[fingerprint]) {
 				table.Crashed(now, fingerprint, upstream, now)
 			}
@@ -119,10 +119,10 @@
 			sendReports(now, table, other)
 		}
 		for fingerprint, n := range crashes {
-			if n == quarantine.CrashesToHold {
-				require.Positive(t, other.Held(now, fingerprint))
+			if n == quarantine.CrashThreshold {
+				require.Positive(t, other.Remaining(now, fingerprint))
 			} else {
-				require.Len(t, other.Crashes(now, fingerprint), n)
+				require.Len(t, other.RecentCrashes(now, fingerprint), n)
 			}
 		}
 	})
--- a/internal/core/quarantine/report.go
+++ b/internal/core/quarantine/report.go
@@ -21,8 +21,8 @@
 // Report is what one process reports to another about one request.
 type Report struct {
 	Fingerprint uint64 `json:"f"`
-	// HeldMS is the remaining quarantine in milliseconds; 0 when the request is not quarantined.
-	HeldMS int64 `json:"h,omitempty"`
+	// RemainingMS is the remaining quarantine in milliseconds; 0 when the request is not quarantined.
+	RemainingMS int64 `json:"h,omitempty"`
 	// Crashes lists the upstream instances that crashed under the request; empty while the request is quarantined.
 	Crashes []Crash `json:"c,omitempty"`
 }
@@ -47,8 +47,8 @@
 }
 
 func (t *Table) merge(now time.Time, report Report) bool {
-	if report.HeldMS > 0 {
-		return t.Hold(now, report.Fingerprint, time.Duration(report.HeldMS)*time.Millisecond)
+	if report.RemainingMS > 0 {
+		return t.Quarantine(now, report.Fingerprint, time.Duration(report.RemainingMS)*time.Millisecond)
 	}
 	quarantined := false
 	for _, c := range report.Crashes {
@@ -67,7 +67,7 @@
 	var quarantined, repeated, single []Report
 	for fingerprint, r := range t.records {
 		if remaining := r.quarantinedUntil.Sub(now); remaining >= minReported {
-			quarantined = append(quarantined, Report{Fingerprint: fingerprint, HeldMS: remaining.Milliseconds()})
+			quarantined = append(quarantined, Report{Fingerprint: fingerprint, RemainingMS: remaining.Milliseconds()})
 			continue
 		}
 		switch crashes := r.reportedCrashes(now); len(crashes) {
--- a/internal/core/record/digest_test.go
+++ b/internal/core/record/digest_test.go
@@ -15,17 +15,17 @@
 // TestOnlyDifferentHalvesOfSumsAreSent guards against digests that are larger than needed: two entries with equal
 // settings and different phases exchange only the sums of the dynamic records.
 func TestOnlyDifferentHalvesOfSumsAreSent(t *testing.T) {
-	ask := func(s *record.State, common, dynamic uint64) record.Answer {
-		return reduce(s, start, record.Asked{Common: common, Dynamic: dynamic}, record.Peers{})[0].(record.Answer)
+	ask := func(s *record.State, common, dynamic uint64) record.ExchangeAnswer {
+		return reduce(s, start, record.ExchangeAsked{Common: common, Dynamic: dynamic}, record.Peers{})[0].(record.ExchangeAnswer)
 	}
 	asker, peer := newState(), newState()
 	deliver(peer, phase("a", 1))
 	var empty record.Sums
 	a := ask(peer, empty.Common(), empty.Dynamic())
 	require.Len(t, a.Digest, 1+sumsBytes, "the dynamic half")
-	c := reduce(asker, start, record.Answered{From: "peer", Digest: a.Digest}, record.Peers{})[0].(record.Compare)
+	c := reduce(asker, start, record.ExchangeAnswered{From: "peer", Digest: a.Digest}, record.Peers{})[0].(record.Compare)
 	require.Len(t, c.Buckets, 1)
-	got := reduce(peer, start, record.CompareAsked{Buckets: c.Buckets, Versions: c.Versions, Prints: c.Prints}, record.Peers{})[0].(record.CompareAnswer)
+	got := reduce(peer, start, record.CompareAsked{Buckets: c.Buckets, Versions: c.Versions, Fingerprints: c.Fingerprints}, record.Peers{})[0].(record.CompareAnswer)
 	require.Len(t, got.Records, 1)
 	require.Len(t, ask(peer, 1, 1).Digest, 1+2*sumsBytes, "both halves")
 	require.Len(t, ask(peer, 1, 0).Digest, 1+sumsBytes, "the peer holds no dynamic records")
@@ -41,7 +41,7 @@
 	for _, bad := range [][]byte{part(0, 0), part(2, sumsBytes), part(255, sumsBytes), part(1, 2*sumsBytes), part(0, sumsBytes-1), part(0, 8), part(0, 3*sumsBytes)} {
 		require.Error(t, record.CheckDigest(bad))
 		require.NotPanics(t, func() {
-			newState().Reduce(step.Input{Now: start, Event: record.Answered{From: "peer", Digest: bad}}, record.Peers{})
+			newState().Reduce(step.Input{Now: start, Event: record.ExchangeAnswered{From: "peer", Digest: bad}}, record.Peers{})
 		})
 	}
 }
@@ -52,7 +52,7 @@
 func TestDynamicSumsAreComparedOncePerIntervalInABurst(t *testing.T) {
 	s := newState()
 	peers := record.Peers{Near: []string{"e"}, Entries: []string{"e"}, All: []string{"e"}}
-	entry := record.Standing{Dynamic: true, Seasoned: true, Floor: 1}
+	entry := record.Coverage{Dynamic: true, SettingsKnown: true, Floor: 1}
 	now := start
 	countCompared := func(seconds int, changing bool) (n int) {
 		for range seconds {
@@ -65,7 +65,7 @@
 					if x.Dynamic != 0 {
 						n++
 					}
-					reduce(s, now, record.Answered{From: "e", Same: true, Standing: entry}, peers)
+					reduce(s, now, record.ExchangeAnswered{From: "e", Same: true, Standing: entry}, peers)
 				}
 			}
 		}
@@ -82,13 +82,13 @@
 // complete after an exchange that left them out.
 func TestUncomparedDynamicRecordsDoNotCountAsReceived(t *testing.T) {
 	fresh := newState()
-	entry := record.Standing{Dynamic: true, Seasoned: true, Floor: 1}
+	entry := record.Coverage{Dynamic: true, SettingsKnown: true, Floor: 1}
 	var empty record.Sums
-	a := reduce(fresh, start, record.Asked{From: "e", Common: empty.Common(), Standing: entry}, record.Peers{})[0].(record.Answer)
+	a := reduce(fresh, start, record.ExchangeAsked{From: "e", Common: empty.Common(), Standing: entry}, record.Peers{})[0].(record.ExchangeAnswer)
 	require.True(t, a.Same)
-	require.False(t, fresh.HeardDynamic)
-	reduce(fresh, start, record.Asked{From: "e", Common: empty.Common(), Dynamic: empty.Dynamic(), Standing: entry}, record.Peers{})
-	require.True(t, fresh.HeardDynamic)
+	require.False(t, fresh.DynamicMerged)
+	reduce(fresh, start, record.ExchangeAsked{From: "e", Common: empty.Common(), Dynamic: empty.Dynamic(), Standing: entry}, record.Peers{})
+	require.True(t, fresh.DynamicMerged)
 }
 
 // TestDifferentDynamicRecordsConvergeOnBothSides guards against a comparison that repairs only one side. Each side
@@ -98,10 +98,10 @@
 	gone := record.Record{Key: record.PhasePrefix + "gone", Version: record.Version{Major: 1, Minor: 9}, Deleted: true}
 	deliver(asker, phase("a", 1), phase("b", 1), phase("c", 2), phase("same", 3), phase("gone", 1))
 	deliver(peer, phase("b", 2), phase("c", 1), phase("d", 1), phase("same", 3), gone)
-	a := reduce(peer, start, record.Asked{Common: 1, Dynamic: 1}, record.Peers{})[0].(record.Answer)
-	c := reduce(asker, start, record.Answered{From: "peer", Digest: a.Digest, Standing: a.Standing}, record.Peers{})[0].(record.Compare)
+	a := reduce(peer, start, record.ExchangeAsked{Common: 1, Dynamic: 1}, record.Peers{})[0].(record.ExchangeAnswer)
+	c := reduce(asker, start, record.ExchangeAnswered{From: "peer", Digest: a.Digest, Standing: a.Standing}, record.Peers{})[0].(record.Compare)
 	require.Empty(t, c.Versions, "dynamic records are compared by their fingerprints")
-	got := reduce(peer, start, record.CompareAsked{Buckets: c.Buckets, Versions: c.Versions, Prints: c.Prints}, record.Peers{})[0].(record.CompareAnswer)
+	got := reduce(peer, start, record.CompareAsked{Buckets: c.Buckets, Versions: c.Versions, Fingerprints: c.Fingerprints}, record.Peers{})[0].(record.CompareAnswer)
 	for _, r := range got.Records {
 		require.NotEqual(t, record.PhasePrefix+"same", r.Key)
 	}
--- a/internal/core/record/exchange.go
+++ b/internal/core/record/exchange.go
@@ -21,12 +21,12 @@
 	MaxAnswerRecords = 4096
 )
 
-// Standing is what a process reports in each exchange about the completeness and the age of its state.
-type Standing struct {
+// Coverage is what a process reports in each exchange about the completeness and the age of its state.
+type Coverage struct {
 	// Dynamic is set when the process holds the dynamic records.
 	Dynamic bool `json:"dynamic,omitempty"`
-	// Seasoned is set when the process knows every setting up to Floor. The other fields are valid only then.
-	Seasoned bool `json:"seasoned,omitempty"`
+	// SettingsKnown is set when the process knows every setting up to Floor. The other fields are valid only then.
+	SettingsKnown bool `json:"seasoned,omitempty"`
 	// Floor is the object API's revision up to which the process knows every setting.
 	Floor uint64 `json:"floor,omitempty"`
 	// AgeMS is how long ago Floor was the platform's current revision. It is a duration, so that clocks need not be
@@ -34,24 +34,24 @@
 	AgeMS int64 `json:"age_ms,omitempty"`
 }
 
-// Asked reports that a peer sent the sums of its state and waits for those of this process.
-type Asked struct {
+// ExchangeAsked reports that a peer sent the sums of its state and waits for those of this process.
+type ExchangeAsked struct {
 	// Call identifies the call that the shell answers.
 	Call uint64
 	From string
 	// Common and Dynamic are the peer's hashes over all its buckets. Dynamic is 0 when it is left out.
 	Common   uint64
 	Dynamic  uint64
-	Standing Standing
+	Standing Coverage
 }
 
-// Answered reports that a peer answered an Exchange with its own sums.
-type Answered struct {
+// ExchangeAnswered reports that a peer answered an Exchange with its own sums.
+type ExchangeAnswered struct {
 	From string
 	// Same is set when the states are equal. Otherwise Digest contains the peer's sums.
 	Same     bool
 	Digest   []byte
-	Standing Standing
+	Standing Coverage
 }
 
 // KeyVersion identifies a version of a record. Its JSON names are short like those of Record.
@@ -67,10 +67,10 @@
 // Prints contains the fingerprints of its dynamic records in these buckets; a key with its version takes five times as
 // much space.
 type CompareAsked struct {
-	Call     uint64
-	Buckets  []int
-	Versions []KeyVersion
-	Prints   []byte
+	Call         uint64
+	Buckets      []int
+	Versions     []KeyVersion
+	Fingerprints []byte
 }
 
 // Compared reports that a peer answered a Compare. Standing is what the peer reported before the comparison.
@@ -83,14 +83,14 @@
 	WantPrints []byte
 	// Partial is set when the answer was cut off at the limit of records or bytes.
 	Partial  bool
-	Standing Standing
+	Standing Coverage
 }
 
 // Event marks the type as an event.
-func (Asked) Event() {}
+func (ExchangeAsked) Event() {}
 
 // Event marks the type as an event.
-func (Answered) Event() {}
+func (ExchangeAnswered) Event() {}
 
 // Event marks the type as an event.
 func (CompareAsked) Event() {}
@@ -103,26 +103,26 @@
 	To       string
 	Common   uint64
 	Dynamic  uint64
-	Standing Standing
+	Standing Coverage
 }
 
-// Answer answers an Asked.
-type Answer struct {
+// ExchangeAnswer answers an Asked.
+type ExchangeAnswer struct {
 	Call uint64
 	// Same is set when the states are equal. Otherwise Digest contains the sums of this process.
 	Same     bool
 	Digest   []byte
-	Standing Standing
+	Standing Coverage
 }
 
 // Compare sends the versions of this process's records in the buckets that differ.
 type Compare struct {
-	To       string
-	Buckets  []int
-	Versions []KeyVersion
-	Prints   []byte
+	To           string
+	Buckets      []int
+	Versions     []KeyVersion
+	Fingerprints []byte
 	// Standing is what the peer reported before; the shell returns it with Compared.
-	Standing Standing
+	Standing Coverage
 }
 
 // CompareAnswer answers a CompareAsked.
@@ -141,7 +141,7 @@
 func (Exchange) Effect() {}
 
 // Effect marks the type as an effect.
-func (Answer) Effect() {}
+func (ExchangeAnswer) Effect() {}
 
 // Effect marks the type as an effect.
 func (Compare) Effect() {}
@@ -150,27 +150,27 @@
 func (CompareAnswer) Effect() {}
 
 // standing returns what this process reports about its own state.
-func (s *State) standing(now time.Time) Standing {
-	if !s.Seasoned {
-		return Standing{}
+func (s *State) standing(now time.Time) Coverage {
+	if !s.SettingsKnown {
+		return Coverage{}
 	}
-	return Standing{Dynamic: s.holdDynamic, Seasoned: true, Floor: s.Floor, AgeMS: now.Sub(s.Fresh).Milliseconds()}
+	return Coverage{Dynamic: s.holdDynamic, SettingsKnown: true, Floor: s.Floor, AgeMS: now.Sub(s.FloorCurrentAt).Milliseconds()}
 }
 
 // adoptStanding raises Floor and Fresh to those of a peer whose complete state was merged.
-func (s *State) adoptStanding(now time.Time, from string, st Standing) {
-	if !st.Seasoned {
+func (s *State) adoptStanding(now time.Time, from string, st Coverage) {
+	if !st.SettingsKnown {
 		return
 	}
-	s.Heard[from] = true
-	s.HeardDynamic = s.HeardDynamic || s.holdDynamic && st.Dynamic
+	s.MergedPeers[from] = true
+	s.DynamicMerged = s.DynamicMerged || s.holdDynamic && st.Dynamic
 	s.raiseFloor(st.Floor, now.Add(-time.Duration(st.AgeMS)*time.Millisecond))
 }
 
 // dynamicSum returns the hash over the dynamic buckets. It returns 0, which leaves them out of the exchange, when this
 // process does not hold them, or when they keep changing and were compared recently.
 func (s *State) dynamicSum(now time.Time) uint64 {
-	busy := s.HeardDynamic && now.Before(s.dynamicBusyUntil) && now.Before(s.nextDynamicCompare)
+	busy := s.DynamicMerged && now.Before(s.dynamicBusyUntil) && now.Before(s.nextDynamicCompare)
 	if !s.holdDynamic || busy {
 		return 0
 	}
@@ -178,8 +178,8 @@
 }
 
 // handleAsked compares a peer's sums with those of this process.
-func (s *State) handleAsked(in step.Input, ask Asked) Answer {
-	a := Answer{Call: ask.Call, Standing: s.standing(in.Now)}
+func (s *State) handleAsked(in step.Input, ask ExchangeAsked) ExchangeAnswer {
+	a := ExchangeAnswer{Call: ask.Call, Standing: s.standing(in.Now)}
 	both := s.holdDynamic && ask.Dynamic != 0
 	a.Same = s.sums.Common() == ask.Common && (!both || s.sums.Dynamic() == ask.Dynamic)
 	if a.Same {
@@ -200,7 +200,7 @@
 }
 
 // handleAnswered compares a peer's digest and asks for the differences, if any.
-func (s *State) handleAnswered(in step.Input, ev Answered) []step.Effect {
+func (s *State) handleAnswered(in step.Input, ev ExchangeAnswered) []step.Effect {
 	if ev.Standing.Dynamic && !in.Now.Before(s.nextDynamicCompare) {
 		s.nextDynamicCompare = in.Now.Add(DynamicInterval)
 	}
@@ -223,7 +223,7 @@
 		switch {
 		case r.Deleted || !differs[bucket(key)]:
 		case isDynamic(key):
-			c.Prints = binary.BigEndian.AppendUint64(c.Prints, fingerprint(r))
+			c.Fingerprints = binary.BigEndian.AppendUint64(c.Fingerprints, fingerprint(r))
 		default:
 			c.Versions = append(c.Versions, KeyVersion{Key: key, Major: r.Version.Major, Minor: r.Version.Minor})
 		}
@@ -240,7 +240,7 @@
 		a = s.compareRecord(a, kv)
 	}
 	known := map[uint64]bool{}
-	for _, fp := range decodeFingerprints(ask.Prints) {
+	for _, fp := range decodeFingerprints(ask.Fingerprints) {
 		known[fp] = true
 		if _, held := s.keyByFingerprint[fp]; s.holdDynamic && !held {
 			a.WantPrints = binary.BigEndian.AppendUint64(a.WantPrints, fp)
@@ -290,5 +290,5 @@
 			newer = append(newer, r)
 		}
 	}
-	return changed, append(splitIntoPushes(ev.From, newer), s.handleWanted(Wanted{From: ev.From, Prints: ev.WantPrints})...)
+	return changed, append(splitIntoPushes(ev.From, newer), s.handleWanted(OfferAnswered{From: ev.From, Fingerprints: ev.WantPrints})...)
 }
--- a/internal/core/record/offer.go
+++ b/internal/core/record/offer.go
@@ -31,15 +31,15 @@
 // The other entry answers with those that it lacks, and only these are sent. A record therefore passes each entry's
 // link about once.
 type Offer struct {
-	To     string
-	Prints []byte
+	To           string
+	Fingerprints []byte
 }
 
 // Offered reports that another entry offered records and waits for the fingerprints of those that are missing here.
 type Offered struct {
-	Call   uint64
-	From   string
-	Prints []byte
+	Call         uint64
+	From         string
+	Fingerprints []byte
 }
 
 // OfferAnswer answers an Offered.
@@ -49,11 +49,11 @@
 	Wants []byte
 }
 
-// Wanted reports that another entry answered an Offer.
-type Wanted struct {
+// OfferAnswered reports that another entry answered an Offer.
+type OfferAnswered struct {
 	From string
-	// Prints are the fingerprints of the records that it requests.
-	Prints []byte
+	// Fingerprints are the fingerprints of the records that it requests.
+	Fingerprints []byte
 }
 
 // Effect marks the type as an effect.
@@ -66,10 +66,10 @@
 func (OfferAnswer) Effect() {}
 
 // Event marks the type as an event.
-func (Wanted) Event() {}
+func (OfferAnswered) Event() {}
 
-// CheckPrints returns an error when encoded fingerprints have an invalid length.
-func CheckPrints(raw []byte) error {
+// CheckFingerprints returns an error when encoded fingerprints have an invalid length.
+func CheckFingerprints(raw []byte) error {
 	if len(raw)%fingerprintBytes != 0 || len(raw) > MaxOfferRecords*fingerprintBytes {
 		return code.Errorf(code.BadMessage, "prints", "%d bytes, want a multiple of %d up to %d", len(raw), fingerprintBytes, MaxOfferRecords*fingerprintBytes)
 	}
@@ -83,7 +83,7 @@
 		n := min(len(keys), MaxOfferRecords)
 		o := Offer{To: to}
 		for _, key := range keys[:n] {
-			o.Prints = binary.BigEndian.AppendUint64(o.Prints, fingerprint(s.Records[key]))
+			o.Fingerprints = binary.BigEndian.AppendUint64(o.Fingerprints, fingerprint(s.Records[key]))
 		}
 		effects = append(effects, o)
 		keys = keys[n:]
@@ -97,7 +97,7 @@
 	if !s.holdDynamic {
 		return a
 	}
-	for _, fp := range decodeFingerprints(ev.Prints) {
+	for _, fp := range decodeFingerprints(ev.Fingerprints) {
 		_, held := s.keyByFingerprint[fp]
 		at, waits := s.requestedAt[fp]
 		if held || waits && now.Sub(at) < requestTimeout {
@@ -110,9 +110,9 @@
 }
 
 // handleWanted sends the requested records. Those that changed since the offer are offered again anyway.
-func (s *State) handleWanted(ev Wanted) []step.Effect {
+func (s *State) handleWanted(ev OfferAnswered) []step.Effect {
 	var records []Record
-	for _, fp := range decodeFingerprints(ev.Prints) {
+	for _, fp := range decodeFingerprints(ev.Fingerprints) {
 		if key, held := s.keyByFingerprint[fp]; held {
 			records = append(records, s.Records[key])
 		}
--- a/internal/core/record/offer_test.go
+++ b/internal/core/record/offer_test.go
@@ -40,13 +40,13 @@
 	from, to := newState(), newState()
 	o := offerOf(t, from, phase("a", 1), phase("b", 1))
 	ask := func(now time.Time) []byte {
-		return reduce(to, now, record.Offered{From: "x", Prints: o.Prints}, record.Peers{})[0].(record.OfferAnswer).Wants
+		return reduce(to, now, record.Offered{From: "x", Fingerprints: o.Fingerprints}, record.Peers{})[0].(record.OfferAnswer).Wants
 	}
 	wants := ask(start)
-	require.ElementsMatch(t, o.Prints, wants, "both")
+	require.ElementsMatch(t, o.Fingerprints, wants, "both")
 	require.Empty(t, ask(start.Add(100*time.Millisecond)), "the records were requested just now")
 	require.Equal(t, wants, ask(start.Add(time.Second)), "the answer was lost")
-	sent := reduce(from, start, record.Wanted{From: "to", Prints: wants}, record.Peers{})[0].(record.Push)
+	sent := reduce(from, start, record.OfferAnswered{From: "to", Fingerprints: wants}, record.Peers{})[0].(record.Push)
 	require.Equal(t, "to", sent.To)
 	deliver(to, sent.Records...)
 	require.Equal(t, from.Records, to.Records)
@@ -59,8 +59,8 @@
 	from, to := newState(), newState()
 	o := offerOf(t, from, phase("a", 1))
 	deliver(to, phase("a", 2))
-	wants := reduce(to, start, record.Offered{Prints: o.Prints}, record.Peers{})[0].(record.OfferAnswer).Wants
-	sent := reduce(from, start, record.Wanted{From: "to", Prints: wants}, record.Peers{})[0].(record.Push)
+	wants := reduce(to, start, record.Offered{Fingerprints: o.Fingerprints}, record.Peers{})[0].(record.OfferAnswer).Wants
+	sent := reduce(from, start, record.OfferAnswered{From: "to", Fingerprints: wants}, record.Peers{})[0].(record.Push)
 	back := reduce(to, start, record.Received{From: "from", Records: sent.Records}, record.Peers{})[0].(record.Push)
 	deliver(from, back.Records...)
 	require.Equal(t, uint64(2), to.Records[record.PhasePrefix+"a"].Version.Minor)
@@ -79,16 +79,16 @@
 		pushes++
 	}
 	require.Equal(t, record.OwnFanout+1, pushes, "two for the change, one per interval")
-	fingerprints := offerOf(t, newState(), phase("a", 1)).Prints
-	require.Empty(t, reduce(s, start, record.Offered{Prints: fingerprints}, record.Peers{})[0].(record.OfferAnswer).Wants)
+	fingerprints := offerOf(t, newState(), phase("a", 1)).Fingerprints
+	require.Empty(t, reduce(s, start, record.Offered{Fingerprints: fingerprints}, record.Peers{})[0].(record.OfferAnswer).Wants)
 }
 
 // TestMalformedOffersAreRefused guards against malformed fingerprints from peers. They are passed to the reducer as
 // well, which must not panic on those that skipped the check.
 func TestMalformedOffersAreRefused(t *testing.T) {
-	require.NoError(t, record.CheckPrints(make([]byte, 16)))
-	require.Error(t, record.CheckPrints(make([]byte, 15)))
-	require.Error(t, record.CheckPrints(make([]byte, 8*(record.MaxOfferRecords+1))))
-	require.Len(t, reduce(newState(), start, record.Offered{Prints: make([]byte, 15)}, record.Peers{})[0].(record.OfferAnswer).Wants, 8)
-	require.Empty(t, reduce(newState(), start, record.Wanted{Prints: make([]byte, 15)}, record.Peers{}))
+	require.NoError(t, record.CheckFingerprints(make([]byte, 16)))
+	require.Error(t, record.CheckFingerprints(make([]byte, 15)))
+	require.Error(t, record.CheckFingerprints(make([]byte, 8*(record.MaxOfferRecords+1))))
+	require.Len(t, reduce(newState(), start, record.Offered{Fingerprints: make([]byte, 15)}, record.Peers{})[0].(record.OfferAnswer).Wants, 8)
+	require.Empty(t, reduce(newState(), start, record.OfferAnswered{Fingerprints: make([]byte, 15)}, record.Peers{}))
 }
--- a/internal/core/record/push.go
+++ b/internal/core/record/push.go
@@ -44,8 +44,8 @@
 	return append(effects, e)
 }
 
-// TellOwn schedules a push of the own dynamic record to a peer at the next tick.
-func (s *State) TellOwn(address string) { s.ownPushTargets = append(s.ownPushTargets, address) }
+// PushOwnTo schedules a push of the own dynamic record to a peer at the next tick.
+func (s *State) PushOwnTo(address string) { s.ownPushTargets = append(s.ownPushTargets, address) }
 
 // pushOwn pushes an agent's own dynamic record to the scheduled peers, and to one entry per OwnPushInterval.
 func (s *State) pushOwn(in step.Input, peers Peers) []step.Effect {
@@ -71,11 +71,11 @@
 // dynamic records.
 func (s *State) exchangePeer(in step.Input, peers Peers) string {
 	from := peers.Near
-	entry := s.holdDynamic && len(peers.Entries) > 0 && (in.Rand%2 == 0 || !s.HeardDynamic)
+	entry := s.holdDynamic && len(peers.Entries) > 0 && (in.Rand%2 == 0 || !s.DynamicMerged)
 	switch {
 	case entry:
 		from = peers.Entries
-	case !s.Seasoned || len(from) == 0:
+	case !s.SettingsKnown || len(from) == 0:
 		from = peers.All
 	}
 	return from[(in.Rand>>1)%uint64(len(from))]
@@ -176,7 +176,7 @@
 
 // exchangeInterval returns the time until the next exchange.
 func (s *State) exchangeInterval(hasEntries bool) time.Duration {
-	if !s.Seasoned || s.holdDynamic && !s.HeardDynamic && hasEntries {
+	if !s.SettingsKnown || s.holdDynamic && !s.DynamicMerged && hasEntries {
 		return InitialInterval
 	}
 	return ExchangeInterval
--- a/internal/core/record/record.go
+++ b/internal/core/record/record.go
@@ -62,16 +62,16 @@
 type State struct {
 	// Records holds the records by key, tombstones included.
 	Records map[string]Record
-	// Seasoned is set once this process knows every setting up to Floor, from the platform or from a peer.
-	Seasoned bool
+	// SettingsKnown is set once this process knows every setting up to Floor, from the platform or from a peer.
+	SettingsKnown bool
 	// Floor is the object API's revision up to which this process knows every setting.
 	Floor uint64
-	// Fresh is the last time, by this process's clock, at which Floor was known to be the platform's current revision.
-	Fresh time.Time
-	// Heard contains the peers whose complete state was merged since the start.
-	Heard map[string]bool
-	// HeardDynamic is set once all dynamic records of a peer that holds them were merged.
-	HeardDynamic bool
+	// FloorCurrentAt is the last time, by this process's clock, at which Floor was known to be the platform's current revision.
+	FloorCurrentAt time.Time
+	// MergedPeers contains the peers whose complete state was merged since the start.
+	MergedPeers map[string]bool
+	// DynamicMerged is set once all dynamic records of a peer that holds them were merged.
+	DynamicMerged bool
 
 	// ownKey is the key of the own dynamic record.
 	ownKey string
@@ -103,7 +103,7 @@
 // a process that also holds those of others.
 func NewState(selfDynamic string, holdDynamic bool) *State {
 	return &State{
-		Records: map[string]Record{}, Heard: map[string]bool{}, ownKey: selfDynamic, holdDynamic: holdDynamic,
+		Records: map[string]Record{}, MergedPeers: map[string]bool{}, ownKey: selfDynamic, holdDynamic: holdDynamic,
 		pending: map[string]string{}, tombstones: map[string]time.Time{}, keyByFingerprint: map[uint64]string{}, requestedAt: map[uint64]time.Time{},
 	}
 }
@@ -144,11 +144,11 @@
 		return changed, splitIntoPushes(ev.From, newer)
 	case Offered:
 		return nil, []step.Effect{s.handleOffered(in.Now, ev)}
-	case Wanted:
+	case OfferAnswered:
 		return nil, s.handleWanted(ev)
-	case Asked:
+	case ExchangeAsked:
 		return nil, []step.Effect{s.handleAsked(in, ev)}
-	case Answered:
+	case ExchangeAnswered:
 		return nil, s.handleAnswered(in, ev)
 	case CompareAsked:
 		return nil, []step.Effect{s.handleCompareAsked(ev)}
@@ -187,10 +187,10 @@
 
 // raiseFloor raises Floor and Fresh; neither ever decreases.
 func (s *State) raiseFloor(floor uint64, fresh time.Time) {
-	s.Seasoned = true
+	s.SettingsKnown = true
 	s.Floor = max(s.Floor, floor)
-	if fresh.After(s.Fresh) {
-		s.Fresh = fresh
+	if fresh.After(s.FloorCurrentAt) {
+		s.FloorCurrentAt = fresh
 	}
 }
 
--- a/internal/core/record/record_test.go
+++ b/internal/core/record/record_test.go
@@ -98,7 +98,7 @@
 	}
 	full.Listed(start, 100, records)
 	rounds := 0
-	for !fresh.Seasoned {
+	for !fresh.SettingsKnown {
 		rounds++
 		require.Less(t, rounds, 20)
 		exchange(t, fresh, full)
@@ -118,9 +118,9 @@
 		}
 		return effects[0]
 	}
-	a := reduce(peer, record.Asked{From: "asker", Common: 1, Dynamic: 1}).(record.Answer)
-	c := reduce(asker, record.Answered{From: "peer", Digest: a.Digest, Standing: a.Standing}).(record.Compare)
-	got := reduce(peer, record.CompareAsked{Buckets: c.Buckets, Versions: c.Versions, Prints: c.Prints}).(record.CompareAnswer)
+	a := reduce(peer, record.ExchangeAsked{From: "asker", Common: 1, Dynamic: 1}).(record.ExchangeAnswer)
+	c := reduce(asker, record.ExchangeAnswered{From: "peer", Digest: a.Digest, Standing: a.Standing}).(record.Compare)
+	got := reduce(peer, record.CompareAsked{Buckets: c.Buckets, Versions: c.Versions, Fingerprints: c.Fingerprints}).(record.CompareAnswer)
 	raw, err := json.Marshal(got)
 	require.NoError(t, err)
 	require.Less(t, len(raw), 4<<20, "the answer must fit into one message")
