--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -41,15 +41,15 @@
 
 func (s *State) watchView() watch.View {
 	return watch.View{
-		Rank: s.Members.Rank(), Hosts: len(s.Members.Peers()), Seasoned: s.Records.Seasoned, Floor: s.Records.Floor,
-		Fresh: s.Records.Fresh, Heard: len(s.Records.Heard), Listed: s.Members.Listed(), Blind: s.lacksPhases(),
+		Rank: s.Members.Rank(), Hosts: len(s.Members.Peers()), SettingsKnown: s.Records.SettingsKnown, Floor: s.Records.Floor,
+		FloorCurrentAt: s.Records.FloorCurrentAt, MergedPeers: len(s.Records.MergedPeers), Listed: s.Members.Listed(), EnginesUnknown: s.lacksPhases(),
 	}
 }
 
 // lacksPhases reports whether this process is an entry that does not know the phases of the engines on the listed hosts
 // yet. It receives them from another entry or from the agents.
 func (s *State) lacksPhases() bool {
-	return s.Self.Role == member.Entry && !s.Ready && !s.Records.HeardDynamic && s.Members.HasUnreportedAgents()
+	return s.Self.Role == member.Entry && !s.Ready && !s.Records.DynamicMerged && s.Members.HasUnreportedAgents()
 }
 
 // readPlatform decides at a tick what to read from the platform and whether the process has become ready.
@@ -65,7 +65,7 @@
 }
 
 // cleanUp deletes the records of hosts that are not listed any more, and marks of requests that expired longer than
-// suspect.ForgetAfter ago.
+// suspect.ExpiredRetention ago.
 func (s *State) cleanUp(in step.Input) []step.Effect {
 	if in.Now.Before(s.nextCleanup) {
 		return nil
@@ -103,7 +103,7 @@
 	}
 	s.pushPhasesToNewEntries(changed)
 	s.replan = true
-	for _, mark := range s.Suspects.Changed(in.Now, changed) {
+	for _, mark := range s.Suspects.Apply(in.Now, changed) {
 		effects = append(effects, s.publishMark(in, mark)...)
 	}
 	s.receiveDemand(changed)
@@ -119,7 +119,7 @@
 		for _, prefix := range []string{member.ListPrefix, member.AdvertPrefix} {
 			address, found := strings.CutPrefix(r.Key, prefix)
 			if found && !r.Deleted && s.Members.IsEntryPeer(address) {
-				s.Records.TellOwn(address)
+				s.Records.PushOwnTo(address)
 			}
 		}
 	}
@@ -149,8 +149,8 @@
 	return effects
 }
 
-// Behind reports whether this process has an older state of a setting than the given revision.
-func (s *State) Behind(key string, revision uint64) bool {
+// IsBehind reports whether this process has an older state of a setting than the given revision.
+func (s *State) IsBehind(key string, revision uint64) bool {
 	return revision > s.Records.Records[key].Version.Major && revision > s.Records.Floor
 }
 
@@ -176,7 +176,7 @@
 // advertise publishes the changed parts of this host's advertisement.
 func (s *State) advertise(in step.Input) []step.Effect {
 	a := s.ownAdvert()
-	a.Weights = s.Weights.Troubles(in.Now)
+	a.Weights = s.Weights.BlockedBursts(in.Now)
 	effects := s.publishOwn(in, member.AdvertPrefix+s.Self.Address, a.Fixed())
 	return append(effects, s.publishPhases(in, a)...)
 }
--- a/internal/core/relay_test.go
+++ b/internal/core/relay_test.go
@@ -68,7 +68,7 @@
 		t.Run(failure, func(t *testing.T) {
 			c := newSettledCluster(t, 3, fourPlaces, 10)
 			for _, p := range c.procs {
-				if p.state.Members.Rank() < watch.PerPlace {
+				if p.state.Members.Rank() < watch.WatchersPerDataCentre {
 					p.dead = failure == "die"
 					p.frozen = true
 				}
@@ -84,7 +84,7 @@
 func (c *cluster) findAgent(watches bool) *proc {
 	for _, address := range c.order {
 		p := c.procs[address]
-		if p.listed.Role == member.Agent && (p.state.Members.Rank() < watch.PerPlace) == watches && address != departingHost {
+		if p.listed.Role == member.Agent && (p.state.Members.Rank() < watch.WatchersPerDataCentre) == watches && address != departingHost {
 			return p
 		}
 	}
@@ -157,7 +157,7 @@
 	require.True(t, c.inForceEverywhere(nil))
 	for _, p := range c.procs {
 		require.Equal(t, last, p.state.Settings[setting.Key("t", "s0")].Revision)
-		require.GreaterOrEqual(t, len(p.state.Records.Heard)+boolToInt(p.state.Watch.Reads), 1)
+		require.GreaterOrEqual(t, len(p.state.Records.MergedPeers)+boolToInt(p.state.Watch.HasRead), 1)
 	}
 }
 
@@ -174,7 +174,7 @@
 func TestNewProcessIsNotReadyFromStalePeersAlone(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newSettledCluster(t, 100+seed, []string{"west-a", "east-a"}, 4)
-		for i := range watch.PeersToHear - 1 {
+		for i := range watch.MinPeers - 1 {
 			c.add(fmt.Sprintf("10.8.0.%d:7070", i), "old-a", member.Agent, 1)
 		}
 		c.runUntil(maxPropagation, "start", func() bool { return c.allReady() && c.inForceEverywhere(nil) })
--- a/internal/core/request/admit.go
+++ b/internal/core/request/admit.go
@@ -13,8 +13,8 @@
 // Terms holds the properties of a request that admission and routing use. They come from its head and the settings of
 // its service.
 type Terms struct {
-	// Client is the client account that the request counts for.
-	Client string
+	// Account is the client account that the request counts for.
+	Account string
 	// Priority is from 0, the highest, to 9, the lowest.
 	Priority int
 	// Weight and Concurrency are the limits of the client account; see setting.Limits.
@@ -51,19 +51,19 @@
 
 func (s *State) admissionAsk(r *Request) admission.Ask {
 	a := admission.Ask{
-		ID: r.ID, Client: r.terms.Client, Priority: r.terms.Priority, Weight: r.terms.Weight, Deadline: r.Deadline,
+		ID: r.ID, Account: r.terms.Account, Priority: r.terms.Priority, Weight: r.terms.Weight, Deadline: r.Deadline,
 	}
 	if !r.queueDeadline.IsZero() && r.queueDeadline.Before(a.Deadline) {
 		a.Deadline = r.queueDeadline
 	}
 	if r.terms.Concurrency > 0 {
-		a.Cap = max(1, s.Fleet.Cap(r.serviceKey(), r.terms.Client, r.terms.Concurrency))
+		a.Cap = max(1, s.Fleet.Cap(r.serviceKey(), r.terms.Account, r.terms.Concurrency))
 	}
 	return a
 }
 
 // admit admits a new request, queues it or refuses it at once.
-func (s *State) admit(in step.Input, r *Request, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) admit(in step.Input, r *Request, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	_, outcome := s.Routing.Pick(in, r.query(), dir.Candidates(in.Now, r.Team, r.Service))
 	if outcome == routing.None {
 		return s.refuse(r, code.NoUpstream, code.NotRun, DefaultRetryAfter)
@@ -77,7 +77,7 @@
 }
 
 // admitted sends a request that was admitted. A call that runs at most once is claimed before its first attempt.
-func (s *State) admitted(in step.Input, r *Request, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) admitted(in step.Input, r *Request, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	r.Phase = Admitted
 	if !r.AtMostOnce || r.Attempt > 0 {
 		return s.send(in, r, dir, verdicts)
@@ -101,7 +101,7 @@
 }
 
 // admitWaiting admits waiting requests of a service while an upstream has free capacity.
-func (s *State) admitWaiting(in step.Input, team, service string, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) admitWaiting(in step.Input, team, service string, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	key := setting.Key(team, service)
 	g := s.gate(key)
 	var effects []step.Effect
@@ -119,7 +119,7 @@
 		})
 		r := s.Requests[id]
 		if r == nil {
-			g.Left(id, false)
+			g.Remove(id, false)
 			continue
 		}
 		effects = append(effects, s.admitted(in, r, dir, verdicts)...)
@@ -158,12 +158,12 @@
 	if r.queueDeadline.IsZero() {
 		r.queueDeadline = in.Now.Add(admission.MaxWait)
 	}
-	s.gate(r.serviceKey()).Back(in.Now, s.admissionAsk(r))
+	s.gate(r.serviceKey()).Requeue(in.Now, s.admissionAsk(r))
 }
 
 // tick refuses the requests that waited too long, and admits waiting ones. A load report that has become too old can
 // free capacity without any other event.
-func (s *State) tick(in step.Input, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) tick(in step.Input, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	var effects []step.Effect
 	for _, key := range sortedKeys(s.gates) {
 		effects = append(effects, s.refuseQueued(s.gates[key].Sweep(in.Now))...)
@@ -194,9 +194,9 @@
 }
 
 // finish removes a request that ended from the gate and admits the next one.
-func (s *State) finish(in step.Input, r *Request, answered bool, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) finish(in step.Input, r *Request, answered bool, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	key := r.serviceKey()
-	s.gate(key).Left(r.ID, answered)
+	s.gate(key).Remove(r.ID, answered)
 	if answered {
 		s.budget(key).Succeeded()
 	}
--- a/internal/core/request/attempt.go
+++ b/internal/core/request/attempt.go
@@ -24,7 +24,7 @@
 
 // attemptFailed retries the request or refuses it. The run status that it reports covers all attempts, not only the
 // last one.
-func (s *State) attemptFailed(in step.Input, ev AttemptFailed, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) attemptFailed(in step.Input, ev AttemptFailed, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return nil
@@ -37,7 +37,7 @@
 		return nil
 	}
 	if ev.Code == code.Stopping {
-		s.Routing.Left(in.Now, r.target)
+		s.Routing.AgentLeaving(in.Now, r.target)
 	}
 	// The report that arrived with the failure no longer counts this attempt, so release must come first.
 	s.release(in.Now, r)
@@ -97,8 +97,8 @@
 
 // withinBudget reports whether the retry budget allows another attempt, and takes it from the budget. A suspect is
 // exempt, because its single attempt alone on an upstream is already a limit.
-func (s *State) withinBudget(in step.Input, r *Request, ran code.Ran, verdicts Verdicts) bool {
-	return verdicts.Look(in.Now, r.Fingerprint) == suspect.Suspect || s.takeRetry(r, ran)
+func (s *State) withinBudget(in step.Input, r *Request, ran code.Ran, verdicts SuspectStatuses) bool {
+	return verdicts.Status(in.Now, r.Fingerprint) == suspect.Suspect || s.takeRetry(r, ran)
 }
 
 func (s *State) retryAfter(r *Request, ev AttemptFailed) time.Duration {
@@ -108,7 +108,7 @@
 	return resendDelay(r.Ran)
 }
 
-func (s *State) answerBegan(in step.Input, ev AnswerBegan, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) answerBegan(in step.Input, ev AnswerStarted, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return nil
@@ -117,7 +117,7 @@
 	case Sent:
 		r.continuable = ev.Continuable && r.replayable && !r.AtMostOnce
 		r.digest = ev.Digest
-		if ev.Unwell {
+		if ev.CannotServe {
 			s.Routing.Failed(in.Now, r.serviceKey(), r.target)
 		} else {
 			s.Routing.FirstByte(in.Now, r.serviceKey(), r.target, in.Now.Sub(r.sentAt))
@@ -132,7 +132,7 @@
 	return s.admitWaiting(in, r.Team, r.Service, dir, verdicts)
 }
 
-func (s *State) answerMoved(ev AnswerMoved) {
+func (s *State) answerMoved(ev AnswerProgressed) {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return
@@ -145,7 +145,7 @@
 
 // answerBroke requests the rest of the answer from the same run over a new connection. After too many resumes without
 // progress, or after the deadline, it treats the run as lost.
-func (s *State) answerBroke(in step.Input, ev AnswerBroke, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) answerBroke(in step.Input, ev AnswerInterrupted, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt || (r.Phase != Answering && r.Phase != Resuming) {
 		return nil
@@ -160,8 +160,8 @@
 	}
 	r.Resumes++
 	r.Phase = Resuming
-	t := Try{ID: r.ID, Attempt: r.Attempt, Target: r.target, Sequence: r.sequence, AtMostOnce: r.AtMostOnce}
-	return []step.Effect{Resume{Try: t, Wait: delay}}
+	t := Attempt{ID: r.ID, Number: r.Attempt, Target: r.target, Sequence: r.sequence, AtMostOnce: r.AtMostOnce}
+	return []step.Effect{Resume{Attempt: t, Delay: delay}}
 }
 
 func maxResumes(r *Request) int {
@@ -172,7 +172,7 @@
 }
 
 // answerFailed continues an answer on another upstream with the same version, or aborts it.
-func (s *State) answerFailed(in step.Input, ev AnswerFailed, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) answerFailed(in step.Input, ev AnswerFailed, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return nil
@@ -199,7 +199,7 @@
 	t.Digest = r.digest
 	r.Phase = Continuing
 	r.Resumes = 0
-	return []step.Effect{Send{Try: t, Continue: true}}
+	return []step.Effect{Send{Attempt: t, Continue: true}}
 }
 
 func withVersion(all []member.Candidate, digest string) []member.Candidate {
--- a/internal/core/request/bench_test.go
+++ b/internal/core/request/bench_test.go
@@ -38,9 +38,9 @@
 				id := fmt.Sprint(i)
 				reduce(request.Received{
 					ID: id, Team: "karrakin", Service: "summary-model", Deadline: now.Add(time.Minute),
-					Terms: request.Terms{Client: "a", Weight: 1, Prefix: uint64(i%50 + 1)},
+					Terms: request.Terms{Account: "a", Weight: 1, Prefix: uint64(i%50 + 1)},
 				})
-				reduce(request.AnswerBegan{ID: id, Attempt: 1, Report: &routing.Report{Running: 1, Limit: 32}})
+				reduce(request.AnswerStarted{ID: id, Attempt: 1, Report: &routing.Report{Running: 1, Limit: 32}})
 				reduce(request.Ended{ID: id, Report: &routing.Report{Limit: 32}})
 			}
 		})
--- a/internal/core/request/reduce.go
+++ b/internal/core/request/reduce.go
@@ -12,7 +12,7 @@
 )
 
 // Reduce applies one input to the state and returns the effects that the shell must carry out.
-func (s *State) Reduce(in step.Input, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) Reduce(in step.Input, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	switch ev := in.Event.(type) {
 	case Received:
 		return s.received(in, ev, dir, verdicts)
@@ -20,17 +20,17 @@
 		return s.claimSettled(in, ev, dir, verdicts)
 	case AttemptFailed:
 		return s.attemptFailed(in, ev, dir, verdicts)
-	case AnswerBegan:
+	case AnswerStarted:
 		return s.answerBegan(in, ev, dir, verdicts)
-	case AnswerMoved:
+	case AnswerProgressed:
 		s.answerMoved(ev)
-	case AnswerBroke:
+	case AnswerInterrupted:
 		return s.answerBroke(in, ev, dir, verdicts)
 	case AnswerFailed:
 		return s.answerFailed(in, ev, dir, verdicts)
 	case Ended:
 		return s.ended(in, ev, dir, verdicts)
-	case StopAsked:
+	case StopRequested:
 		s.stopping = true
 	case step.Tick:
 		return s.tick(in, dir, verdicts)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (s *State) received(in step.Input, ev Received, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) received(in step.Input, ev Received, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	r := &Request{
 		ID: ev.ID, Team: ev.Team, Service: ev.Service, Deadline: ev.Deadline, Key: ev.Key, AtMostOnce: ev.AtMostOnce,
 		Fingerprint: ev.Fingerprint, Ran: code.NotRun, replayable: ev.Replayable, tried: map[string]bool{}, terms: ev.Terms,
@@ -53,7 +53,7 @@
 	return s.admit(in, r, dir, verdicts)
 }
 
-func (s *State) claimSettled(in step.Input, ev ClaimSettled, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) claimSettled(in step.Input, ev ClaimSettled, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Phase != Claiming {
 		return nil
@@ -74,7 +74,7 @@
 }
 
 // send chooses an upstream and sends the request to it, or refuses the request.
-func (s *State) send(in step.Input, r *Request, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) send(in step.Input, r *Request, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	if refusal, quarantined := s.refuseQuarantined(in, r, verdicts); quarantined {
 		return refusal
 	}
@@ -85,11 +85,11 @@
 	if outcome != routing.Found {
 		return s.noCapacity(in, r, outcome)
 	}
-	return []step.Effect{Send{Try: s.newAttempt(in, r, target, verdicts)}}
+	return []step.Effect{Send{Attempt: s.newAttempt(in, r, target, verdicts)}}
 }
 
 // newAttempt starts a new attempt at the target and returns it.
-func (s *State) newAttempt(in step.Input, r *Request, target member.Candidate, verdicts Verdicts) Try {
+func (s *State) newAttempt(in step.Input, r *Request, target member.Candidate, verdicts SuspectStatuses) Attempt {
 	r.Attempt++
 	r.Phase = Sent
 	r.target = target
@@ -97,17 +97,17 @@
 	s.recordSent(in.Now, r)
 	s.sequence++
 	r.sequence = s.sequence
-	return Try{
-		ID: r.ID, Attempt: r.Attempt, Target: target, Sequence: s.sequence, AtMostOnce: r.AtMostOnce,
-		Wait:  r.delay,
-		Cache: s.Routing.CacheSeen(r.serviceKey(), target),
-		Alone: verdicts.Look(in.Now, r.Fingerprint) == suspect.Suspect,
+	return Attempt{
+		ID: r.ID, Number: r.Attempt, Target: target, Sequence: s.sequence, AtMostOnce: r.AtMostOnce,
+		Delay:     r.delay,
+		Cache:     s.Routing.CachePosition(r.serviceKey(), target),
+		Exclusive: verdicts.Status(in.Now, r.Fingerprint) == suspect.Suspect,
 	}
 }
 
 // choose returns an upstream that was not tried yet or, if none is left, one that did not cause the failure of its
 // earlier attempt. It sets the delay of the next attempt.
-func (s *State) choose(in step.Input, r *Request, candidates []member.Candidate, verdicts Verdicts) (member.Candidate, routing.Outcome) {
+func (s *State) choose(in step.Input, r *Request, candidates []member.Candidate, verdicts SuspectStatuses) (member.Candidate, routing.Outcome) {
 	r.delay = 0
 	if r.declined >= MaxTotalAttempts {
 		r.delay = MaxRetryDelay
@@ -134,8 +134,8 @@
 }
 
 // untried returns an upstream that was not tried yet.
-func (s *State) untried(in step.Input, r *Request, candidates []member.Candidate, verdicts Verdicts) (member.Candidate, routing.Outcome) {
-	if verdicts.Look(in.Now, r.Fingerprint) == suspect.Suspect {
+func (s *State) untried(in step.Input, r *Request, candidates []member.Candidate, verdicts SuspectStatuses) (member.Candidate, routing.Outcome) {
+	if verdicts.Status(in.Now, r.Fingerprint) == suspect.Suspect {
 		return isolatedTarget(r, candidates)
 	}
 	return s.Routing.Pick(in, r.query(), candidates)
@@ -158,8 +158,8 @@
 }
 
 // refuseQuarantined refuses a request that crashes upstreams. It reports whether the request is quarantined.
-func (s *State) refuseQuarantined(in step.Input, r *Request, verdicts Verdicts) ([]step.Effect, bool) {
-	if verdicts.Look(in.Now, r.Fingerprint) != suspect.Quarantined {
+func (s *State) refuseQuarantined(in step.Input, r *Request, verdicts SuspectStatuses) ([]step.Effect, bool) {
+	if verdicts.Status(in.Now, r.Fingerprint) != suspect.Quarantined {
 		return nil, false
 	}
 	return s.refuse(r, code.Quarantined, r.Ran, verdicts.Remaining(in.Now, r.Fingerprint)), true
@@ -180,7 +180,7 @@
 	return 0
 }
 
-func (s *State) ended(in step.Input, ev Ended, dir Directory, verdicts Verdicts) []step.Effect {
+func (s *State) ended(in step.Input, ev Ended, dir Directory, verdicts SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil {
 		return nil
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -187,28 +187,28 @@
 	Report *routing.Report
 }
 
-// AnswerBegan is the event that the head of the answer was received.
-type AnswerBegan struct {
+// AnswerStarted is the event that the head of the answer was received.
+type AnswerStarted struct {
 	ID      string
 	Attempt int
 	// Continuable reports whether each part of the answer depends only on the request and the version identified by
 	// Digest. Another upstream with that version can then continue the answer.
 	Continuable bool
 	Digest      string
-	// Unwell reports whether the upstream answered that it can't serve.
-	Unwell bool
+	// CannotServe reports whether the upstream answered that it can't serve.
+	CannotServe bool
 	// Report is the agent's load report on the upstream; nil if none was received.
 	Report *routing.Report
 }
 
-// AnswerMoved is the event that more of the answer was passed on after its connection broke.
-type AnswerMoved struct {
+// AnswerProgressed is the event that more of the answer was passed on after its connection broke.
+type AnswerProgressed struct {
 	ID      string
 	Attempt int
 }
 
-// AnswerBroke is the event that the connection broke during the answer.
-type AnswerBroke struct {
+// AnswerInterrupted is the event that the connection broke during the answer.
+type AnswerInterrupted struct {
 	ID      string
 	Attempt int
 }
@@ -230,8 +230,8 @@
 	Report *routing.Report
 }
 
-// StopAsked is the event that a graceful shutdown has started.
-type StopAsked struct{}
+// StopRequested is the event that a graceful shutdown has started.
+type StopRequested struct{}
 
 // Event marks the type as an event.
 func (Received) Event() {}
@@ -243,13 +243,13 @@
 func (AttemptFailed) Event() {}
 
 // Event marks the type as an event.
-func (AnswerBegan) Event() {}
+func (AnswerStarted) Event() {}
 
 // Event marks the type as an event.
-func (AnswerMoved) Event() {}
+func (AnswerProgressed) Event() {}
 
 // Event marks the type as an event.
-func (AnswerBroke) Event() {}
+func (AnswerInterrupted) Event() {}
 
 // Event marks the type as an event.
 func (AnswerFailed) Event() {}
@@ -258,7 +258,7 @@
 func (Ended) Event() {}
 
 // Event marks the type as an event.
-func (StopAsked) Event() {}
+func (StopRequested) Event() {}
 
 // Addressed is an effect for one request. The shell, which carries out the effects, passes it to the goroutine that
 // serves the request.
@@ -274,28 +274,28 @@
 	Key string
 }
 
-// Try is one attempt of a request.
-type Try struct {
-	ID      string
-	Attempt int
-	Target  member.Candidate
+// Attempt is one attempt of a request.
+type Attempt struct {
+	ID     string
+	Number int
+	Target member.Candidate
 	// Sequence is the number of the attempt among all attempts of this instance of the entry.
 	Sequence uint64
-	// Alone requires that no other request runs on the upstream at the same time.
-	Alone bool
+	// Exclusive requires that no other request runs on the upstream at the same time.
+	Exclusive bool
 	// AtMostOnce requires that the call does not run twice.
 	AtMostOnce bool
-	// Wait is the delay before the request is sent.
-	Wait time.Duration
+	// Delay is the delay before the request is sent.
+	Delay time.Duration
 	// Digest is the only version that may generate the answer; empty for any.
 	Digest string
 	// Cache identifies the last change of the upstream's prefix cache that this entry has received.
-	Cache routing.CacheMark
+	Cache routing.CachePosition
 }
 
 // Send is the effect that sends the request to an upstream through the agent on its host.
 type Send struct {
-	Try
+	Attempt
 	// Continue reports whether the upstream continues an answer of which the caller already has a part.
 	Continue bool
 }
@@ -303,8 +303,8 @@
 // Resume is the effect that, after the delay Wait, requests the rest of the answer from the agent of the current
 // attempt.
 type Resume struct {
-	Try
-	Wait time.Duration
+	Attempt
+	Delay time.Duration
 }
 
 // Refuse is the effect that answers the caller with a result code.
@@ -353,10 +353,10 @@
 // RequestID returns the ID of the request that the effect is for.
 func (e Abort) RequestID() string { return e.ID }
 
-// Verdicts returns the verdict on a request's fingerprint.
-type Verdicts interface {
-	// Look returns the current verdict.
-	Look(now time.Time, fingerprint string) suspect.Verdict
+// SuspectStatuses returns the verdict on a request's fingerprint.
+type SuspectStatuses interface {
+	// Status returns the current verdict.
+	Status(now time.Time, fingerprint string) suspect.Status
 	// Remaining returns how long the verdict lasts from now.
 	Remaining(now time.Time, fingerprint string) time.Duration
 }
--- a/internal/core/request/request_test.go
+++ b/internal/core/request/request_test.go
@@ -29,14 +29,14 @@
 // environment is a fake Directory and a fake Verdicts.
 type environment struct {
 	candidates []member.Candidate
-	verdict    suspect.Verdict
+	verdict    suspect.Status
 }
 
 // Candidates returns the upstreams.
 func (e *environment) Candidates(time.Time, string, string) []member.Candidate { return e.candidates }
 
-// Look returns the same verdict for every fingerprint.
-func (e *environment) Look(time.Time, string) suspect.Verdict { return e.verdict }
+// Status returns the same verdict for every fingerprint.
+func (e *environment) Status(time.Time, string) suspect.Status { return e.verdict }
 
 // Remaining returns a fixed duration.
 func (e *environment) Remaining(time.Time, string) time.Duration { return time.Minute }
@@ -75,7 +75,7 @@
 	l := &lifecycle{t: t, now: time.Unix(1000, 0), state: NewState(), env: env, atMostOnce: atMostOnce}
 	ev := Received{
 		ID: "r", Team: "t", Service: "s", Deadline: l.now.Add(time.Minute), Key: "k", AtMostOnce: atMostOnce,
-		Replayable: true, Fingerprint: "f", Terms: Terms{Client: "c", Weight: 1},
+		Replayable: true, Fingerprint: "f", Terms: Terms{Account: "c", Weight: 1},
 	}
 	l.step(ev)
 	return l
@@ -92,16 +92,16 @@
 func (l *lifecycle) check(e step.Effect) {
 	switch e := e.(type) {
 	case Send:
-		require.Greater(l.t, e.Attempt, l.attempt, "an attempt number was used twice")
-		l.attempt = e.Attempt
+		require.Greater(l.t, e.Number, l.attempt, "an attempt number was used twice")
+		l.attempt = e.Number
 		l.resumes = 0
 		require.Equal(l.t, l.began, e.Continue)
 		require.NotEqual(l.t, suspect.Quarantined, l.env.verdict)
-		require.Equal(l.t, l.env.verdict == suspect.Suspect, e.Alone)
+		require.Equal(l.t, l.env.verdict == suspect.Suspect, e.Exclusive)
 		require.Less(l.t, l.executed, MaxExecutedAttempts)
-		require.LessOrEqual(l.t, e.Attempt-l.declined, MaxTotalAttempts)
-		require.LessOrEqual(l.t, e.Wait, MaxRetryDelay)
-		require.True(l.t, l.declined < MaxTotalAttempts || e.Wait == MaxRetryDelay, "too many attempts in a short time")
+		require.LessOrEqual(l.t, e.Number-l.declined, MaxTotalAttempts)
+		require.LessOrEqual(l.t, e.Delay, MaxRetryDelay)
+		require.True(l.t, l.declined < MaxTotalAttempts || e.Delay == MaxRetryDelay, "too many attempts in a short time")
 		require.False(l.t, l.atMostOnce && l.combinedRan() != code.NotRun, "a call that may have run was sent again")
 	case Resume:
 		l.resumes++
@@ -144,7 +144,7 @@
 func (l *lifecycle) answer() {
 	l.began = true
 	l.ran = append(l.ran, code.DidRun)
-	l.step(AnswerBegan{ID: "r", Attempt: l.attempt, Continuable: true, Digest: "d"})
+	l.step(AnswerStarted{ID: "r", Attempt: l.attempt, Continuable: true, Digest: "d"})
 }
 
 // TestEachRequestSettlesOnceWithTrueRunStatus drives one request with random events in random order, including late and
@@ -154,7 +154,7 @@
 	codes := []code.Code{code.UpstreamDied, code.UpstreamSilent, code.AgentRestarted, code.UpstreamLoading, code.UpstreamReserved}
 	rapid.Check(t, func(t *rapid.T) {
 		env := newEnvironment(rapid.IntRange(1, 6).Draw(t, "upstreams"))
-		env.verdict = rapid.SampledFrom([]suspect.Verdict{suspect.Clear, suspect.Clear, suspect.Suspect}).Draw(t, "verdict")
+		env.verdict = rapid.SampledFrom([]suspect.Status{suspect.Clear, suspect.Clear, suspect.Suspect}).Draw(t, "verdict")
 		l := receive(t, env, rapid.Bool().Draw(t, "once"))
 		if _, claims := l.last.(Claim); claims {
 			l.step(ClaimSettled{ID: "r", Outcome: ClaimGranted})
@@ -179,7 +179,7 @@
 					if l.resumes == maxResumes(l.state.Requests["r"]) {
 						l.executed++
 					}
-					l.step(AnswerBroke{ID: "r", Attempt: l.attempt})
+					l.step(AnswerInterrupted{ID: "r", Attempt: l.attempt})
 				}
 			},
 			"late event of an earlier attempt": func(t *rapid.T) {
@@ -220,11 +220,11 @@
 	l.answer()
 	var delays []time.Duration
 	for range MaxResumes {
-		l.step(AnswerBroke{ID: "r", Attempt: 1})
-		delays = append(delays, l.last.(Resume).Wait)
+		l.step(AnswerInterrupted{ID: "r", Attempt: 1})
+		delays = append(delays, l.last.(Resume).Delay)
 	}
 	assert.Equal(t, []time.Duration{0, InitialResumeDelay, 2 * InitialResumeDelay, 4 * InitialResumeDelay}, delays)
-	l.step(AnswerBroke{ID: "r", Attempt: 1})
+	l.step(AnswerInterrupted{ID: "r", Attempt: 1})
 	assert.Equal(t, Abort{ID: "r", Code: code.StreamBroken, Ran: code.DidRun}, l.last)
 }
 
@@ -235,9 +235,9 @@
 	l.answer()
 	for range 3 * MaxResumes {
 		l.resumes = 0
-		l.step(AnswerBroke{ID: "r", Attempt: 1})
+		l.step(AnswerInterrupted{ID: "r", Attempt: 1})
 		require.IsType(t, Resume{}, l.last)
-		l.step(AnswerMoved{ID: "r", Attempt: 1})
+		l.step(AnswerProgressed{ID: "r", Attempt: 1})
 	}
 }
 
@@ -274,7 +274,7 @@
 	var delays []time.Duration
 	for range MaxTotalAttempts - 1 {
 		l.fail(code.UpstreamReserved, code.NotRun)
-		delays = append(delays, l.last.(Send).Wait)
+		delays = append(delays, l.last.(Send).Delay)
 	}
 	assert.Equal(t, InitialRetryDelay, delays[0])
 	assert.Equal(t, 64*InitialRetryDelay, delays[len(delays)-1])
@@ -295,7 +295,7 @@
 			l.fail(code.UpstreamDied, code.Unknown)
 			for l.now.Before(l.state.Requests["r"].Deadline) {
 				require.IsType(t, Send{}, l.last, "%d, answer started: %v", c, began)
-				l.now = l.now.Add(max(time.Millisecond, l.last.(Send).Wait))
+				l.now = l.now.Add(max(time.Millisecond, l.last.(Send).Delay))
 				l.fail(c, code.NotRun)
 			}
 			assert.Less(t, l.attempt, 60, "attempts within one minute")
--- a/internal/core/request/retry_test.go
+++ b/internal/core/request/retry_test.go
@@ -29,7 +29,7 @@
 	}
 	effects := reduce(request.Received{
 		ID: "r", Team: "karrakin", Service: "summary-model", Deadline: now.Add(time.Minute), Replayable: true,
-		Terms: request.Terms{Client: "x"},
+		Terms: request.Terms{Account: "x"},
 	})
 	require.Len(t, effects, 1)
 	first := effects[0].(request.Send)
--- a/internal/core/residency/residency.go
+++ b/internal/core/residency/residency.go
@@ -16,17 +16,17 @@
 // value allows every region.
 type Bound struct{ route, account Regions }
 
-// Of returns the bound of a request with the given restrictions of its route and its client account.
-func Of(route, account Regions) Bound { return Bound{route: route, account: account} }
+// NewBound returns the bound of a request with the given restrictions of its route and its client account.
+func NewBound(route, account Regions) Bound { return Bound{route: route, account: account} }
 
-// Free reports whether the request may be in any region.
-func (b Bound) Free() bool { return len(b.route) == 0 && len(b.account) == 0 }
+// Unrestricted reports whether the request may be in any region.
+func (b Bound) Unrestricted() bool { return len(b.route) == 0 && len(b.account) == 0 }
 
 // Allows reports whether the request may be in a region.
 func (b Bound) Allows(region string) bool { return b.route.allow(region) && b.account.allow(region) }
 
-// Nowhere reports whether no region is allowed because the route and the client account have no region in common.
-func (b Bound) Nowhere() bool {
+// Empty reports whether no region is allowed because the route and the client account have no region in common.
+func (b Bound) Empty() bool {
 	if len(b.route) == 0 || len(b.account) == 0 {
 		return false
 	}
--- a/internal/core/residency/residency_test.go
+++ b/internal/core/residency/residency_test.go
@@ -23,7 +23,7 @@
 		{route: residency.Regions{"a", "c"}, account: residency.Regions{"c", "b"}, allowed: []string{"c"}, text: "route: a c; account: c b"},
 		{route: residency.Regions{"a"}, account: residency.Regions{"b"}, nowhere: true, text: "route: a; account: b"},
 	} {
-		b := residency.Of(c.route, c.account)
+		b := residency.NewBound(c.route, c.account)
 		var allowed []string
 		for _, region := range []string{"", "a", "b", "c"} {
 			if b.Allows(region) {
@@ -31,8 +31,8 @@
 			}
 		}
 		require.Equal(t, c.allowed, allowed, "%v", b)
-		require.Equal(t, c.nowhere, b.Nowhere(), "%v", b)
-		require.Equal(t, len(c.allowed) == 4, b.Free(), "%v", b)
+		require.Equal(t, c.nowhere, b.Empty(), "%v", b)
+		require.Equal(t, len(c.allowed) == 4, b.Unrestricted(), "%v", b)
 		require.Equal(t, c.text, b.String())
 	}
 }
--- a/internal/core/rollout/decide.go
+++ b/internal/core/rollout/decide.go
@@ -22,7 +22,7 @@
 		u.resume()
 	}
 	if u.Phase == member.Serving && (u.target.Digest == "" || u.atTarget()) {
-		s.slotsOf(u).Done(u.Name)
+		s.slotsOf(u).Release(u.Name)
 	}
 	if s.releasing || u.target.Digest == "" || !u.fresh || u.Phase == member.Down {
 		return nil
@@ -49,7 +49,7 @@
 	o := u.order
 	s.renewLease = s.renewLease || u.target.IgnoresFencing
 	unwanted := o.digest != "" && o.digest != u.target.Digest
-	if unwanted || s.releasing || !s.MayOrder(u.Name, in.Now) {
+	if unwanted || s.releasing || !s.OrderAllowed(u.Name, in.Now) {
 		return u.cancelOrder()
 	}
 	return nil
@@ -66,7 +66,7 @@
 		return
 	}
 	u.draining = false
-	u.Overdue = false
+	u.DrainOverdue = false
 	u.Phase = member.Serving
 }
 
@@ -88,8 +88,8 @@
 
 // approachTarget brings an engine to its target: it drains the engine, then orders the role, then the weights.
 func (s *State) approachTarget(in step.Input, u *Upstream, complete func(string) bool) []step.Effect {
-	s.renewLease = s.renewLease || (u.target.IgnoresFencing && s.Incarnation.Clear(in.Now))
-	if !s.MayOrder(u.Name, in.Now) || in.Now.Before(u.nextOrderAt) {
+	s.renewLease = s.renewLease || (u.target.IgnoresFencing && s.Incarnation.FormerOrdersExpired(in.Now))
+	if !s.OrderAllowed(u.Name, in.Now) || in.Now.Before(u.nextOrderAt) {
 		u.resume()
 		return nil
 	}
@@ -120,7 +120,7 @@
 func (s *State) keepServing(u *Upstream) {
 	u.resume()
 	if u.pinned() {
-		s.slotsOf(u).Done(u.Name)
+		s.slotsOf(u).Release(u.Name)
 	}
 }
 
@@ -132,7 +132,7 @@
 		slots.Keep(u.Name, in.Now)
 		return true
 	}
-	slots.Want(u.Name, u.target.Rank, in.Now)
+	slots.Request(u.Name, u.target.Rank, in.Now)
 	return s.holdsSlot(u, in.Now)
 }
 
@@ -147,10 +147,10 @@
 	if u.running == 0 {
 		return nil, true
 	}
-	if u.Overdue || in.Now.Sub(u.drainStartedAt) < s.timing.Drain {
+	if u.DrainOverdue || in.Now.Sub(u.drainStartedAt) < s.timing.DrainWarning {
 		return nil, false
 	}
-	u.Overdue = true
+	u.DrainOverdue = true
 	return []step.Effect{DrainOverdue{Upstream: u.Name, Running: u.running}}, false
 }
 
@@ -165,7 +165,7 @@
 func (u *Upstream) voidPin() {
 	u.Phase = member.Loading
 	u.draining = false
-	u.Overdue = false
+	u.DrainOverdue = false
 	u.Digest = ""
 	u.BootID = ""
 }
--- a/internal/core/rollout/messages.go
+++ b/internal/core/rollout/messages.go
@@ -11,22 +11,22 @@
 	rollout()
 }
 
-// Begin is an agent's first event. From then on the agent may take the incarnation of its host and give orders.
-type Begin struct {
+// OrdersEnabled is an agent's first event. From then on the agent may take the incarnation of its host and give orders.
+type OrdersEnabled struct {
 	Host string
 	// Holder identifies the agent process; it must be unique among all processes.
 	Holder string
 	Timing Timing
 }
 
-// ReleaseAsked is the event that the agent shuts down. No order follows, and the incarnation is released.
-type ReleaseAsked struct{}
+// ReleaseRequested is the event that the agent shuts down. No order follows, and the incarnation is released.
+type ReleaseRequested struct{}
 
 // StateRead is the event of an engine's answer to ReadState.
 type StateRead struct {
 	Upstream string
 	Serial   uint64
-	Reading  Reading
+	Reading  EngineState
 }
 
 // StateFailed is the event of a ReadState without an answer.
@@ -56,10 +56,10 @@
 }
 
 // Event marks the type as an event.
-func (Begin) Event() {}
+func (OrdersEnabled) Event() {}
 
 // Event marks the type as an event.
-func (ReleaseAsked) Event() {}
+func (ReleaseRequested) Event() {}
 
 // Event marks the type as an event.
 func (StateRead) Event() {}
@@ -70,18 +70,18 @@
 // Event marks the type as an event.
 func (OrderEnded) Event() {}
 
-func (Begin) rollout()        {}
-func (Doubted) rollout()      {}
-func (ReleaseAsked) rollout() {}
-func (StateRead) rollout()    {}
-func (StateFailed) rollout()  {}
-func (OrderEnded) rollout()   {}
+func (OrdersEnabled) rollout()      {}
+func (StateReadRequested) rollout() {}
+func (ReleaseRequested) rollout()   {}
+func (StateRead) rollout()          {}
+func (StateFailed) rollout()        {}
+func (OrderEnded) rollout()         {}
 
-// Doubted is the event that a request's connection to an upstream failed, so the upstream's state must be read at once.
-type Doubted struct{ Upstream string }
+// StateReadRequested is the event that a request's connection to an upstream failed, so the upstream's state must be read at once.
+type StateReadRequested struct{ Upstream string }
 
 // Event marks the type as an event.
-func (Doubted) Event() {}
+func (StateReadRequested) Event() {}
 
 // ReadState is the effect that reads an engine's state.
 type ReadState struct {
@@ -124,7 +124,7 @@
 // ReasonChanged the shell withholds their answers.
 type OutOfService struct {
 	Upstream string
-	Why      Reason
+	Reason   Reason
 }
 
 // Reason is the reason why an engine went out of service, as it is logged.
@@ -133,7 +133,7 @@
 // The reasons.
 const (
 	ReasonChanged    Reason = "the engine's weights or boot ID changed"
-	ReasonSilent     Reason = "the engine does not answer"
+	ReasonNoAnswer   Reason = "the engine does not answer"
 	ReasonSuperseded Reason = "another agent has taken over this host"
 )
 
@@ -146,7 +146,7 @@
 	Adopted bool
 }
 
-// DrainOverdue is the effect that reports a drain that has taken longer than Timing.Drain.
+// DrainOverdue is the effect that reports a drain that has taken longer than Timing.DrainWarning.
 type DrainOverdue struct {
 	Upstream string
 	// Running is the number of requests in flight.
--- a/internal/core/rollout/model_test.go
+++ b/internal/core/rollout/model_test.go
@@ -17,7 +17,7 @@
 type engine struct {
 	ignoresFencing bool
 	// reading is the state that the engine reports.
-	reading Reading
+	reading EngineState
 	// boots counts the restarts.
 	boots int
 	// epoch counts the changes of its weights.
@@ -94,7 +94,7 @@
 	m := &model{t: t, now: time.Unix(1000, 0), objects: map[string]*object{}, generations: map[string]bool{}}
 	ignoresFencing := rapid.Bool().Draw(t, "ignores fencing")
 	for i := range 2 {
-		m.engines = append(m.engines, &engine{ignoresFencing: ignoresFencing, reading: Reading{BootID: "b0", Role: setting.RoleBoth}})
+		m.engines = append(m.engines, &engine{ignoresFencing: ignoresFencing, reading: EngineState{BootID: "b0", Role: setting.RoleBoth}})
 		m.startAgent(i)
 	}
 	return m
@@ -108,7 +108,7 @@
 	a := &agent{host: host, state: NewState([]Upstream{u}), complete: map[string]bool{"v1": true}}
 	a.target = Target{Digest: "v1", Role: setting.RoleBoth, MaxUnavailable: 1, IgnoresFencing: m.engines[host].ignoresFencing}
 	m.agents = append(m.agents, a)
-	m.reduce(a, Begin{Host: fmt.Sprint("host-", host), Holder: fmt.Sprint("p", len(m.agents))})
+	m.reduce(a, OrdersEnabled{Host: fmt.Sprint("host-", host), Holder: fmt.Sprint("p", len(m.agents))})
 }
 
 // activeAgent returns the agent of a host that was not superseded. If several agents have not learned that they were, it returns
@@ -214,7 +214,7 @@
 
 // permits reports whether the agent of an order still permits it.
 func (m *model) permits(c *call) bool {
-	return !c.cancelled && c.agent.state.MayOrder(engineName, m.now)
+	return !c.cancelled && c.agent.state.OrderAllowed(engineName, m.now)
 }
 
 func (m *model) setRole(eng *engine, e SetRole) Outcome {
--- a/internal/core/rollout/observe.go
+++ b/internal/core/rollout/observe.go
@@ -41,7 +41,7 @@
 	u.observed = ev.Reading
 	u.fresh = true
 	if s.Incarnation.Held() && ev.Reading.Fencing > s.Incarnation.Number {
-		s.Incarnation.Doubt()
+		s.Incarnation.RequestRead()
 	}
 	if u.order != nil && !u.order.announceOnly {
 		return s.observeOrder(in, u)
@@ -83,7 +83,7 @@
 	if !wasPinned {
 		return nil
 	}
-	return []step.Effect{OutOfService{Upstream: u.Name, Why: why}}
+	return []step.Effect{OutOfService{Upstream: u.Name, Reason: why}}
 }
 
 // adopt takes an engine into service that holds a complete and accepted version of its service.
@@ -111,13 +111,13 @@
 		return false
 	}
 	if u.target.IgnoresFencing {
-		return s.Incarnation.Clear(now)
+		return s.Incarnation.FormerOrdersExpired(now)
 	}
 	return !s.Incarnation.Held() || u.announcedNumber == s.Incarnation.Number
 }
 
 // observeOrder ends an order by the state that the engine shows, without waiting for the order's answer: when it took effect,
-// when the engine restarted, or when the engine doesn't load and shows no effect within Timing.Silent.
+// when the engine restarted, or when the engine doesn't load and shows no effect within Timing.OrderTimeout.
 func (s *State) observeOrder(in step.Input, u *Upstream) []step.Effect {
 	o := u.order
 	r := u.observed
@@ -126,7 +126,7 @@
 	}
 	tookEffect := o.digest != "" && r.loaded() && r.Digest == o.digest && r.Generation == o.generation
 	restarted := r.BootID != o.bootID
-	lost := !r.Loading && in.Now.Sub(o.startedAt) >= s.timing.Silent
+	lost := !r.Loading && in.Now.Sub(o.startedAt) >= s.timing.OrderTimeout
 	if tookEffect || restarted || lost {
 		return u.cancelOrder()
 	}
@@ -156,7 +156,7 @@
 	}
 	u.nextReadAt = in.Now.Add(backoff(s.timing.Poll, u.failedReads-downAfter, s.timing.MaxPoll))
 	u.fresh = false
-	effects := u.takeOut(ReasonSilent)
+	effects := u.takeOut(ReasonNoAnswer)
 	u.Phase = member.Down
 	if u.order != nil {
 		effects = append(effects, u.cancelOrder()...)
@@ -181,7 +181,7 @@
 		u.announcedNumber = o.fencing
 	case ev.Outcome == OrderRefused:
 		s.raiseNumber = true
-		s.Incarnation.Doubt()
+		s.Incarnation.RequestRead()
 		s.delayNextOrder(in, u)
 	case !o.cancelled:
 		s.delayNextOrder(in, u)
--- a/internal/core/rollout/orders_test.go
+++ b/internal/core/rollout/orders_test.go
@@ -25,7 +25,7 @@
 
 // startRun starts a request on an agent's engine if the engine serves.
 func (m *model) startRun(a *agent) {
-	u := a.state.Started(engineName)
+	u := a.state.RequestStarted(engineName)
 	if u == nil {
 		return
 	}
@@ -40,7 +40,7 @@
 	}
 	run := a.running[0]
 	a.running = a.running[1:]
-	a.state.Finished(engineName)
+	a.state.RequestFinished(engineName)
 	eng := m.engines[a.host]
 	r := eng.reading
 	matchesPin := r.loaded() && r.Digest == run.digest && r.Generation == run.generation && r.BootID == run.boot
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -25,10 +25,10 @@
 	// Retry is the wait after a failed order; it doubles with each failure up to MaxRetry.
 	Retry    time.Duration
 	MaxRetry time.Duration
-	// Silent is the time after which an order counts as lost if the engine's state shows no effect of it.
-	Silent time.Duration
-	// Drain is how long a drain may take before it is reported as overdue.
-	Drain time.Duration
+	// OrderTimeout is the time after which an order counts as lost if the engine's state shows no effect of it.
+	OrderTimeout time.Duration
+	// DrainWarning is how long a drain may take before it is reported as overdue.
+	DrainWarning time.Duration
 	// Incarnation holds the timing of the incarnation and its lease.
 	Incarnation incarnation.Timing
 	// Slots holds the timing of the slots.
@@ -37,12 +37,12 @@
 
 // The defaults of Timing.
 const (
-	DefaultPoll     = 500 * time.Millisecond
-	DefaultMaxPoll  = 8 * time.Second
-	DefaultRetry    = time.Second
-	DefaultMaxRetry = 30 * time.Second
-	DefaultSilent   = 5 * time.Second
-	DefaultDrain    = 30 * time.Second
+	DefaultPoll         = 500 * time.Millisecond
+	DefaultMaxPoll      = 8 * time.Second
+	DefaultRetry        = time.Second
+	DefaultMaxRetry     = 30 * time.Second
+	DefaultOrderTimeout = 5 * time.Second
+	DefaultDrainWarning = 30 * time.Second
 )
 
 // downAfter is the number of consecutive failed readings after which an engine counts as down.
@@ -58,7 +58,7 @@
 		value time.Duration
 	}{
 		{&t.Poll, DefaultPoll}, {&t.MaxPoll, DefaultMaxPoll}, {&t.Retry, DefaultRetry}, {&t.MaxRetry, DefaultMaxRetry},
-		{&t.Silent, DefaultSilent}, {&t.Drain, DefaultDrain},
+		{&t.OrderTimeout, DefaultOrderTimeout}, {&t.DrainWarning, DefaultDrainWarning},
 	}
 	for _, d := range defaults {
 		if *d.field == 0 {
@@ -89,8 +89,8 @@
 	return digest != "" && (digest == t.Digest || t.Accepted[digest])
 }
 
-// Reading is the state that an engine reports.
-type Reading struct {
+// EngineState is the state that an engine reports.
+type EngineState struct {
 	// BootID identifies the instance of the engine.
 	BootID string
 	// Digest identifies the version that the engine holds; empty for none.
@@ -106,7 +106,7 @@
 }
 
 // loaded reports whether the engine holds a complete version.
-func (r Reading) loaded() bool { return r.Digest != "" && !r.Loading }
+func (r EngineState) loaded() bool { return r.Digest != "" && !r.Loading }
 
 // Upstream is an engine or plain service on this agent's host. Digest, Generation and BootID are the pin: a request runs only
 // while the engine's state shows all three.
@@ -116,14 +116,14 @@
 	URL string
 	// BootID identifies the engine instance that holds the weights.
 	BootID string
-	// Overdue is set when a drain takes longer than Timing.Drain.
-	Overdue bool
+	// DrainOverdue is set when a drain takes longer than Timing.DrainWarning.
+	DrainOverdue bool
 
 	target Target
 	// running counts the requests in flight on the upstream.
 	running int
 	// observed is the last reading. fresh is set when it is newer than the last order.
-	observed Reading
+	observed EngineState
 	fresh    bool
 	// readInFlight is the serial of the reading in flight; 0 for none. Readings with a serial below minSerial are too old to use.
 	readInFlight uint64
@@ -161,8 +161,8 @@
 // State holds the upstreams by name.
 type State struct {
 	Upstreams map[string]*Upstream
-	// Order lists the upstreams' names in the order of the process's settings.
-	Order []string
+	// Names lists the upstreams' names in the order of the process's settings.
+	Names []string
 	// Incarnation is nil before Begin.
 	Incarnation *incarnation.State
 	// Slots holds the slots of each engine's service, by the key of their object.
@@ -190,7 +190,7 @@
 			u.Phase = member.Serving
 		}
 		s.Upstreams[u.Name] = &u
-		s.Order = append(s.Order, u.Name)
+		s.Names = append(s.Names, u.Name)
 	}
 	return s
 }
@@ -205,8 +205,8 @@
 // Target returns the state that the settings require of the upstream.
 func (u *Upstream) Target() Target { return u.target }
 
-// Started counts a new request in flight and returns its upstream, or nil when the upstream can't accept requests.
-func (s *State) Started(name string) *Upstream {
+// RequestStarted counts a new request in flight and returns its upstream, or nil when the upstream can't accept requests.
+func (s *State) RequestStarted(name string) *Upstream {
 	u := s.Upstreams[name]
 	if u == nil || u.Phase != member.Serving {
 		return nil
@@ -215,17 +215,17 @@
 	return u
 }
 
-// Finished records that a request is no longer in flight.
-func (s *State) Finished(name string) {
+// RequestFinished records that a request is no longer in flight.
+func (s *State) RequestFinished(name string) {
 	if u := s.Upstreams[name]; u != nil {
 		u.running--
 	}
 }
 
-// MayOrder reports whether an order to the upstream may start or continue now. The shell checks it between the chunks of an order.
-func (s *State) MayOrder(name string, now time.Time) bool {
+// OrderAllowed reports whether an order to the upstream may start or continue now. The shell checks it between the chunks of an order.
+func (s *State) OrderAllowed(name string, now time.Time) bool {
 	u := s.Upstreams[name]
-	return u != nil && s.Incarnation != nil && s.Incarnation.MayOrder(now, u.target.IgnoresFencing)
+	return u != nil && s.Incarnation != nil && s.Incarnation.OrdersAllowed(now, u.target.IgnoresFencing)
 }
 
 // Reduce handles one input and returns the effects for the shell. complete reports whether all chunks of a version are on this
@@ -234,7 +234,7 @@
 	before := s.advertised()
 	effects = s.handle(in)
 	effects = append(effects, s.advance(in, complete)...)
-	for i, name := range s.Order {
+	for i, name := range s.Names {
 		changed = changed || before[i] != s.Upstreams[name].Upstream
 	}
 	return changed, effects
@@ -242,8 +242,8 @@
 
 // advertised returns a copy of the advertised state of all upstreams.
 func (s *State) advertised() []member.Upstream {
-	list := make([]member.Upstream, 0, len(s.Order))
-	for _, name := range s.Order {
+	list := make([]member.Upstream, 0, len(s.Names))
+	for _, name := range s.Names {
 		list = append(list, s.Upstreams[name].Upstream)
 	}
 	return list
@@ -251,11 +251,11 @@
 
 func (s *State) handle(in step.Input) []step.Effect {
 	switch ev := in.Event.(type) {
-	case Begin:
+	case OrdersEnabled:
 		s.timing = ev.Timing.withDefaults()
 		s.Incarnation = incarnation.NewState(ev.Host, ev.Holder, ev.Timing.Incarnation)
 		s.createSlots(ev)
-	case ReleaseAsked:
+	case ReleaseRequested:
 		s.releasing = true
 	case incarnation.Event:
 		if s.Incarnation != nil {
@@ -265,7 +265,7 @@
 		s.reduceSlots(in, ev.Key)
 	case slot.Failed:
 		s.reduceSlots(in, ev.Key)
-	case Doubted:
+	case StateReadRequested:
 		if u := s.Upstreams[ev.Upstream]; u != nil {
 			u.nextReadAt = in.Now
 		}
@@ -286,7 +286,7 @@
 	}
 	var effects []step.Effect
 	s.renewLease = false
-	for _, name := range s.Order {
+	for _, name := range s.Names {
 		u := s.Upstreams[name]
 		if u.Kind != setting.Engine {
 			continue
@@ -303,9 +303,9 @@
 	if s.releasing && !s.orderInFlight() {
 		s.Incarnation.Release()
 	}
-	if s.raiseNumber && s.Incarnation.Settled() {
+	if s.raiseNumber && s.Incarnation.Idle() {
 		s.raiseNumber = false
-		return s.Incarnation.Raise(in.Now)
+		return s.Incarnation.AcquireHigher(in.Now)
 	}
 	return s.Incarnation.Advance(in.Now, s.renewLease)
 }
--- a/internal/core/rollout/slots.go
+++ b/internal/core/rollout/slots.go
@@ -9,9 +9,9 @@
 )
 
 // createSlots creates the slots of the services of this host's engines.
-func (s *State) createSlots(ev Begin) {
+func (s *State) createSlots(ev OrdersEnabled) {
 	s.Slots = map[string]*slot.Service{}
-	for _, name := range s.Order {
+	for _, name := range s.Names {
 		u := s.Upstreams[name]
 		if u.Kind == setting.Engine {
 			s.Slots[slot.Key(u.Team, u.Service)] = slot.NewService(u.Team, u.Service, ev.Host, ev.Timing.Slots)
@@ -30,7 +30,7 @@
 
 // holdsSlot reports whether the engine holds a valid slot, which permits it to be out of service.
 func (s *State) holdsSlot(u *Upstream, now time.Time) bool {
-	return s.slotsOf(u).Valid(u.Name, s.Incarnation.Number, now)
+	return s.slotsOf(u).HoldsValidSlot(u.Name, s.Incarnation.Number, now)
 }
 
 // advanceSlots makes the calls for slots that are due. A superseded agent makes none, because its successor keeps or releases
@@ -41,14 +41,14 @@
 	}
 	var effects []step.Effect
 	done := map[string]bool{}
-	for _, name := range s.Order {
+	for _, name := range s.Names {
 		u := s.Upstreams[name]
 		key := slot.Key(u.Team, u.Service)
 		service := s.Slots[key]
 		if service == nil || done[key] || u.target.MaxUnavailable == 0 {
 			continue
 		}
-		if u.target.IgnoresFencing && !s.Incarnation.Clear(in.Now) {
+		if u.target.IgnoresFencing && !s.Incarnation.FormerOrdersExpired(in.Now) {
 			continue
 		}
 		done[key] = true
--- a/internal/core/routing/prefix.go
+++ b/internal/core/routing/prefix.go
@@ -22,8 +22,8 @@
 	MaxPrefixes = 4096
 	// MaxHolders is the maximum number of upstreams that are remembered for a prefix.
 	MaxHolders = 4
-	// MaxCacheNews is the maximum number of cache events in one report.
-	MaxCacheNews = 64
+	// MaxCacheEvents is the maximum number of cache events in one report.
+	MaxCacheEvents = 64
 )
 
 // CacheEvent is one change of an engine's prefix cache.
@@ -33,22 +33,22 @@
 	Evicted bool `json:"e,omitempty"`
 }
 
-// CacheNews holds changes of an engine's prefix cache. They arrive with a delay and may be incomplete.
-type CacheNews struct {
-	// Boot identifies the engine's instance. Another instance starts with an empty cache.
-	Boot string `json:"boot,omitempty"`
+// CacheChanges holds changes of an engine's prefix cache. They arrive with a delay and may be incomplete.
+type CacheChanges struct {
+	// BootID identifies the engine's instance. Another instance starts with an empty cache.
+	BootID string `json:"boot,omitempty"`
 	// Seq is the sequence number of the last change included.
 	Seq uint64 `json:"seq"`
-	// Gap reports whether earlier changes are missing because the agent no longer keeps them. Everything known of the
+	// Incomplete reports whether earlier changes are missing because the agent no longer keeps them. Everything known of the
 	// cache is then invalid. Changes that the engine itself lost can't be detected; HolderMaxAge bounds their effect.
-	Gap    bool         `json:"gap,omitempty"`
-	Events []CacheEvent `json:"events,omitempty"`
+	Incomplete bool         `json:"gap,omitempty"`
+	Events     []CacheEvent `json:"events,omitempty"`
 }
 
-// CacheMark identifies the last change of an engine's prefix cache that an entry has received.
-type CacheMark struct {
-	Boot string `json:"boot,omitempty"`
-	Seq  uint64 `json:"seq,omitempty"`
+// CachePosition identifies the last change of an engine's prefix cache that an entry has received.
+type CachePosition struct {
+	BootID string `json:"boot,omitempty"`
+	Seq    uint64 `json:"seq,omitempty"`
 }
 
 // PrefixHash returns the hash of the first PrefixCharacters characters of a prompt. Engines identify prefixes by the
@@ -205,14 +205,14 @@
 
 // apply applies an engine's cache changes to the index. It skips prefixes that are not in the index, which would fill
 // the memory with prefixes that this entry never gets requests for.
-func (p *prefixIndex) apply(now time.Time, u *upstream, changes *CacheNews) {
+func (p *prefixIndex) apply(now time.Time, u *upstream, changes *CacheChanges) {
 	if changes == nil {
 		return
 	}
-	if changes.Gap || changes.Boot != u.cache.Boot && u.cache.Boot != "" {
+	if changes.Incomplete || changes.BootID != u.cache.BootID && u.cache.BootID != "" {
 		u.cacheEpoch++
 	}
-	u.cache = CacheMark{Boot: changes.Boot, Seq: changes.Seq}
+	u.cache = CachePosition{BootID: changes.BootID, Seq: changes.Seq}
 	for _, e := range changes.Events {
 		if p.get(e.Prefix) == nil {
 			continue
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -21,15 +21,15 @@
 	Affinity Policy = "affinity"
 	// Random chooses a random upstream.
 	Random Policy = "random"
-	// Least chooses the upstream with the fewest requests of this entry in flight.
-	Least Policy = "least"
-	// Two chooses, of two random upstreams, the one with fewer requests of this entry in flight.
-	Two Policy = "two"
+	// LeastInFlight chooses the upstream with the fewest requests of this entry in flight.
+	LeastInFlight Policy = "least"
+	// TwoChoices chooses, of two random upstreams, the one with fewer requests of this entry in flight.
+	TwoChoices Policy = "two"
 )
 
 // ValidPolicy reports whether p is one of the policies.
 func ValidPolicy(p Policy) bool {
-	return p == Affinity || p == Random || p == Least || p == Two
+	return p == Affinity || p == Random || p == LeastInFlight || p == TwoChoices
 }
 
 // Self identifies an entry and its location in the fleet, and holds its routing policy. Place is its data centre.
@@ -168,9 +168,9 @@
 	switch s.Self.Policy {
 	case Random:
 		return usable[in.Rand%uint64(len(usable))]
-	case Least:
+	case LeastInFlight:
 		return leastInFlight(in.Rand, usable)
-	case Two:
+	case TwoChoices:
 		return twoChoices(in.Rand, usable, func(u *upstream) float64 { return float64(u.inFlight) })
 	}
 	if q.Prefix != 0 {
@@ -253,9 +253,9 @@
 	svc.prefixes.apply(now, u, r.Cache)
 }
 
-// Left records that an agent accepts no new requests because it is shutting down. This takes precedence over the host
+// AgentLeaving records that an agent accepts no new requests because it is shutting down. This takes precedence over the host
 // list and the agent's advertisement. A report of an earlier instance of the agent does not apply to the present one.
-func (s *State) Left(now time.Time, c member.Candidate) {
+func (s *State) AgentLeaving(now time.Time, c member.Candidate) {
 	for _, svc := range s.services {
 		for _, u := range svc.byKey {
 			if u.candidate.Address == c.Address && u.candidate.Incarnation == c.Incarnation {
@@ -265,8 +265,8 @@
 	}
 }
 
-// CacheSeen identifies the last change of an upstream's prefix cache that this entry has received.
-func (s *State) CacheSeen(service string, c member.Candidate) CacheMark {
+// CachePosition identifies the last change of an upstream's prefix cache that this entry has received.
+func (s *State) CachePosition(service string, c member.Candidate) CachePosition {
 	return s.service(service).upstream(c).cache
 }
 
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -188,7 +188,7 @@
 	all := candidates("perth-a", "west", 2)
 	d := newDriver(t, all)
 	d.pick(0)
-	d.s.Left(d.now, all[0])
+	d.s.AgentLeaving(d.now, all[0])
 	for range 50 {
 		require.Equal(t, all[1].Address, d.pick(0).Address)
 	}
@@ -210,7 +210,7 @@
 	d := newDriver(t, all)
 	d.pick(0)
 	previous := all[0]
-	d.s.Left(d.now, previous)
+	d.s.AgentLeaving(d.now, previous)
 	d.all = append([]member.Candidate(nil), all...)
 	d.all[0].Incarnation++
 	picked := func() bool {
@@ -221,10 +221,10 @@
 		return seen[previous.Address]
 	}
 	require.True(t, picked())
-	d.s.Left(d.now, previous)
+	d.s.AgentLeaving(d.now, previous)
 	d.s.Reported(d.now, svcKey, previous, Report{Leaving: true})
 	require.True(t, picked())
-	d.s.Left(d.now, d.all[0])
+	d.s.AgentLeaving(d.now, d.all[0])
 	require.False(t, picked())
 }
 
@@ -295,19 +295,19 @@
 	if other.Address == owner.Address {
 		other = d.all[1]
 	}
-	report := func(c member.Candidate, changes CacheNews) {
+	report := func(c member.Candidate, changes CacheChanges) {
 		d.s.Reported(d.now, svcKey, c, Report{Cache: &changes})
 	}
-	report(other, CacheNews{Boot: "b", Seq: 1, Events: []CacheEvent{{Prefix: 9}}})
+	report(other, CacheChanges{BootID: "b", Seq: 1, Events: []CacheEvent{{Prefix: 9}}})
 	require.Equal(t, owner.Address, d.pick(9).Address, "the owner has it too")
-	report(owner, CacheNews{Boot: "a", Seq: 1, Events: []CacheEvent{{Prefix: 9, Evicted: true}}})
+	report(owner, CacheChanges{BootID: "a", Seq: 1, Events: []CacheEvent{{Prefix: 9, Evicted: true}}})
 	require.Equal(t, owner.Address, d.pick(9).Address, "an eviction older than the last use is ignored")
 	d.now = d.now.Add(MaxEventDelay + time.Second)
-	report(owner, CacheNews{Boot: "a", Seq: 2, Events: []CacheEvent{{Prefix: 9, Evicted: true}}})
+	report(owner, CacheChanges{BootID: "a", Seq: 2, Events: []CacheEvent{{Prefix: 9, Evicted: true}}})
 	require.Equal(t, other.Address, d.pick(9).Address, "the owner evicted it, the other upstream has it")
-	report(other, CacheNews{Boot: "b", Seq: 600, Gap: true})
+	report(other, CacheChanges{BootID: "b", Seq: 600, Incomplete: true})
 	require.Equal(t, owner.Address, d.pick(9).Address, "after a gap no holder is known, so the owner gets it")
-	require.Equal(t, CacheMark{Boot: "b", Seq: 600}, d.s.CacheSeen(svcKey, other))
+	require.Equal(t, CachePosition{BootID: "b", Seq: 600}, d.s.CachePosition(svcKey, other))
 }
 
 // TestPrefixHolderExpires guards against a holder that is kept for ever because the event of its eviction was lost.
--- a/internal/core/routing/upstream.go
+++ b/internal/core/routing/upstream.go
@@ -24,12 +24,12 @@
 	// Limit is how many requests the agent currently admits; 0 if unknown.
 	Limit int `json:"limit,omitempty"`
 	// Waiting is how many requests waited at the engine outside its batch, according to its report AgeMS milliseconds ago.
-	Waiting int   `json:"waiting,omitempty"`
-	AgeMS   int64 `json:"age_ms,omitempty"`
+	Waiting      int   `json:"waiting,omitempty"`
+	WaitingAgeMS int64 `json:"age_ms,omitempty"`
 	// Leaving reports whether the agent is shutting down and accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
 	// Cache holds the changes of the engine's prefix cache that the entry has not received yet; nil for none.
-	Cache *CacheNews `json:"cache,omitempty"`
+	Cache *CacheChanges `json:"cache,omitempty"`
 }
 
 // upstream is the state that this entry keeps of one upstream.
@@ -50,7 +50,7 @@
 	// leavingUntil is the time until which the upstream gets no requests because its agent is shutting down.
 	leavingUntil time.Time
 	// cache identifies the last received change of the prefix cache.
-	cache CacheMark
+	cache CachePosition
 	// cacheEpoch is incremented when everything known of the cache becomes invalid.
 	cacheEpoch int
 
--- a/internal/core/run/health.go
+++ b/internal/core/run/health.go
@@ -19,8 +19,8 @@
 type Probe struct {
 	// Refused is set when the connection was refused.
 	Refused bool
-	// Silent is set when the probe timed out.
-	Silent bool
+	// TimedOut is set when the probe timed out.
+	TimedOut bool
 	// BootID identifies the engine's current instance; empty when the engine reported none.
 	BootID string
 }
@@ -32,7 +32,7 @@
 	switch {
 	case p.Refused:
 		return Crashing
-	case p.Silent:
+	case p.TimedOut:
 		return Unanswered
 	case kind != setting.Engine:
 		return Alive
--- a/internal/core/run/load.go
+++ b/internal/core/run/load.go
@@ -24,8 +24,8 @@
 // CacheRead carries the changes of its prefix cache that an engine reported. Reports can be late and incomplete.
 type CacheRead struct {
 	Upstream string
-	// Boot identifies the engine's instance.
-	Boot   string
+	// BootID identifies the engine's instance.
+	BootID string
 	Events []routing.CacheEvent
 }
 
@@ -115,7 +115,7 @@
 		u := l.upstream(ev.Upstream)
 		u.waiting = ev.Waiting
 		u.readAt = in.Now.Add(-ev.Age)
-		u.limiter.Queue(in.Now, ev.Running, ev.Waiting)
+		u.limiter.QueueReport(in.Now, ev.Running, ev.Waiting)
 	case CacheRead:
 		l.upstream(ev.Upstream).addCacheEvents(ev)
 	}
@@ -123,8 +123,8 @@
 
 // addCacheEvents appends cache changes. It drops the earlier ones if the engine has restarted.
 func (u *upstreamLoad) addCacheEvents(ev CacheRead) {
-	if ev.Boot != u.bootID {
-		u.bootID = ev.Boot
+	if ev.BootID != u.bootID {
+		u.bootID = ev.BootID
 		u.events = nil
 		u.seq = 0
 	}
@@ -136,7 +136,7 @@
 }
 
 // Report returns the load report on an upstream for an entry that has received the cache changes up to seen.
-func (l *Load) Report(now time.Time, name string, seen routing.CacheMark) routing.Report {
+func (l *Load) Report(now time.Time, name string, seen routing.CachePosition) routing.Report {
 	u := l.upstream(name)
 	r := routing.Report{Running: u.limiter.Running(), Limit: u.limiter.Limit(), Leaving: l.leaving}
 	if l.Unlimited {
@@ -144,27 +144,27 @@
 	}
 	if !u.readAt.IsZero() {
 		r.Waiting = u.waiting
-		r.AgeMS = now.Sub(u.readAt).Milliseconds()
+		r.WaitingAgeMS = now.Sub(u.readAt).Milliseconds()
 	}
-	if u.bootID != "" && seen != (routing.CacheMark{Boot: u.bootID, Seq: u.seq}) {
+	if u.bootID != "" && seen != (routing.CachePosition{BootID: u.bootID, Seq: u.seq}) {
 		r.Cache = u.cacheChanges(seen)
 	}
 	return r
 }
 
 // cacheChanges returns the cache changes after mark. Gap is set if some of them are no longer kept.
-func (u *upstreamLoad) cacheChanges(mark routing.CacheMark) *routing.CacheNews {
+func (u *upstreamLoad) cacheChanges(mark routing.CachePosition) *routing.CacheChanges {
 	seen := mark.Seq
-	if mark.Boot != u.bootID || seen > u.seq {
+	if mark.BootID != u.bootID || seen > u.seq {
 		seen = 0
 	}
 	oldest := u.seq - uint64(len(u.events))
-	changes := &routing.CacheNews{Boot: u.bootID, Gap: seen < oldest}
+	changes := &routing.CacheChanges{BootID: u.bootID, Incomplete: seen < oldest}
 	from := 0
 	if seen > oldest {
 		from = int(seen - oldest)
 	}
-	to := min(len(u.events), from+routing.MaxCacheNews)
+	to := min(len(u.events), from+routing.MaxCacheEvents)
 	changes.Events = u.events[from:to:to]
 	changes.Seq = oldest + uint64(to)
 	return changes
--- a/internal/core/run/reduce.go
+++ b/internal/core/run/reduce.go
@@ -11,14 +11,14 @@
 )
 
 // handleAsked decides whether a request starts, waits in the queue or is refused.
-func (s *State) handleAsked(in step.Input, ev Asked, upstreams *rollout.State, verdicts Verdicts) []step.Effect {
+func (s *State) handleAsked(in step.Input, ev StartRequested, upstreams *rollout.State, verdicts SuspectStatuses) []step.Effect {
 	if refusal, known := s.answerRepeated(ev); known {
 		return []step.Effect{refusal}
 	}
-	verdict := verdicts.Look(in.Now, ev.Fingerprint)
+	verdict := verdicts.Status(in.Now, ev.Fingerprint)
 	r := &Run{
 		Message: ev.Message, Upstream: ev.Upstream, Fingerprint: ev.Fingerprint,
-		Alone: ev.Alone || verdict == suspect.Suspect, call: ev.Call,
+		Exclusive: ev.Exclusive || verdict == suspect.Suspect, call: ev.Call,
 	}
 	if rejection := s.startRejection(ev, r, verdict, upstreams); rejection != 0 {
 		// A refused attempt is over. A second copy of its message must not start it.
@@ -26,7 +26,7 @@
 		return []step.Effect{Refuse{Call: ev.Call, ID: ev.ID, Code: rejection, Ran: code.NotRun}}
 	}
 	s.Running[ev.ID] = r
-	if r.Alone && s.occupied(ev.Upstream) {
+	if r.Exclusive && s.occupied(ev.Upstream) {
 		r.queued = true
 		s.queues[ev.Upstream] = append(s.queues[ev.Upstream], ev.ID)
 		return nil
@@ -36,7 +36,7 @@
 
 // answerRepeated answers a message that is not the first of its attempt, or that is for another incarnation of the
 // agent. The second result is false for any other message.
-func (s *State) answerRepeated(ev Asked) (step.Effect, bool) {
+func (s *State) answerRepeated(ev StartRequested) (step.Effect, bool) {
 	if ev.Incarnation != s.incarnation {
 		// This copy did not run. Only the entry can judge whether another copy reached the previous incarnation.
 		return Refuse{Call: ev.Call, ID: ev.ID, Code: code.AgentRestarted, Ran: code.NotRun}, true
@@ -57,7 +57,7 @@
 }
 
 // startRejection returns why an attempt must not start, or 0 when it may.
-func (s *State) startRejection(ev Asked, r *Run, verdict suspect.Verdict, upstreams *rollout.State) code.Code {
+func (s *State) startRejection(ev StartRequested, r *Run, verdict suspect.Status, upstreams *rollout.State) code.Code {
 	u := upstreams.Upstreams[ev.Upstream]
 	switch {
 	case s.stopping:
@@ -68,9 +68,9 @@
 		return code.UpstreamLoading
 	case ev.Digest != "" && u.Digest != ev.Digest:
 		return code.WeightsChanged
-	case !r.Alone && s.reserved(ev.Upstream):
+	case !r.Exclusive && s.reserved(ev.Upstream):
 		return code.UpstreamReserved
-	case !r.Alone && ev.Digest == "" && !s.Load.hasCapacity(ev.Upstream):
+	case !r.Exclusive && ev.Digest == "" && !s.Load.hasCapacity(ev.Upstream):
 		// A request with a digest continues an answer that has started. The concurrency limit does not cut it off.
 		return code.Overloaded
 	}
@@ -83,7 +83,7 @@
 		return true
 	}
 	for _, r := range s.runningOn[upstream] {
-		if r.Alone {
+		if r.Exclusive {
 			return true
 		}
 	}
@@ -97,7 +97,7 @@
 
 // start marks a run as running and returns the effect that starts it.
 func (s *State) start(in step.Input, r *Run, upstreams *rollout.State) step.Effect {
-	u := upstreams.Started(r.Upstream)
+	u := upstreams.RequestStarted(r.Upstream)
 	r.queued = false
 	r.bootID = u.BootID
 	s.Load.runStarted(in.Now, r.ID, r.Upstream)
@@ -105,8 +105,8 @@
 		s.runningOn[r.Upstream] = map[ID]*Run{}
 	}
 	for _, other := range s.runningOn[r.Upstream] {
-		other.Company = true
-		r.Company = true
+		other.Shared = true
+		r.Shared = true
 	}
 	s.runningOn[r.Upstream][r.ID] = r
 	return Start{Call: r.call, ID: r.ID, Upstream: u.Name, Kind: u.Kind, URL: u.URL, Digest: u.Digest, Generation: u.Generation, BootID: u.BootID}
@@ -126,7 +126,7 @@
 		ran = code.Unknown
 	}
 	s.recordOutcome(in.Now, r.Message, ran)
-	upstreams.Finished(r.Upstream)
+	upstreams.RequestFinished(r.Upstream)
 	return s.startNext(in, r.Upstream, upstreams)
 }
 
@@ -176,7 +176,7 @@
 }
 
 // handleFenced prevents an attempt from starting, or reports its outcome if it is already known.
-func (s *State) handleFenced(in step.Input, ev Fenced) []step.Effect {
+func (s *State) handleFenced(in step.Input, ev FenceRequested) []step.Effect {
 	a := FenceAnswer{Call: ev.Call, ID: ev.ID, Ran: code.Unknown}
 	if ev.Incarnation != s.incarnation {
 		return []step.Effect{a} // The previous incarnation may have run it.
--- a/internal/core/run/run.go
+++ b/internal/core/run/run.go
@@ -46,12 +46,12 @@
 	Message
 	Upstream    string
 	Fingerprint string
-	// Alone requests that no other request runs on the upstream at the same time.
-	Alone bool
+	// Exclusive requests that no other request runs on the upstream at the same time.
+	Exclusive bool
 	// bootID identifies the engine's instance that runs the request.
 	bootID string
-	// Company is set when another request ran on the upstream at any time during the run.
-	Company bool
+	// Shared is set when another request ran on the upstream at any time during the run.
+	Shared bool
 	// call is the message that the shell answers for this run.
 	call   uint64
 	queued bool
@@ -100,16 +100,16 @@
 	}
 }
 
-// Asked reports that an entry requests the start of an attempt.
-type Asked struct {
+// StartRequested reports that an entry requests the start of an attempt.
+type StartRequested struct {
 	// Call identifies the message that the shell answers. Two copies of a message have different calls.
 	Call uint64
 	Message
 	Upstream string
 	// Fingerprint identifies the request by its content, independent of its sender.
 	Fingerprint string
-	// Alone requests that no other request runs on the upstream at the same time.
-	Alone bool
+	// Exclusive requests that no other request runs on the upstream at the same time.
+	Exclusive bool
 	// Digest, if set, identifies the only version of the weights that the request may run under.
 	Digest string
 }
@@ -119,27 +119,27 @@
 	ID ID
 	// Ran reports whether the request ran; empty means unknown.
 	Ran code.Ran
-	// Whole is set when the answer is complete.
-	Whole bool
+	// Complete is set when the answer is complete.
+	Complete bool
 }
 
 // Crashed reports that the upstream crashed during a run.
 type Crashed struct{ ID ID }
 
-// Fenced reports that an entry abandoned an attempt, which must not start from now on.
-type Fenced struct {
+// FenceRequested reports that an entry abandoned an attempt, which must not start from now on.
+type FenceRequested struct {
 	Call uint64
 	Message
 }
 
-// StopAsked reports that a graceful shutdown started.
-type StopAsked struct{}
+// StopRequested reports that a graceful shutdown started.
+type StopRequested struct{}
 
 // Leaving reports whether the host takes no new work although the process keeps running.
-type Leaving struct{ Now bool }
+type Leaving struct{ Active bool }
 
 // Event marks the type as an event.
-func (Asked) Event() {}
+func (StartRequested) Event() {}
 
 // Event marks the type as an event.
 func (Finished) Event() {}
@@ -148,10 +148,10 @@
 func (Crashed) Event() {}
 
 // Event marks the type as an event.
-func (Fenced) Event() {}
+func (FenceRequested) Event() {}
 
 // Event marks the type as an event.
-func (StopAsked) Event() {}
+func (StopRequested) Event() {}
 
 // Event marks the type as an event.
 func (Leaving) Event() {}
@@ -204,15 +204,15 @@
 // Effect marks the type as an effect.
 func (FenceAnswer) Effect() {}
 
-// Verdicts returns the verdict on a request's fingerprint: whether it is suspect or quarantined.
-type Verdicts interface {
-	Look(now time.Time, fingerprint string) suspect.Verdict
+// SuspectStatuses returns the verdict on a request's fingerprint: whether it is suspect or quarantined.
+type SuspectStatuses interface {
+	Status(now time.Time, fingerprint string) suspect.Status
 }
 
 // Reduce handles one input.
-func (s *State) Reduce(in step.Input, upstreams *rollout.State, verdicts Verdicts) []step.Effect {
+func (s *State) Reduce(in step.Input, upstreams *rollout.State, verdicts SuspectStatuses) []step.Effect {
 	switch ev := in.Event.(type) {
-	case Asked:
+	case StartRequested:
 		return s.handleAsked(in, ev, upstreams, verdicts)
 	case Crashed:
 		if r := s.Running[ev.ID]; r != nil {
@@ -220,14 +220,14 @@
 		}
 	case Finished:
 		return s.handleFinished(in, ev, upstreams)
-	case Fenced:
+	case FenceRequested:
 		return s.handleFenced(in, ev)
-	case StopAsked:
+	case StopRequested:
 		s.stopping = true
 		s.Load.leaving = true
 	case Leaving:
-		s.stopping = ev.Now
-		s.Load.leaving = ev.Now
+		s.stopping = ev.Active
+		s.Load.leaving = ev.Active
 	case FirstByte, LoadRead, CacheRead:
 		s.Load.reduce(in)
 	case step.Tick:
--- a/internal/core/run/run_test.go
+++ b/internal/core/run/run_test.go
@@ -29,10 +29,10 @@
 }
 
 // verdicts holds the verdicts on fingerprints in a test.
-type verdicts map[string]suspect.Verdict
+type verdicts map[string]suspect.Status
 
-// Look returns the verdict on a fingerprint.
-func (m verdicts) Look(_ time.Time, fingerprint string) suspect.Verdict { return m[fingerprint] }
+// Status returns the verdict on a fingerprint.
+func (m verdicts) Status(_ time.Time, fingerprint string) suspect.Status { return m[fingerprint] }
 
 func upstreams() *rollout.State {
 	return rollout.NewState([]rollout.Upstream{{Upstream: member.Upstream{Name: "p", Kind: setting.Plain}}})
@@ -49,7 +49,7 @@
 	verdicts    verdicts
 	sequence    uint64
 	calls       uint64
-	inFlight    []Asked
+	inFlight    []StartRequested
 	sent        []Message
 	started     map[ID]int
 	notRun      map[ID]bool
@@ -115,7 +115,7 @@
 func (n *network) checkSuspectsRunAlone() {
 	for _, id := range n.running {
 		r := n.agent.Running[id]
-		require.False(n.t, r.Alone && len(n.running) > 1, "a suspect runs along with another request")
+		require.False(n.t, r.Exclusive && len(n.running) > 1, "a suspect runs along with another request")
 	}
 }
 
@@ -124,7 +124,7 @@
 	fingerprint := rapid.SampledFrom([]string{"", "a", "suspect"}).Draw(t, "fingerprint")
 	m := Message{ID: ID{fmt.Sprint(n.sequence), 1}, Incarnation: n.incarnation, Entry: "e", Sequence: n.sequence}
 	n.sent = append(n.sent, m)
-	n.inFlight = append(n.inFlight, Asked{Message: m, Upstream: "p", Fingerprint: fingerprint})
+	n.inFlight = append(n.inFlight, StartRequested{Message: m, Upstream: "p", Fingerprint: fingerprint})
 }
 
 // deliver delivers a message that is in flight, and may leave a copy for later. Copies reach only the incarnation that
@@ -153,7 +153,7 @@
 	if len(n.sent) == 0 {
 		t.Skip()
 	}
-	n.step(Fenced{Message: rapid.SampledFrom(n.sent).Draw(t, "try")})
+	n.step(FenceRequested{Message: rapid.SampledFrom(n.sent).Draw(t, "try")})
 }
 
 func (n *network) finish(t *rapid.T) {
@@ -163,7 +163,7 @@
 	i := rapid.IntRange(0, len(n.running)-1).Draw(t, "run")
 	id := n.running[i]
 	n.running = append(n.running[:i:i], n.running[i+1:]...)
-	n.step(Finished{ID: id, Ran: code.DidRun, Whole: true})
+	n.step(Finished{ID: id, Ran: code.DidRun, Complete: true})
 }
 
 func (n *network) advanceTime(t *rapid.T) {
@@ -196,7 +196,7 @@
 
 func sendAttempt(s *State, u *rollout.State, sequence uint64, alone bool) []step.Effect {
 	m := Message{ID: ID{fmt.Sprint(sequence), 1}, Incarnation: 1, Entry: "e", Sequence: sequence}
-	ev := Asked{Call: sequence, Message: m, Upstream: "p", Alone: alone}
+	ev := StartRequested{Call: sequence, Message: m, Upstream: "p", Exclusive: alone}
 	return s.Reduce(step.Input{Now: time.Unix(1000, 0), Event: ev}, u, verdicts{})
 }
 
@@ -223,7 +223,7 @@
 	s, u := NewState(1), upstreams()
 	sendAttempt(s, u, 1, false)
 	sendAttempt(s, u, 2, true)
-	s.Reduce(step.Input{Event: StopAsked{}}, u, verdicts{})
+	s.Reduce(step.Input{Event: StopRequested{}}, u, verdicts{})
 	effects := s.Reduce(step.Input{Now: time.Unix(1000, 0), Event: step.Tick{}}, u, verdicts{})
 	require.Len(t, effects, 1)
 	assert.Equal(t, Refuse{Call: 2, ID: ID{"2", 1}, Code: code.Stopping, Ran: code.NotRun}, effects[0])
@@ -241,11 +241,11 @@
 		"another life":                 {setting.Engine, "b1", Probe{BootID: "b2"}, Crashing},
 		"no life yet":                  {setting.Engine, "b1", Probe{}, Crashing},
 		"nothing listens":              {setting.Engine, "b1", Probe{Refused: true}, Crashing},
-		"no answer":                    {setting.Engine, "b1", Probe{Silent: true}, Unanswered},
+		"no answer":                    {setting.Engine, "b1", Probe{TimedOut: true}, Unanswered},
 		"the life before is not known": {setting.Engine, "", Probe{BootID: "b1"}, Alive},
 		"plain and listening":          {setting.Plain, "", Probe{}, Alive},
 		"plain and gone":               {setting.Plain, "", Probe{Refused: true}, Crashing},
-		"plain and frozen":             {setting.Plain, "", Probe{Silent: true}, Unanswered},
+		"plain and frozen":             {setting.Plain, "", Probe{TimedOut: true}, Unanswered},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/core/served.go
+++ b/internal/core/served.go
@@ -12,24 +12,24 @@
 // servedInterval is the time between two rounds of AskServed while an engine of this host does not serve its target.
 const servedInterval = 2 * time.Second
 
-// AskServed is the effect that asks an entry which versions of a service are served. Agents need it because they hold no
+// QueryServed is the effect that asks an entry which versions of a service are served. Agents need it because they hold no
 // phases of other hosts.
-type AskServed struct {
+type QueryServed struct {
 	To  string
 	Key string
 }
 
-// ServedRead is the event that an entry answered AskServed.
-type ServedRead struct {
+// ServedReceived is the event that an entry answered AskServed.
+type ServedReceived struct {
 	Key     string
 	Digests []string
 }
 
 // Effect marks the type as an effect.
-func (AskServed) Effect() {}
+func (QueryServed) Effect() {}
 
 // Event marks the type as an event.
-func (ServedRead) Event() {}
+func (ServedReceived) Event() {}
 
 // Served returns the digests of the versions of a service that are being served, sorted.
 func (s *State) Served(key string) []string {
@@ -45,7 +45,7 @@
 	return list
 }
 
-func (s *State) applyServed(ev ServedRead) {
+func (s *State) applyServed(ev ServedReceived) {
 	s.reportedServed[ev.Key] = ev.Digests
 	s.replan = true
 }
@@ -62,7 +62,7 @@
 	s.nextServed = in.Now.Add(servedInterval)
 	asked := map[string]bool{}
 	var effects []step.Effect
-	for _, name := range s.Rollout.Order {
+	for _, name := range s.Rollout.Names {
 		u := s.Rollout.Upstreams[name]
 		key := setting.Key(u.Team, u.Service)
 		target, known := s.Settings[key]
@@ -70,7 +70,7 @@
 			continue
 		}
 		asked[key] = true
-		effects = append(effects, AskServed{To: entries[in.Rand%uint64(len(entries))], Key: key})
+		effects = append(effects, QueryServed{To: entries[in.Rand%uint64(len(entries))], Key: key})
 	}
 	return effects
 }
--- a/internal/core/slot/slot.go
+++ b/internal/core/slot/slot.go
@@ -14,17 +14,17 @@
 	// Expiry is how long a heartbeat must stay unchanged, under observation without a gap, before its slot may be
 	// removed.
 	Expiry time.Duration
-	// Poll is the minimum interval between two reads of the object while waiting for a free slot.
-	Poll time.Duration
-	// Patience is how long an engine waits for its turn before it requests a slot out of turn.
-	Patience time.Duration
+	// PollInterval is the minimum interval between two reads of the object while waiting for a free slot.
+	PollInterval time.Duration
+	// TurnTimeout is how long an engine waits for its turn before it requests a slot out of turn.
+	TurnTimeout time.Duration
 }
 
 // Default timing.
 const (
-	DefaultExpiry   = 30 * time.Second
-	DefaultPoll     = 500 * time.Millisecond
-	DefaultPatience = 10 * time.Second
+	DefaultExpiry       = 30 * time.Second
+	DefaultPollInterval = 500 * time.Millisecond
+	DefaultTurnTimeout  = 10 * time.Second
 )
 
 const (
@@ -49,11 +49,11 @@
 	if t.Expiry == 0 {
 		t.Expiry = DefaultExpiry
 	}
-	if t.Poll == 0 {
-		t.Poll = DefaultPoll
+	if t.PollInterval == 0 {
+		t.PollInterval = DefaultPollInterval
 	}
-	if t.Patience == 0 {
-		t.Patience = DefaultPatience
+	if t.TurnTimeout == 0 {
+		t.TurnTimeout = DefaultTurnTimeout
 	}
 	return t
 }
@@ -160,8 +160,8 @@
 // engineID returns the engine's identifier, HOST/NAME.
 func (s *Service) engineID(engine string) string { return s.host + "/" + engine }
 
-// Want requests a slot for an engine that serves and is to become unavailable. rank is its turn, from 0.
-func (s *Service) Want(engine string, rank int, now time.Time) {
+// Request requests a slot for an engine that serves and is to become unavailable. rank is its turn, from 0.
+func (s *Service) Request(engine string, rank int, now time.Time) {
 	id := s.engineID(engine)
 	r, known := s.requests[id]
 	if !known || r.keepOnly {
@@ -179,12 +179,12 @@
 	}
 }
 
-// Done releases the slot of an engine that serves again.
-func (s *Service) Done(engine string) { delete(s.requests, s.engineID(engine)) }
+// Release releases the slot of an engine that serves again.
+func (s *Service) Release(engine string) { delete(s.requests, s.engineID(engine)) }
 
-// Valid reports whether an engine of this host holds a valid slot at now. After a pause of the process the slot is
+// HoldsValidSlot reports whether an engine of this host holds a valid slot at now. After a pause of the process the slot is
 // invalid until it was written again, because other agents may have removed it.
-func (s *Service) Valid(engine string, fencing uint64, now time.Time) bool {
+func (s *Service) HoldsValidSlot(engine string, fencing uint64, now time.Time) bool {
 	h, held := s.table.holderOf(s.engineID(engine))
 	if !held || h.Fencing != fencing {
 		return false
@@ -200,13 +200,13 @@
 	case Present:
 		s.receive(in.Now, ev)
 		if ev.Conflict {
-			s.nextCallAt = in.Now.Add(jitter(in, s.timing.Poll/conflictJitterDivisor))
+			s.nextCallAt = in.Now.Add(jitter(in, s.timing.PollInterval/conflictJitterDivisor))
 		}
 	case Failed:
 		// The outcome is unknown, and the observation has a gap.
 		s.stale = true
 		s.observations = map[string]observation{}
-		s.nextCallAt = in.Now.Add(s.timing.Poll + jitter(in, s.timing.Poll))
+		s.nextCallAt = in.Now.Add(s.timing.PollInterval + jitter(in, s.timing.PollInterval))
 	}
 }
 
@@ -258,7 +258,7 @@
 	if len(s.requesters(in.Now, maxUnavailable)) == 0 || in.Now.Before(s.nextPollAt) {
 		return nil
 	}
-	s.nextPollAt = in.Now.Add(s.timing.Poll + jitter(in, s.timing.Poll))
+	s.nextPollAt = in.Now.Add(s.timing.PollInterval + jitter(in, s.timing.PollInterval))
 	return s.read()
 }
 
@@ -321,7 +321,7 @@
 		if _, held := s.table.holderOf(engine); held || r.keepOnly {
 			continue
 		}
-		if r.rank < requestersPerSlot*maxUnavailable || now.Sub(r.since) >= s.timing.Patience {
+		if r.rank < requestersPerSlot*maxUnavailable || now.Sub(r.since) >= s.timing.TurnTimeout {
 			list = append(list, engine)
 		}
 	}
--- a/internal/core/slot/slot_test.go
+++ b/internal/core/slot/slot_test.go
@@ -138,7 +138,7 @@
 func (m *model) validSlots() int {
 	n := 0
 	for _, a := range m.agents {
-		if a.service.Valid(engine, a.fencing, m.now) {
+		if a.service.HoldsValidSlot(engine, a.fencing, m.now) {
 			n++
 		}
 	}
@@ -162,9 +162,9 @@
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"want":   onAgent(func(a *agent) { a.service.Want(engine, 0, m.now) }),
+			"want":   onAgent(func(a *agent) { a.service.Request(engine, 0, m.now) }),
 			"keep":   onAgent(func(a *agent) { a.service.Keep(engine, m.now) }),
-			"done":   onAgent(func(a *agent) { a.service.Done(engine) }),
+			"done":   onAgent(func(a *agent) { a.service.Release(engine) }),
 			"tick":   onAgent(m.advance),
 			"arrive": onAgent(m.applyCall),
 			"answer": onAgent(m.deliver),
@@ -208,19 +208,19 @@
 func TestSlotOfDeadHolderExpires(t *testing.T) {
 	m := newModel(2, 1)
 	dead, next := m.agents[0], m.agents[1]
-	dead.service.Want(engine, 0, m.now)
+	dead.service.Request(engine, 0, m.now)
 	m.round(dead)
 	m.round(dead)
 	require.Equal(t, 1, m.validSlots())
-	next.service.Want(engine, 0, m.now)
+	next.service.Request(engine, 0, m.now)
 	m.observe(next, DefaultExpiry-2*time.Second)
-	require.False(t, next.service.Valid(engine, next.fencing, m.now))
+	require.False(t, next.service.HoldsValidSlot(engine, next.fencing, m.now))
 	m.now = m.now.Add(10 * DefaultExpiry)
 	m.observe(next, DefaultExpiry-2*time.Second)
-	require.False(t, next.service.Valid(engine, next.fencing, m.now), "the gap in the observation was counted")
+	require.False(t, next.service.HoldsValidSlot(engine, next.fencing, m.now), "the gap in the observation was counted")
 	m.observe(next, 4*time.Second)
-	require.True(t, next.service.Valid(engine, next.fencing, m.now))
-	require.False(t, dead.service.Valid(engine, dead.fencing, m.now))
+	require.True(t, next.service.HoldsValidSlot(engine, next.fencing, m.now))
+	require.False(t, dead.service.HoldsValidSlot(engine, dead.fencing, m.now))
 }
 
 // observe lets an agent read the slots every second for d.
@@ -235,15 +235,15 @@
 func TestRestartedAgentKeepsSlot(t *testing.T) {
 	m := newModel(1, 1)
 	a := m.agents[0]
-	a.service.Want(engine, 0, m.now)
+	a.service.Request(engine, 0, m.now)
 	m.round(a)
 	m.round(a)
 	m.restart(a, 0)
 	a.service.Keep(engine, m.now)
 	m.round(a)
 	m.round(a)
-	require.True(t, a.service.Valid(engine, a.fencing, m.now))
-	a.service.Done(engine)
+	require.True(t, a.service.HoldsValidSlot(engine, a.fencing, m.now))
+	a.service.Release(engine)
 	m.round(a)
 	require.Empty(t, parse(m.value).Holders)
 }
@@ -253,13 +253,13 @@
 func TestLostWriteAnswerIsResolvedByRead(t *testing.T) {
 	m := newModel(1, 1)
 	a := m.agents[0]
-	a.service.Want(engine, 0, m.now)
+	a.service.Request(engine, 0, m.now)
 	m.round(a)
 	m.advance(a)
 	m.applyCall(a)
 	m.failCall(a)
-	m.now = m.now.Add(2 * DefaultPoll)
+	m.now = m.now.Add(2 * DefaultPollInterval)
 	m.round(a)
-	require.True(t, a.service.Valid(engine, a.fencing, m.now))
+	require.True(t, a.service.HoldsValidSlot(engine, a.fencing, m.now))
 	require.Equal(t, 1, m.writes)
 }
--- a/internal/core/source/source.go
+++ b/internal/core/source/source.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// LeastEntries is the minimum number of entries in a data centre for one of them to read for the others. The reader calls the
+	// MinEntries is the minimum number of entries in a data centre for one of them to read for the others. The reader calls the
 	// store up to three times as often as it would for itself alone, so that a smaller group saves no calls.
-	LeastEntries = 4
-	// Candidates is the number of entries of a small data centre that are reported as sources: the reader and two replacements.
-	Candidates = 3
+	MinEntries = 4
+	// CandidateCount is the number of entries of a small data centre that are reported as sources: the reader and two replacements.
+	CandidateCount = 3
 	// minFanOut is the number of entries that may read from one before a second level is needed. The answer to an initial read is
 	// some hundred kilobytes, and the host with the slowest link can send this many of them per second.
 	minFanOut = 8
@@ -33,28 +33,28 @@
 	failureBackoff = 2 * time.Second
 )
 
-// Told reports the entries of the data centre, as counted by another process.
-type Told struct {
+// EntriesReported reports the entries of the data centre, as counted by another process.
+type EntriesReported struct {
 	// Entries are the addresses of the entries that rank first in the data centre. Count is the number of all its entries.
-	Entries []string
-	Count   int
+	Entries    []string
+	EntryCount int
 }
 
-// Failed reports that an entry didn't answer as a source, or had no current data from the store itself.
-type Failed struct{ Address string }
+// PeerFailed reports that an entry didn't answer as a source, or had no current data from the store itself.
+type PeerFailed struct{ Address string }
 
 // Event marks the type as an event.
-func (Told) Event() {}
+func (EntriesReported) Event() {}
 
 // Event marks the type as an event.
-func (Failed) Event() {}
+func (PeerFailed) Event() {}
 
 // Changed tells the shell to read from another source from now on.
 type Changed struct {
 	// Address is the entry to read from; empty for the store.
 	Address string
-	// Entries is the number of entries in the data centre, as far as this process knows.
-	Entries int
+	// EntryCount is the number of entries in the data centre, as far as this process knows.
+	EntryCount int
 }
 
 // Effect marks the type as an effect.
@@ -87,9 +87,9 @@
 // Reduce handles one input and returns the effects to carry out.
 func (s *State) Reduce(in step.Input) []step.Effect {
 	switch ev := in.Event.(type) {
-	case Told:
+	case EntriesReported:
 		s.recordReport(in.Now, ev)
-	case Failed:
+	case PeerFailed:
 		s.failedAt[ev.Address] = in.Now
 	case step.Tick:
 		s.expire(in.Now)
@@ -101,18 +101,18 @@
 		return nil
 	}
 	s.address = address
-	return []step.Effect{Changed{Address: address, Entries: s.count}}
+	return []step.Effect{Changed{Address: address, EntryCount: s.count}}
 }
 
-func (s *State) recordReport(now time.Time, ev Told) {
+func (s *State) recordReport(now time.Time, ev EntriesReported) {
 	for _, e := range ev.Entries {
 		s.reportedAt[e] = now
 	}
 	// A process undercounts for a while after its start, or always if it never receives from some entries. The highest count of
 	// the last seconds is therefore the best estimate.
-	s.recentCount = max(s.recentCount, ev.Count)
-	if ev.Count >= s.count {
-		s.count, s.countAt = ev.Count, now
+	s.recentCount = max(s.recentCount, ev.EntryCount)
+	if ev.EntryCount >= s.count {
+		s.count, s.countAt = ev.EntryCount, now
 	}
 }
 
@@ -133,7 +133,7 @@
 }
 
 func (s *State) choose(now time.Time) string {
-	if s.count < LeastEntries {
+	if s.count < MinEntries {
 		return ""
 	}
 	healthy := s.healthyEntries(now)
@@ -177,9 +177,9 @@
 	return max(minFanOut, int(math.Ceil(math.Sqrt(float64(entries)))))
 }
 
-// First returns the entries that are reported as sources to the entries of a data centre: those that are read from, and spares.
-func First(dataCentre string, entries []string) []string {
-	count := Candidates
+// EntryCandidates returns the entries that are reported as sources to the entries of a data centre: those that are read from, and spares.
+func EntryCandidates(dataCentre string, entries []string) []string {
+	count := CandidateCount
 	if secondLevel := fanOut(len(entries)); len(entries) > secondLevel+1 {
 		count = 1 + secondLevel + spareCandidates
 	}
@@ -187,8 +187,8 @@
 	return ranked[:min(count, len(ranked))]
 }
 
-// For returns the entries that are reported to an agent as sources. Different agents receive different ones, which spreads the load.
-func For(agent string, entries []string) []string {
+// AgentCandidates returns the entries that are reported to an agent as sources. Different agents receive different ones, which spreads the load.
+func AgentCandidates(agent string, entries []string) []string {
 	ranked := step.Rank(agent, entries)
-	return ranked[:min(Candidates, len(ranked))]
+	return ranked[:min(CandidateCount, len(ranked))]
 }
--- a/internal/core/source/source_test.go
+++ b/internal/core/source/source_test.go
@@ -35,14 +35,14 @@
 	return list
 }
 
-func report(n int) source.Told {
-	return source.Told{Entries: source.First("perth-a", entries(n)), Count: n}
+func report(n int) source.EntriesReported {
+	return source.EntriesReported{Entries: source.EntryCandidates("perth-a", entries(n)), EntryCount: n}
 }
 
 // TestSmallDataCentreReadsTheStore guards against a tree in a data centre too small to save any calls by it.
 func TestSmallDataCentreReadsTheStore(t *testing.T) {
 	p := newProcess("10.0.0.99:7700", false)
-	require.Empty(t, p.after(0, report(source.LeastEntries-1)))
+	require.Empty(t, p.after(0, report(source.MinEntries-1)))
 	require.Empty(t, p.Address())
 }
 
@@ -52,7 +52,7 @@
 	from := map[string]string{}
 	for _, self := range all {
 		p := &process{State: source.NewState(self, dataCentre, false), now: time.Unix(1000, 0)}
-		p.after(0, source.Told{Entries: source.First(dataCentre, all), Count: n})
+		p.after(0, source.EntriesReported{Entries: source.EntryCandidates(dataCentre, all), EntryCount: n})
 		from[self] = p.Address()
 	}
 	return from
@@ -61,8 +61,8 @@
 // TestEntriesOfALargeDataCentreReadThroughOneEntry guards against two entries of a data centre that both read the store, and against
 // entries that read from each other in a cycle: each must reach the first entry through at most one other.
 func TestEntriesOfALargeDataCentreReadThroughOneEntry(t *testing.T) {
-	for _, n := range []int{source.LeastEntries, 9, 10, 20, 60, 250} {
-		first, from := source.First("perth-a", entries(n))[0], readersIn("perth-a", n)
+	for _, n := range []int{source.MinEntries, 9, 10, 20, 60, 250} {
+		first, from := source.EntryCandidates("perth-a", entries(n))[0], readersIn("perth-a", n)
 		for self, address := range from {
 			if self == first {
 				require.Empty(t, address, "the first entry reads the store")
@@ -103,7 +103,7 @@
 	used := map[string]int{}
 	for i := range 60 {
 		p := newProcess(fmt.Sprintf("10.0.1.%d:7700", i), true)
-		p.after(0, source.Told{Entries: entries(10), Count: 10})
+		p.after(0, source.EntriesReported{Entries: entries(10), EntryCount: 10})
 		used[p.Address()]++
 	}
 	require.Len(t, used, 10)
@@ -115,15 +115,15 @@
 	p := newProcess("10.0.0.99:7700", false)
 	p.after(0, report(20))
 	first := p.Address()
-	effects := p.after(0, source.Failed{Address: first})
+	effects := p.after(0, source.PeerFailed{Address: first})
 	second := p.Address()
 	require.NotEqual(t, first, second)
-	require.Equal(t, []step.Effect{source.Changed{Address: second, Entries: 20}}, effects)
+	require.Equal(t, []step.Effect{source.Changed{Address: second, EntryCount: 20}}, effects)
 	failures := 1
 	for ; p.Address() != ""; failures++ {
-		p.after(0, source.Failed{Address: p.Address()})
+		p.after(0, source.PeerFailed{Address: p.Address()})
 	}
-	require.GreaterOrEqual(t, failures, source.Candidates)
+	require.GreaterOrEqual(t, failures, source.CandidateCount)
 	require.LessOrEqual(t, failures, len(report(20).Entries), "the store is read once every candidate that ranks before it has failed")
 	p.after(time.Second, report(20))
 	require.Empty(t, p.Address())
@@ -134,11 +134,11 @@
 // TestSecondEntryReadsTheStoreWhenTheFirstFails guards against a data centre in which no entry reads the store, or entries read from each
 // other in a cycle, when the first entry fails: the next in order must take its place.
 func TestSecondEntryReadsTheStoreWhenTheFirstFails(t *testing.T) {
-	ranked := source.First("perth-a", entries(20))
+	ranked := source.EntryCandidates("perth-a", entries(20))
 	p := newProcess(ranked[1], false)
 	p.after(0, report(20))
 	require.Equal(t, ranked[0], p.Address())
-	p.after(0, source.Failed{Address: ranked[0]})
+	p.after(0, source.PeerFailed{Address: ranked[0]})
 	require.Empty(t, p.Address())
 }
 
@@ -156,7 +156,7 @@
 func TestLowCountOfANewProcessDoesNotLowerTheCount(t *testing.T) {
 	p := newProcess("10.0.0.99:7700", false)
 	p.after(0, report(20))
-	p.after(time.Second, source.Told{Entries: entries(2), Count: 2})
+	p.after(time.Second, source.EntriesReported{Entries: entries(2), EntryCount: 2})
 	require.NotEmpty(t, p.Address())
 }
 
@@ -165,9 +165,9 @@
 // always reported again.
 func TestExpiredHighCountIsReplacedByTheNextHighest(t *testing.T) {
 	p := newProcess("10.0.0.99:7700", true)
-	p.after(0, source.Told{Entries: entries(20), Count: 60})
+	p.after(0, source.EntriesReported{Entries: entries(20), EntryCount: 60})
 	for range 300 {
-		p.after(100*time.Millisecond, source.Told{Entries: entries(20), Count: 28})
+		p.after(100*time.Millisecond, source.EntriesReported{Entries: entries(20), EntryCount: 28})
 		p.after(0, step.Tick{})
 		require.NotEmpty(t, p.Address())
 	}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -27,8 +27,8 @@
 		Name: s.Self.Host, Role: string(s.Self.Role), Place: s.Self.Place, Region: s.Self.Region,
 		Ready: s.Ready, CompleteTo: s.Records.Floor, Unreachable: s.Members.Unreachable(now),
 	}
-	if s.Records.Seasoned {
-		p.PlatformSilentMS = now.Sub(s.Records.Fresh).Milliseconds()
+	if s.Records.SettingsKnown {
+		p.PlatformDataAgeMS = now.Sub(s.Records.FloorCurrentAt).Milliseconds()
 	}
 	return p
 }
@@ -44,7 +44,7 @@
 			counts.Live++
 			counts.Places[h.Place]++
 			if h.Advert == nil {
-				counts.Unheard++
+				counts.NotAdvertised++
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 	}
 	counts := map[string]*fleet.PlaceCount{}
 	for place, n := range in.Setting.Places {
-		counts[place] = &fleet.PlaceCount{Place: place, Want: n}
+		counts[place] = &fleet.PlaceCount{Place: place, Requested: n}
 	}
 	s.eachUpstream(key, func(h *member.Host, u member.Upstream) {
 		c := counts[h.Place]
@@ -114,11 +114,11 @@
 func (s *State) problems(st fleet.Status) []fleet.Problem {
 	var list []fleet.Problem
 	add := func(what, next string) { list = append(list, fleet.Problem{What: what, Next: next}) }
-	silence := time.Duration(st.Process.PlatformSilentMS) * time.Millisecond
+	silence := time.Duration(st.Process.PlatformDataAgeMS) * time.Millisecond
 	switch {
 	case !s.Ready:
 		add("this process is not ready: it has not got the settings", "check the object API and the host list; it needs either the platform or its peers")
-	case silence > 2*watch.Silence:
+	case silence > 2*watch.MaxAge:
 		add(fmt.Sprintf("no news of the object API for %v", silence.Round(time.Second)), "check the object API; settings in force stay, changes wait")
 	}
 	if n := len(st.Process.Unreachable); n > 0 {
@@ -136,7 +136,7 @@
 	var list []fleet.Problem
 	for _, service := range st.Services {
 		for _, c := range service.Places {
-			if c.Serving >= c.Want {
+			if c.Serving >= c.Requested {
 				continue
 			}
 			next := "look whether the place has hosts enough; start more, or lower `places` in the setting"
@@ -145,7 +145,7 @@
 			}
 			list = append(list, fleet.Problem{
 				What: fmt.Sprintf("%s in %s: %d of %d serve the version asked for (%d loading, %d on another version)",
-					service.Key, c.Place, c.Serving, c.Want, c.Loading, c.Other),
+					service.Key, c.Place, c.Serving, c.Requested, c.Loading, c.Other),
 				Next: next,
 			})
 		}
--- a/internal/core/suspect/suspect.go
+++ b/internal/core/suspect/suspect.go
@@ -29,13 +29,13 @@
 const (
 	// Prefix is the prefix of the record keys of marks; the fingerprint follows.
 	Prefix = "quarantine/"
-	// SuspectFor is how long a fingerprint stays suspect without further crashes.
-	SuspectFor = 10 * time.Minute
-	// QuarantineFor is the duration of a quarantine.
-	QuarantineFor = 30 * time.Minute
-	// ForgetAfter is how long an expired mark is kept. It is longer than the difference between the times at which processes
+	// SuspectDuration is how long a fingerprint stays suspect without further crashes.
+	SuspectDuration = 10 * time.Minute
+	// QuarantineDuration is the duration of a quarantine.
+	QuarantineDuration = 30 * time.Minute
+	// ExpiredRetention is how long an expired mark is kept. It is longer than the difference between the times at which processes
 	// receive a mark, so that no process deletes a mark that is still in force at another one.
-	ForgetAfter = time.Hour
+	ExpiredRetention = time.Hour
 	// isolationShare limits the upstreams of a service that are preferred for suspects: one in isolationShare.
 	isolationShare = 4
 	// minSpreadUpstreams is the number of upstreams of a service from which suspects are spread over several upstreams.
@@ -45,12 +45,12 @@
 	minSpreadScore = math.MaxUint64 / 8 * 7
 )
 
-// Verdict is the status of a fingerprint.
-type Verdict int
+// Status is the status of a fingerprint.
+type Status int
 
 // The verdicts, by severity.
 const (
-	Clear Verdict = iota
+	Clear Status = iota
 	Suspect
 	Quarantined
 )
@@ -84,9 +84,9 @@
 // NewState returns a state without marks.
 func NewState() *State { return &State{marks: map[string]mark{}} }
 
-// Changed applies the marks among changed records. It returns the quarantines to publish again: those in force here whose
+// Apply applies the marks among changed records. It returns the quarantines to publish again: those in force here whose
 // number is lower than that of an episode that another process started without knowing of the quarantine.
-func (s *State) Changed(now time.Time, records []record.Record) []record.Record {
+func (s *State) Apply(now time.Time, records []record.Record) []record.Record {
 	var renewed []record.Record
 	for _, r := range records {
 		fingerprint, ok := strings.CutPrefix(r.Key, Prefix)
@@ -98,7 +98,7 @@
 			delete(s.marks, fingerprint)
 			continue
 		}
-		if s.Look(now, fingerprint) == Quarantined && r.Version.Minor != rankQuarantined {
+		if s.Status(now, fingerprint) == Quarantined && r.Version.Minor != rankQuarantined {
 			renewed = append(renewed, s.renewedQuarantine(now, fingerprint, r.Version.Major))
 			continue
 		}
@@ -110,7 +110,7 @@
 // apply stores a mark. It does not shorten a quarantine that is in force.
 func (s *State) apply(now time.Time, fingerprint string, version record.Version, expiry time.Time) {
 	current := s.marks[fingerprint].expiry
-	if s.Look(now, fingerprint) == Quarantined && current.After(expiry) {
+	if s.Status(now, fingerprint) == Quarantined && current.After(expiry) {
 		expiry = current
 	}
 	s.marks[fingerprint] = mark{version: version, expiry: expiry}
@@ -122,8 +122,8 @@
 	return newRecord(fingerprint, version, s.Remaining(now, fingerprint))
 }
 
-// Look returns the status of a fingerprint.
-func (s *State) Look(now time.Time, fingerprint string) Verdict {
+// Status returns the status of a fingerprint.
+func (s *State) Status(now time.Time, fingerprint string) Status {
 	m, ok := s.marks[fingerprint]
 	if !ok || !now.Before(m.expiry) {
 		return Clear
@@ -149,7 +149,7 @@
 	if fingerprint == "" {
 		return record.Record{}, false
 	}
-	switch s.Look(now, fingerprint) {
+	switch s.Status(now, fingerprint) {
 	case Quarantined:
 		return record.Record{}, false
 	case Suspect:
@@ -160,15 +160,15 @@
 	}
 	episode := max(s.marks[fingerprint].version.Major+1, uint64(now.UnixMilli()))
 	version := record.Version{Major: episode, Minor: rankSuspect}
-	return newRecord(fingerprint, version, SuspectFor), true
+	return newRecord(fingerprint, version, SuspectDuration), true
 }
 
 // quarantine returns the mark of a quarantine. Copies of the request that started before their agents received the suspect
 // mark may still crash upstreams, and these agents then start later episodes. The quarantine is numbered by the time at
 // which it ends, so that it wins over them.
 func (s *State) quarantine(now time.Time, fingerprint string) record.Record {
-	number := max(s.marks[fingerprint].version.Major, uint64(now.Add(QuarantineFor).UnixMilli()))
-	return newRecord(fingerprint, record.Version{Major: number, Minor: rankQuarantined}, QuarantineFor)
+	number := max(s.marks[fingerprint].version.Major, uint64(now.Add(QuarantineDuration).UnixMilli()))
+	return newRecord(fingerprint, record.Version{Major: number, Minor: rankQuarantined}, QuarantineDuration)
 }
 
 // Expired returns the deletions to publish of marks that expired at least ForgetAfter ago. Without them each fingerprint
@@ -176,7 +176,7 @@
 func (s *State) Expired(now time.Time) []record.Record {
 	var old []record.Record
 	for fingerprint, m := range s.marks {
-		if now.Sub(m.expiry) < ForgetAfter {
+		if now.Sub(m.expiry) < ExpiredRetention {
 			continue
 		}
 		version := record.Version{Major: m.version.Major, Minor: rankForgotten}
@@ -188,7 +188,7 @@
 
 // Cleared returns the mark to publish after a suspect completed while it ran alone; false when the request is no suspect.
 func (s *State) Cleared(now time.Time, fingerprint string) (record.Record, bool) {
-	if s.Look(now, fingerprint) != Suspect {
+	if s.Status(now, fingerprint) != Suspect {
 		return record.Record{}, false
 	}
 	version := record.Version{Major: s.marks[fingerprint].version.Major, Minor: rankCleared}
--- a/internal/core/suspect/suspect_test.go
+++ b/internal/core/suspect/suspect_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	r, ok := s.Crashed(now, f, alone)
 	require.True(t, ok)
-	s.Changed(now, []record.Record{r})
+	s.Apply(now, []record.Record{r})
 	return r
 }
 
@@ -29,12 +29,12 @@
 func TestSecondCrashQuarantinesOnlyARequestThatRanAlone(t *testing.T) {
 	s := NewState()
 	crash(t, s, false)
-	assert.Equal(t, Suspect, s.Look(now, f))
+	assert.Equal(t, Suspect, s.Status(now, f))
 	_, more := s.Crashed(now, f, false)
 	assert.False(t, more, "a second crash with other requests in flight must not start a quarantine")
 	crash(t, s, true)
-	assert.Equal(t, Quarantined, s.Look(now, f))
-	assert.Equal(t, QuarantineFor, s.Remaining(now, f))
+	assert.Equal(t, Quarantined, s.Status(now, f))
+	assert.Equal(t, QuarantineDuration, s.Remaining(now, f))
 }
 
 // An innocent request that was in flight at a crash must not stay a suspect for the whole of SuspectFor.
@@ -43,20 +43,20 @@
 	crash(t, s, false)
 	r, ok := s.Cleared(now, f)
 	require.True(t, ok)
-	s.Changed(now, []record.Record{r})
-	assert.Equal(t, Clear, s.Look(now, f))
+	s.Apply(now, []record.Record{r})
+	assert.Equal(t, Clear, s.Status(now, f))
 	crash(t, s, true)
-	assert.Equal(t, Suspect, s.Look(now, f), "a crash after the clearing starts a new episode")
+	assert.Equal(t, Suspect, s.Status(now, f), "a crash after the clearing starts a new episode")
 }
 
 // A mark that never expired would isolate or refuse its request forever.
 func TestMarksExpire(t *testing.T) {
 	s := NewState()
 	crash(t, s, false)
-	assert.Equal(t, Clear, s.Look(now.Add(SuspectFor), f))
+	assert.Equal(t, Clear, s.Status(now.Add(SuspectDuration), f))
 	crash(t, s, true)
-	assert.Equal(t, Quarantined, s.Look(now.Add(QuarantineFor-time.Second), f))
-	assert.Equal(t, Clear, s.Look(now.Add(QuarantineFor), f))
+	assert.Equal(t, Quarantined, s.Status(now.Add(QuarantineDuration-time.Second), f))
+	assert.Equal(t, Clear, s.Status(now.Add(QuarantineDuration), f))
 }
 
 // Two copies of a suspect may end differently at the same time. The quarantine must win over the clearing, in whichever
@@ -76,15 +76,15 @@
 	s := NewState()
 	crash(t, s, false)
 	quarantine := crash(t, s, true)
-	for _, later := range []time.Duration{0, time.Millisecond, 20 * time.Millisecond, time.Minute, QuarantineFor - time.Millisecond} {
+	for _, later := range []time.Duration{0, time.Millisecond, 20 * time.Millisecond, time.Minute, QuarantineDuration - time.Millisecond} {
 		first, ok := NewState().Crashed(now.Add(later), f, false)
 		require.True(t, ok)
 		assert.True(t, first.Version.Less(quarantine.Version), "first crash %v after the quarantine started", later)
 	}
-	next, ok := s.Crashed(now.Add(QuarantineFor), f, false)
+	next, ok := s.Crashed(now.Add(QuarantineDuration), f, false)
 	require.True(t, ok)
 	assert.True(t, quarantine.Version.Less(next.Version))
-	unheard, ok := NewState().Crashed(now.Add(QuarantineFor+time.Millisecond), f, false)
+	unheard, ok := NewState().Crashed(now.Add(QuarantineDuration+time.Millisecond), f, false)
 	require.True(t, ok)
 	assert.True(t, quarantine.Version.Less(unheard.Version), "an ended quarantine must not hide a new suspect mark")
 }
@@ -93,12 +93,12 @@
 // episode must still have the higher version, or the suspect mark would replace it.
 func TestQuarantineWinsOverAnEpisodeOfAFastClock(t *testing.T) {
 	s := NewState()
-	first, ok := s.Crashed(now.Add(2*QuarantineFor), f, false)
+	first, ok := s.Crashed(now.Add(2*QuarantineDuration), f, false)
 	require.True(t, ok)
-	s.Changed(now, []record.Record{first})
+	s.Apply(now, []record.Record{first})
 	quarantine := crash(t, s, true)
 	assert.True(t, first.Version.Less(quarantine.Version))
-	assert.Equal(t, Quarantined, s.Look(now, f))
+	assert.Equal(t, Quarantined, s.Status(now, f))
 }
 
 // Further crashes during a quarantine must not prolong it, and a request without a fingerprint must get no mark.
@@ -115,8 +115,8 @@
 // A mark whose value is no valid JSON must not quarantine a request.
 func TestMalformedMarkIsIgnored(t *testing.T) {
 	s := NewState()
-	s.Changed(now, []record.Record{{Key: Prefix + f, Value: []byte("{"), Version: record.Version{Major: 1, Minor: 3}}})
-	assert.Equal(t, Clear, s.Look(now, f))
+	s.Apply(now, []record.Record{{Key: Prefix + f, Value: []byte("{"), Version: record.Version{Major: 1, Minor: 3}}})
+	assert.Equal(t, Clear, s.Status(now, f))
 }
 
 // names returns the names of n upstreams, in order and reversed.
@@ -178,14 +178,14 @@
 	s := NewState()
 	crash(t, s, false)
 	quarantined := crash(t, s, true)
-	expiry := now.Add(QuarantineFor)
-	require.Empty(t, s.Expired(expiry.Add(ForgetAfter-time.Second)))
-	deletions := s.Expired(expiry.Add(ForgetAfter))
+	expiry := now.Add(QuarantineDuration)
+	require.Empty(t, s.Expired(expiry.Add(ExpiredRetention-time.Second)))
+	deletions := s.Expired(expiry.Add(ExpiredRetention))
 	require.Len(t, deletions, 1)
 	require.True(t, quarantined.Version.Less(deletions[0].Version), "the deletion wins over the mark")
-	s.Changed(now, deletions)
-	require.Empty(t, s.Expired(expiry.Add(2*ForgetAfter)), "no mark is left to delete")
-	next, ok := s.Crashed(expiry.Add(ForgetAfter), f, false)
+	s.Apply(now, deletions)
+	require.Empty(t, s.Expired(expiry.Add(2*ExpiredRetention)), "no mark is left to delete")
+	next, ok := s.Crashed(expiry.Add(ExpiredRetention), f, false)
 	require.True(t, ok)
 	require.True(t, deletions[0].Version.Less(next.Version), "a new episode wins over the deletion")
 }
@@ -199,19 +199,19 @@
 	ahead := NewState()
 	later, ok := ahead.Crashed(now.Add(time.Hour), f, false)
 	require.True(t, ok)
-	ahead.Changed(now.Add(time.Hour), []record.Record{later})
+	ahead.Apply(now.Add(time.Hour), []record.Record{later})
 
 	elapsed := time.Minute
-	renewed := s.Changed(now.Add(elapsed), []record.Record{later})
+	renewed := s.Apply(now.Add(elapsed), []record.Record{later})
 	require.Len(t, renewed, 1)
-	assert.Equal(t, Quarantined, s.Look(now.Add(elapsed), f))
+	assert.Equal(t, Quarantined, s.Status(now.Add(elapsed), f))
 	assert.True(t, later.Version.Less(renewed[0].Version))
-	assert.Empty(t, s.Changed(now.Add(elapsed), renewed), "the renewed mark itself must not be published again")
-	assert.Equal(t, QuarantineFor-elapsed, s.Remaining(now.Add(elapsed), f))
+	assert.Empty(t, s.Apply(now.Add(elapsed), renewed), "the renewed mark itself must not be published again")
+	assert.Equal(t, QuarantineDuration-elapsed, s.Remaining(now.Add(elapsed), f))
 
-	ahead.Changed(now.Add(time.Hour+elapsed), renewed)
-	assert.Equal(t, Quarantined, ahead.Look(now.Add(time.Hour+elapsed), f))
-	assert.Equal(t, Clear, ahead.Look(now.Add(time.Hour+QuarantineFor), f), "the renewed quarantine must not start its full duration again")
+	ahead.Apply(now.Add(time.Hour+elapsed), renewed)
+	assert.Equal(t, Quarantined, ahead.Status(now.Add(time.Hour+elapsed), f))
+	assert.Equal(t, Clear, ahead.Status(now.Add(time.Hour+QuarantineDuration), f), "the renewed quarantine must not start its full duration again")
 }
 
 // A process whose clock is ahead by more than the duration of a mark must keep it as long as the others. With an absolute expiry time the
@@ -220,8 +220,8 @@
 	s, ahead := NewState(), NewState()
 	crash(t, s, false)
 	quarantine := crash(t, s, true)
-	receivedAt := now.Add(2 * QuarantineFor)
-	ahead.Changed(receivedAt, []record.Record{quarantine})
-	assert.Equal(t, Quarantined, ahead.Look(receivedAt.Add(QuarantineFor-time.Second), f))
-	assert.Equal(t, Clear, ahead.Look(receivedAt.Add(QuarantineFor), f))
+	receivedAt := now.Add(2 * QuarantineDuration)
+	ahead.Apply(receivedAt, []record.Record{quarantine})
+	assert.Equal(t, Quarantined, ahead.Status(receivedAt.Add(QuarantineDuration-time.Second), f))
+	assert.Equal(t, Clear, ahead.Status(receivedAt.Add(QuarantineDuration), f))
 }
--- a/internal/core/suspects.go
+++ b/internal/core/suspects.go
@@ -20,7 +20,7 @@
 		return nil
 	}
 	s.Runs.Reduce(in, s.Rollout, s.Suspects)
-	mark, ok := s.Suspects.Crashed(in.Now, r.Fingerprint, !r.Company)
+	mark, ok := s.Suspects.Crashed(in.Now, r.Fingerprint, !r.Shared)
 	if !ok {
 		return nil
 	}
@@ -31,7 +31,7 @@
 func (s *State) runFinished(in step.Input, ev run.Finished) []step.Effect {
 	var effects []step.Effect
 	r := s.Runs.Running[ev.ID]
-	if r != nil && r.Alone && !r.Company && ev.Whole && ev.Ran == code.DidRun {
+	if r != nil && r.Exclusive && !r.Shared && ev.Complete && ev.Ran == code.DidRun {
 		if mark, ok := s.Suspects.Cleared(in.Now, r.Fingerprint); ok {
 			effects = s.publishMark(in, mark)
 		}
@@ -44,14 +44,14 @@
 // error may send the request again to another entry immediately.
 func (s *State) publishMark(in step.Input, mark record.Record) []step.Effect {
 	effects := s.reduceRecords(withEvent(in, record.Published{Records: []record.Record{mark}}))
-	for _, address := range s.MarkListeners() {
+	for _, address := range s.MarkReceivers() {
 		effects = append(effects, record.Push{To: address, Records: []record.Record{mark}})
 	}
 	return effects
 }
 
-// MarkListeners returns the addresses of the entries that a mark is pushed to at once.
-func (s *State) MarkListeners() []string {
+// MarkReceivers returns the addresses of the entries that a mark is pushed to at once.
+func (s *State) MarkReceivers() []string {
 	var entries []string
 	for _, address := range s.Members.Peers() {
 		if s.Members.Hosts[address].Role == member.Entry && len(entries) < maxMarkPushes {
--- a/internal/core/watch/watch.go
+++ b/internal/core/watch/watch.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// PerPlace is the number of watchers of a data centre in normal operation.
-	PerPlace = 2
-	// Wait is how long one watch call waits for changes.
-	Wait = 3 * time.Second
-	// Silence is the age of the last reading from which the watchers count as failed and the next process in rank takes over.
-	Silence = 9 * time.Second
-	// RankPause is the additional wait per rank after a failed reading. Half of it per rank is added to Silence.
-	RankPause = time.Second
+	// WatchersPerDataCentre is the number of watchers of a data centre in normal operation.
+	WatchersPerDataCentre = 2
+	// WatchTimeout is how long one watch call waits for changes.
+	WatchTimeout = 3 * time.Second
+	// MaxAge is the age of the last reading from which the watchers count as failed and the next process in rank takes over.
+	MaxAge = 9 * time.Second
+	// RankDelay is the additional wait per rank after a failed reading. Half of it per rank is added to Silence.
+	RankDelay = time.Second
 	// InitialRetry and LastRetry are the minimum and maximum wait after a failed reading, for ranks whose wait by RankPause is
 	// shorter.
 	InitialRetry = 500 * time.Millisecond
-	LastRetry    = 4 * time.Second
+	MaxRetry     = 4 * time.Second
 	// MaxRankWait bounds the wait by rank of a process that has no settings yet.
 	MaxRankWait = 10 * time.Second
 	// HostsInterval is the minimum time between two readings of the host list by one process.
@@ -36,8 +36,8 @@
 	HostsBytesPerSecond = 2500
 	// listedBytes is the approximate size of one host in the host list, in bytes.
 	listedBytes = 90
-	// PeersToHear is the number of peers whose whole state a process must have merged to become ready without the platform.
-	PeersToHear = 3
+	// MinPeers is the number of peers whose whole state a process must have merged to become ready without the platform.
+	MinPeers = 3
 	// PeersTimeout is how long a process waits for that many peers once it has merged the state of one.
 	PeersTimeout = 5 * time.Second
 	// EngineStateTimeout is how long a new entry waits to receive the state of the engines.
@@ -48,7 +48,7 @@
 
 // ReadFailed is the event of a failed reading of the settings. Gone is set when the platform no longer keeps the changes since
 // the requested revision.
-type ReadFailed struct{ Gone bool }
+type ReadFailed struct{ Compacted bool }
 
 // HostsFailed is the event of a failed reading of the host list.
 type HostsFailed struct{}
@@ -89,22 +89,22 @@
 	// Hosts is the number of listed processes without this one. Listed is set when this process is listed.
 	Hosts  int
 	Listed bool
-	// Seasoned is set once every setting up to revision Floor is known. Fresh is when the platform was last at Floor.
-	Seasoned bool
-	Floor    uint64
-	Fresh    time.Time
-	// Heard is the number of peers whose whole state was merged.
-	Heard int
-	// Blind is set while an entry has not received the state of the engines yet.
-	Blind bool
+	// SettingsKnown is set once every setting up to revision Floor is known. Fresh is when the platform was last at Floor.
+	SettingsKnown  bool
+	Floor          uint64
+	FloorCurrentAt time.Time
+	// MergedPeers is the number of peers whose whole state was merged.
+	MergedPeers int
+	// EnginesUnknown is set while an entry has not received the state of the engines yet.
+	EnginesUnknown bool
 }
 
 // State holds what a process knows of its readings of the platform.
 type State struct {
 	// Ready is set once the process knows enough of the settings to accept requests.
 	Ready bool
-	// Reads is set once this process itself has read the settings from the platform.
-	Reads bool
+	// HasRead is set once this process itself has read the settings from the platform.
+	HasRead bool
 
 	started   time.Time
 	firstPeer time.Time
@@ -125,7 +125,7 @@
 
 // Succeeded records a successful reading of the settings.
 func (s *State) Succeeded() {
-	s.Reads = true
+	s.HasRead = true
 	s.reading, s.compacted, s.failed = false, false, false
 	s.failures = 0
 	s.nextRead = time.Time{}
@@ -134,16 +134,16 @@
 // Failed records a failed reading of the settings and sets the time of the next attempt.
 func (s *State) Failed(in step.Input, ev ReadFailed, v View) {
 	s.reading = false
-	if ev.Gone {
+	if ev.Compacted {
 		s.compacted = true
 		s.nextRead = in.Now.Add(InitialRetry)
 		return
 	}
 	s.failed = true
 	s.failures++
-	wait := min(InitialRetry<<min(s.failures-1, 8), LastRetry)
-	rankWait := time.Duration(v.Rank) * RankPause
-	if !v.Seasoned {
+	wait := min(InitialRetry<<min(s.failures-1, 8), MaxRetry)
+	rankWait := time.Duration(v.Rank) * RankDelay
+	if !v.SettingsKnown {
 		rankWait = min(rankWait, MaxRankWait)
 	}
 	wait = max(wait, rankWait)
@@ -185,23 +185,23 @@
 
 // read returns the cheapest reading that returns all changes.
 func (s *State) read(v View) step.Effect {
-	if !v.Seasoned || s.compacted {
+	if !v.SettingsKnown || s.compacted {
 		return List{}
 	}
-	if s.failed || !s.Reads {
+	if s.failed || !s.HasRead {
 		// The first reading, and one after a failure, must return at once even without changes: it shows that the platform answers.
 		return Watch{After: v.Floor}
 	}
-	return Watch{After: v.Floor, Wait: Wait}
+	return Watch{After: v.Floor, Wait: WatchTimeout}
 }
 
 // shouldRead reports whether this process should read the settings from the platform now.
 func (s *State) shouldRead(now time.Time, v View) bool {
-	if !v.Seasoned {
+	if !v.SettingsKnown {
 		// Peers have ListDelay to send the state, which saves the platform the listing of all settings.
 		return v.Hosts == 0 && s.hostsKnown || now.Sub(s.started) >= ListDelay
 	}
-	return !s.Reads && !s.Ready || s.isWatcher(now, v)
+	return !s.HasRead && !s.Ready || s.isWatcher(now, v)
 }
 
 // ListDelay is how long a new process waits for its peers' state before it lists the settings itself.
@@ -210,10 +210,10 @@
 // isWatcher reports whether this process is a watcher: one of the first in rank, or the next in rank after the watchers
 // failed.
 func (s *State) isWatcher(now time.Time, v View) bool {
-	if v.Rank < PerPlace {
+	if v.Rank < WatchersPerDataCentre {
 		return true
 	}
-	return now.Sub(v.Fresh) > Silence+time.Duration(v.Rank-PerPlace+1)*RankPause/2
+	return now.Sub(v.FloorCurrentAt) > MaxAge+time.Duration(v.Rank-WatchersPerDataCentre+1)*RankDelay/2
 }
 
 // shouldReadHosts reports whether this process should read the host list now.
@@ -227,19 +227,19 @@
 
 // BecomesReady reports whether the process becomes ready to accept requests with this call.
 func (s *State) BecomesReady(now time.Time, v View) bool {
-	if s.Ready || !v.Seasoned {
+	if s.Ready || !v.SettingsKnown {
 		return false
 	}
-	if v.Heard > 0 && s.firstPeer.IsZero() {
+	if v.MergedPeers > 0 && s.firstPeer.IsZero() {
 		s.firstPeer = now
 	}
 	if s.settingsAt.IsZero() {
 		s.settingsAt = now
 	}
-	if v.Blind && now.Sub(s.settingsAt) < EngineStateTimeout {
+	if v.EnginesUnknown && now.Sub(s.settingsAt) < EngineStateTimeout {
 		return false
 	}
-	s.Ready = s.Reads || s.enoughPeers(now, v)
+	s.Ready = s.HasRead || s.enoughPeers(now, v)
 	return s.Ready
 }
 
@@ -248,8 +248,8 @@
 	if !s.failed && now.Sub(s.started) < PlatformTimeout {
 		return false
 	}
-	if v.Heard >= PeersToHear {
+	if v.MergedPeers >= MinPeers {
 		return true
 	}
-	return v.Heard > 0 && now.Sub(s.firstPeer) >= PeersTimeout
+	return v.MergedPeers > 0 && now.Sub(s.firstPeer) >= PeersTimeout
 }
--- a/internal/core/weights/state_test.go
+++ b/internal/core/weights/state_test.go
@@ -109,7 +109,7 @@
 	return func(n int, took func(share float64) time.Duration) {
 		for range n {
 			now += 100 * time.Millisecond
-			s.Reduce(at(now, weights.FirstByte{Upstream: "e1", Took: took(s.Yield.Share)}))
+			s.Reduce(at(now, weights.FirstByte{Upstream: "e1", Latency: took(s.Yield.Share)}))
 			s.Reduce(at(now, step.Tick{}))
 		}
 	}
--- a/internal/core/weights/summary.go
+++ b/internal/core/weights/summary.go
@@ -26,8 +26,8 @@
 	// From has the bytes received from this data centre, from the rest of the region, from other
 	// regions and from the origin.
 	From [tiers]int64 `json:"from,omitzero"`
-	// Trouble is the result code of the problem that blocks the burst.
-	Trouble code.Code `json:"trouble,omitempty"`
+	// BlockedBy is the result code of the problem that blocks the burst.
+	BlockedBy code.Code `json:"trouble,omitempty"`
 }
 
 // Summaries returns the summaries of the wanted bursts.
@@ -42,7 +42,7 @@
 func (p Progress) summary() Summary {
 	return Summary{
 		Digest: p.Digest, Percent: p.Percent(), Rate: p.Rate, LeftMS: p.Left.Milliseconds(),
-		From: p.Counts.Bytes, Trouble: p.Trouble,
+		From: p.Counts.Bytes, BlockedBy: p.Trouble,
 	}
 }
 
@@ -54,20 +54,20 @@
 	return p.Held * percentScale / p.Chunks
 }
 
-// Troubles lists the wanted bursts that are blocked, with their result codes.
-func (s *State) Troubles(now time.Time) []Summary {
+// BlockedBursts lists the wanted bursts that are blocked, with their result codes.
+func (s *State) BlockedBursts(now time.Time) []Summary {
 	var list []Summary
 	for _, summary := range s.Summaries(now) {
-		if summary.Trouble != 0 {
-			list = append(list, Summary{Digest: summary.Digest, Trouble: summary.Trouble})
+		if summary.BlockedBy != 0 {
+			list = append(list, Summary{Digest: summary.Digest, BlockedBy: summary.BlockedBy})
 		}
 	}
 	return list
 }
 
-// TroubleDue reports whether a burst became blocked or unblocked since the last report and a new
+// BlockedReportDue reports whether a burst became blocked or unblocked since the last report and a new
 // report is due.
-func (s *State) TroubleDue(in step.Input) bool {
+func (s *State) BlockedReportDue(in step.Input) bool {
 	if in.Now.Before(s.nextTroubleReport) {
 		return false
 	}
--- a/internal/core/weights/view.go
+++ b/internal/core/weights/view.go
@@ -26,8 +26,8 @@
 	Links int `json:"links"`
 	// Senders are the addresses of the peers that chunks are being fetched from.
 	Senders []string `json:"senders"`
-	// Drawing is the number of fetches from the origin in flight.
-	Drawing int `json:"drawing"`
+	// OriginFetches is the number of fetches from the origin in flight.
+	OriginFetches int `json:"drawing"`
 	// Rate is the mean rate in bytes per second since the burst began. Left is the estimated
 	// remaining time at that rate; 0 if unknown.
 	Rate int64         `json:"rate"`
@@ -62,7 +62,7 @@
 func (b *Burst) view(now time.Time) Progress {
 	p := Progress{
 		Ref: b.Ref, Digest: b.Digest, Policy: b.Policy, Chunks: len(b.chunks), Held: len(b.chunks) - b.missing.len(),
-		Counts: b.Counts, Hosts: 1, Links: b.linkCount(), Senders: b.senders(), Drawing: b.originFetches, Trouble: b.trouble,
+		Counts: b.Counts, Hosts: 1, Links: b.linkCount(), Senders: b.senders(), OriginFetches: b.originFetches, Trouble: b.trouble,
 	}
 	for _, other := range b.peers {
 		if other.listed {
--- a/internal/core/weights/weights.go
+++ b/internal/core/weights/weights.go
@@ -193,7 +193,7 @@
 type FirstByte struct {
 	event
 	Upstream string
-	Took     time.Duration
+	Latency  time.Duration
 }
 
 type effect struct{}
--- a/internal/core/weights/yield.go
+++ b/internal/core/weights/yield.go
@@ -60,7 +60,7 @@
 func newYield() Yield { return Yield{Share: 1, upstreams: map[string]*firstByteTimes{}} }
 
 func (y *Yield) addSample(_ step.Input, ev FirstByte) []step.Effect {
-	took := float64(ev.Took)
+	took := float64(ev.Latency)
 	f := y.upstreams[ev.Upstream]
 	if f == nil {
 		f = &firstByteTimes{recent: took, baseline: took}
--- a/internal/demo/commandline.go
+++ b/internal/demo/commandline.go
@@ -16,7 +16,7 @@
 // CommandLine builds the arguments with which the product's processes are started.
 type CommandLine struct {
 	Secret   string // shared by all processes of the run
-	Outside  *StandIns
+	StandIns *StandIns
 	LinkRate int64  // of a host, in bytes per second
 	Spread   string // how weights spread; empty for the product's default
 	NoYield  bool   // transfers don't yield to live requests
@@ -29,10 +29,10 @@
 func (c CommandLine) Agent(host layout.Host, peers string) []string {
 	args := append([]string{"agent"}, c.common(host.Name, host.Address, peers, host.Place)...)
 	return append(args,
-		"-weight-store", "http://"+c.Outside.Store,
-		"-origin", "http://"+c.Outside.Origin,
+		"-weight-store", "http://"+c.StandIns.Store,
+		"-origin", "http://"+c.StandIns.Origin,
 		"-link-rate", strconv.FormatInt(c.LinkRate, 10),
-		"-upstreams", host.Upstreams(c.Outside.Engines, c.Outside.Plain),
+		"-upstreams", host.Upstreams(c.StandIns.Engines, c.StandIns.Plain),
 		"-spread="+c.Spread,
 		"-no-yield="+strconv.FormatBool(c.NoYield),
 	)
@@ -51,8 +51,8 @@
 		"-region", place.Region,
 		"-peers-listen", peers,
 		"-operators-listen", anyPort(address),
-		"-object-api", "http://" + c.Outside.ObjectAPI,
-		"-host-list", "http://" + c.Outside.HostList,
+		"-object-api", "http://" + c.StandIns.ObjectAPI,
+		"-host-list", "http://" + c.StandIns.HostList,
 		"-secret", c.Secret,
 	}
 }
@@ -64,14 +64,14 @@
 	if err != nil {
 		return time.Time{}, errors.Wrap(err, "encoding a setting")
 	}
-	present, err := client.ObjectVersion(ctx, c.Outside.ObjectAPI, "settings/"+layout.Team+"/"+service)
+	present, err := client.ObjectVersion(ctx, c.StandIns.ObjectAPI, "settings/"+layout.Team+"/"+service)
 	if err != nil {
 		return time.Time{}, err
 	}
 	_, err = processes.Run(ctx, bytes.NewReader(body), binary, "settings", "apply",
-		"-object-api", "http://"+c.Outside.ObjectAPI,
-		"-weight-store", "http://"+c.Outside.Store,
-		"-origin", "http://"+c.Outside.Origin,
+		"-object-api", "http://"+c.StandIns.ObjectAPI,
+		"-weight-store", "http://"+c.StandIns.Store,
+		"-origin", "http://"+c.StandIns.Origin,
 		"-if-version", strconv.FormatInt(present, 10),
 		"-team", layout.Team, "-service", service, "-file", "-")
 	return time.Now(), err
--- a/internal/demo/count/count.go
+++ b/internal/demo/count/count.go
@@ -32,8 +32,8 @@
 	return runs
 }
 
-// Doubled returns the idempotency keys that ran more than once, sorted.
-func Doubled(lines []outside.PlainLine) []string {
+// DuplicateKeys returns the idempotency keys that ran more than once, sorted.
+func DuplicateKeys(lines []outside.PlainLine) []string {
 	var keys []string
 	for key, runs := range RunsByKey(lines) {
 		if runs > 1 {
--- a/internal/demo/count/count_test.go
+++ b/internal/demo/count/count_test.go
@@ -38,8 +38,8 @@
 		{Service: "p1"},
 		{Service: "p1"},
 	}
-	assert.Equal(t, []string{"a", "b"}, count.Doubled(lines))
-	assert.Empty(t, count.Doubled(lines[5:]))
+	assert.Equal(t, []string{"a", "b"}, count.DuplicateKeys(lines))
+	assert.Empty(t, count.DuplicateKeys(lines[5:]))
 }
 
 func refused(id, key, ran string) ledger.Record {
@@ -90,7 +90,7 @@
 		{Kind: "run", Outcome: "done", DigestStart: "1", DigestEnd: "1"},
 		{Kind: "load", Outcome: "done", DigestStart: "1", DigestEnd: "2"},
 	}
-	assert.Equal(t, 3, count.MixedRuns(lines))
+	assert.Equal(t, 3, count.RunsAcrossVersions(lines))
 }
 
 // TestMixedLoads guards against a finished load of wrong content or of an unknown digest that is overlooked. Loads that
@@ -104,7 +104,7 @@
 		{Kind: "load", Outcome: "cut", Digest: "d1", ContentSHA256: "half"},
 		{Kind: "run", Outcome: "done", Digest: "d1"},
 	}
-	assert.Equal(t, 2, count.MixedLoads(lines, content))
+	assert.Equal(t, 2, count.LoadsWithWrongContent(lines, content))
 }
 
 // TestServeTimesUseTheFirstFinishedLoad guards against serve times that come from a repeated load, from an unfinished
--- a/internal/demo/count/engine_log.go
+++ b/internal/demo/count/engine_log.go
@@ -6,8 +6,8 @@
 	"samphireweir.example/samphireweir/internal/demo/outside"
 )
 
-// MixedRuns counts the engine runs that started on one version and ended on another.
-func MixedRuns(lines []outside.EngineLine) int {
+// RunsAcrossVersions counts the engine runs that started on one version and ended on another.
+func RunsAcrossVersions(lines []outside.EngineLine) int {
 	mixed := 0
 	for _, line := range lines {
 		if line.IsRun() && line.DigestStart != line.DigestEnd && !crashedWithoutWeights(line) {
@@ -22,9 +22,9 @@
 	return line.Outcome == outside.OutcomeCrashed && line.DigestEnd == ""
 }
 
-// MixedLoads counts the finished loads whose content doesn't belong to their digest. The map holds the SHA-256 of the
+// LoadsWithWrongContent counts the finished loads whose content doesn't belong to their digest. The map holds the SHA-256 of the
 // content by digest; a load of a digest that is not in the map counts as well.
-func MixedLoads(lines []outside.EngineLine, content map[string]string) int {
+func LoadsWithWrongContent(lines []outside.EngineLine, content map[string]string) int {
 	mixed := 0
 	for _, line := range lines {
 		if !finishedLoad(line) {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -42,7 +42,7 @@
 		options:      options,
 		binary:       filepath.Join(binaries, processes.Product),
 		logs:         logs,
-		commandLine:  CommandLine{Secret: rand.Text(), Outside: standIns, LinkRate: options.LinkRate(), Spread: options.Spread, NoYield: options.NoYield},
+		commandLine:  CommandLine{Secret: rand.Text(), StandIns: standIns, LinkRate: options.LinkRate(), Spread: options.Spread, NoYield: options.NoYield},
 		standIns:     standIns,
 		client:       client,
 		hosts:        hosts,
--- a/internal/demo/ledger/ledger.go
+++ b/internal/demo/ledger/ledger.go
@@ -23,10 +23,10 @@
 
 // Outcomes of a request.
 const (
-	Complete Outcome = "complete" // a complete and correct response
-	Refused  Outcome = "refused"  // a final response that refuses the request
-	Lost     Outcome = "lost"     // no final response: a transport error or a truncated response
-	Garbled  Outcome = "garbled"  // a complete response with incorrect content
+	Complete  Outcome = "complete" // a complete and correct response
+	Refused   Outcome = "refused"  // a final response that refuses the request
+	Lost      Outcome = "lost"     // no final response: a transport error or a truncated response
+	Incorrect Outcome = "garbled"  // a complete response with incorrect content
 )
 
 // What a refusal says about the execution of the request.
@@ -78,7 +78,7 @@
 		b.tally.Refused++
 	case Lost:
 		b.tally.Lost++
-	case Garbled:
+	case Incorrect:
 		b.tally.Incorrect++
 	}
 }
--- a/internal/demo/load/generator.go
+++ b/internal/demo/load/generator.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	defaultResponseTimeout = 30 * time.Second // default of Options.AnswerLimit
+	defaultResponseTimeout = 30 * time.Second // default of Options.ResponseTimeout
 	maxInFlight            = 2000             // further requests are not sent, but counted as skipped
 	maxIdleConns           = 256              // per entry
 )
@@ -33,8 +33,8 @@
 	Book    *ledger.Book // where the results are recorded
 	// Deadline is sent with every request as its deadline; 0 sends none.
 	Deadline time.Duration
-	// AnswerLimit is how long callers wait for the complete response before they count it as lost; 0 means 30 s.
-	AnswerLimit time.Duration
+	// ResponseTimeout is how long callers wait for the complete response before they count it as lost; 0 means 30 s.
+	ResponseTimeout time.Duration
 	// Available stands for the platform's load balancer: an entry that is not available gets no request as long as
 	// another one is. Nil means that all entries are always available.
 	Available func(entry int) bool
@@ -60,8 +60,8 @@
 // Start returns a generator that sends lookups. Submissions and model requests follow when they are enabled with
 // OpenSubmissions and OpenGenerations.
 func Start(options Options) *Generator {
-	if options.AnswerLimit == 0 {
-		options.AnswerLimit = defaultResponseTimeout
+	if options.ResponseTimeout == 0 {
+		options.ResponseTimeout = defaultResponseTimeout
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}
 	ctx, stop := context.WithCancel(context.Background())
@@ -71,7 +71,7 @@
 		deadline:  options.Deadline,
 		available: options.Available,
 		book:      options.Book,
-		http:      &http.Client{Transport: transport, Timeout: options.AnswerLimit},
+		http:      &http.Client{Transport: transport, Timeout: options.ResponseTimeout},
 		stop:      stop,
 	}
 	var always atomic.Bool
@@ -82,11 +82,11 @@
 	return generator
 }
 
-// OpenSubmissions enables submissions.
-func (g *Generator) OpenSubmissions() { g.submissions.Store(true) }
+// EnableSubmissions enables submissions.
+func (g *Generator) EnableSubmissions() { g.submissions.Store(true) }
 
-// OpenGenerations enables model requests.
-func (g *Generator) OpenGenerations() { g.generations.Store(true) }
+// EnableGenerations enables model requests.
+func (g *Generator) EnableGenerations() { g.generations.Store(true) }
 
 // InFlight returns the number of requests in flight.
 func (g *Generator) InFlight() int64 { return g.inFlight.Load() }
@@ -102,9 +102,9 @@
 	g.http.CloseIdleConnections()
 }
 
-// Poison sends a model request, with mark in its prompt, the given number of times, as a caller does that retries a
+// SendPoison sends a model request, with mark in its prompt, the given number of times, as a caller does that retries a
 // request that crashes upstreams. Each attempt goes through the next entry when the one before has its response.
-func (g *Generator) Poison(mark string, times int) {
+func (g *Generator) SendPoison(mark string, times int) {
 	generate := generateMessage{Prompt: "Summarise " + mark, MaxTokens: minTokens, Stream: true}
 	planned := request{
 		kind: ledger.Poison, id: "poison-" + mark, method: http.MethodPost, path: generatePath,
--- a/internal/demo/load/send.go
+++ b/internal/demo/load/send.go
@@ -157,7 +157,7 @@
 	}
 	record.Outcome = ledger.Complete
 	if !message.matches(planned) {
-		record.Outcome = ledger.Garbled
+		record.Outcome = ledger.Incorrect
 		record.Crossed = true
 		record.Note = "response to another request: " + string(body[:min(len(body), maxNoteBytes)])
 	}
@@ -193,7 +193,7 @@
 		record.CleanEnd = true
 		return errors.Errorf("truncated: %d of %d tokens", got.Tokens, planned.generate.MaxTokens)
 	case answer.Incorrect:
-		record.Outcome = ledger.Garbled
+		record.Outcome = ledger.Incorrect
 		record.Crossed = !answer.BelongsTo(got, planned.generate.Prompt, g.digests)
 		record.Note = "incorrect answer: digest " + got.Digest + ", text " + got.Text[:min(len(got.Text), maxNoteBytes)]
 	}
--- a/internal/demo/load/send_test.go
+++ b/internal/demo/load/send_test.go
@@ -62,7 +62,7 @@
 	record := sent(t, submission(), func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprint(w, `{"method":"POST","body_sha256":"other"}`)
 	})
-	assert.Equal(t, ledger.Garbled, record.Outcome)
+	assert.Equal(t, ledger.Incorrect, record.Outcome)
 }
 
 // TestRefusalIsRecordedWithItsCode guards against a refusal whose code, or whose statement about execution, gets lost.
@@ -143,7 +143,7 @@
 	}{
 		"whole":           {testDigest, planned.generate.MaxTokens, ledger.Complete},
 		"short":           {testDigest, planned.generate.MaxTokens - 1, ledger.Lost},
-		"unknown version": {"d9", planned.generate.MaxTokens, ledger.Garbled},
+		"unknown version": {"d9", planned.generate.MaxTokens, ledger.Incorrect},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -198,6 +198,6 @@
 	record := sent(t, planned, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprintf(w, `{"method":"GET","path":"/vendors/18","body_sha256":%q}`, sha256Hex(nil))
 	})
-	assert.Equal(t, ledger.Garbled, record.Outcome)
+	assert.Equal(t, ledger.Incorrect, record.Outcome)
 	assert.True(t, record.Crossed)
 }
--- a/internal/demo/processes/process.go
+++ b/internal/demo/processes/process.go
@@ -142,11 +142,11 @@
 	}
 }
 
-// Freeze suspends the process with SIGSTOP until Thaw is called.
-func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
+// Suspend suspends the process with SIGSTOP until Thaw is called.
+func (p *Process) Suspend() { p.signal(syscall.SIGSTOP) }
 
-// Thaw resumes a frozen process with SIGCONT.
-func (p *Process) Thaw() { p.signal(syscall.SIGCONT) }
+// Resume resumes a frozen process with SIGCONT.
+func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
 func (p *Process) signal(sig syscall.Signal) {
 	if !p.Running() {
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -141,7 +141,7 @@
 	if err := r.measureBaseline(ctx); err != nil {
 		return err
 	}
-	r.generator.OpenSubmissions()
+	r.generator.EnableSubmissions()
 	for index, version := range r.versions() {
 		kill := index == 0 && r.options.KillShare > 0
 		result, err := r.spreadVersion(ctx, version, kill)
--- a/internal/demo/saved_logs.go
+++ b/internal/demo/saved_logs.go
@@ -53,9 +53,9 @@
 func (r *run) printExamples(engines []outside.EngineLine, plain []outside.PlainLine) {
 	records := r.book.Records()
 	r.printRecords("lost", count.WithOutcome(records, ledger.Lost))
-	r.printRecords("garbled", count.WithOutcome(records, ledger.Garbled))
+	r.printRecords("garbled", count.WithOutcome(records, ledger.Incorrect))
 	r.printRecords("false not-run", count.FalseNotRun(records, plain, engines))
-	for _, key := range limitExamples(count.Doubled(plain)) {
+	for _, key := range limitExamples(count.DuplicateKeys(plain)) {
 		_, _ = fmt.Fprintln(r.progress.out, "doubled:", key)
 	}
 }
--- a/internal/demo/spread.go
+++ b/internal/demo/spread.go
@@ -73,7 +73,7 @@
 		result.serving = r.countServing(ctx, live, result.manifest.Digest)
 		r.progress.setServing(result.serving, len(live))
 		if result.serving > 0 {
-			r.generator.OpenGenerations()
+			r.generator.EnableGenerations()
 		}
 		if result.serving == len(live) || time.Now().After(deadline) {
 			return nil
--- a/internal/emulator/entry.go
+++ b/internal/emulator/entry.go
@@ -57,14 +57,14 @@
 	switch eff := eff.(type) {
 	case forward.Admitted:
 		if x := e.inFlight[eff.ID]; x != nil {
-			e.fleet.simulation.after(eff.By.Sub(e.fleet.simulation.time()), func() { x.timedOut() })
+			e.fleet.simulation.after(eff.Deadline.Sub(e.fleet.simulation.time()), func() { x.timedOut() })
 		}
 	case forward.Send:
 		if x := e.inFlight[eff.ID]; x != nil {
 			x.startAttempt(eff)
 		}
 	case forward.Withdraw:
-		if x := e.inFlight[eff.ID]; x != nil && x.attempt.Number == eff.Number && !x.started {
+		if x := e.inFlight[eff.ID]; x != nil && x.attempt.Attempt == eff.Attempt && !x.started {
 			x.attemptEnded(forward.Withdrawn)
 		}
 	case forward.Refuse:
@@ -93,7 +93,7 @@
 	t.exchange = x
 	e.inFlight[x.id] = x
 	e.step(forward.Arrived{
-		ID: x.id, Host: host, Path: "/" + t.request.kind.Name + "/x", Model: modelName, Budget: t.deadline - e.fleet.simulation.now, Prompt: t.request.prompt,
+		ID: x.id, Host: host, Path: "/" + t.request.kind.Name + "/x", Model: modelName, Budget: t.deadline - e.fleet.simulation.now, PromptTokens: t.request.prompt,
 	})
 }
 
@@ -135,8 +135,8 @@
 	x.attempt, x.started, x.sentAt = attempt, false, w.now
 	t := x.newTask(engine)
 	x.task = t
-	if attempt.Patience > 0 {
-		w.after(attempt.Patience, func() {
+	if attempt.FirstEventTimeout > 0 {
+		w.after(attempt.FirstEventTimeout, func() {
 			if x.current(t) && !x.started {
 				x.attemptEnded(forward.Silent)
 			}
@@ -179,7 +179,7 @@
 
 // headReceived reports the head of an answer to the reducer.
 func (x *exchange) headReceived(o forward.Outcome, notice catalog.Notice) {
-	x.entry.step(forward.Noticed{Upstream: x.attempt.Upstream.Life(), Sent: epoch.Add(x.sentAt), Outcome: o, Notice: notice})
+	x.entry.step(forward.AnswerHeadReceived{Upstream: x.attempt.Upstream.Instance(), Sent: epoch.Add(x.sentAt), Outcome: o, Notice: notice})
 }
 
 // declined ends an attempt that the engine declined.
@@ -196,7 +196,7 @@
 	if !x.started {
 		x.started = true
 		x.headReceived(forward.Answered, notice)
-		x.entry.step(forward.Began{ID: x.id, Version: 1})
+		x.entry.step(forward.Started{ID: x.id, Version: 1})
 	}
 	x.partial, x.lastAt = true, w.now
 	x.forwarded++
@@ -207,16 +207,16 @@
 func (x *exchange) answered() {
 	x.task = nil
 	e := x.entry
-	e.step(forward.SendEnded{ID: x.id, Outcome: forward.Answered, Partial: true})
+	e.step(forward.AttemptEnded{ID: x.id, Outcome: forward.Answered, Partial: true})
 	e.finish(x.id, func(t *try) { t.answered() })
 }
 
 // attemptEnded ends the current attempt without an answer.
 func (x *exchange) attemptEnded(o forward.Outcome) {
 	x.cancel()
-	ev := forward.SendEnded{ID: x.id, Outcome: o, Partial: x.partial}
+	ev := forward.AttemptEnded{ID: x.id, Outcome: o, Partial: x.partial}
 	if x.partial {
-		ev.Quiet = x.entry.fleet.simulation.now - x.lastAt
+		ev.SinceLastPart = x.entry.fleet.simulation.now - x.lastAt
 	}
 	x.entry.step(ev)
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -81,7 +81,7 @@
 		fleet: f, dataCentre: centreName(centre), inFlight: map[uint64]*exchange{},
 		state: forward.NewState(forward.Self{
 			Name: fmt.Sprintf("entry-%d-%d", centre, i), DataCentre: centreName(centre), Region: centreName(centre), Regions: regions,
-			Retries: hostconfig.Retries{Ratio: 0.2, Extra: 136, Window: 10 * time.Second}, VersionTime: 10300 * time.Millisecond, Policy: f.setup.Policy,
+			Retries: hostconfig.RetryBudget{Ratio: 0.2, Base: 136, Window: 10 * time.Second}, VersionLifetime: 10300 * time.Millisecond, Policy: f.setup.Policy,
 		}, state),
 	}
 	e.step(catalog.ManifestRead{Revision: 1, Manifest: f.manifest()})
@@ -97,13 +97,13 @@
 	for _, k := range f.setup.Kinds {
 		routes = append(routes, &catalog.Route{
 			Name: k.Name, Host: host, Prefix: "/" + k.Name + "/", Kind: catalog.Streaming, Resumable: true, MaxUpstreams: 2,
-			Shares: []catalog.Share{{Service: service, Weight: 1}}, Timeout: k.Limit, Objective: k.Objective, CallerPatience: firstEventTimeout,
+			Shares: []catalog.Share{{Service: service, Weight: 1}}, Timeout: k.Limit, Objective: k.Objective, CallerTimeout: firstEventTimeout,
 		})
 		prompt += k.Share * float64(k.Prompt)
 	}
 	m := catalog.NewManifest(1, routes, nil)
 	m.Services[service] = &catalog.Service{Name: service, Engine: &catalog.Engine{
-		Slots: f.setup.EngineModel.Slots, ReadRate: f.setup.EngineModel.ReadRate, UsualPrompt: prompt, Models: []string{modelName},
+		Slots: f.setup.EngineModel.Slots, PromptTokensPerSecond: f.setup.EngineModel.ReadRate, MeanPromptTokens: prompt, Models: []string{modelName},
 	}}
 	return m
 }
@@ -111,7 +111,7 @@
 // addEngine adds an engine, which all entries know at once.
 func (f *fleet) addEngine(centre int, id string) *engine {
 	u := &catalog.Upstream{
-		ID: id, Born: 1, Service: service, Address: id, DataCentre: centreName(centre), Slots: f.setup.EngineModel.Slots, Versions: map[string]int64{modelName: 1},
+		ID: id, StartedAt: 1, Service: service, Address: id, DataCentre: centreName(centre), Slots: f.setup.EngineModel.Slots, Versions: map[string]int64{modelName: 1},
 		Revision: int64(len(f.engines) + 1),
 	}
 	e := &engine{simulation: f.simulation, model: f.setup.EngineModel, upstream: u, slowdown: 1}
@@ -129,14 +129,14 @@
 // startReports has the agent of an engine report its load to the entries.
 func (f *fleet) startReports(e *engine) {
 	type listener struct {
-		loadReport forward.LoadTold
+		loadReport forward.LoadReported
 		at         time.Duration
 	}
 	listeners := make([]listener, len(f.entries))
 	f.simulation.every(readInterval, func() {
-		loadReport := forward.LoadTold{
-			Address: e.upstream.Address, Born: 1, Occupied: e.occupied(), Closing: e.notAccepting, Versions: map[string]int64{modelName: 1},
-			Leaving: e.notice.Leaving, Entries: len(f.entries), Near: f.setup.Entries,
+		loadReport := forward.LoadReported{
+			Address: e.upstream.Address, StartedAt: 1, RequestCount: e.occupied(), NotAccepting: e.notAccepting, Versions: map[string]int64{modelName: 1},
+			Leaving: e.notice.Leaving, Entries: len(f.entries), NearEntries: f.setup.Entries,
 		}
 		if e.notice.Limited {
 			limit := e.notice.RateLimit
@@ -149,8 +149,8 @@
 				latency, minInterval, idleInterval = localLatency, localMinInterval, localIdleInterval
 			}
 			since := f.simulation.now - l.at
-			urgent := loadReport.Closing != l.loadReport.Closing || loadReport.Leaving != l.loadReport.Leaving
-			if !urgent && since < idleInterval && (loadReport.Occupied == l.loadReport.Occupied || since < minInterval) {
+			urgent := loadReport.NotAccepting != l.loadReport.NotAccepting || loadReport.Leaving != l.loadReport.Leaving
+			if !urgent && since < idleInterval && (loadReport.RequestCount == l.loadReport.RequestCount || since < minInterval) {
 				continue
 			}
 			l.loadReport, l.at = loadReport, f.simulation.now
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -65,8 +65,8 @@
 	Size int64
 }
 
-// ErrOldFencing means that the engine has already accepted an order of a newer instance of the agent.
-var ErrOldFencing = errors.New("engine rejected an old fencing number")
+// ErrSupersededFencing means that the engine has already accepted an order of a newer instance of the agent.
+var ErrSupersededFencing = errors.New("engine rejected an old fencing number")
 
 // Client calls the HTTP API of engines.
 type Client struct{ http *http.Client }
@@ -179,7 +179,7 @@
 	case http.StatusOK:
 		return nil
 	case http.StatusConflict:
-		return ErrOldFencing
+		return ErrSupersededFencing
 	}
 	return errors.Errorf("status %d", resp.StatusCode)
 }
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -227,5 +227,5 @@
 	if status == 0 {
 		status = http.StatusInternalServerError
 	}
-	return Problem{Title: description.Name, Status: status, Code: reason, Detail: detail, Ran: ran, Request: c.id}
+	return Problem{Title: description.Name, Status: status, Code: reason, Detail: detail, Ran: ran, RequestID: c.id}
 }
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -51,10 +51,10 @@
 func (e *Entry) runAttempt(c *call, eff request.Send) bool {
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline.Add(deadlineGrace))
 	defer cancel()
-	periodic.Sleep(ctx, eff.Wait)
+	periodic.Sleep(ctx, eff.Delay)
 	reader, ok := c.body.reader()
 	if !ok {
-		e.reportFailure(c, eff.Try, &frame.Fail{Code: code.RetriesExhausted, Ran: code.NotRun})
+		e.reportFailure(c, eff.Attempt, &frame.Fail{Code: code.RetriesExhausted, Ran: code.NotRun})
 		return false
 	}
 	header := frame.EndToEnd(c.r.Header)
@@ -62,9 +62,9 @@
 		header.Set(frame.AuthorizationHeader, own)
 	}
 	header.Set(frame.MethodHeader, c.r.Method)
-	env := e.envelope(c, eff.Try)
+	env := e.envelope(c, eff.Attempt)
 	env.Target = c.target
-	env.Cache = eff.Cache
+	env.CachePosition = eff.Cache
 	c.answer.headMatched = false
 	if eff.Continue {
 		c.answer.startRun()
@@ -77,12 +77,12 @@
 	s, err := e.openStream(ctx, agentCall{
 		address: eff.Target.Address, path: frame.RunPath, env: env, header: header, body: reader, contentLength: length,
 	})
-	return e.receiveAnswer(ctx, c, eff.Try, s, err)
+	return e.receiveAnswer(ctx, c, eff.Attempt, s, err)
 }
 
 // receiveAnswer forwards an answer. It reconnects, up to a limit, as long as nothing of the answer was received. It
 // reports whether the request is finished.
-func (e *Entry) receiveAnswer(ctx context.Context, c *call, t request.Try, s *stream, err error) bool {
+func (e *Entry) receiveAnswer(ctx context.Context, c *call, t request.Attempt, s *stream, err error) bool {
 	for reconnects := 0; ; reconnects++ {
 		if err == nil {
 			var p progress
@@ -97,7 +97,7 @@
 			return true
 		}
 		if errors.Is(err, errNotConnected) && reconnects == 0 {
-			e.Loop.Step(member.DialFailed{Address: t.Target.Address})
+			e.Loop.Step(member.CallFailed{Address: t.Target.Address})
 			e.reportFailure(c, t, &frame.Fail{Code: code.UpstreamSilent, Ran: code.NotRun})
 			return false
 		}
@@ -108,7 +108,7 @@
 		}
 		if reconnects == maxReconnectsOf(t) {
 			e.cancelAttempt(c, t)
-			e.Loop.Step(member.DialFailed{Address: t.Target.Address})
+			e.Loop.Step(member.CallFailed{Address: t.Target.Address})
 			e.reportFailure(c, t, &frame.Fail{Code: code.UpstreamSilent, Ran: code.Unknown})
 			return false
 		}
@@ -122,7 +122,7 @@
 }
 
 // maxReconnectsOf returns the maximum number of reconnects for an attempt.
-func maxReconnectsOf(t request.Try) int {
+func maxReconnectsOf(t request.Attempt) int {
 	if t.AtMostOnce {
 		return maxReconnectsAtMostOnce
 	}
@@ -131,25 +131,25 @@
 
 // reconnect requests the answer of the same attempt over a new connection. An agent that does not know the attempt
 // fences it off.
-func (e *Entry) reconnect(ctx context.Context, c *call, t request.Try) (*stream, error) {
+func (e *Entry) reconnect(ctx context.Context, c *call, t request.Attempt) (*stream, error) {
 	env := e.envelope(c, t)
 	env.Offset = c.answer.receivedBytes
 	return e.openStream(ctx, agentCall{address: t.Target.Address, path: frame.ResumePath, env: env, header: http.Header{}, unpooled: true})
 }
 
 // envelope returns the envelope that describes an attempt to its agent.
-func (e *Entry) envelope(c *call, t request.Try) frame.Envelope {
+func (e *Entry) envelope(c *call, t request.Attempt) frame.Envelope {
 	env := frame.Envelope{
-		Request: c.id, Attempt: t.Attempt, Upstream: t.Target.Upstream.Name,
+		Request: c.id, Attempt: t.Number, Upstream: t.Target.Upstream.Name,
 		Incarnation: t.Target.Incarnation, Entry: e.instance, Sequence: t.Sequence,
-		Fingerprint: c.fingerprint, Alone: t.Alone, Digest: t.Digest, Once: t.AtMostOnce,
+		Fingerprint: c.fingerprint, Exclusive: t.Exclusive, Digest: t.Digest, AtMostOnce: t.AtMostOnce,
 		DeadlineMS: max(1, time.Until(c.deadline).Milliseconds()),
 		Revision:   e.Revision(setting.Key(t.Target.Upstream.Team, t.Target.Upstream.Service)), From: e.Address(),
 	}
-	if t.Alone {
+	if t.Exclusive {
 		e.Loop.View(func(s *core.State) {
 			if mark, ok := s.Mark(c.fingerprint); ok {
-				env.Mark = &mark
+				env.CrashRecord = &mark
 			}
 		})
 	}
@@ -157,12 +157,12 @@
 }
 
 // cancelAttempt fences an attempt off in the background, after its caller disconnected or its agent did not answer.
-func (e *Entry) cancelAttempt(c *call, t request.Try) {
+func (e *Entry) cancelAttempt(c *call, t request.Attempt) {
 	go e.fence(c, t)
 }
 
 // fence asks the agent to fence an attempt off and returns whether the attempt ran.
-func (e *Entry) fence(c *call, t request.Try) code.Ran {
+func (e *Entry) fence(c *call, t request.Attempt) code.Ran {
 	ctx, cancel := context.WithTimeout(context.Background(), fenceTimeout)
 	defer cancel()
 	s, err := e.openStream(ctx, agentCall{
@@ -177,7 +177,7 @@
 		if err != nil {
 			return code.Unknown
 		}
-		if kind == frame.TypeBeat {
+		if kind == frame.TypeHeartbeat {
 			continue
 		}
 		f, ok := c.parseFailure(t, kind, payload)
@@ -189,50 +189,50 @@
 }
 
 // parseFailure decodes a failure frame. ok is false if it is malformed or belongs to another request or attempt.
-func (c *call) parseFailure(t request.Try, kind frame.Type, payload []byte) (*frame.Fail, bool) {
+func (c *call) parseFailure(t request.Attempt, kind frame.Type, payload []byte) (*frame.Fail, bool) {
 	f := &frame.Fail{}
 	if kind != frame.TypeFail || json.Unmarshal(payload, f) != nil {
 		return nil, false
 	}
-	return f, f.Request == c.id && f.Attempt == t.Attempt
+	return f, f.Request == c.id && f.Attempt == t.Number
 }
 
 // reportFailure reports a failed attempt to the core, with what the agent sent about it.
-func (e *Entry) reportFailure(c *call, t request.Try, f *frame.Fail) {
-	if f.Mark != nil {
-		e.Loop.Step(record.Received{From: t.Target.Address, Records: []record.Record{*f.Mark}})
+func (e *Entry) reportFailure(c *call, t request.Attempt, f *frame.Fail) {
+	if f.CrashRecord != nil {
+		e.Loop.Step(record.Received{From: t.Target.Address, Records: []record.Record{*f.CrashRecord}})
 	}
 	if f.Code == code.AgentRestarted {
 		// Send nothing to the former instance's address until the new instance is known.
-		e.Loop.Step(member.DialFailed{Address: t.Target.Address})
+		e.Loop.Step(member.CallFailed{Address: t.Target.Address})
 	}
 	if c.answer.started {
-		e.Loop.Step(request.AnswerFailed{ID: c.id, Attempt: t.Attempt, Code: f.Code, Ran: f.Ran, Final: c.answer.partialEventForwarded})
+		e.Loop.Step(request.AnswerFailed{ID: c.id, Attempt: t.Number, Code: f.Code, Ran: f.Ran, Final: c.answer.partialEventForwarded})
 		return
 	}
-	e.Loop.Step(request.AttemptFailed{ID: c.id, Attempt: t.Attempt, Code: f.Code, Ran: f.Ran, Report: f.Load})
+	e.Loop.Step(request.AttemptFailed{ID: c.id, Attempt: t.Number, Code: f.Code, Ran: f.Ran, Report: f.Load})
 }
 
 // resumeAnswer continues an answer over a new connection, from the byte at which it was interrupted.
 func (e *Entry) resumeAnswer(c *call, eff request.Resume) bool {
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline.Add(deadlineGrace))
 	defer cancel()
-	periodic.Sleep(ctx, eff.Wait)
+	periodic.Sleep(ctx, eff.Delay)
 	if c.r.Context().Err() != nil {
-		e.cancelAttempt(c, eff.Try)
+		e.cancelAttempt(c, eff.Attempt)
 		return true
 	}
 	c.answer.resuming = true
-	s, err := e.reconnect(ctx, c, eff.Try)
+	s, err := e.reconnect(ctx, c, eff.Attempt)
 	if err != nil {
-		e.Loop.Step(request.AnswerBroke{ID: c.id, Attempt: eff.Attempt})
+		e.Loop.Step(request.AnswerInterrupted{ID: c.id, Attempt: eff.Number})
 		return false
 	}
 	defer s.close()
 	logevent.Info(e.Log, logevent.StreamResumed).Str("request", c.id).Int64("offset", c.answer.receivedBytes).Msg("stream resumed")
-	p, _ := e.forwardAnswer(c, s, eff.Try)
+	p, _ := e.forwardAnswer(c, s, eff.Attempt)
 	if p == progressDisconnected {
-		e.Loop.Step(request.AnswerBroke{ID: c.id, Attempt: eff.Attempt})
+		e.Loop.Step(request.AnswerInterrupted{ID: c.id, Attempt: eff.Number})
 	}
 	return p == progressDone
 }
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -40,11 +40,11 @@
 // readBody buffers the start of the body. It sets the request's fingerprint and whether the request can be sent
 // again.
 func (e *Entry) readBody(c *call, ev *request.Received) *code.Error {
-	source := &callerReader{call: c, remaining: e.config.MaxBody}
+	source := &callerReader{call: c, remaining: e.config.MaxBodyBytes}
 	defer source.clearDeadline()
 	buffered, err := io.ReadAll(io.LimitReader(source, maxReplayBytes+1))
 	if errors.Is(err, errBodyTooLarge) {
-		return code.Errorf(code.BodyTooLarge, "body", "more than %d bytes", e.config.MaxBody)
+		return code.Errorf(code.BodyTooLarge, "body", "more than %d bytes", e.config.MaxBodyBytes)
 	}
 	var refusal *code.Error
 	if errors.As(err, &refusal) {
--- a/internal/entry/caller_test.go
+++ b/internal/entry/caller_test.go
@@ -56,7 +56,7 @@
 }
 
 func generateRequest(prompt string, tokens int, stream bool) testRequest {
-	body, _ := json.Marshal(engine.GenerateCall{Prompt: prompt, MaxTokens: tokens, Stream: stream})
+	body, _ := json.Marshal(engine.GenerateRequest{Prompt: prompt, MaxTokens: tokens, Stream: stream})
 	return testRequest{service: "summary", method: http.MethodPost, path: "/v1/generate", body: string(body), prompt: prompt, tokens: tokens, stream: stream}
 }
 
@@ -123,7 +123,7 @@
 		o.checkPlain(data, q)
 		return
 	}
-	var a engine.GenerateAnswer
+	var a engine.GenerateResponse
 	if json.Unmarshal(data, &a) != nil || a.Text != expectedText(digest, q.prompt, q.tokens) || a.RequestID != o.id {
 		o.unexpected = string(data)
 		return
@@ -132,7 +132,7 @@
 }
 
 func (o *outcome) checkPlain(data []byte, q testRequest) {
-	var a plain.Answer
+	var a plain.Response
 	sum := sha256.Sum256([]byte(q.body))
 	if json.Unmarshal(data, &a) != nil || a.RequestID != o.id || a.BodySHA256 != hex.EncodeToString(sum[:]) || a.Method != q.method {
 		o.unexpected = string(data)
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -55,7 +55,7 @@
 		return false
 	}
 	proposed := e.newClaim(c, key)
-	a := e.claims.Make(c.r.Context(), proposed)
+	a := e.claims.Claim(c.r.Context(), proposed)
 	switch {
 	case a.Verdict == claim.Granted:
 		c.startRecording(proposed)
@@ -63,8 +63,8 @@
 			return true // The caller disconnected and nothing was sent: the claim is released.
 		}
 		e.Loop.Step(request.ClaimSettled{ID: c.id, Outcome: request.ClaimGranted})
-	case a.Verdict == claim.Replayed && a.Kept != nil:
-		replayAnswer(c, a.Kept)
+	case a.Verdict == claim.Replayed && a.StoredResponse != nil:
+		replayAnswer(c, a.StoredResponse)
 		return true
 	default:
 		e.rejectClaim(c, a)
@@ -76,19 +76,19 @@
 func (e *Entry) newClaim(c *call, key string) claim.Claim {
 	team, service, _, _ := splitPath(c.r.URL.Path)
 	return claim.Claim{
-		Key:         claim.HashKey(team, service, key),
-		Request:     c.id,
-		Fingerprint: claim.Fingerprint(c.r.Method, c.target, c.r.ContentLength, c.body.buffered),
-		KeyTime:     claim.Time(key),
-		RunFor:      time.Until(c.deadline).Milliseconds(),
+		Key:          claim.HashKey(team, service, key),
+		RequestID:    c.id,
+		Fingerprint:  claim.Fingerprint(c.r.Method, c.target, c.r.ContentLength, c.body.buffered),
+		KeyTime:      claim.KeyTimestamp(key),
+		RunTimeoutMS: time.Until(c.deadline).Milliseconds(),
 	}
 }
 
 // rejectClaim reports a refused claim to the core.
-func (e *Entry) rejectClaim(c *call, a claims.Answer) {
+func (e *Entry) rejectClaim(c *call, a claims.Result) {
 	refusal, ok := a.Verdict.Refusal()
 	if !ok {
-		refusal, _ = claim.Unsure.Refusal()
+		refusal, _ = claim.MaybeRecorded.Refusal()
 	}
 	e.Loop.Step(request.ClaimSettled{
 		ID: c.id, Outcome: request.ClaimRefused, Code: refusal.Code, Ran: refusal.Ran,
@@ -111,8 +111,8 @@
 		return
 	}
 	settlement := claim.Settlement{
-		Key: granted.claim.Key, Request: granted.claim.Request, KeyTime: granted.claim.KeyTime,
-		Status: claim.Ending(granted.sent, granted.complete, granted.ran),
+		Key: granted.claim.Key, RequestID: granted.claim.RequestID, KeyTime: granted.claim.KeyTime,
+		Status: claim.SettlementStatus(granted.sent, granted.complete, granted.ran),
 	}
 	if granted.complete {
 		settlement.Answer = granted.recorder.storedResponse()
@@ -121,7 +121,7 @@
 }
 
 // replayAnswer sends a stored answer to the caller.
-func replayAnswer(c *call, stored *claim.Answer) {
+func replayAnswer(c *call, stored *claim.StoredResponse) {
 	header := c.w.Header()
 	for name, values := range stored.Header {
 		header[name] = values
@@ -148,9 +148,9 @@
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// Write forwards p, and records it unless the body exceeds claim.MaxAnswer.
+// Write forwards p, and records it unless the body exceeds claim.MaxResponseBodyBytes.
 func (r *responseRecorder) Write(p []byte) (int, error) {
-	r.tooLarge = r.tooLarge || len(r.body)+len(p) > claim.MaxAnswer
+	r.tooLarge = r.tooLarge || len(r.body)+len(p) > claim.MaxResponseBodyBytes
 	if r.tooLarge {
 		r.body = nil
 	} else {
@@ -163,9 +163,9 @@
 func (r *responseRecorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
 // storedResponse returns the response to be stored, or nil if it is too large.
-func (r *responseRecorder) storedResponse() *claim.Answer {
-	stored := &claim.Answer{Status: r.status, Header: r.header, Body: r.body}
-	if r.tooLarge || r.status == 0 || !stored.Keepable() {
+func (r *responseRecorder) storedResponse() *claim.StoredResponse {
+	stored := &claim.StoredResponse{Status: r.status, Header: r.header, Body: r.body}
+	if r.tooLarge || r.status == 0 || !stored.FitsLimit() {
 		return nil
 	}
 	return stored
--- a/internal/entry/claim_peers.go
+++ b/internal/entry/claim_peers.go
@@ -48,7 +48,7 @@
 func (p *claimPeers) Call(ctx context.Context, address, method string, params, answer any) error {
 	err := p.entry.Pool.Call(ctx, address, method, params, answer)
 	if err != nil {
-		p.entry.Loop.Step(member.DialFailed{Address: address})
+		p.entry.Loop.Step(member.CallFailed{Address: address})
 		p.invalidate()
 	}
 	return err
--- a/internal/entry/claim_test.go
+++ b/internal/entry/claim_test.go
@@ -158,7 +158,7 @@
 	t.Parallel()
 	fleet := newTestFleet(t, 1, 1)
 	tooOld := keyWithTime(time.Now().Add(-claim.DefaultRetention - time.Hour))
-	inFuture := keyWithTime(time.Now().Add(claim.MaxAhead + time.Hour))
+	inFuture := keyWithTime(time.Now().Add(claim.MaxKeyAhead + time.Hour))
 	first := fleet.sendBooking(0, newKey(), "/book", "")
 	require.Equal(t, http.StatusOK, first.status, "%+v", first)
 	var got bookingAnswer
@@ -167,7 +167,7 @@
 		return got.problem.Code == code.KeyTooOld
 	})
 	requireRefusal(t, got, code.KeyTooOld, code.Unknown)
-	requireRefusal(t, fleet.sendBooking(0, inFuture, "/book", ""), code.KeyAhead, code.NotRun)
+	requireRefusal(t, fleet.sendBooking(0, inFuture, "/book", ""), code.KeyInFuture, code.NotRun)
 	require.Zero(t, fleet.runsByKey()[inFuture])
 	require.Zero(t, fleet.runsByKey()[tooOld])
 }
@@ -306,12 +306,12 @@
 	require.Equal(t, 1, fleet.runsByKey()[key])
 }
 
-// TestOversizedAnswerIsNotStored guards against storing an answer above claim.MaxAnswer. It is forwarded only.
+// TestOversizedAnswerIsNotStored guards against storing an answer above claim.MaxResponseBodyBytes. It is forwarded only.
 func TestOversizedAnswerIsNotStored(t *testing.T) {
 	t.Parallel()
 	recorder := &responseRecorder{ResponseWriter: &discardWriter{header: http.Header{}}}
 	recorder.WriteHeader(http.StatusOK)
-	_, err := recorder.Write(make([]byte, claim.MaxAnswer))
+	_, err := recorder.Write(make([]byte, claim.MaxResponseBodyBytes))
 	require.NoError(t, err)
 	require.NotNil(t, recorder.storedResponse())
 	_, err = recorder.Write([]byte{1})
--- a/internal/entry/config.go
+++ b/internal/entry/config.go
@@ -25,15 +25,15 @@
 	node.Config
 	// CallersListen is the address (IP:PORT) on which the entry accepts callers from the balancer.
 	CallersListen string
-	// Deadline applies to requests without a Deadline-Ms header.
-	Deadline time.Duration
-	// MaxBody is the maximum size of a request body in bytes.
-	MaxBody int64
+	// DefaultDeadline applies to requests without a Deadline-Ms header.
+	DefaultDeadline time.Duration
+	// MaxBodyBytes is the maximum size of a request body in bytes.
+	MaxBodyBytes int64
 	// Routing is the policy for choosing upstreams. Policies other than the default are for experiments.
 	Routing string
-	// Settle is how long an entry that shuts down keeps accepting requests after it reports itself as not ready. It
+	// ReadinessDelay is how long an entry that shuts down keeps accepting requests after it reports itself as not ready. It
 	// must exceed the interval of the balancer's readiness check.
-	Settle time.Duration
+	ReadinessDelay time.Duration
 	// Claims holds the settings of at-most-once calls.
 	Claims claim.Config
 }
@@ -42,10 +42,10 @@
 func (c *Config) Flags(fs *flag.FlagSet) {
 	c.Config.Flags(fs)
 	fs.StringVar(&c.CallersListen, "callers-listen", "127.0.0.1:0", "address for callers, IP:PORT")
-	fs.DurationVar(&c.Deadline, "deadline", defaultDeadline, "deadline of a request that names none")
-	fs.Int64Var(&c.MaxBody, "max-body", defaultMaxBody, "largest body of a request, in bytes")
+	fs.DurationVar(&c.DefaultDeadline, "deadline", defaultDeadline, "deadline of a request that names none")
+	fs.Int64Var(&c.MaxBodyBytes, "max-body", defaultMaxBody, "largest body of a request, in bytes")
 	fs.StringVar(&c.Routing, "routing", string(routing.Affinity), "how upstreams are chosen: affinity; random, least and two are for experiments")
-	fs.DurationVar(&c.Settle, "settle", defaultSettle, "how long a stopping entry takes requests while the balancer notices; longer than the balancer's check")
+	fs.DurationVar(&c.ReadinessDelay, "settle", defaultSettle, "how long a stopping entry takes requests while the balancer notices; longer than the balancer's check")
 	fs.DurationVar(&c.Claims.Retention, "claim-retention", claim.DefaultRetention, "how long a run is remembered after the time in its UUIDv7 idempotency key; alike in all entries")
 	fs.DurationVar(&c.Claims.UntimedRetention, "claim-untimed-retention", claim.DefaultUntimedRetention, "how long a run of another idempotency key is remembered; alike in all entries")
 }
@@ -59,23 +59,23 @@
 	if err := c.checkListener(); err != nil {
 		return err
 	}
-	if c.Deadline <= 0 {
-		return code.Errorf(code.BadProcess, "-deadline", "%v, want more than 0", c.Deadline)
+	if c.DefaultDeadline <= 0 {
+		return code.Errorf(code.BadProcessSetting, "-deadline", "%v, want more than 0", c.DefaultDeadline)
 	}
 	if !routing.ValidPolicy(routing.Policy(c.Routing)) {
-		return code.Errorf(code.BadProcess, "-routing", "%q, want affinity, random, least or two", c.Routing)
+		return code.Errorf(code.BadProcessSetting, "-routing", "%q, want affinity, random, least or two", c.Routing)
 	}
-	if c.Settle < 0 {
-		return code.Errorf(code.BadProcess, "-settle", "%v, want 0 or more", c.Settle)
+	if c.ReadinessDelay < 0 {
+		return code.Errorf(code.BadProcessSetting, "-settle", "%v, want 0 or more", c.ReadinessDelay)
 	}
-	if c.MaxBody <= 0 {
-		return code.Errorf(code.BadProcess, "-max-body", "%d, want more than 0", c.MaxBody)
+	if c.MaxBodyBytes <= 0 {
+		return code.Errorf(code.BadProcessSetting, "-max-body", "%d, want more than 0", c.MaxBodyBytes)
 	}
 	if c.Claims.Retention < claim.MinRetention {
-		return code.Errorf(code.BadProcess, "-claim-retention", "%v, want at least %v", c.Claims.Retention, claim.MinRetention)
+		return code.Errorf(code.BadProcessSetting, "-claim-retention", "%v, want at least %v", c.Claims.Retention, claim.MinRetention)
 	}
 	if c.Claims.UntimedRetention < claim.MinRetention {
-		return code.Errorf(code.BadProcess, "-claim-untimed-retention", "%v, want at least %v", c.Claims.UntimedRetention, claim.MinRetention)
+		return code.Errorf(code.BadProcessSetting, "-claim-untimed-retention", "%v, want at least %v", c.Claims.UntimedRetention, claim.MinRetention)
 	}
 	return nil
 }
@@ -85,8 +85,8 @@
 	if err := config.CheckListen("callers-listen", c.CallersListen); err != nil {
 		return err
 	}
-	if err := config.CheckApart("callers-listen", c.CallersListen, "peers-listen", c.PeersListen); err != nil {
+	if err := config.CheckDistinct("callers-listen", c.CallersListen, "peers-listen", c.PeersListen); err != nil {
 		return err
 	}
-	return config.CheckApart("callers-listen", c.CallersListen, "operators-listen", c.OperatorsListen)
+	return config.CheckDistinct("callers-listen", c.CallersListen, "operators-listen", c.OperatorsListen)
 }
--- a/internal/entry/crash_test.go
+++ b/internal/entry/crash_test.go
@@ -115,7 +115,7 @@
 	for name, q := range requests {
 		fingerprint := fleet.fingerprintOf(q)
 		fleet.entries[0].Loop.View(func(s *core.State) {
-			assert.NotEqual(t, suspect.Quarantined, s.Suspects.Look(time.Now(), fingerprint), name)
+			assert.NotEqual(t, suspect.Quarantined, s.Suspects.Status(time.Now(), fingerprint), name)
 		})
 	}
 }
@@ -146,7 +146,7 @@
 	assert.True(t, o.complete, "%v", o)
 	for _, a := range fleet.agents {
 		a.Loop.View(func(s *core.State) {
-			assert.Equal(t, suspect.Clear, s.Suspects.Look(time.Now(), fleet.fingerprintOf(q)))
+			assert.Equal(t, suspect.Clear, s.Suspects.Status(time.Now(), fleet.fingerprintOf(q)))
 		})
 	}
 }
@@ -157,7 +157,7 @@
 	suspects := suspect.NewState()
 	first, ok := suspects.Crashed(time.Now(), fingerprint, false)
 	require.True(t, ok)
-	suspects.Changed(time.Now(), []record.Record{first})
+	suspects.Apply(time.Now(), []record.Record{first})
 	mark, ok := suspects.Crashed(time.Now(), fingerprint, true)
 	require.True(t, ok)
 	return mark
@@ -166,7 +166,7 @@
 // isQuarantined reports whether an entry quarantines a request.
 func (f *testFleet) isQuarantined(entry int, fingerprint string) bool {
 	verdict := suspect.Clear
-	f.entries[entry].Loop.View(func(s *core.State) { verdict = s.Suspects.Look(time.Now(), fingerprint) })
+	f.entries[entry].Loop.View(func(s *core.State) { verdict = s.Suspects.Status(time.Now(), fingerprint) })
 	return verdict == suspect.Quarantined
 }
 
@@ -223,7 +223,7 @@
 	require.NoError(t, err)
 	defer s.close()
 	kind, payload, err := s.next()
-	for err == nil && kind == frame.TypeBeat {
+	for err == nil && kind == frame.TypeHeartbeat {
 		kind, payload, err = s.next()
 	}
 	require.NoError(t, err)
@@ -231,10 +231,10 @@
 	require.Equal(t, frame.TypeFail, kind)
 	require.NoError(t, json.Unmarshal(payload, &refusal))
 	require.Equal(t, code.Quarantined, refusal.Code)
-	require.NotNil(t, refusal.Mark)
+	require.NotNil(t, refusal.CrashRecord)
 
 	const unknown = "a request that no agent knows"
 	mark := quarantineMark(t, unknown)
-	e.reportFailure(&call{id: "r"}, request.Try{ID: "r", Attempt: 1}, &frame.Fail{Code: code.Quarantined, Ran: code.NotRun, Mark: &mark})
+	e.reportFailure(&call{id: "r"}, request.Attempt{ID: "r", Number: 1}, &frame.Fail{Code: code.Quarantined, Ran: code.NotRun, CrashRecord: &mark})
 	require.True(t, fleet.isQuarantined(0, unknown))
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -47,14 +47,14 @@
 	}
 	l, err := net.Listen("tcp", c.CallersListen)
 	if err != nil {
-		return nil, code.Errorf(code.BadProcess, "-callers-listen", "listening for callers: %v", err)
+		return nil, code.Errorf(code.BadProcessSetting, "-callers-listen", "listening for callers: %v", err)
 	}
 	e := &Entry{Process: p, config: c, callerListener: l}
 	e.claims = e.newClaims()
-	e.agentClient, e.unpooledAgentClient = newAgentClient(p.Client, true), newAgentClient(p.Client, false)
+	e.agentClient, e.unpooledAgentClient = newAgentClient(p.PeerClient, true), newAgentClient(p.PeerClient, false)
 	e.traceAgentCalls()
 	p.Loop.View(func(s *core.State) { e.instance = s.Self.Address + "/" + strconv.FormatUint(s.Self.Incarnation, 10) })
-	p.Loop.SetCarrier(e.dispatchEffect)
+	p.Loop.SetExecutor(e.dispatchEffect)
 	p.Loop.View(func(s *core.State) { s.Requests.Routing.Self.Policy = routing.Policy(c.Routing) })
 	return e, nil
 }
@@ -67,11 +67,11 @@
 	processCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	e.Process.Run(processCtx, map[string]string{"callers": e.callerListener.Addr().String()})
-	e.Serve(node.NumberRefusals(e.callerListener), e.callerHandler())
+	e.Serve(node.WithCodedRejections(e.callerListener), e.callerHandler())
 	<-ctx.Done()
-	logevent.Info(e.Log, logevent.StopAsked).Msg("stop asked")
+	logevent.Info(e.Log, logevent.ShutdownStarted).Msg("stop asked")
 	e.awaitBalancer()
-	e.Stopping()
+	e.StartShutdown()
 	shutdownCtx, cancelShutdown := context.WithTimeout(context.Background(), grace)
 	defer cancelShutdown()
 	e.awaitRequests(shutdownCtx)
@@ -81,11 +81,11 @@
 	logevent.Info(e.Log, logevent.Stopped).Int("open", e.inFlight()).Msg("stopped")
 }
 
-// awaitBalancer reports the entry as not ready and keeps serving for Config.Settle. The balancer removes it
+// awaitBalancer reports the entry as not ready and keeps serving for Config.ReadinessDelay. The balancer removes it
 // meanwhile, so a planned shutdown refuses no caller.
 func (e *Entry) awaitBalancer() {
-	e.NotReady()
-	time.Sleep(e.config.Settle)
+	e.MarkNotReady()
+	time.Sleep(e.config.ReadinessDelay)
 }
 
 // awaitRequests blocks until no request is in flight or ctx ends.
@@ -103,7 +103,7 @@
 
 // dispatchEffect carries out an effect of the loop, or passes it to the request that it is addressed to.
 func (e *Entry) dispatchEffect(eff step.Effect) {
-	if e.Carry(eff) {
+	if e.Execute(eff) {
 		return
 	}
 	addressed, ok := eff.(request.Addressed)
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -130,7 +130,7 @@
 	fleet.secret = rand.Text()
 	fleet.objectAPI = serve(t, objectapi.NewServer(objectapi.Config{}))
 	fleet.hostList = serve(t, hostlist.NewServer(0))
-	origin, err := weights.NewServer(weights.Config{Shape: weights.Shape{Size: 4096, ChunkSize: 1024, Seed: 1, Share: 0.5}})
+	origin, err := weights.NewServer(weights.Config{Shape: weights.ContentConfig{Size: 4096, ChunkSize: 1024, Seed: 1, SharedFraction: 0.5}})
 	require.NoError(t, err)
 	fleet.origin = serve(t, origin)
 	var names, services []string
@@ -217,7 +217,7 @@
 func (f *testFleet) startEntry(i int) {
 	e, err := New(Config{
 		Config: f.nodeConfig(fmt.Sprintf("entry-%d", i), member.Entry), CallersListen: uniqueAddress(),
-		Deadline: testDeadline, MaxBody: 1 << 20, Routing: string(routing.Affinity),
+		DefaultDeadline: testDeadline, MaxBodyBytes: 1 << 20, Routing: string(routing.Affinity),
 		Claims: claim.Config{Retention: claim.DefaultRetention, UntimedRetention: claim.DefaultUntimedRetention},
 	}, zerolog.Nop())
 	require.NoError(f.t, err)
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -13,7 +13,7 @@
 )
 
 // forwardAnswer forwards an agent's frames to the caller until the answer ends or the connection fails.
-func (e *Entry) forwardAnswer(c *call, s *stream, t request.Try) (progress, error) {
+func (e *Entry) forwardAnswer(c *call, s *stream, t request.Attempt) (progress, error) {
 	for {
 		kind, payload, err := s.next()
 		if err != nil {
@@ -24,7 +24,7 @@
 		}
 		var p progress
 		switch kind {
-		case frame.TypeBeat:
+		case frame.TypeHeartbeat:
 			p, err = e.handleHeartbeat(c, t)
 		case frame.TypeHead:
 			p, err = e.handleHead(c, t, payload)
@@ -42,7 +42,7 @@
 }
 
 // handleHeartbeat sends a comment if the caller's event stream has been silent for too long.
-func (e *Entry) handleHeartbeat(c *call, t request.Try) (progress, error) {
+func (e *Entry) handleHeartbeat(c *call, t request.Attempt) (progress, error) {
 	if c.writeKeepalive() != nil {
 		e.cancelAttempt(c, t)
 		return progressDone, nil
@@ -51,9 +51,9 @@
 }
 
 // handleHead checks that the head of the answer belongs to this attempt and forwards it.
-func (e *Entry) handleHead(c *call, t request.Try, payload []byte) (progress, error) {
+func (e *Entry) handleHead(c *call, t request.Attempt, payload []byte) (progress, error) {
 	var h frame.Head
-	if json.Unmarshal(payload, &h) != nil || h.Request != c.id || h.Attempt != t.Attempt {
+	if json.Unmarshal(payload, &h) != nil || h.Request != c.id || h.Attempt != t.Number {
 		return e.handleDisconnect(c, t, errors.New("reading the answer's head: malformed, or of another request or attempt"))
 	}
 	if c.answer.started && c.answer.receivedBytes == 0 && !c.answer.matchesHead(h) {
@@ -63,9 +63,9 @@
 		c.writeHead(h)
 	}
 	c.answer.headMatched = true
-	e.Loop.Step(request.AnswerBegan{
-		ID: c.id, Attempt: t.Attempt, Continuable: c.answer.continuable(), Digest: c.answer.header.Get(engine.HeaderDigest),
-		Unwell: cannotServe(h.Status), Report: h.Load,
+	e.Loop.Step(request.AnswerStarted{
+		ID: c.id, Attempt: t.Number, Continuable: c.answer.continuable(), Digest: c.answer.header.Get(engine.HeaderDigest),
+		CannotServe: cannotServe(h.Status), Report: h.Load,
 	})
 	return progressOpen, nil
 }
@@ -76,16 +76,16 @@
 }
 
 // failMismatch reports an answer that differs from what was already forwarded of it.
-func (e *Entry) failMismatch(c *call, t request.Try) (progress, error) {
-	e.Loop.Step(request.AnswerFailed{ID: c.id, Attempt: t.Attempt, Code: code.AnswerMismatch, Ran: code.DidRun, Final: true})
+func (e *Entry) failMismatch(c *call, t request.Attempt) (progress, error) {
+	e.Loop.Step(request.AnswerFailed{ID: c.id, Attempt: t.Number, Code: code.AnswerMismatch, Ran: code.DidRun, Final: true})
 	return progressReported, nil
 }
 
 // handleData forwards a part of the answer's body.
-func (e *Entry) handleData(c *call, t request.Try, payload []byte) (progress, error) {
+func (e *Entry) handleData(c *call, t request.Attempt, payload []byte) (progress, error) {
 	if c.answer.resuming {
 		c.answer.resuming = false
-		e.Loop.Step(request.AnswerMoved{ID: c.id, Attempt: t.Attempt})
+		e.Loop.Step(request.AnswerProgressed{ID: c.id, Attempt: t.Number})
 	}
 	ready := c.answer.receive(payload)
 	if len(ready) == 0 {
@@ -100,9 +100,9 @@
 
 // handleEnd compares the length and checksum of the complete answer with what was received, then forwards what is
 // still buffered.
-func (e *Entry) handleEnd(c *call, t request.Try, payload []byte) (progress, error) {
+func (e *Entry) handleEnd(c *call, t request.Attempt, payload []byte) (progress, error) {
 	var end frame.End
-	if json.Unmarshal(payload, &end) != nil || end.Request != c.id || end.Attempt != t.Attempt {
+	if json.Unmarshal(payload, &end) != nil || end.Request != c.id || end.Attempt != t.Number {
 		return e.handleDisconnect(c, t, errors.New("reading the answer's end: malformed, or of another request or attempt"))
 	}
 	c.loadReport = end.Load
@@ -125,7 +125,7 @@
 // handleDisconnect handles a connection that ended before the answer did. Before the head of the run's answer, or
 // while the answer is being resumed, it returns progressDisconnected and leaves the decision to the caller of
 // forwardAnswer.
-func (e *Entry) handleDisconnect(c *call, t request.Try, cause error) (progress, error) {
+func (e *Entry) handleDisconnect(c *call, t request.Attempt, cause error) (progress, error) {
 	if !c.answer.headMatched || c.answer.resuming {
 		return progressDisconnected, cause
 	}
@@ -133,12 +133,12 @@
 		e.cancelAttempt(c, t)
 		return progressDone, nil
 	}
-	e.Loop.Step(request.AnswerBroke{ID: c.id, Attempt: t.Attempt})
+	e.Loop.Step(request.AnswerInterrupted{ID: c.id, Attempt: t.Number})
 	return progressReported, nil
 }
 
 // handleFailure handles an agent's report that the answer does not exist or ends here.
-func (e *Entry) handleFailure(c *call, t request.Try, kind frame.Type, payload []byte) (progress, error) {
+func (e *Entry) handleFailure(c *call, t request.Attempt, kind frame.Type, payload []byte) (progress, error) {
 	f, ok := c.parseFailure(t, kind, payload)
 	if !ok {
 		return e.handleDisconnect(c, t, errors.New("reading the agent's failure: malformed, or of another request or attempt"))
--- a/internal/entry/handle.go
+++ b/internal/entry/handle.go
@@ -32,12 +32,12 @@
 
 // Problem is the body of a refusal (application/problem+json).
 type Problem struct {
-	Title   string    `json:"title"`
-	Status  int       `json:"status"`
-	Code    code.Code `json:"code"`
-	Detail  string    `json:"detail"`
-	Ran     code.Ran  `json:"ran"`
-	Request string    `json:"request_id"`
+	Title     string    `json:"title"`
+	Status    int       `json:"status"`
+	Code      code.Code `json:"code"`
+	Detail    string    `json:"detail"`
+	Ran       code.Ran  `json:"ran"`
+	RequestID string    `json:"request_id"`
 }
 
 // call is one caller's request at this entry.
@@ -64,7 +64,7 @@
 func (e *Entry) handle(w http.ResponseWriter, r *http.Request) {
 	c := &call{id: uuid.NewString(), w: w, r: r, effects: make(chan step.Effect, effectBuffer)}
 	w.Header().Set(HeaderRequestID, c.id)
-	if e.Leaving() {
+	if e.ShuttingDown() {
 		// Close this connection after the answer. Idle connections stay open: closing one would lose a request that
 		// is already on its way.
 		w.Header().Set("Connection", "close")
@@ -114,8 +114,8 @@
 	if len(ev.Key) > maxKeyBytes {
 		return ev, code.Errorf(code.BadHeader, HeaderIdempotencyKey, "%d bytes, at most %d", len(ev.Key), maxKeyBytes)
 	}
-	if c.r.ContentLength > e.config.MaxBody {
-		return ev, code.Errorf(code.BodyTooLarge, "body", "%d bytes, at most %d", c.r.ContentLength, e.config.MaxBody)
+	if c.r.ContentLength > e.config.MaxBodyBytes {
+		return ev, code.Errorf(code.BodyTooLarge, "body", "%d bytes, at most %d", c.r.ContentLength, e.config.MaxBodyBytes)
 	}
 	return e.readSetting(c, ev, rest)
 }
@@ -147,7 +147,7 @@
 func (e *Entry) requestTimeout(r *http.Request) (time.Duration, *code.Error) {
 	text := r.Header.Get(HeaderDeadline)
 	if text == "" {
-		return e.config.Deadline, nil
+		return e.config.DefaultDeadline, nil
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms <= 0 || ms > int64(time.Hour/time.Millisecond) {
--- a/internal/entry/hop_bench_test.go
+++ b/internal/entry/hop_bench_test.go
@@ -72,7 +72,7 @@
 func (f *testFleet) callAgent(b *testing.B, target member.Candidate, i int) {
 	e := f.entries[0]
 	c := &call{id: fmt.Sprint("bench-", i), deadline: time.Now().Add(time.Minute)}
-	env := e.envelope(c, request.Try{Attempt: 1, Target: target, Sequence: uint64(1<<40 + i)})
+	env := e.envelope(c, request.Attempt{Number: 1, Target: target, Sequence: uint64(1<<40 + i)})
 	env.Target = "/x"
 	header := http.Header{frame.MethodHeader: {http.MethodGet}}
 	s, err := e.openStream(context.Background(), agentCall{address: target.Address, path: frame.RunPath, env: env, header: header})
--- a/internal/entry/instrument.go
+++ b/internal/entry/instrument.go
@@ -10,7 +10,7 @@
 
 // callerHandler returns the HTTP handler for callers, with request validation, metrics and tracing.
 func (e *Entry) callerHandler() http.Handler {
-	return e.Telemetry.Requests(e.hasService, e.Telemetry.Traces.EntryServer(e.intakeMiddleware(http.HandlerFunc(e.handle))))
+	return e.Telemetry.ObserveRequests(e.hasService, e.Telemetry.Traces.EntryServer(e.intakeMiddleware(http.HandlerFunc(e.handle))))
 }
 
 // hasService reports whether there is a setting for the service.
@@ -22,6 +22,6 @@
 
 // traceAgentCalls adds tracing to the clients that call agents.
 func (e *Entry) traceAgentCalls() {
-	e.Telemetry.Traces.Client(e.agentClient, telemetry.NamePeerCall)
-	e.Telemetry.Traces.Client(e.unpooledAgentClient, telemetry.NamePeerCall)
+	e.Telemetry.Traces.Client(e.agentClient, telemetry.PeerSpanName)
+	e.Telemetry.Traces.Client(e.unpooledAgentClient, telemetry.PeerSpanName)
 }
--- a/internal/entry/intake.go
+++ b/internal/entry/intake.go
@@ -33,7 +33,7 @@
 // checkPath refuses paths of engines that only this system may call.
 func (e *Entry) checkPath(path string) *code.Error {
 	team, service, rest, ok := splitPath(path)
-	if !ok || !intake.ForSystem(setting.Engine, rest) {
+	if !ok || !intake.IsSystemPath(setting.Engine, rest) {
 		return nil
 	}
 	kind := setting.Engine // The strict rule applies until the service's setting is known.
@@ -42,7 +42,7 @@
 			kind = inForce.Setting.Kind
 		}
 	})
-	if !intake.ForSystem(kind, rest) {
+	if !intake.IsSystemPath(kind, rest) {
 		return nil
 	}
 	return code.Errorf(code.SystemPath, "path", "%s is not for callers", rest)
--- a/internal/entry/request_terms.go
+++ b/internal/entry/request_terms.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// HeaderClient is the header with the client account that a request is counted for.
-	HeaderClient = "Client-Account"
+	// HeaderClientAccount is the header with the client account that a request is counted for.
+	HeaderClientAccount = "Client-Account"
 	// HeaderPriority is the header with a request's priority, from 0 (highest) to 9.
 	HeaderPriority = "Priority"
 	// HeaderPrefixKey is the header that groups requests with a common prefix. Callers use it when the entry can't
@@ -33,12 +33,12 @@
 // requestTerms returns what admission and routing base their decisions on: client account, priority, limits and
 // prefix.
 func (e *Entry) requestTerms(c *call, s *setting.Setting) (request.Terms, *code.Error) {
-	t := request.Terms{Client: c.r.Header.Get(HeaderClient), Priority: admission.DefaultPriority}
-	if t.Client == "" {
-		t.Client = defaultAccount
+	t := request.Terms{Account: c.r.Header.Get(HeaderClientAccount), Priority: admission.DefaultPriority}
+	if t.Account == "" {
+		t.Account = defaultAccount
 	}
-	if len(t.Client) > maxAccountBytes {
-		return t, code.Errorf(code.BadHeader, HeaderClient, "%d bytes, at most %d", len(t.Client), maxAccountBytes)
+	if len(t.Account) > maxAccountBytes {
+		return t, code.Errorf(code.BadHeader, HeaderClientAccount, "%d bytes, at most %d", len(t.Account), maxAccountBytes)
 	}
 	if text := c.r.Header.Get(HeaderPriority); text != "" {
 		n, err := strconv.Atoi(text)
@@ -47,7 +47,7 @@
 		}
 		t.Priority = n
 	}
-	limits, listed := s.Clients[t.Client]
+	limits, listed := s.Clients[t.Account]
 	if !listed {
 		limits = s.Clients[defaultAccount]
 	}
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -34,7 +34,7 @@
 type stream struct {
 	resp   *http.Response
 	frames *frame.Reader
-	// silenceTimer cancels the call if no frame arrives within frame.SilenceLimit.
+	// silenceTimer cancels the call if no frame arrives within frame.FrameTimeout.
 	silenceTimer *time.Timer
 	cancel       context.CancelFunc
 	// lastFrameReceived is set once the last frame was read.
@@ -44,7 +44,7 @@
 // next reads a frame and restarts the silence timer.
 func (s *stream) next() (frame.Type, []byte, error) {
 	t, payload, err := s.frames.Next()
-	s.silenceTimer.Reset(frame.SilenceLimit)
+	s.silenceTimer.Reset(frame.FrameTimeout)
 	s.lastFrameReceived = err == nil && (t == frame.TypeEnd || t == frame.TypeFail)
 	return t, payload, err
 }
@@ -108,7 +108,7 @@
 		// On a new connection the transport never repeats a call.
 		client = e.unpooledAgentClient
 	}
-	silenceTimer := time.AfterFunc(frame.HeadLimit, cancel)
+	silenceTimer := time.AfterFunc(frame.HeadTimeout, cancel)
 	resp, err := client.Do(req)
 	if err != nil {
 		silenceTimer.Stop()
@@ -118,7 +118,7 @@
 		}
 		return nil, errors.Wrapf(err, "calling %s", c.address)
 	}
-	silenceTimer.Reset(frame.SilenceLimit)
+	silenceTimer.Reset(frame.FrameTimeout)
 	s := &stream{resp: resp, frames: frame.NewReader(resp.Body), silenceTimer: silenceTimer, cancel: cancel}
 	if resp.StatusCode != http.StatusOK {
 		s.close()
--- a/internal/entry/tamper_test.go
+++ b/internal/entry/tamper_test.go
@@ -46,7 +46,7 @@
 		return
 	}
 	_ = http.NewResponseController(w).Flush()
-	frames := readFrames(resp.Body, func() { _ = frame.Write(w, frame.TypeBeat, nil); _ = http.NewResponseController(w).Flush() })
+	frames := readFrames(resp.Body, func() { _ = frame.Write(w, frame.TypeHeartbeat, nil); _ = http.NewResponseController(w).Flush() })
 	if indexOfKind(frames, frame.TypeEnd) >= 0 {
 		p.done.Store(true)
 		frames = p.change(frames)
@@ -66,7 +66,7 @@
 		if err != nil {
 			return frames
 		}
-		if kind == frame.TypeBeat {
+		if kind == frame.TypeHeartbeat {
 			forwardHeartbeat()
 			continue
 		}
--- a/internal/entry/upstream_test.go
+++ b/internal/entry/upstream_test.go
@@ -53,7 +53,7 @@
 		"chunks":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", 200, true, "ab", 0},
 		"cut length":      {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", 502, true, "", code.UpstreamDied},
 		"cut chunks":      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", 200, false, "", 0},
-		"no end":          {"HTTP/1.0 200 OK\r\n\r\nabc", 502, true, "", code.EndlessAnswer},
+		"no end":          {"HTTP/1.0 200 OK\r\n\r\nabc", 502, true, "", code.UnterminatedAnswer},
 		"no answer":       {"", 502, true, "", code.UpstreamDied},
 		"cut long answer": {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 100000), 200, false, "", 0},
 	}
--- a/internal/experiment/failure_test.go
+++ b/internal/experiment/failure_test.go
@@ -21,11 +21,11 @@
 )
 
 // noMark is the cache mark of an entry that has not received any cache event.
-var noMark routing.CacheMark
+var noMark routing.CachePosition
 
 func load(rate float64, duration time.Duration) experiment.Load {
 	return experiment.Load{
-		Clients: []experiment.Client{{Name: "a", Rate: rate, Priority: 5}}, Duration: duration, Seed: 1, Prefixes: 8,
+		Clients: []experiment.ClientAccount{{Name: "a", Rate: rate, Priority: 5}}, Duration: duration, Seed: 1, Prefixes: 8,
 		PromptChars: 300, Tokens: 8, Deadline: time.Minute,
 	}
 }
@@ -131,7 +131,7 @@
 func TestFloodLeavesSmallClientsTheirShare(t *testing.T) {
 	f := fleet(t, experiment.Config{Entries: 1, Agents: 2, EnginesPerAgent: 1, Engine: engine.Config{Batch: 4}})
 	l := load(0, 3*time.Second)
-	l.Clients = []experiment.Client{{Name: "large", Rate: 600, Priority: 0}, {Name: "small", Rate: 8, Priority: 5}}
+	l.Clients = []experiment.ClientAccount{{Name: "large", Rate: 600, Priority: 0}, {Name: "small", Rate: 8, Priority: 5}}
 	results := f.Run(l)
 	large := experiment.Summarize(results, 0, l.Duration, experiment.Of("large"))
 	small := experiment.Summarize(results, 0, l.Duration, experiment.Of("small"))
@@ -253,7 +253,7 @@
 	url := fmt.Sprintf("http://%s/%s/%s/v1/generate", e.CallersAddress(), experiment.Team, experiment.ModelService)
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(`{"prompt":"x","max_tokens":3}`))
 	require.NoError(t, err)
-	req.Header.Set(entry.HeaderClient, "a")
+	req.Header.Set(entry.HeaderClientAccount, "a")
 	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
 	_, _ = io.Copy(io.Discard, resp.Body)
--- a/internal/experiment/faults/evidence.go
+++ b/internal/experiment/faults/evidence.go
@@ -17,7 +17,7 @@
 func (r *run) writeEvidence(e Evidence) error {
 	printed := 0
 	for _, record := range e.Records {
-		failed := record.Outcome == ledger.Lost || record.Outcome == ledger.Garbled
+		failed := record.Outcome == ledger.Lost || record.Outcome == ledger.Incorrect
 		if failed && printed < maxExamples {
 			printed++
 			r.logf("%s: %s %s at entry %d, %.1fs into the run, took %v: %s", record.Outcome, record.Kind, record.RequestID,
--- a/internal/experiment/faults/fleet.go
+++ b/internal/experiment/faults/fleet.go
@@ -70,7 +70,7 @@
 	commandLine.Secret = rand.Text()
 	f := &fleet{
 		binary: filepath.Join(binaries, processes.Product), logs: logs, commandLine: commandLine, client: client,
-		hostList: commandLine.Outside.HostList, hosts: hosts, available: make([]atomic.Bool, len(layout.Places())),
+		hostList: commandLine.StandIns.HostList, hosts: hosts, available: make([]atomic.Bool, len(layout.Places())),
 	}
 	for _, host := range hosts {
 		f.agents = append(f.agents, &node{name: host.Name, role: outside.RoleAgent, dataCentre: host.Place})
@@ -206,7 +206,7 @@
 		}
 	}
 	for _, p := range all {
-		p.Thaw()
+		p.Resume()
 	}
 	return processes.Stop(all, stopGrace)
 }
--- a/internal/experiment/faults/judge.go
+++ b/internal/experiment/faults/judge.go
@@ -160,9 +160,9 @@
 	for _, r := range s.Records {
 		s.countRecord(row, r)
 	}
-	row.Doubled += len(count.Doubled(s.Plain))
+	row.Doubled += len(count.DuplicateKeys(s.Plain))
 	row.FalseNotRun += s.falseNotRun()
-	row.Mixed += count.MixedRuns(s.Engines) + count.MixedLoads(s.Engines, s.Contents)
+	row.Mixed += count.RunsAcrossVersions(s.Engines) + count.LoadsWithWrongContent(s.Engines, s.Contents)
 	row.NotRecovered = append(row.NotRecovered, s.notServing()...)
 	row.NotInForce += s.window.NotInForce
 	row.Died = append(row.Died, s.window.Died...)
@@ -177,7 +177,7 @@
 		row.Complete++
 	case ledger.Refused:
 		row.Refused[fmt.Sprintf("%d %s", r.Code, r.Ran)]++
-	case ledger.Garbled:
+	case ledger.Incorrect:
 		if r.Crossed {
 			row.Crossed++
 		} else {
--- a/internal/experiment/faults/judge_test.go
+++ b/internal/experiment/faults/judge_test.go
@@ -63,8 +63,8 @@
 func TestOutcomesAreCountedInTheirWindowOnly(t *testing.T) {
 	clean, crossed, mixed, refused, late := lost(1, 0), lost(1, 0), lost(1, 0), lost(1, 0), lost(14, 0)
 	clean.CleanEnd = true
-	crossed.Outcome, crossed.Crossed = ledger.Garbled, true
-	mixed.Outcome = ledger.Garbled
+	crossed.Outcome, crossed.Crossed = ledger.Incorrect, true
+	mixed.Outcome = ledger.Incorrect
 	refused.Outcome, refused.Code, refused.Ran = ledger.Refused, 4002, ledger.NotRun
 	row := judged(Evidence{Records: []ledger.Record{clean, crossed, mixed, refused, late}})
 	assert.Equal(t, 4, row.Requests)
--- a/internal/experiment/faults/kinds.go
+++ b/internal/experiment/faults/kinds.go
@@ -147,7 +147,7 @@
 			return nil
 		}
 	}
-	return action{each(func(n *node) { n.process.Freeze() }), each(func(n *node) { n.process.Thaw() })}
+	return action{each(func(n *node) { n.process.Suspend() }), each(func(n *node) { n.process.Resume() })}
 }
 
 func cutDataCentre(s *stage) action {
@@ -166,12 +166,12 @@
 	n := s.fleet.agents[victim]
 	old, oldAddress := n.process, n.addresses.Peers
 	begin := func(ctx context.Context) error {
-		old.Freeze()
+		old.Suspend()
 		s.fleet.keepUntilEnd(old)
 		return s.fleet.startAgent(ctx, victim, false)
 	}
 	end := func(ctx context.Context) error {
-		old.Thaw()
+		old.Resume()
 		if err := pause(ctx, holdShort); err != nil {
 			return err
 		}
@@ -204,11 +204,11 @@
 	endDowntime := func() {}
 	begin := func(context.Context) error {
 		endDowntime = s.fleet.startDowntime(victim, true)
-		s.fleet.entries[victim].process.Freeze()
+		s.fleet.entries[victim].process.Suspend()
 		return nil
 	}
 	end := func(context.Context) error {
-		s.fleet.entries[victim].process.Thaw()
+		s.fleet.entries[victim].process.Resume()
 		endDowntime()
 		return nil
 	}
--- a/internal/experiment/faults/outside.go
+++ b/internal/experiment/faults/outside.go
@@ -64,7 +64,7 @@
 		return noop
 	}
 	return func(ctx context.Context) error {
-		return s.fleet.client.SetFaults(ctx, address(s.fleet.commandLine.Outside), faults)
+		return s.fleet.client.SetFaults(ctx, address(s.fleet.commandLine.StandIns), faults)
 	}
 }
 
@@ -93,13 +93,13 @@
 // crashUpstreams crashes all upstreams of a host, which restart after the given time.
 func (f *fleet) crashUpstreams(ctx context.Context, host layout.Host, downtime time.Duration) error {
 	crash := fmt.Sprintf(`{"crash":true,"restart_ms":%d}`, downtime.Milliseconds())
-	if err := f.client.SetFaults(ctx, f.commandLine.Outside.Engines, faultsFor(host.Engine, crash)); err != nil {
+	if err := f.client.SetFaults(ctx, f.commandLine.StandIns.Engines, faultsFor(host.Engine, crash)); err != nil {
 		return err
 	}
 	if host.Plain == "" {
 		return nil
 	}
-	return f.client.SetFaults(ctx, f.commandLine.Outside.Plain, faultsFor(host.Plain, crash))
+	return f.client.SetFaults(ctx, f.commandLine.StandIns.Plain, faultsFor(host.Plain, crash))
 }
 
 func poisonPrompt(s *stage) action {
--- a/internal/experiment/faults/run.go
+++ b/internal/experiment/faults/run.go
@@ -111,7 +111,7 @@
 	if r.standIns, err = demo.StartStandIns(ctx, shape, r.hosts, binaries, logs); err != nil {
 		return err
 	}
-	line := demo.CommandLine{Outside: r.standIns, LinkRate: shape.LinkRate()}
+	line := demo.CommandLine{StandIns: r.standIns, LinkRate: shape.LinkRate()}
 	r.fleet = newFleet(r.hosts, line, r.client, binaries, logs)
 	if err := r.fleet.start(ctx); err != nil {
 		return err
@@ -159,10 +159,10 @@
 	r.fleet.pollReadiness(ctx)
 	r.generator = load.Start(load.Options{
 		Entries: r.callers(), Digests: r.digests(), Seed: r.options.Seed, Book: r.book, Deadline: requestDeadline,
-		AnswerLimit: requestDeadline + callerGrace, Available: func(entry int) bool { return r.fleet.available[entry].Load() },
+		ResponseTimeout: requestDeadline + callerGrace, Available: func(entry int) bool { return r.fleet.available[entry].Load() },
 	})
-	r.generator.OpenSubmissions()
-	r.generator.OpenGenerations()
+	r.generator.EnableSubmissions()
+	r.generator.EnableGenerations()
 	r.logf("all engines serve")
 	return pause(ctx, quietTime)
 }
@@ -248,7 +248,7 @@
 func (r *run) beginAll(ctx context.Context, faults []fault) ([]func(context.Context) error, error) {
 	s := &stage{
 		fleet: r.fleet, random: r.random, version: func() string { return versionName(r.version) },
-		poison: func(mark string) { r.generator.Poison(mark, poisonRequests) },
+		poison: func(mark string) { r.generator.SendPoison(mark, poisonRequests) },
 	}
 	var ends []func(context.Context) error
 	hold := time.Duration(0)
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -40,7 +40,7 @@
 	Team         = "karrakin"
 	ModelService = "summary-model"
 	PlainService = "buyer-portal"
-	Place        = "perth-a"
+	DataCentre   = "perth-a"
 	Region       = "west"
 
 	// listenOn is a loopback address that only these fleets use: the ports of 127.0.0.1 may be exhausted by connections of other tests.
@@ -146,7 +146,7 @@
 }
 
 func (f *Fleet) startStandIns(ctx context.Context) error {
-	shape := weights.Shape{Size: weightsSize, ChunkSize: weightsSize / 4, Seed: 1}
+	shape := weights.ContentConfig{Size: weightsSize, ChunkSize: weightsSize / 4, Seed: 1}
 	origin, err := weights.NewServer(weights.Config{Shape: shape})
 	if err != nil {
 		return errors.Wrap(err, "starting the origin stand-in")
@@ -194,7 +194,7 @@
 		Sources: []*source.Client{source.NewClient(f.origin, f.client)},
 	}
 	n := f.config.Agents * f.config.EnginesPerAgent
-	model := fmt.Sprintf(`{"kind":"engine","model":"risk","version":"v1","places":{%q:%d},"max_unavailable":%d}`, Place, n, max(1, n))
+	model := fmt.Sprintf(`{"kind":"engine","model":"risk","version":"v1","places":{%q:%d},"max_unavailable":%d}`, DataCentre, n, max(1, n))
 	for service, text := range map[string]string{ModelService: model, PlainService: `{"kind":"plain","non_idempotent":["PUT"]}`} {
 		s, err := setting.Parse([]byte(text))
 		if err != nil {
@@ -229,8 +229,8 @@
 // StartEntry starts entry i: either a replacement of one that was stopped, or the next one.
 func (f *Fleet) StartEntry(i int) error {
 	c := entry.Config{
-		Config: f.nodeConfig(fmt.Sprintf("entry-%d", i)), CallersListen: listenOn, Deadline: time.Minute,
-		MaxBody: 1 << 20, Routing: string(f.config.Policy), Settle: f.config.Settle,
+		Config: f.nodeConfig(fmt.Sprintf("entry-%d", i)), CallersListen: listenOn, DefaultDeadline: time.Minute,
+		MaxBodyBytes: 1 << 20, Routing: string(f.config.Policy), ReadinessDelay: f.config.Settle,
 		Claims: claim.Config{Retention: claim.DefaultRetention, UntimedRetention: claim.DefaultUntimedRetention},
 	}
 	if c.Routing == "" {
@@ -292,7 +292,7 @@
 
 func (f *Fleet) nodeConfig(name string) node.Config {
 	c := node.Config{
-		Name: name, Place: Place, Region: Region, PeersListen: listenOn, OperatorsListen: listenOn,
+		Name: name, Place: DataCentre, Region: Region, PeersListen: listenOn, OperatorsListen: listenOn,
 		ObjectAPI: f.objects, HostList: f.hosts, Config: keys.Config{Secret: f.secret},
 	}
 	if f.config.Traces != nil {
@@ -313,7 +313,7 @@
 
 // List adds a process to the host list.
 func (f *Fleet) List(address, role, state string) error {
-	h := hostlist.Host{Address: address, Role: role, Place: Place, Region: Region, State: state}
+	h := hostlist.Host{Address: address, Role: role, Place: DataCentre, Region: Region, State: state}
 	return f.send(http.MethodPut, f.hosts+"/admin/hosts", h)
 }
 
