--- a/internal/experiment/fleet_test.go
+++ b/internal/experiment/fleet_test.go
@@ -34,7 +34,7 @@
 	t.Parallel()
 	f := fleet(t, experiment.Config{Entries: 2, Agents: 3, EnginesPerAgent: 1, Unlimited: true})
 	l := experiment.Load{
-		Clients: []experiment.Client{{Name: "a", Rate: 40}}, Duration: time.Second, Seed: 1, Prefixes: 4,
+		Clients: []experiment.ClientAccount{{Name: "a", Rate: 40}}, Duration: time.Second, Seed: 1, Prefixes: 4,
 		PromptChars: 300, Tokens: 8, Deadline: time.Minute,
 	}
 	s := experiment.Summarize(f.Run(l), 0, l.Duration, experiment.All)
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -19,8 +19,8 @@
 	"samphireweir.example/samphireweir/internal/standin/engine"
 )
 
-// Client is a client account and its part of a load.
-type Client struct {
+// ClientAccount is a client account and its part of a load.
+type ClientAccount struct {
 	Name string
 	// Rate is its number of requests a second.
 	Rate     float64
@@ -29,7 +29,7 @@
 
 // Load is an open-loop load: requests arrive at their times whether or not earlier ones have been answered.
 type Load struct {
-	Clients  []Client
+	Clients  []ClientAccount
 	Duration time.Duration
 	Seed     uint64
 	// Prefixes is the number of different prompt prefixes, all equally frequent.
@@ -67,7 +67,7 @@
 // arrival is one planned request.
 type arrival struct {
 	at     time.Duration
-	client Client
+	client ClientAccount
 	number int
 	prefix int
 	entry  int
@@ -164,7 +164,7 @@
 	if l.Plain {
 		url = "http://" + address + "/" + Team + "/" + PlainService + "/status"
 	}
-	body, err := json.Marshal(engine.GenerateCall{Prompt: prompt, MaxTokens: l.Tokens, Stream: true})
+	body, err := json.Marshal(engine.GenerateRequest{Prompt: prompt, MaxTokens: l.Tokens, Stream: true})
 	if err != nil {
 		return nil, errors.Wrap(err, "encoding a request")
 	}
@@ -177,7 +177,7 @@
 		return nil, errors.Wrap(err, "building a request")
 	}
 	if !l.oneAccount {
-		req.Header.Set(entry.HeaderClient, a.client.Name)
+		req.Header.Set(entry.HeaderClientAccount, a.client.Name)
 	}
 	req.Header.Set(entry.HeaderPriority, fmt.Sprint(a.client.Priority))
 	req.Header.Set(entry.HeaderDeadline, fmt.Sprint(l.Deadline.Milliseconds()))
--- a/internal/experiment/realfleet.go
+++ b/internal/experiment/realfleet.go
@@ -179,7 +179,7 @@
 func (f *realFleet) usages(ctx context.Context) ([]usage, error) {
 	list := make([]usage, len(f.procs))
 	for i, p := range f.procs {
-		fleetClient := &operator.Fleet{Base: "http://" + f.addresses[i].Operators, HTTP: http.DefaultClient}
+		fleetClient := &operator.FleetClient{Base: "http://" + f.addresses[i].Operators, HTTP: http.DefaultClient}
 		status, err := fleetClient.Status(ctx)
 		if err != nil {
 			return nil, err
--- a/internal/experiment/scenarios.go
+++ b/internal/experiment/scenarios.go
@@ -56,7 +56,7 @@
 
 func benchmarkLoad(o options, rate float64, seconds float64) Load {
 	return Load{
-		Clients: []Client{{Name: "all", Rate: rate, Priority: 5}}, Seed: o.seed, Prefixes: benchmarkPrefixes,
+		Clients: []ClientAccount{{Name: "all", Rate: rate, Priority: 5}}, Seed: o.seed, Prefixes: benchmarkPrefixes,
 		PromptChars: benchmarkPromptChars, Tokens: benchmarkTokens, Deadline: benchmarkDeadline,
 		Duration: time.Duration(seconds * o.scale * float64(time.Second)),
 	}
@@ -153,10 +153,10 @@
 		l := benchmarkLoad(o, 0, 8)
 		l.Clients = nil
 		for i := range small {
-			l.Clients = append(l.Clients, Client{Name: fmt.Sprintf("small-%d", i), Rate: smallRate, Priority: 5})
+			l.Clients = append(l.Clients, ClientAccount{Name: fmt.Sprintf("small-%d", i), Rate: smallRate, Priority: 5})
 		}
 		if variant != "no flood" {
-			l.Clients = append(l.Clients, Client{Name: "large", Rate: 3 * nominalRate(), Priority: 0})
+			l.Clients = append(l.Clients, ClientAccount{Name: "large", Rate: 3 * nominalRate(), Priority: 0})
 		}
 		c := benchmarkConfig(routing.Affinity)
 		if variant == "one account" {
@@ -181,7 +181,7 @@
 // policies compares the policies for choosing an upstream.
 func policies(o options, out func(Row)) error {
 	for _, load := range []float64{0.6, 0.9} {
-		for _, p := range []routing.Policy{routing.Random, routing.Least, routing.Two, routing.Affinity} {
+		for _, p := range []routing.Policy{routing.Random, routing.LeastInFlight, routing.TwoChoices, routing.Affinity} {
 			// The capacity with cold caches is lower than the nominal rate, so the load is a fraction of the capacity with affinity.
 			l := benchmarkLoad(o, load*capacityShare*nominalRate(), 6)
 			s, hits, _, err := measure(benchmarkConfig(p), l, nil)
@@ -201,7 +201,7 @@
 // brownout slows a third of the engines tenfold, without errors, at about half of the capacity (0.4 of the nominal rate).
 func brownout(o options, out func(Row)) error {
 	const load = 0.4
-	for _, p := range []routing.Policy{routing.Random, routing.Least, routing.Two, routing.Affinity} {
+	for _, p := range []routing.Policy{routing.Random, routing.LeastInFlight, routing.TwoChoices, routing.Affinity} {
 		for _, slow := range []bool{false, true} {
 			l := benchmarkLoad(o, load*nominalRate(), 8)
 			s, amplification, err := brownoutRun(p, l, slow)
--- a/internal/experiment/settings.go
+++ b/internal/experiment/settings.go
@@ -210,7 +210,7 @@
 func (f *realFleet) awaitInForce(ctx context.Context, a operator.Applied) (fleet.InForce, error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	fleetClient := &operator.Fleet{Base: "http://" + f.addresses[0].Operators, HTTP: http.DefaultClient}
+	fleetClient := &operator.FleetClient{Base: "http://" + f.addresses[0].Operators, HTTP: http.DefaultClient}
 	for {
 		found, err := fleetClient.InForce(ctx, a.Key, a.Revision)
 		if err == nil && found.Everywhere() && found.Processes == len(f.addresses) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,11 +21,11 @@
 	Current   int `json:"current"`
 	// Lagging holds the addresses of processes that responded and do not have the revision in force, and Silent those of
 	// processes that did not respond. Each holds at most MaxNames addresses.
-	Lagging []string `json:"lagging,omitempty"`
-	Silent  []string `json:"silent,omitempty"`
+	Lagging      []string `json:"lagging,omitempty"`
+	Unresponsive []string `json:"silent,omitempty"`
 	// LaggingCount and SilentCount are the numbers of all such processes, named or not.
-	LaggingCount int `json:"lagging_count"`
-	SilentCount  int `json:"silent_count"`
+	LaggingCount      int `json:"lagging_count"`
+	UnresponsiveCount int `json:"silent_count"`
 }
 
 // Everywhere reports whether every listed process has the revision in force. It is false if there are no processes.
@@ -36,9 +36,9 @@
 	f.Processes += part.Processes
 	f.Current += part.Current
 	f.LaggingCount += part.LaggingCount
-	f.SilentCount += part.SilentCount
+	f.UnresponsiveCount += part.UnresponsiveCount
 	f.Lagging = truncated(append(f.Lagging, part.Lagging...))
-	f.Silent = truncated(append(f.Silent, part.Silent...))
+	f.Unresponsive = truncated(append(f.Unresponsive, part.Unresponsive...))
 }
 
 // truncated returns the first MaxNames names.
@@ -54,8 +54,8 @@
 	Keep int `json:"keep"`
 	// Hosts is the number of hosts that would need a new copy of the weights.
 	Hosts int `json:"hosts"`
-	// Short holds the data centres with fewer upstreams of the service than the setting requests.
-	Short []Shortage `json:"short,omitempty"`
+	// Shortages holds the data centres with fewer upstreams of the service than the setting requests.
+	Shortages []Shortage `json:"short,omitempty"`
 	// Services holds the other services with an upstream on the hosts that would change. They share the links of those
 	// hosts.
 	Services []string `json:"services,omitempty"`
@@ -65,9 +65,9 @@
 type Shortage struct {
 	// Place is the data centre.
 	Place string `json:"place"`
-	// Want is the requested number of upstreams, and Have the actual one.
-	Want int `json:"want"`
-	Have int `json:"have"`
+	// Requested is the requested number of upstreams, and Have the actual one.
+	Requested int `json:"want"`
+	Have      int `json:"have"`
 }
 
 // Status is one process's view of the fleet.
@@ -88,9 +88,9 @@
 	Ready  bool   `json:"ready"`
 	// CompleteTo is the revision of the object API up to which the process knows all settings.
 	CompleteTo uint64 `json:"complete_to"`
-	// PlatformSilentMS is the time since the process last received data of the platform, directly or through other
+	// PlatformDataAgeMS is the time since the process last received data of the platform, directly or through other
 	// processes, in milliseconds.
-	PlatformSilentMS int64 `json:"platform_silent_ms"`
+	PlatformDataAgeMS int64 `json:"platform_silent_ms"`
 	// ControlIn and ControlOut are the numbers of bytes that the process received and sent over control connections since it
 	// started.
 	ControlIn  int64 `json:"control_in"`
@@ -103,8 +103,8 @@
 type Hosts struct {
 	Live    int `json:"live"`
 	Leaving int `json:"leaving"`
-	// Unheard is the number of live processes that have not advertised what they offer. Live includes them.
-	Unheard int `json:"unheard"`
+	// NotAdvertised is the number of live processes that have not advertised what they offer. Live includes them.
+	NotAdvertised int `json:"unheard"`
 	// Places is the number of live processes by data centre.
 	Places map[string]int `json:"places,omitempty"`
 }
@@ -124,9 +124,9 @@
 type PlaceCount struct {
 	// Place is the data centre.
 	Place string `json:"place"`
-	// Want is the requested number of upstreams, and Serving the number of those that serve the requested version.
-	Want    int `json:"want"`
-	Serving int `json:"serving"`
+	// Requested is the requested number of upstreams, and Serving the number of those that serve the requested version.
+	Requested int `json:"want"`
+	Serving   int `json:"serving"`
 	// Loading is the number of upstreams that are loading the requested version, and Other of those that serve another one.
 	Loading int `json:"loading,omitempty"`
 	Other   int `json:"other,omitempty"`
--- a/internal/frame/envelope.go
+++ b/internal/frame/envelope.go
@@ -19,15 +19,15 @@
 	ResumePath = "/resume"
 	// FencePath is the agent's path for a report that the entry has given up an attempt.
 	FencePath = "/fence"
-	// BeatInterval is the time between heartbeats on a connection without data.
-	BeatInterval = time.Second
-	// HeadLimit is how long an entry waits for an agent's first byte before it considers the connection dead and
+	// HeartbeatInterval is the time between heartbeats on a connection without data.
+	HeartbeatInterval = time.Second
+	// HeadTimeout is how long an entry waits for an agent's first byte before it considers the connection dead and
 	// repeats the request on a new one. The agent answers at once, independently of the upstream.
-	HeadLimit = time.Second
-	// SilenceLimit is how long an entry waits for a frame before it considers the connection dead.
-	SilenceLimit = 3 * BeatInterval
-	// MaxEnvelope bounds an encoded envelope, in bytes.
-	MaxEnvelope = 16 << 10
+	HeadTimeout = time.Second
+	// FrameTimeout is how long an entry waits for a frame before it considers the connection dead.
+	FrameTimeout = 3 * HeartbeatInterval
+	// MaxEnvelopeBytes bounds an encoded envelope, in bytes.
+	MaxEnvelopeBytes = 16 << 10
 )
 
 // Envelope describes to an agent the attempt that an entry asks it to run, resume or fence.
@@ -52,10 +52,10 @@
 	Sequence uint64 `json:"sequence"`
 	// Fingerprint identifies the content of the request, independently of the caller.
 	Fingerprint string `json:"fingerprint,omitempty"`
-	// Alone asks that no other request runs on the upstream at the same time.
-	Alone bool `json:"alone,omitempty"`
-	// Mark is the entry's record of crashes for the fingerprint, which the agent may not have received yet.
-	Mark *record.Record `json:"mark,omitempty"`
+	// Exclusive asks that no other request runs on the upstream at the same time.
+	Exclusive bool `json:"alone,omitempty"`
+	// CrashRecord is the entry's record of crashes for the fingerprint, which the agent may not have received yet.
+	CrashRecord *record.Record `json:"mark,omitempty"`
 	// Digest, when set, is the digest of the only version of weights on which the request may run.
 	Digest string `json:"digest,omitempty"`
 	// ResumeTokens, when set, is the index of the first token that the engine must generate: the answer continues
@@ -66,10 +66,10 @@
 	Revision uint64 `json:"revision,omitempty"`
 	// From is the entry's address for peers.
 	From string `json:"from,omitempty"`
-	// Once requires that the request runs at most once.
-	Once bool `json:"once,omitempty"`
-	// Cache identifies the last change of the upstream's prefix cache that the entry has received.
-	Cache routing.CacheMark `json:"cache,omitzero"`
+	// AtMostOnce requires that the request runs at most once.
+	AtMostOnce bool `json:"once,omitempty"`
+	// CachePosition identifies the last change of the upstream's prefix cache that the entry has received.
+	CachePosition routing.CachePosition `json:"cache,omitzero"`
 }
 
 // Set encodes e into EnvelopeHeader of h. It fails if the encoded envelope exceeds MaxEnvelope bytes.
@@ -78,8 +78,8 @@
 	if err != nil {
 		return err
 	}
-	if len(raw) > MaxEnvelope {
-		return code.Errorf(code.BadMessage, "envelope", "%d bytes, at most %d", len(raw), MaxEnvelope)
+	if len(raw) > MaxEnvelopeBytes {
+		return code.Errorf(code.BadMessage, "envelope", "%d bytes, at most %d", len(raw), MaxEnvelopeBytes)
 	}
 	h.Set(EnvelopeHeader, string(raw))
 	return nil
@@ -89,8 +89,8 @@
 func ParseEnvelope(h http.Header) (Envelope, error) {
 	var e Envelope
 	raw := h.Get(EnvelopeHeader)
-	if len(raw) > MaxEnvelope {
-		return e, code.Errorf(code.BadMessage, "envelope", "%d bytes, at most %d", len(raw), MaxEnvelope)
+	if len(raw) > MaxEnvelopeBytes {
+		return e, code.Errorf(code.BadMessage, "envelope", "%d bytes, at most %d", len(raw), MaxEnvelopeBytes)
 	}
 	if err := json.Unmarshal([]byte(raw), &e); err != nil {
 		return e, code.Errorf(code.BadMessage, "envelope", "not JSON: %v", err)
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -25,16 +25,16 @@
 	TypeHead Type = 1
 	// TypeData carries bytes of the answer's body.
 	TypeData Type = 2
-	// TypeBeat is a heartbeat without payload: the agent is alive and the upstream has sent nothing.
-	TypeBeat Type = 3
+	// TypeHeartbeat is a heartbeat without payload: the agent is alive and the upstream has sent nothing.
+	TypeHeartbeat Type = 3
 	// TypeEnd carries an End: the answer is complete.
 	TypeEnd Type = 4
 	// TypeFail carries a Fail: the answer will not be completed.
 	TypeFail Type = 5
 )
 
-// MaxPayload bounds the payload of one frame, in bytes.
-const MaxPayload = 256 << 10
+// MaxPayloadBytes bounds the payload of one frame, in bytes.
+const MaxPayloadBytes = 256 << 10
 
 // headerSize is the size of a frame's type and length, in bytes.
 const headerSize = 5
@@ -72,16 +72,16 @@
 	Ran     code.Ran  `json:"ran"`
 	// Crashed reports whether the upstream crashed while it ran the request.
 	Crashed bool `json:"crashed,omitempty"`
-	// Mark is set with Crashed: the record of crashes for the request's fingerprint.
-	Mark *record.Record `json:"mark,omitempty"`
+	// CrashRecord is set with Crashed: the record of crashes for the request's fingerprint.
+	CrashRecord *record.Record `json:"mark,omitempty"`
 	// Load is the load of the upstream as the agent reports it.
 	Load *routing.Report `json:"load,omitempty"`
 }
 
 // Write writes one frame. It fails for a payload of more than MaxPayload bytes.
 func Write(w io.Writer, t Type, payload []byte) error {
-	if len(payload) > MaxPayload {
-		return code.Errorf(code.BadMessage, "frame.length", "%d bytes, at most %d", len(payload), MaxPayload)
+	if len(payload) > MaxPayloadBytes {
+		return code.Errorf(code.BadMessage, "frame.length", "%d bytes, at most %d", len(payload), MaxPayloadBytes)
 	}
 	buf := make([]byte, headerSize+len(payload))
 	buf[0] = byte(t)
@@ -121,8 +121,8 @@
 		return 0, nil, code.Errorf(code.BadMessage, "frame.type", "%d, want 1 to 5", head[0])
 	}
 	n := binary.BigEndian.Uint32(head[1:])
-	if n > MaxPayload {
-		return 0, nil, code.Errorf(code.BadMessage, "frame.length", "%d bytes, at most %d", n, MaxPayload)
+	if n > MaxPayloadBytes {
+		return 0, nil, code.Errorf(code.BadMessage, "frame.length", "%d bytes, at most %d", n, MaxPayloadBytes)
 	}
 	if int(n) > cap(r.buf) {
 		r.buf = make([]byte, n)
--- a/internal/frame/fuzz_test.go
+++ b/internal/frame/fuzz_test.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				break
 			}
-			require.LessOrEqual(t, len(payload), frame.MaxPayload)
+			require.LessOrEqual(t, len(payload), frame.MaxPayloadBytes)
 			require.NoError(t, frame.Write(&encoded, kind, payload))
 		}
 		require.True(t, bytes.HasPrefix(raw, encoded.Bytes()))
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -51,13 +51,13 @@
 
 // runAttempt makes one attempt and reports its outcome to the reducer. It returns true if the request ended with it.
 func (x *exchange) runAttempt(e forward.Send) bool {
-	if !time.Now().Before(e.By) {
+	if !time.Now().Before(e.Deadline) {
 		return false // The request's deadline passed before the decision was carried out; run reports that to the reducer.
 	}
-	logevent.Info(x.gateway.log, logevent.RequestSent).Str("request", x.call.ID).Str("route", x.routeName()).Str("upstream", e.Upstream.ID).
-		Int64("entry_revision", e.Upstream.Revision).Int("sends", e.Number).Bool("resume", e.Resume).
-		Int64("version", e.Version).Stringer("homes", e.Homes).Bool("came_back", e.CameBack).Dur("waited_ms", time.Since(x.arrivedAt)).Msg("request sent")
-	x.gateway.metrics.Attempts.Add(1, x.routeName(), "", strconv.Itoa(e.Number))
+	logevent.Info(x.gateway.log, logevent.RequestSent).Str("request", x.call.AttemptID).Str("route", x.routeName()).Str("upstream", e.Upstream.ID).
+		Int64("entry_revision", e.Upstream.Revision).Int("sends", e.Attempt).Bool("resume", e.Resume).
+		Int64("version", e.Version).Stringer("homes", e.Homes).Bool("came_back", e.Returning).Dur("waited_ms", time.Since(x.arrivedAt)).Msg("request sent")
+	x.gateway.metrics.Attempts.Add(1, x.routeName(), "", strconv.Itoa(e.Attempt))
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	a := &attempt{x: x, decision: e, cancel: cancel, createdAt: time.Now()}
 	defer cancel(nil)
@@ -73,7 +73,7 @@
 		return false
 	}
 	if err != nil {
-		logevent.Warn(x.gateway.log, logevent.AttemptFailed).Str("request", x.call.ID).Str("upstream", e.Upstream.ID).Int("sends", e.Number).
+		logevent.Warn(x.gateway.log, logevent.AttemptFailed).Str("request", x.call.AttemptID).Str("upstream", e.Upstream.ID).Int("sends", e.Attempt).
 			Str("outcome", string(outcome)).Uint64("fingerprint", x.fingerprint).Str("last_event", x.lastEventID).Err(err).Msg("attempt failed")
 		x.gateway.metrics.AttemptsFailed.Add(1, string(outcome))
 	}
@@ -89,7 +89,7 @@
 func (a *attempt) do(ctx context.Context) (forward.Outcome, error) {
 	a.startTimer()
 	defer a.stopTimer()
-	ctx = platform.Connected(ctx, func() { a.connected.Store(true) })
+	ctx = platform.WithConnectHook(ctx, func() { a.connected.Store(true) })
 	req, err := platform.NewUpstreamRequest(ctx, a.x.r, a.x.body, a.decision, a.x.lastEventID)
 	if err != nil {
 		return forward.NotSent, err
@@ -99,9 +99,9 @@
 		return a.outcomeOf(ctx, err), err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	reading := platform.ReadHead(resp, a.x.call.ID)
+	reading := platform.ReadResponseHead(resp, a.x.call.AttemptID)
 	a.version = reading.Version
-	a.x.gateway.step(forward.Noticed{Upstream: a.decision.Upstream.Life(), Sent: a.createdAt, Outcome: reading.Outcome, Notice: reading.Notice})
+	a.x.gateway.step(forward.AnswerHeadReceived{Upstream: a.decision.Upstream.Instance(), Sent: a.createdAt, Outcome: reading.Outcome, Notice: reading.Notice})
 	switch {
 	case reading.Outcome == forward.ServerFailed:
 		return a.readFailure(ctx, resp, reading)
@@ -142,20 +142,20 @@
 	}
 	a.x.startedVersion = a.version
 	a.x.gateway.metrics.UpstreamFirstByte.Observe(time.Since(a.createdAt), a.x.routeName(), "", "")
-	a.x.gateway.step(forward.Began{ID: a.x.id, Version: a.version})
+	a.x.gateway.step(forward.Started{ID: a.x.id, Version: a.version})
 	return true
 }
 
 // withdraw cancels the current attempt if it is the one that e names and its upstream has not started it.
 func (x *exchange) withdraw(e forward.Withdraw) {
-	if a := x.current.Load(); a != nil && a.decision.Number == e.Number && a.stage.CompareAndSwap(stagePending, stageWithdrawn) {
+	if a := x.current.Load(); a != nil && a.decision.Attempt == e.Attempt && a.stage.CompareAndSwap(stagePending, stageWithdrawn) {
 		a.cancel(errWithdrawn)
 	}
 }
 
 func (a *attempt) startTimer() {
-	if a.decision.Patience > 0 {
-		a.timer = time.AfterFunc(a.decision.Patience, func() { a.cancel(errUpstreamTimeout) })
+	if a.decision.FirstEventTimeout > 0 {
+		a.timer = time.AfterFunc(a.decision.FirstEventTimeout, func() { a.cancel(errUpstreamTimeout) })
 	}
 }
 
@@ -168,7 +168,7 @@
 // resetTimer restarts the timeout for the next event of a stream.
 func (a *attempt) resetTimer() {
 	if a.timer != nil {
-		a.timer.Reset(a.decision.GapPatience)
+		a.timer.Reset(a.decision.GapTimeout)
 	}
 }
 
@@ -178,7 +178,7 @@
 }
 
 // readFailure buffers an upstream's own failure, so that it can be passed on if no other upstream is tried.
-func (a *attempt) readFailure(ctx context.Context, resp *http.Response, reading platform.Reading) (forward.Outcome, error) {
+func (a *attempt) readFailure(ctx context.Context, resp *http.Response, reading platform.ResponseHead) (forward.Outcome, error) {
 	body, err := a.readAll(ctx, resp)
 	if err != nil {
 		return a.outcomeOf(ctx, err), errors.Wrap(err, "reading the upstream's error response")
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -25,8 +25,8 @@
 	}
 	require.Eventually(t, func() bool { return overloaded.Queued() == 4 }, testTimeout, pollInterval)
 	fleet.AddService("i-other")
-	overloaded.Say(standin.Notice{Rest: backoff})
-	require.Eventually(t, func() bool { e.Post("/again/1"); return overloaded.Arrived() > 4 }, testTimeout, pollInterval)
+	overloaded.SetNotice(standin.Notice{Backoff: backoff})
+	require.Eventually(t, func() bool { e.Post("/again/1"); return overloaded.ArrivalCount() > 4 }, testTimeout, pollInterval)
 	requestedAt := overloaded.Arrivals()[4].At
 	time.AfterFunc(600*time.Millisecond, release)
 	for time.Since(requestedAt) < backoff {
--- a/internal/gateway/draining_test.go
+++ b/internal/gateway/draining_test.go
@@ -18,7 +18,7 @@
 	draining, other := fleet.AddService("i-leaving"), fleet.AddService("i-other")
 	e := start(t, fleet)
 	fleet.Store.SetDown(true)
-	draining.Say(standin.Notice{Leaving: true})
+	draining.SetNotice(standin.Notice{Leaving: true})
 	require.Eventually(t, func() bool {
 		return e.Post("/once/1").Seal == "seal-of-i-leaving"
 	}, testTimeout, pollInterval)
@@ -30,5 +30,5 @@
 	for _, a := range draining.Arrivals() {
 		require.Less(t, a.At.Sub(notifiedAt), drainTime)
 	}
-	require.Positive(t, other.Arrived())
+	require.Positive(t, other.ArrivalCount())
 }
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -28,13 +28,13 @@
 	startingHost.EvacuationTime = evacuationTime
 	starting := startHost(t, fleet, startingHost)
 	fleet.Store.SetDown(true)
-	arrivedBefore := desk.Arrived()
+	arrivedBefore := desk.ArrivalCount()
 	for range 20 {
 		require.Equal(t, 503, running.Post("/once/1").Status)
 		require.Equal(t, 503, starting.Post("/once/1").Status)
 		time.Sleep(20 * time.Millisecond)
 	}
-	require.Equal(t, arrivedBefore, desk.Arrived())
+	require.Equal(t, arrivedBefore, desk.ArrivalCount())
 	fleet.Store.SetDown(false)
 	fleet.Store.Delete("evacuations", "perth-a")
 	require.Eventually(t, func() bool { return running.Post("/once/1").Status == 200 }, testTimeout, pollInterval)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -35,7 +35,7 @@
 type exchange struct {
 	gateway *Gateway
 	id      uint64
-	call    platform.Call
+	call    platform.CallerRequest
 	w       http.ResponseWriter
 	r       *http.Request
 	body    []byte
@@ -78,9 +78,9 @@
 
 // newExchange returns the exchange of a request whose head was read at arrivedAt and whose body is still to be read.
 func newExchange(g *Gateway, w http.ResponseWriter, r *http.Request, arrivedAt time.Time) *exchange {
-	call := platform.ReadCall(r)
+	call := platform.ReadCallerRequest(r)
 	return &exchange{
-		gateway: g, id: g.nextID.Add(1), call: call, w: w, r: r, reservation: g.openReservation(w, call.Key),
+		gateway: g, id: g.nextID.Add(1), call: call, w: w, r: r, reservation: g.openReservation(w, call.APIKey),
 		arrivedAt: arrivedAt, effects: make(chan step.Effect, maxEffects), ctx: r.Context(), cancel: func() {}, unsent: true,
 	}
 }
@@ -91,7 +91,7 @@
 	switch {
 	case errors.Is(err, membudget.ErrFull):
 		x.w.Header().Set("Connection", "close") // The rest of the body is left unread, so the connection can't be reused.
-		x.refuse(forward.Refuse{ID: x.id, Code: code.MemoryFull, Ran: code.NotRun, Why: err.Error(), RetryAfter: memoryFullRetryAfter})
+		x.refuse(forward.Refuse{ID: x.id, Code: code.MemoryFull, Ran: code.NotRun, Reason: err.Error(), RetryAfter: memoryFullRetryAfter})
 		return false
 	case err != nil:
 		// Nothing was sent to an upstream, and the caller's connection is unusable.
@@ -113,7 +113,7 @@
 // logIfEvicted logs that the request was ended to free memory for others.
 func (x *exchange) logIfEvicted() {
 	if x.reservation.Evicted() {
-		logevent.Warn(x.gateway.log, logevent.SlowCallerEnded).Str("request", x.call.ID).Str("route", x.routeName()).Bool("answering", x.headerSent).
+		logevent.Warn(x.gateway.log, logevent.SlowCallerDisconnected).Str("request", x.call.AttemptID).Str("route", x.routeName()).Bool("answering", x.headerSent).
 			Int64("held", x.gateway.memory.Used()).Dur("took_ms", time.Since(x.arrivedAt)).Msg("slow caller ended")
 	}
 }
@@ -121,10 +121,10 @@
 // run carries out the reducer's decisions on the request until the request ends.
 func (x *exchange) run() {
 	defer func() { x.cancel() }()
-	x.fingerprint = fingerprint(x.r, x.call.Key, x.body)
+	x.fingerprint = fingerprint(x.r, x.call.APIKey, x.body)
 	x.gateway.step(forward.Arrived{
-		ID: x.id, Host: x.r.Host, Path: x.r.URL.EscapedPath(), Key: x.call.Key, Model: x.call.Model, Prompt: x.call.Prompt, Answer: x.call.Answer,
-		Budget: x.call.Budget, Reading: time.Since(x.arrivedAt), Size: int64(len(x.body)), Fingerprint: x.fingerprint,
+		ID: x.id, Host: x.r.Host, Path: x.r.URL.EscapedPath(), Key: x.call.APIKey, Model: x.call.Model, PromptTokens: x.call.PromptTokens, MaxAnswerTokens: x.call.MaxAnswerTokens,
+		Budget: x.call.TimeLeft, BodyReadTime: time.Since(x.arrivedAt), Size: int64(len(x.body)), Fingerprint: x.fingerprint,
 	})
 	for {
 		select {
@@ -168,7 +168,7 @@
 	switch e := e.(type) {
 	case forward.Admitted:
 		x.admission = e
-		x.ctx, x.cancel = context.WithDeadline(x.r.Context(), e.By)
+		x.ctx, x.cancel = context.WithDeadline(x.r.Context(), e.Deadline)
 	case forward.Send:
 		return x.runAttempt(e)
 	case forward.Refuse:
@@ -179,7 +179,7 @@
 		x.recordEnd("failed by the upstream", "")
 		return true
 	case forward.Abort:
-		x.recordEnd("aborted", e.Why)
+		x.recordEnd("aborted", e.Reason)
 		panic(http.ErrAbortHandler) // Closes the connection, so that the caller can't take the response for complete.
 	}
 	return false
@@ -194,7 +194,7 @@
 
 func (x *exchange) refuse(e forward.Refuse) {
 	description := e.Code.Describe()
-	platform.EchoID(x.w.Header(), x.call.ID)
+	platform.SetAttemptID(x.w.Header(), x.call.AttemptID)
 	if e.RetryAfter > 0 {
 		platform.SetRetryAfter(x.w.Header(), e.RetryAfter)
 	}
@@ -206,8 +206,8 @@
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(description.Status)
 	_, _ = x.w.Write(body) // A caller that left is detected by the request's context.
-	logevent.Warn(x.gateway.log, logevent.RequestRefused).Str("request", x.call.ID).Int("code", int(e.Code)).Str("ran", string(e.Ran)).
-		Str("why", e.Why).Bool("came_back", e.CameBack).Dur("limit_ms", x.call.Budget).Dur("retry_after_ms", e.RetryAfter).Dur("held_ms", time.Since(x.arrivedAt)).Msg("request refused")
+	logevent.Warn(x.gateway.log, logevent.RequestRefused).Str("request", x.call.AttemptID).Int("code", int(e.Code)).Str("ran", string(e.Ran)).
+		Str("why", e.Reason).Bool("came_back", e.Returning).Dur("limit_ms", x.call.TimeLeft).Dur("retry_after_ms", e.RetryAfter).Dur("held_ms", time.Since(x.arrivedAt)).Msg("request refused")
 	x.countRequest(strconv.Itoa(int(e.Code)))
 	x.gateway.metrics.Refusals.Add(1, strconv.Itoa(int(e.Code)), string(e.Ran))
 }
@@ -247,7 +247,7 @@
 
 // recordEnd logs and counts the end of a request; why may be empty.
 func (x *exchange) recordEnd(outcome, why string) {
-	logevent.Info(x.gateway.log, logevent.RequestEnded).Str("request", x.call.ID).Str("route", x.routeName()).Str("outcome", outcome).
+	logevent.Info(x.gateway.log, logevent.RequestEnded).Str("request", x.call.AttemptID).Str("route", x.routeName()).Str("outcome", outcome).
 		Str("why", why).Dur("objective_ms", x.objective()).Dur("first_ms", x.timeToFirstByte()).
 		Int("events", x.timing.eventCount).Dur("gap_objective_ms", x.gapObjective()).Dur("upstream_pause_ms", x.timing.maxUpstreamGap).Dur("caller_pause_ms", x.timing.maxWrite).
 		Int64("version", x.startedVersion).Dur("took_ms", time.Since(x.arrivedAt)).Msg("request ended")
@@ -292,9 +292,9 @@
 
 // reportAttemptEnd reports the outcome of an attempt to the reducer.
 func (x *exchange) reportAttemptEnd(outcome forward.Outcome) {
-	attemptEnd := forward.SendEnded{ID: x.id, Outcome: outcome, Partial: x.headerSent}
+	attemptEnd := forward.AttemptEnded{ID: x.id, Outcome: outcome, Partial: x.headerSent}
 	if x.headerSent {
-		attemptEnd.Quiet = time.Since(x.lastWriteAt)
+		attemptEnd.SinceLastPart = time.Since(x.lastWriteAt)
 	}
 	x.unsent = true
 	x.gateway.step(attemptEnd)
--- a/internal/gateway/expiry_test.go
+++ b/internal/gateway/expiry_test.go
@@ -34,7 +34,7 @@
 		status int
 	}{
 		"a stream that runs once":                 {"/single/1", nil, http.StatusBadGateway},
-		"a stream that is sent for the last time": {"/stream/1", []standin.Fault{standin.Lose}, http.StatusBadGateway},
+		"a stream that is sent for the last time": {"/stream/1", []standin.Fault{standin.DropResponse}, http.StatusBadGateway},
 		"a stream that may be sent once more":     {"/stream/1", nil, http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 			}, testTimeout, pollInterval)
 			next := fleet.AddEngine("i-2", standin.NextIP(), 2)
 			time.Sleep(watchDelay) // By now the entry watches the store, and sees the version at once.
-			fleet.Name(2)
+			fleet.ActivateVersion(2)
 			time.Sleep(host.VersionTime)
 			for _, resume := range release {
 				resume()
@@ -92,14 +92,14 @@
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	engine := fleet.AddEngine("i-1", standin.NextIP(), 1)
-	engine.Events, engine.Pace = 40, 50*time.Millisecond
+	engine.Events, engine.EventInterval = 40, 50*time.Millisecond
 	host := fleet.Host(standin.NextIP(), false)
 	host.VersionTime = time.Second
 	e := startHost(t, fleet, host)
 	replies := make(chan standin.Reply, 1)
 	go func() { replies <- e.Post("/stream/1") }()
-	require.Eventually(t, func() bool { return engine.Last() != nil }, testTimeout, pollInterval)
-	fleet.Name(2)
+	require.Eventually(t, func() bool { return engine.LastRun() != nil }, testTimeout, pollInterval)
+	fleet.ActivateVersion(2)
 	r := <-replies
 	require.NoError(t, r.Err)
 	require.Equal(t, streamBody(engine.Events), r.Body)
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -11,14 +11,14 @@
 
 // followStore watches the manifest, the upstreams, the versions and the evacuations in the store.
 func (g *Gateway) followStore(ctx context.Context) {
-	watch := storewatch.Beliefs{Step: g.handleStoreEvent, Log: g.log}
+	watch := storewatch.Decoder{Step: g.handleStoreEvent, Log: g.log}
 	kinds := []string{platform.ConfigKind, platform.ServerKind, platform.VersionKind}
 	if g.catalog.FollowsEvacuations {
 		kinds = append(kinds, platform.EvacuationKind)
 	}
 	for _, kind := range kinds {
 		follower := watch.Follower(g.store, kind)
-		follower.Shared = g.store.Shared
+		follower.ReadsFromPeer = g.store.ReadsFromPeer
 		go follower.Run(ctx)
 	}
 }
@@ -26,7 +26,7 @@
 // handleStoreEvent applies a change in the store. An activated version is passed on to the agents at once.
 func (g *Gateway) handleStoreEvent(ev step.Event) {
 	g.step(ev)
-	if _, activated := ev.(catalog.VersionNamed); activated {
+	if _, activated := ev.(catalog.VersionActivated); activated {
 		g.sendHeartbeats()
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,7 +49,7 @@
 	upstreamTransport http.RoundTripper
 	traces            *telemetry.Traces
 	// storePeers are the entries of the data centre, through one of which the store is read in a large one.
-	storePeers *storefeed.Neighbours
+	storePeers *storefeed.Peers
 	// cache holds what was read from the store, for the processes that read the store through this one; store reads through it.
 	cache  *storefeed.Cache
 	store  *storefeed.Reader
@@ -72,16 +72,16 @@
 // New returns the entry of a host. It records its metrics in m; traces is nil when tracing is off.
 func New(host hostconfig.Host, log zerolog.Logger, m *telemetry.Metrics, traces *telemetry.Traces) *Gateway {
 	catalogState, self := catalog.NewState(), net.JoinHostPort(host.IP, strconv.Itoa(host.PeerPort))
-	catalogState.ListedSince, catalogState.FollowsEvacuations = time.Now().Add(-host.ListedAge()), host.EvacuationTime > 0
-	storePeers, cache := storefeed.NewNeighbours(host, self, false, log), storefeed.NewCache(host.ChangeTime())
+	catalogState.ListedActivatedAt, catalogState.FollowsEvacuations = time.Now().Add(-host.AssumedVersionAge()), host.EvacuationTime > 0
+	storePeers, cache := storefeed.NewPeers(host, self, false, log), storefeed.NewCache(host.ChangeTime())
 	storeTransport := newStoreTransport()
 	upstreamClient := &http.Client{Transport: newUpstreamTransport()}
-	traces.Client(upstreamClient, telemetry.NameSend)
+	traces.Client(upstreamClient, telemetry.AttemptSpanName)
 	return &Gateway{
 		host: host, self: self, log: log, metrics: m, catalog: catalogState, storePeers: storePeers, cache: cache,
 		forward: forward.NewState(forward.Self{
 			Name: host.Name, DataCentre: host.DataCentre, Region: host.Region, Regions: host.Regions,
-			Retries: host.Retries, VersionTime: host.VersionTime,
+			Retries: host.Retries, VersionLifetime: host.VersionTime,
 		}, catalogState),
 		exchanges: map[uint64]*exchange{}, memory: membudget.New(callerMemoryLimit(host), time.Now),
 		upstreamTransport: upstreamClient.Transport, traces: traces,
@@ -100,10 +100,10 @@
 
 // callerMemoryLimit returns the maximum number of bytes held for callers.
 func callerMemoryLimit(host hostconfig.Host) int64 {
-	if host.Memory <= 0 {
+	if host.MemoryBytes <= 0 {
 		return defaultMemoryBytes / callerMemoryDivisor
 	}
-	return host.Memory / callerMemoryDivisor
+	return host.MemoryBytes / callerMemoryDivisor
 }
 
 // newUpstreamTransport returns a transport that opens a connection for each request. A reused connection may no longer be served, may be
@@ -144,19 +144,19 @@
 // execute logs a change of the known state, or passes an effect to the request that it concerns. The caller holds the lock.
 func (g *Gateway) execute(e step.Effect) {
 	switch e := e.(type) {
-	case catalog.Change:
-		logevent.Info(g.log, logevent.BeliefChanged).Str("what", string(e.Topic)).Str("of", e.Name).Str("value", e.Value).
+	case catalog.StateChanged:
+		logevent.Info(g.log, logevent.StateChanged).Str("what", string(e.Topic)).Str("of", e.Name).Str("value", e.Value).
 			Int64("revision", e.Revision).Msg("belief changed")
-	case forward.Suspected:
-		g.logQuarantine(e.Fingerprint, quarantine.HoldFor, e.Upstream)
+	case forward.QuarantineStarted:
+		g.logQuarantine(e.Fingerprint, quarantine.QuarantineDuration, e.Upstream)
 		go g.sendHeartbeats()
-	case forward.HeldBack:
-		g.logQuarantine(e.Fingerprint, e.Left, "")
+	case forward.Quarantined:
+		g.logQuarantine(e.Fingerprint, e.Remaining, "")
 	case forward.CrashesDropped:
 		logevent.Warn(g.log, logevent.CrashesDropped).Int("count", e.Count).Msg("crashes dropped")
-	case forward.BegunLate:
+	case forward.StartedLate:
 		g.logLateStart(e)
-	case forward.UpstreamSaid:
+	case forward.NoticeChanged:
 		g.logUpstreamNotice(e)
 	case forward.Withdraw:
 		if x := g.exchanges[e.ID]; x != nil {
@@ -177,23 +177,23 @@
 
 // logQuarantine logs that a request is quarantined. upstream is the one whose crash caused it; it is empty if another process reported the quarantine.
 func (g *Gateway) logQuarantine(fingerprint uint64, left time.Duration, upstream string) {
-	logevent.Warn(g.log, logevent.RequestHeldBack).Uint64("fingerprint", fingerprint).Dur("left_ms", left).Str("upstream", upstream).
+	logevent.Warn(g.log, logevent.RequestQuarantined).Uint64("fingerprint", fingerprint).Dur("left_ms", left).Str("upstream", upstream).
 		Bool("told", upstream == "").Msg("request held back")
 }
 
-func (g *Gateway) logUpstreamNotice(e forward.UpstreamSaid) {
+func (g *Gateway) logUpstreamNotice(e forward.NoticeChanged) {
 	g.metrics.UpstreamNotices.Add(1)
-	logevent.Info(g.log, logevent.UpstreamSaid).Str("upstream", e.Upstream).Bool("limited", e.Notice.Limited).Float64("rate_limit", e.Notice.RateLimit).
-		Bool("garbled", e.Notice.Garbled).Bool("leaving", e.Notice.Leaving).Dur("retry_after_ms", e.Notice.RetryAfter).
+	logevent.Info(g.log, logevent.UpstreamNotice).Str("upstream", e.Upstream).Bool("limited", e.Notice.Limited).Float64("rate_limit", e.Notice.RateLimit).
+		Bool("garbled", e.Notice.Malformed).Bool("leaving", e.Notice.Leaving).Dur("retry_after_ms", e.Notice.RetryAfter).
 		Bool("limited_before", e.Before.Limited).Bool("leaving_before", e.Before.Leaving).
 		Msg("upstream said")
 }
 
-func (g *Gateway) logLateStart(e forward.BegunLate) {
-	g.metrics.BegunLate.Add(1)
+func (g *Gateway) logLateStart(e forward.StartedLate) {
+	g.metrics.StartedLate.Add(1)
 	if x := g.exchanges[e.ID]; x != nil {
-		logevent.Warn(g.log, logevent.BegunLate).Str("request", x.call.ID).Str("upstream", e.Upstream).Int64("version", e.Version).
-			Int64("successor", e.Successor).Int64("insisted", e.Insisted).Dur("late_ms", e.Late).Dur("waited_ms", e.Waited).Msg("begun late")
+		logevent.Warn(g.log, logevent.StartedLate).Str("request", x.call.AttemptID).Str("upstream", e.Upstream).Int64("version", e.Version).
+			Int64("successor", e.Successor).Int64("insisted", e.Required).Dur("late_ms", e.Late).Dur("waited_ms", e.Waited).Msg("begun late")
 	}
 }
 
@@ -225,11 +225,11 @@
 	}
 	g.socket = socket
 	defer socket.Close()
-	callerListener, err := net.Listen("tcp", g.host.Callers)
+	callerListener, err := net.Listen("tcp", g.host.CallersListen)
 	if err != nil {
 		return err
 	}
-	readinessListener, err := net.Listen("tcp", g.host.Readiness)
+	readinessListener, err := net.Listen("tcp", g.host.ReadinessListen)
 	if err != nil {
 		return err
 	}
@@ -245,12 +245,12 @@
 	g.followStore(workCtx)
 	go socket.Run(g.handleMessage, g.log)
 	go g.runHeartbeats(workCtx)
-	go g.storePeers.GreetSeeds(workCtx, socket, g.ready.Load)
+	go g.storePeers.SendSeedHeartbeats(workCtx, socket, g.ready.Load)
 	go periodic.Run(workCtx, tickInterval, g.tick)
 	go g.serveReadiness(readinessListener)
 	callerServer := g.newCallerServer()
 	go g.serveCallers(callerServer, callerListener)
-	logevent.Info(g.log, logevent.Listening).Str("callers", g.host.Callers).Str("readiness", g.host.Readiness).Msg("listening")
+	logevent.Info(g.log, logevent.Listening).Str("callers", g.host.CallersListen).Str("readiness", g.host.ReadinessListen).Msg("listening")
 	<-ctx.Done()
 	g.stop(callerServer)
 	return nil
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -38,14 +38,14 @@
 func startHost(t *testing.T, fleet *standin.Fleet, host hostconfig.Host) *entry {
 	t.Helper()
 	g := gateway.New(host, newTestLogger(t), telemetry.NewMetrics(), nil)
-	e := &entry{Caller: standin.Caller{Address: host.Callers, Name: t.Name()}, host: host, gateway: g, stop: fleet.Run(g.Run)}
+	e := &entry{Caller: standin.Caller{Address: host.CallersListen, Name: t.Name()}, host: host, gateway: g, stop: fleet.Run(g.Run)}
 	require.Eventually(t, func() bool { return e.ready() == http.StatusOK }, testTimeout, 10*time.Millisecond)
 	return e
 }
 
 // ready returns the status of a readiness check as the load balancer makes it; 0 means no response.
 func (e *entry) ready() int {
-	resp, err := http.Get("http://" + e.host.Readiness + "/v1/readyz")
+	resp, err := http.Get("http://" + e.host.ReadinessListen + "/v1/readyz")
 	if err != nil {
 		return 0
 	}
@@ -76,13 +76,13 @@
 	require.Equal(t, http.StatusOK, r.Status)
 	require.Equal(t, "answer to "+r.ID+" by i-desk", r.Body)
 	require.Equal(t, "seal-of-i-desk", r.Seal)
-	seen := desk.Last()
+	seen := desk.LastRun()
 	require.Equal(t, "karrakin", seen.Account)
 	require.Equal(t, "i-desk", seen.Instance)
 	require.Equal(t, "kept", seen.Header.Get("Custom"))
-	require.Empty(t, seen.Key)
-	require.Positive(t, seen.Deadline)
-	require.LessOrEqual(t, seen.Deadline, 2000, "the route's limit is below the caller's")
+	require.Empty(t, seen.Authorization)
+	require.Positive(t, seen.DeadlineMS)
+	require.LessOrEqual(t, seen.DeadlineMS, 2000, "the route's limit is below the caller's")
 }
 
 // TestEntryRefusals guards against refusals that do not tell the caller whether its request ran and when to retry.
@@ -90,7 +90,7 @@
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	e := start(t, fleet)
-	r := e.Do(context.Background(), standin.Request{Path: "/once/1", Key: "revoked"})
+	r := e.Do(context.Background(), standin.Request{Path: "/once/1", APIKey: "revoked"})
 	require.Equal(t, http.StatusUnauthorized, r.Status)
 	require.Contains(t, r.Body, "1011")
 	require.Equal(t, http.StatusNotFound, e.Post("/nowhere/").Status)
@@ -114,16 +114,16 @@
 	}{
 		{"a call that runs once survives a refusal", "/once/1", []standin.Fault{standin.Decline}, 200, 1},
 		{"and another upstream at the address", "/once/1", []standin.Fault{standin.Misdirect}, 200, 1},
-		{"its lost answer is not hidden by a second run", "/once/1", []standin.Fault{standin.Lose}, 502, 1},
-		{"nor one to another request", "/once/1", []standin.Fault{standin.Foreign}, 502, 1},
-		{"nor one that is cut", "/once/1", []standin.Fault{standin.Short}, 502, 1},
-		{"nor one without the upstream's mark", "/once/1", []standin.Fault{standin.Unmarked}, 502, 1},
+		{"its lost answer is not hidden by a second run", "/once/1", []standin.Fault{standin.DropResponse}, 502, 1},
+		{"nor one to another request", "/once/1", []standin.Fault{standin.OtherRequest}, 502, 1},
+		{"nor one that is cut", "/once/1", []standin.Fault{standin.ShortBody}, 502, 1},
+		{"nor one without the upstream's mark", "/once/1", []standin.Fault{standin.Unsealed}, 502, 1},
 		{"its failure is passed on", "/once/1", []standin.Fault{standin.Fail}, 500, 1},
-		{"a call that may run again is sent again after a loss", "/again/1", []standin.Fault{standin.Lose}, 200, 2},
+		{"a call that may run again is sent again after a loss", "/again/1", []standin.Fault{standin.DropResponse}, 200, 2},
 		{"after a failure", "/again/1", []standin.Fault{standin.Fail}, 200, 2},
 		{"after silence", "/again/1", []standin.Fault{standin.Hang}, 200, 2},
-		{"after an answer to another request", "/again/1", []standin.Fault{standin.Foreign}, 200, 2},
-		{"after one that is cut", "/again/1", []standin.Fault{standin.Short}, 200, 2},
+		{"after an answer to another request", "/again/1", []standin.Fault{standin.OtherRequest}, 200, 2},
+		{"after one that is cut", "/again/1", []standin.Fault{standin.ShortBody}, 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -146,11 +146,11 @@
 	fleet.AddEngine("i-1", standin.NextIP(), 1)
 	fleet.AddEngine("i-2", standin.NextIP(), 1)
 	e := start(t, fleet)
-	fleet.Faults.Next(standin.BreakEvent)
+	fleet.Faults.Next(standin.BreakMidEvent)
 	r := e.Post("/stream/1")
 	require.NoError(t, r.Err)
 	require.Equal(t, streamBody(6), r.Body, "each event once and in order, without the incomplete one")
-	fleet.Faults.Next(standin.BreakEvent, standin.BreakEvent)
+	fleet.Faults.Next(standin.BreakMidEvent, standin.BreakMidEvent)
 	r = e.Post("/stream/2")
 	require.Error(t, r.Err, "a route that allows two upstreams has no third attempt: the response is cut off and does not look complete")
 }
@@ -171,15 +171,15 @@
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	engine := fleet.AddEngine("i-1", standin.NextIP(), 1)
-	engine.Events, engine.Pace = 100000, 10*time.Millisecond
+	engine.Events, engine.EventInterval = 100000, 10*time.Millisecond
 	e := start(t, fleet)
 	ctx, cancel := context.WithCancel(context.Background())
 	replies := make(chan standin.Reply, 1)
 	go func() { replies <- e.Do(ctx, standin.Request{Path: "/stream/1"}) }()
-	require.Eventually(t, func() bool { return engine.Last() != nil }, testTimeout, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return engine.LastRun() != nil }, testTimeout, 5*time.Millisecond)
 	cancel()
 	<-replies
-	require.Eventually(t, func() bool { return engine.Cancelled() == 1 }, testTimeout, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return engine.CancelledRuns() == 1 }, testTimeout, 5*time.Millisecond)
 }
 
 // TestStreamPastDeadlineIsAborted guards against a stream that is ended normally at its deadline, which its caller would take for complete.
@@ -187,7 +187,7 @@
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	engine := fleet.AddEngine("i-1", standin.NextIP(), 1)
-	engine.Events, engine.Pace = 100000, 10*time.Millisecond
+	engine.Events, engine.EventInterval = 100000, 10*time.Millisecond
 	e := start(t, fleet)
 	r := e.Do(context.Background(), standin.Request{Path: "/stream/1", DeadlineMS: 300})
 	require.Error(t, r.Err, "the connection is closed, so that the response does not look complete")
@@ -201,7 +201,7 @@
 	fleet.AddEngine("i-1", standin.NextIP(), 1)
 	e := start(t, fleet)
 	require.Equal(t, http.StatusOK, e.Post("/stream/1").Status)
-	fleet.Name(2)
+	fleet.ActivateVersion(2)
 	require.Eventually(t, func() bool { return e.Post("/stream/1").Status == http.StatusServiceUnavailable }, testTimeout, 100*time.Millisecond)
 }
 
@@ -229,7 +229,7 @@
 			require.Equal(t, http.StatusOK, e.Post("/again/1").Status)
 			restore := inject(fleet.Store)
 			fleet.Routes = fleet.Routes[:1]
-			fleet.Configure()
+			fleet.WriteManifest()
 			fleet.AddService("i-new")
 			fleet.Store.Delete("servers", "i-desk")
 			restore()
@@ -248,13 +248,13 @@
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	engine := fleet.AddEngine("i-1", standin.NextIP(), 1)
-	engine.Events, engine.Pace = 50, 20*time.Millisecond
+	engine.Events, engine.EventInterval = 50, 20*time.Millisecond
 	host := fleet.Host(standin.NextIP(), false)
-	host.Grace = testTimeout
+	host.ShutdownGrace = testTimeout
 	e := startHost(t, fleet, host)
 	replies := make(chan standin.Reply, 1)
 	go func() { replies <- e.Post("/stream/1") }()
-	require.Eventually(t, func() bool { return engine.Last() != nil }, testTimeout, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return engine.LastRun() != nil }, testTimeout, 5*time.Millisecond)
 	stopped := make(chan struct{})
 	go func() {
 		e.stop()
@@ -278,7 +278,7 @@
 	fleet.Store.SetDown(true)
 	host := fleet.Host(standin.NextIP(), false)
 	g := gateway.New(host, newTestLogger(t), telemetry.NewMetrics(), nil)
-	e := &entry{Caller: standin.Caller{Address: host.Callers, Name: t.Name()}, host: host, gateway: g, stop: fleet.Run(g.Run)}
+	e := &entry{Caller: standin.Caller{Address: host.CallersListen, Name: t.Name()}, host: host, gateway: g, stop: fleet.Run(g.Run)}
 	require.Eventually(t, func() bool { return e.ready() == http.StatusServiceUnavailable }, testTimeout, 10*time.Millisecond)
 	r := e.Post("/once/1")
 	require.Equal(t, http.StatusServiceUnavailable, r.Status)
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -17,7 +17,7 @@
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	limited, other := fleet.AddEngine("i-limited", standin.NextIP(), 1), fleet.AddEngine("i-other", standin.NextIP(), 1)
-	limited.Say(standin.Notice{Limit: "1"})
+	limited.SetNotice(standin.Notice{Limit: "1"})
 	ctx, cancel := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
 	for range 3 {
@@ -29,7 +29,7 @@
 			}
 		})
 	}
-	require.Eventually(t, func() bool { return limited.Arrived() > 0 }, testTimeout, pollInterval)
+	require.Eventually(t, func() bool { return limited.ArrivalCount() > 0 }, testTimeout, pollInterval)
 	from := limited.Arrivals()[0].At.Add(3 * time.Second) // The limit must hold from then on.
 	time.Sleep(time.Until(from.Add(4 * time.Second)))
 	cancel()
@@ -41,5 +41,5 @@
 		}
 	}
 	require.LessOrEqual(t, within, 11, "1.5 times what it allows in four seconds, plus five")
-	require.Greater(t, other.Arrived(), 20, "callers are served by the other engine")
+	require.Greater(t, other.ArrivalCount(), 20, "callers are served by the other engine")
 }
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -19,14 +19,14 @@
 	host, log := fleet.Host(standin.NextIP(), false), &standin.Log{}
 	g := gateway.New(host, zerolog.New(log), telemetry.NewMetrics(), nil)
 	fleet.Run(g.Run)
-	e := &entry{Caller: standin.Caller{Address: host.Callers, Name: t.Name()}, host: host, gateway: g}
+	e := &entry{Caller: standin.Caller{Address: host.CallersListen, Name: t.Name()}, host: host, gateway: g}
 	require.Eventually(t, func() bool { return e.ready() == 200 }, testTimeout, pollInterval)
-	desk.Say(standin.Notice{Limit: "750.5"})
+	desk.SetNotice(standin.Notice{Limit: "750.5"})
 	require.Equal(t, 200, e.Post("/again/1").Status)
 	require.Equal(t, 200, e.Post("/again/1").Status)
 	require.Contains(t, log.String(), `"event":2011,"upstream":"i-desk","limited":true,"rate_limit":750.5`)
 	require.NotContains(t, log.String(), `"limited_before":true`, "an unchanged limit is not logged again")
-	desk.Say(standin.Notice{Leaving: true})
+	desk.SetNotice(standin.Notice{Leaving: true})
 	require.Equal(t, 200, e.Post("/again/1").Status)
 	require.Contains(t, log.String(), `"leaving":true`)
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -38,9 +38,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	message := loadreport.Message{DataCentre: g.host.DataCentre, Crashes: g.forward.Crashes.Reports(now)}
-	message.Named = loadreport.Namings(now, g.catalog.Told(now, g.host.VersionTime))
+	message.Activations = loadreport.Activations(now, g.catalog.ReportedActivations(now, g.host.VersionTime))
 	var agents []netip.AddrPort
-	for _, u := range g.forward.Greet() {
+	for _, u := range g.forward.ChooseHeartbeatTargets() {
 		if a, err := netip.ParseAddrPort(u.Address); err == nil {
 			agents = append(agents, netip.AddrPortFrom(a.Addr(), uint16(g.host.PeerPort)))
 		}
@@ -50,19 +50,19 @@
 
 // handleMessage applies a message from an agent or from another entry.
 func (g *Gateway) handleMessage(from netip.AddrPort, m loadreport.Message) {
-	g.storePeers.Heard(from, m)
-	g.storePeers.Answer(g.socket, from, m)
-	for _, n := range m.Named {
+	g.storePeers.HandleMessage(from, m)
+	g.storePeers.ReplyToHeartbeat(g.socket, from, m)
+	for _, n := range m.Activations {
 		g.step(n.Event())
 	}
 	if len(m.Crashes) > 0 {
-		g.step(forward.CrashesTold{Reports: m.Crashes})
+		g.step(forward.CrashesReported{Reports: m.Crashes})
 	}
 	if m.Load != nil {
-		g.step(forward.LoadTold{
-			Address: m.Load.Address, Born: m.Load.Born, Occupied: m.Load.Occupied, Closing: m.Load.Closing,
-			Versions: m.Load.Versions, RateLimit: m.Load.RateLimit, Leaving: m.Load.Leaving, Entries: m.Load.Entries, Near: m.Load.Near,
-			ColdLeft: time.Duration(m.Load.ColdMS) * time.Millisecond, Slowdown: m.Load.Slowdown,
+		g.step(forward.LoadReported{
+			Address: m.Load.Address, StartedAt: m.Load.StartedAt, RequestCount: m.Load.RequestCount, NotAccepting: m.Load.NotAccepting,
+			Versions: m.Load.Versions, RateLimit: m.Load.RateLimit, Leaving: m.Load.Leaving, Entries: m.Load.Entries, NearEntries: m.Load.NearEntries,
+			ColdRemaining: time.Duration(m.Load.ColdMS) * time.Millisecond, Slowdown: m.Load.Slowdown,
 		})
 	}
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -63,10 +63,10 @@
 func (g *Gateway) stop(server *http.Server) {
 	start := time.Now()
 	g.stopping.Store(true)
-	logevent.Info(g.log, logevent.StopAsked).Int64("open", g.inFlight.Load()).Msg("stop asked")
-	time.Sleep(min(acceptAfterStop, max(0, g.host.Grace-stopMargin)))
-	g.step(forward.StopAsked{})
-	for g.inFlight.Load() > 0 && time.Since(start) < g.host.Grace-stopMargin {
+	logevent.Info(g.log, logevent.ShutdownStarted).Int64("open", g.inFlight.Load()).Msg("stop asked")
+	time.Sleep(min(acceptAfterStop, max(0, g.host.ShutdownGrace-stopMargin)))
+	g.step(forward.ShutdownStarted{})
+	for g.inFlight.Load() > 0 && time.Since(start) < g.host.ShutdownGrace-stopMargin {
 		time.Sleep(stopPollInterval)
 	}
 	logevent.Info(g.log, logevent.Stopped).Int64("open", g.inFlight.Load()).Dur("took_ms", time.Since(start)).Msg("stopped")
--- a/internal/gateway/slow_body_test.go
+++ b/internal/gateway/slow_body_test.go
@@ -19,10 +19,10 @@
 	fleet := standin.NewFleet(t)
 	desk := fleet.AddService("i-1")
 	e := start(t, fleet)
-	status, err := e.DoSlowly(standin.Request{Path: "/again/1", DeadlineMS: int(deadline.Milliseconds())}, bodyDelay)
+	status, err := e.DoWithSlowBody(standin.Request{Path: "/again/1", DeadlineMS: int(deadline.Milliseconds())}, bodyDelay)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
-	require.LessOrEqual(t, desk.Last().Deadline, int((deadline - bodyDelay + headTransit).Milliseconds()))
+	require.LessOrEqual(t, desk.LastRun().DeadlineMS, int((deadline - bodyDelay + headTransit).Milliseconds()))
 }
 
 // TestRequestThatExpiresWhileReadingBodyIsRefused guards against sending a request whose deadline passed while its body was read.
@@ -31,8 +31,8 @@
 	fleet := standin.NewFleet(t)
 	desk := fleet.AddService("i-1")
 	e := start(t, fleet)
-	status, err := e.DoSlowly(standin.Request{Path: "/again/1", DeadlineMS: 200}, 400*time.Millisecond)
+	status, err := e.DoWithSlowBody(standin.Request{Path: "/again/1", DeadlineMS: 200}, 400*time.Millisecond)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, status)
-	require.Nil(t, desk.Last())
+	require.Nil(t, desk.LastRun())
 }
--- a/internal/gateway/slow_reader_test.go
+++ b/internal/gateway/slow_reader_test.go
@@ -15,14 +15,14 @@
 	t.Helper()
 	fleet := standin.NewFleet(t)
 	fleet.Slots = n + 10
-	fleet.Configure()
+	fleet.WriteManifest()
 	engine := fleet.AddEngine("i-engine", standin.NextIP(), 1)
-	engine.Events, engine.Pace, engine.EventBytes = events, time.Millisecond, eventBytes
+	engine.Events, engine.EventInterval, engine.EventPadding = events, time.Millisecond, eventBytes
 	host := fleet.Host(standin.NextIP(), false)
-	host.Memory = 184 << 20
+	host.MemoryBytes = 184 << 20
 	e := startHost(t, fleet, host)
 	for range n {
-		unread, err := e.AskOnly(standin.Request{Path: "/stream/1", DeadlineMS: 20000})
+		unread, err := e.SendWithoutReading(standin.Request{Path: "/stream/1", DeadlineMS: 20000})
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = unread.Close() })
 	}
@@ -35,7 +35,7 @@
 	t.Parallel()
 	const events = 40
 	_, engine := startWithSlowReaders(t, 1, events, 256<<10)
-	require.Eventually(t, func() bool { return engine.Ended() == 1 }, testTimeout, pollInterval)
+	require.Eventually(t, func() bool { return engine.CompletedStreams() == 1 }, testTimeout, pollInterval)
 }
 
 // TestThousandSlowReadersStayWithinMemoryBudget guards against a process that buffers the responses of a thousand slow callers until it is
@@ -50,7 +50,7 @@
 		maxUsed = max(maxUsed, e.gateway.MemoryUsed())
 		r := e.Post("/stream/1")
 		maxUsed = max(maxUsed, e.gateway.MemoryUsed())
-		return r.Err == nil && r.Status == 200 && strings.Count(r.Body, "id:") == events && engine.Ended() > 0
+		return r.Err == nil && r.Status == 200 && strings.Count(r.Body, "id:") == events && engine.CompletedStreams() > 0
 	}, testTimeout, pollInterval, "other callers are served")
 	require.LessOrEqual(t, maxUsed, int64(184<<20)/4, "a quarter of the process's memory")
 }
--- a/internal/gateway/store_reader_test.go
+++ b/internal/gateway/store_reader_test.go
@@ -23,8 +23,8 @@
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	fleet.AddService("i-desk")
-	ips := make([]string, source.LeastEntries)
-	addresses := make([]string, source.LeastEntries)
+	ips := make([]string, source.MinEntries)
+	addresses := make([]string, source.MinEntries)
 	for i := range ips {
 		ips[i] = standin.NextIP()
 		addresses[i] = net.JoinHostPort(ips[i], strconv.Itoa(standin.PeerPort))
@@ -37,12 +37,12 @@
 		log := &standin.Log{}
 		g := gateway.New(host, zerolog.New(log), telemetry.NewMetrics(), nil)
 		logs[addresses[i]] = log
-		entries[addresses[i]] = &entry{Caller: standin.Caller{Address: host.Callers, Name: ip}, host: host, stop: fleet.Run(g.Run)}
+		entries[addresses[i]] = &entry{Caller: standin.Caller{Address: host.CallersListen, Name: ip}, host: host, stop: fleet.Run(g.Run)}
 	}
-	reader := source.First("perth-a", addresses)[0]
+	reader := source.EntryCandidates("perth-a", addresses)[0]
 	for address, log := range logs {
 		if address != reader {
-			require.Eventually(t, func() bool { return log.Has(`"what":"source","value":"` + reader + `"`) }, testTimeout, 10*time.Millisecond)
+			require.Eventually(t, func() bool { return log.Contains(`"what":"source","value":"` + reader + `"`) }, testTimeout, 10*time.Millisecond)
 		}
 	}
 	requireRouteActive := func(prefix string) {
--- a/internal/gateway/trace_test.go
+++ b/internal/gateway/trace_test.go
@@ -22,8 +22,8 @@
 	fleet.AddService("i-2")
 	host := fleet.Host(standin.NextIP(), false)
 	spans := tracetest.NewInMemoryExporter()
-	g := gateway.New(host, zerolog.Nop(), telemetry.NewMetrics(), telemetry.NewTracesTo(spans, "entry", host.Name))
-	e := &entry{Caller: standin.Caller{Address: host.Callers, Name: t.Name()}, host: host, stop: fleet.Run(g.Run)}
+	g := gateway.New(host, zerolog.Nop(), telemetry.NewMetrics(), telemetry.NewTracesWithExporter(spans, "entry", host.Name))
+	e := &entry{Caller: standin.Caller{Address: host.CallersListen, Name: t.Name()}, host: host, stop: fleet.Run(g.Run)}
 	require.Eventually(t, func() bool { return e.ready() == http.StatusOK }, testTimeout, pollInterval)
 	fleet.Faults.Next(standin.Decline)
 	const parent = "4bf92f3577b34da6a3ce929d0e0e4736"
--- a/internal/gateway/unsent_test.go
+++ b/internal/gateway/unsent_test.go
@@ -51,7 +51,7 @@
 	replies := make(chan standin.Reply, 1)
 	go func() { replies <- e.Post("/single/1") }()
 	time.Sleep(watchDelay)
-	fleet.Name(2)
+	fleet.ActivateVersion(2)
 	r := <-replies
 	require.Equal(t, http.StatusServiceUnavailable, r.Status, r.Body)
 	require.Contains(t, r.Body, `"ran":"not run"`)
--- a/internal/hostagent/age_test.go
+++ b/internal/hostagent/age_test.go
@@ -28,9 +28,9 @@
 
 // newIdleAgent returns an agent that is not running: it handles events and serves nobody. Its engine holds version 1.
 func newIdleAgent(log zerolog.Logger) *hostagent.Agent {
-	a := hostagent.New(hostconfig.Host{Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", VersionTime: longVersionTime, Memory: 64 << 20, Link: 1 << 20},
+	a := hostagent.New(hostconfig.Host{Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", VersionTime: longVersionTime, MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20},
 		log, telemetry.NewMetrics(), nil)
-	a.Step(install.EngineRead{Born: 1, Loaded: map[string]int64{"m": 1}})
+	a.Step(install.EngineRead{StartedAt: 1, Loaded: map[string]int64{"m": 1}})
 	return a
 }
 
@@ -38,7 +38,7 @@
 func heartbeat(ages map[int64]time.Duration) loadreport.Message {
 	m := loadreport.Message{DataCentre: "perth-a"}
 	for version, age := range ages {
-		m.Named = append(m.Named, loadreport.Naming{Model: "m", Version: version, Revision: 50 + version, AgeMS: age.Milliseconds()})
+		m.Activations = append(m.Activations, loadreport.Activation{Model: "m", Version: version, Revision: 50 + version, AgeMS: age.Milliseconds()})
 	}
 	return m
 }
@@ -68,9 +68,9 @@
 	var log standin.Log
 	a := newIdleAgent(zerolog.New(&log))
 	a.Step(install.PeersChanged{Peers: []string{agentSelf, earlierPeer(t)}})
-	a.Step(catalog.VersionNamed{Model: "m", Version: 2, Revision: 52})
+	a.Step(catalog.VersionActivated{Model: "m", Version: 2, Revision: 52})
 	a.Step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
-	a.Step(install.Complete{Digest: "d2"})
+	a.Step(install.ContentComplete{Digest: "d2"})
 	a.Step(step.Tick{})
 	require.Equal(t, 1, log.Count(`"the engine holds another version"`), "the engine waits for its turn")
 	require.Zero(t, log.Count(`"its turn"`), "as far as this agent knows, the version was just activated")
@@ -97,9 +97,9 @@
 // its start, as if it were known.
 func TestStartingAgentMarksAssumedVersionAge(t *testing.T) {
 	a := hostagent.New(hostconfig.Host{
-		Name: "a", IP: "127.0.0.1", PeerPort: 7700, VersionTime: 8 * time.Hour, Settle: 3 * time.Hour, Memory: 64 << 20, Link: 1 << 20,
+		Name: "a", IP: "127.0.0.1", PeerPort: 7700, VersionTime: 8 * time.Hour, SettleTime: 3 * time.Hour, MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20,
 	}, zerolog.Nop(), telemetry.NewMetrics(), nil)
-	a.Step(catalog.VersionNamed{Model: "m", Version: 2, Revision: 60, Listed: true})
+	a.Step(catalog.VersionActivated{Model: "m", Version: 2, Revision: 60, Listed: true})
 	versions := a.ActiveVersions()
 	require.Len(t, versions, 1)
 	require.True(t, versions[0].Assumed)
--- a/internal/hostagent/export_test.go
+++ b/internal/hostagent/export_test.go
@@ -14,7 +14,7 @@
 func (a *Agent) Receive(from netip.AddrPort, m loadreport.Message) { a.handleHeartbeat(from, m) }
 
 // ActiveVersions returns the versions that a report would carry now.
-func (a *Agent) ActiveVersions() []loadreport.Naming {
+func (a *Agent) ActiveVersions() []loadreport.Activation {
 	_, versions := a.currentLoad(time.Now())
 	return versions
 }
--- a/internal/hostagent/growth_test.go
+++ b/internal/hostagent/growth_test.go
@@ -27,7 +27,7 @@
 	}
 	raw, err := json.Marshal(m)
 	require.NoError(t, err)
-	a.Step(install.Named{Model: "m", Version: 2})
+	a.Step(install.VersionActivated{Model: "m", Version: 2})
 	require.NoError(t, a.AddManifest("m", 2, raw, m))
 }
 
--- a/internal/hostagent/hostagent.go
+++ b/internal/hostagent/hostagent.go
@@ -63,7 +63,7 @@
 	log     zerolog.Logger
 	metrics *telemetry.Metrics
 	// storePeers are the entries through which the store is read in a large data centre.
-	storePeers *storefeed.Neighbours
+	storePeers *storefeed.Peers
 	store      *storefeed.Reader
 	engine     *platform.Engine
 	origin     *platform.Origin
@@ -86,10 +86,10 @@
 	self := net.JoinHostPort(host.IP, strconv.Itoa(host.PeerPort))
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 	client := &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 4, IdleConnTimeout: 5 * time.Second}}
-	traces.Client(client, telemetry.NamePeerCall)
+	traces.Client(client, telemetry.PeerSpanName)
 	originClient := newOriginClient(dialer)
-	traces.Client(originClient, telemetry.NameOriginCall)
-	storePeers, pool := storefeed.NewNeighbours(host, self, true, log), control.NewPool(self, "", dialer.DialContext)
+	traces.Client(originClient, telemetry.OriginSpanName)
+	storePeers, pool := storefeed.NewPeers(host, self, true, log), control.NewPool(self, "", dialer.DialContext)
 	a := &Agent{
 		host: host, self: self, log: log, metrics: m, client: client,
 		storePeers: storePeers, store: storePeers.Reader(platform.NewStore(host.Store, client), pool, nil), engine: platform.NewEngine(host.Engine, client),
@@ -98,12 +98,12 @@
 		install:  install.NewState(self, host.VersionTime),
 		reporter: newReporter(), timeouts: defaultTimeouts(),
 	}
-	a.catalog.ListedSince = time.Now().Add(-host.ListedAge())
+	a.catalog.ListedActivatedAt = time.Now().Add(-host.AssumedVersionAge())
 	a.origin = platform.NewOrigin(originClient, a.originParams)
 	a.fetcher = &transfer.Fetcher{
-		Memory: transfer.NewMemory(host.Memory / chunkMemoryDivisor), Sources: []transfer.Source{a.origin},
+		Memory: transfer.NewMemory(host.MemoryBytes / chunkMemoryDivisor), Sources: []transfer.Source{a.origin},
 		Pool: pool, Client: client, Self: self,
-		Up: transfer.NewLink(host.Link), Down: transfer.NewLink(host.Link), Steps: a, Log: log,
+		Uplink: transfer.NewLink(host.LinkBytesPerSecond), Downlink: transfer.NewLink(host.LinkBytesPerSecond), Steps: a, Log: log,
 	}
 	return a
 }
@@ -149,7 +149,7 @@
 		a.updatePeers()
 	}
 	if failed, ok := ev.(weights.ChunkFailed); ok && failed.Reason == weights.Changed {
-		a.reduce(install.Refuted{Digest: failed.Digest})
+		a.reduce(install.DigestContradicted{Digest: failed.Digest})
 	}
 }
 
@@ -166,36 +166,36 @@
 // execute carries out one effect. The caller holds the lock; slow effects run in their own goroutine.
 func (a *Agent) execute(in step.Input, e step.Effect) {
 	switch e := e.(type) {
-	case catalog.Change:
+	case catalog.StateChanged:
 		a.logCatalogChange(e)
-	case catalog.NamingChanged:
-		a.reduce(install.Named{Model: e.Naming.Model, Version: e.Naming.Version, Age: in.Now.Sub(e.Naming.Since)})
-	case install.Moved:
-		logevent.Info(a.log, logevent.InstallMoved).Str("model", e.Model).Int64("version", e.Version).Str("phase", string(e.Phase)).
-			Str("why", e.Why).Msg("install moved")
+	case catalog.ActivationChanged:
+		a.reduce(install.VersionActivated{Model: e.Activation.Model, Version: e.Activation.Version, Age: in.Now.Sub(e.Activation.ActivatedAt)})
+	case install.PhaseChanged:
+		logevent.Info(a.log, logevent.InstallPhaseChanged).Str("model", e.Model).Int64("version", e.Version).Str("phase", string(e.Phase)).
+			Str("why", e.Reason).Msg("install moved")
 	case install.Resolve:
 		go a.resolve(e)
 	case install.Fetch:
 		a.updateWants(in)
 	case install.Prepare:
 		go a.prepare(e)
-	case install.Order:
+	case install.LoadOrder:
 		go a.orderLoad(e)
 	case weights.Completed:
-		a.fetcher.Carry(e)
-		a.reduce(install.Complete{Digest: e.Digest})
+		a.fetcher.Execute(e)
+		a.reduce(install.ContentComplete{Digest: e.Digest})
 	default:
-		a.fetcher.Carry(e)
+		a.fetcher.Execute(e)
 	}
 }
 
 // logCatalogChange logs a change of the known state. A change of an upstream is only marked, for updatePeers.
-func (a *Agent) logCatalogChange(c catalog.Change) {
+func (a *Agent) logCatalogChange(c catalog.StateChanged) {
 	if c.Topic == catalog.UpstreamTopic {
 		a.peersChanged = true
 		return
 	}
-	logevent.Info(a.log, logevent.BeliefChanged).Str("what", string(c.Topic)).Str("of", c.Name).Str("value", c.Value).
+	logevent.Info(a.log, logevent.StateChanged).Str("what", string(c.Topic)).Str("of", c.Name).Str("value", c.Value).
 		Int64("revision", c.Revision).Msg("belief changed")
 }
 
@@ -271,7 +271,7 @@
 	defer func() { _ = peerServer.Close() }()
 	go a.servePeers(peerServer, listener)
 	go socket.Run(a.handleHeartbeat, a.log)
-	go a.storePeers.GreetSeeds(ctx, socket, a.initialized)
+	go a.storePeers.SendSeedHeartbeats(ctx, socket, a.initialized)
 	go periodic.Run(ctx, engineReadInterval, func() { a.pollEngine(ctx) })
 	go periodic.Run(ctx, step.TickInterval, a.tick)
 	a.followStore(ctx)
@@ -305,12 +305,12 @@
 
 // followStore reads the manifest, the upstreams and the versions from the store.
 func (a *Agent) followStore(ctx context.Context) {
-	watch := storewatch.Beliefs{Step: a.Step, Log: a.log}
+	watch := storewatch.Decoder{Step: a.Step, Log: a.log}
 	for kind, interval := range map[string]time.Duration{
 		platform.ConfigKind: configPollInterval, platform.ServerKind: upstreamPollInterval, platform.VersionKind: versionPollInterval,
 	} {
 		follower := watch.Follower(a.store, kind)
-		follower.Shared = a.store.Shared
+		follower.ReadsFromPeer = a.store.ReadsFromPeer
 		go follower.Poll(ctx, func() time.Duration { return a.pollInterval(interval) })
 	}
 }
@@ -321,7 +321,7 @@
 	if !a.initialized() {
 		return initialPollInterval
 	}
-	if a.store.Shared() {
+	if a.store.ReadsFromPeer() {
 		return interval
 	}
 	a.mu.Lock()
--- a/internal/hostagent/hostagent_test.go
+++ b/internal/hostagent/hostagent_test.go
@@ -33,7 +33,7 @@
 		require.Eventually(t, func() bool { return e.Weights.Loaded() == version }, testTimeout, 20*time.Millisecond)
 	}
 	for _, e := range engines {
-		corrupted, _ := e.Weights.Spoilt()
+		corrupted, _ := e.Weights.Loads()
 		require.Zero(t, corrupted, "an engine loaded chunks that were missing or corrupted")
 	}
 }
@@ -43,10 +43,10 @@
 func TestEmptyEnginesLoadWeightsWithFewOriginReads(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
-	fleet.Name(1)
+	fleet.ActivateVersion(1)
 	engines, _ := start(t, fleet, 4, 0)
 	requireLoaded(t, engines, 1)
-	require.LessOrEqual(t, fleet.Origin.Sent(), 3*fleet.Origin.Pieces, "four hosts that do not share chunks would read four copies")
+	require.LessOrEqual(t, fleet.Origin.SentChunks(), 3*fleet.Origin.Chunks, "four hosts that do not share chunks would read four copies")
 }
 
 // TestHostSendsOneOriginRequestAtATime guards against a host that opens several connections to the origin, which accepts a bounded number from
@@ -54,22 +54,22 @@
 func TestHostSendsOneOriginRequestAtATime(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
-	fleet.Origin.AnswerTime = 30 * time.Millisecond
-	fleet.Name(1)
+	fleet.Origin.ResponseDelay = 30 * time.Millisecond
+	fleet.ActivateVersion(1)
 	engines, _ := start(t, fleet, 1, 0)
 	requireLoaded(t, engines, 1)
-	require.Equal(t, 1, fleet.Origin.MostAtOnce())
+	require.Equal(t, 1, fleet.Origin.MaxInFlight())
 }
 
 // TestNewVersionReachesEveryEngine guards against engines that stay on an old version when two versions are activated in quick succession.
 func TestNewVersionReachesEveryEngine(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
-	fleet.Name(1)
+	fleet.ActivateVersion(1)
 	engines, _ := start(t, fleet, 2, 0)
 	requireLoaded(t, engines, 1)
-	fleet.Name(2)
-	fleet.Name(3)
+	fleet.ActivateVersion(2)
+	fleet.ActivateVersion(3)
 	requireLoaded(t, engines, 3)
 }
 
@@ -77,13 +77,13 @@
 func TestCorruptedChunksAreReplacedBeforeNextLoad(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
-	fleet.Name(1)
+	fleet.ActivateVersion(1)
 	engines, _ := start(t, fleet, 1, 0)
 	requireLoaded(t, engines, 1)
-	engines[0].Weights.Rot(3)
+	engines[0].Weights.CorruptChunk(3)
 	engines[0].Weights.Crash(false)
 	require.Eventually(t, func() bool {
-		_, orders := engines[0].Weights.Spoilt()
+		_, orders := engines[0].Weights.Loads()
 		return orders == 2
 	}, testTimeout, 20*time.Millisecond)
 	requireLoaded(t, engines, 1)
@@ -93,7 +93,7 @@
 func TestEngineIsRefilledAfterPowerLoss(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
-	fleet.Name(1)
+	fleet.ActivateVersion(1)
 	engines, _ := start(t, fleet, 2, 0)
 	requireLoaded(t, engines, 1)
 	engines[0].Weights.Crash(true)
@@ -105,8 +105,8 @@
 func TestCorruptedOriginResponsesAreRejected(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
-	fleet.Origin.SpoilNext(5)
-	fleet.Name(1)
+	fleet.Origin.CorruptNext(5)
+	fleet.ActivateVersion(1)
 	engines, _ := start(t, fleet, 1, 0)
 	requireLoaded(t, engines, 1)
 }
@@ -115,7 +115,7 @@
 func TestRestartedAgentReusesStagedChunks(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
-	fleet.Name(1)
+	fleet.ActivateVersion(1)
 	ip := standin.NextIP()
 	engine := fleet.AddEngine("a", ip, 0)
 	run := func() (stop func()) {
@@ -124,11 +124,11 @@
 	stop := run()
 	requireLoaded(t, []*standin.Upstream{engine}, 1)
 	stop()
-	sent := fleet.Origin.Sent()
+	sent := fleet.Origin.SentChunks()
 	engine.Weights.Crash(false)
 	run()
 	requireLoaded(t, []*standin.Upstream{engine}, 1)
-	require.Equal(t, sent, fleet.Origin.Sent())
+	require.Equal(t, sent, fleet.Origin.SentChunks())
 }
 
 // TestAgentStartedBeforeEngineReusesStagedChunks guards against the same when a host restarts: the agent learns of the version at once, but
@@ -136,8 +136,8 @@
 func TestAgentStartedBeforeEngineReusesStagedChunks(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
-	fleet.Origin.AnswerTime = 300 * time.Millisecond
-	fleet.Name(1)
+	fleet.Origin.ResponseDelay = 300 * time.Millisecond
+	fleet.ActivateVersion(1)
 	ip := standin.NextIP()
 	engine := fleet.AddEngine("a", ip, 0)
 	run := func() (stop func()) {
@@ -147,8 +147,8 @@
 	requireLoaded(t, []*standin.Upstream{engine}, 1)
 	stop()
 	engine.Weights.Crash(false)
-	engine.Away(1500 * time.Millisecond)
+	engine.SetUnavailable(1500 * time.Millisecond)
 	run()
 	requireLoaded(t, []*standin.Upstream{engine}, 1)
-	require.Less(t, fleet.Origin.Sent(), 2*fleet.Origin.Pieces)
+	require.Less(t, fleet.Origin.SentChunks(), 2*fleet.Origin.Chunks)
 }
--- a/internal/hostagent/joining_test.go
+++ b/internal/hostagent/joining_test.go
@@ -26,11 +26,11 @@
 		var log standin.Log
 		a := hostagent.New(hostconfig.Host{
 			Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", Engine: "127.0.0.1:1", EngineService: "model", VersionTime: longVersionTime,
-			Memory: 64 << 20, Link: 1 << 20,
+			MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20,
 		}, zerolog.New(&log), telemetry.NewMetrics(), nil)
 		m := catalog.NewManifest(1, nil, nil)
 		m.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{Models: []string{"m"}}}
-		a.Receive(entryAddress, loadreport.Message{EntryCount: 7, RunningMS: running.Milliseconds()})
+		a.Receive(entryAddress, loadreport.Message{EntryCount: 7, UptimeMS: running.Milliseconds()})
 		a.Step(catalog.ManifestRead{Revision: 1, Manifest: m})
 		a.Step(catalog.TopicListed{Topic: catalog.UpstreamTopic})
 		a.Tick()
@@ -39,7 +39,7 @@
 		a.Tick()
 		if running == time.Second {
 			require.Zero(t, log.Count(`"resolving"`))
-			a.Step(install.EngineRead{Born: 1})
+			a.Step(install.EngineRead{StartedAt: 1})
 			a.Tick()
 		}
 		require.Equal(t, 1, log.Count(`"resolving"`))
--- a/internal/hostagent/manifest_request_test.go
+++ b/internal/hostagent/manifest_request_test.go
@@ -22,7 +22,7 @@
 func TestManifestRequestWaitsUntilPeerHasManifest(t *testing.T) {
 	t.Parallel()
 	a := newIdleAgent(zerolog.Nop())
-	a.Step(catalog.VersionNamed{Model: "m", Version: 2, Revision: 52})
+	a.Step(catalog.VersionActivated{Model: "m", Version: 2, Revision: 52})
 	sha := strings.Repeat("ab", 32)
 	m := &manifest.Manifest{Model: "m", Version: "2", Size: 4, ChunkSize: 4, SHA256: sha, Chunks: []manifest.Chunk{{SHA256: sha, Size: 4}}}
 	raw, err := json.Marshal(m)
--- a/internal/hostagent/notice_test.go
+++ b/internal/hostagent/notice_test.go
@@ -42,10 +42,10 @@
 		}
 	}
 	require.Eventually(t, reports(func(l *loadreport.Load) bool { return l.RateLimit == nil }), testTimeout, 10*time.Millisecond)
-	engine.Say(standin.Notice{Limit: "2.5"})
+	engine.SetNotice(standin.Notice{Limit: "2.5"})
 	require.Eventually(t, reports(func(l *loadreport.Load) bool { return l.RateLimit != nil && *l.RateLimit == 2.5 }), testTimeout, 10*time.Millisecond)
-	engine.Say(standin.Notice{Leaving: true})
+	engine.SetNotice(standin.Notice{Leaving: true})
 	require.Eventually(t, reports(func(l *loadreport.Load) bool { return l.Leaving }), testTimeout, 10*time.Millisecond)
-	engine.Say(standin.Notice{})
+	engine.SetNotice(standin.Notice{})
 	require.Eventually(t, reports(func(l *loadreport.Load) bool { return l.RateLimit == nil }), testTimeout, 10*time.Millisecond)
 }
--- a/internal/hostagent/reports.go
+++ b/internal/hostagent/reports.go
@@ -55,11 +55,11 @@
 
 // handleHeartbeat handles an entry's heartbeat, with the versions and crashes that the entry knows.
 func (a *Agent) handleHeartbeat(from netip.AddrPort, m loadreport.Message) {
-	a.storePeers.Heard(from, m)
+	a.storePeers.HandleMessage(from, m)
 	if m.DataCentre == "" {
 		return // A seed's response, not a heartbeat.
 	}
-	for _, n := range m.Named {
+	for _, n := range m.Activations {
 		a.Step(n.Event())
 	}
 	a.reporter.mu.Lock()
@@ -82,7 +82,7 @@
 func (a *Agent) readEngineState(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, engineReadTimeout)
 	defer cancel()
-	state, err := a.engine.Read(ctx)
+	state, err := a.engine.ReadState(ctx)
 	if err != nil {
 		a.Step(install.EngineFailed{})
 		return
@@ -96,7 +96,7 @@
 	a.mu.Lock()
 	share := a.install.LinkShare()
 	a.mu.Unlock()
-	a.fetcher.Carry(weights.SetShare{Share: share})
+	a.fetcher.Execute(weights.SetShare{Share: share})
 }
 
 // activateDefaultVersions activates the newest version that an engine holds for each model without a version activated by the operator. It
@@ -110,16 +110,16 @@
 		return
 	}
 	for _, model := range engine.Models {
-		if a.install.Newest(model) > 0 {
+		if a.install.NewestVersion(model) > 0 {
 			continue
 		}
-		a.reduce(install.Named{Model: model, Version: a.newestVersionInFleet(model)})
+		a.reduce(install.VersionActivated{Model: model, Version: a.newestVersionInFleet(model)})
 	}
 }
 
 // joinsRunningFleet reports whether this host is new to a running fleet. The caller holds the lock.
 func (a *Agent) joinsRunningFleet() bool {
-	return a.catalog.At(a.host.Engine, 0) == nil && a.storePeers.FleetRuns()
+	return a.catalog.UpstreamAt(a.host.Engine, 0) == nil && a.storePeers.JoinedRunningFleet()
 }
 
 // initialVersion is the first version of a model.
@@ -147,7 +147,7 @@
 	load.Entries = len(a.reporter.subscribers)
 	for _, s := range a.reporter.subscribers {
 		if s.near {
-			load.Near++
+			load.NearEntries++
 		}
 	}
 	a.reporter.crashes.Expire(now)
@@ -160,14 +160,14 @@
 			continue
 		}
 		s.reportedAt, s.lastLoad = now, load
-		m := loadreport.Message{Load: &load, Named: versions}
+		m := loadreport.Message{Load: &load, Activations: versions}
 		if s.crashesDue(now, changes) {
 			s.crashChanges, s.crashesSentAt = changes, now
 			m.Crashes = crashes
 		}
 		if now.Sub(s.entriesSentAt) >= idleInterval { // Sent with each report, they would take up much of it.
 			s.entriesSentAt = now
-			a.storePeers.Tell(s.dataCentre, &m)
+			a.storePeers.AddEntries(s.dataCentre, &m)
 		}
 		if err := a.socket.Send(address, m); err != nil {
 			logevent.Info(a.log, logevent.PeerFailed).Str("peer", address.String()).Err(err).Msg("peer failed")
@@ -188,7 +188,7 @@
 func needsImmediateReport(previous, current loadreport.Load) bool {
 	limited := (current.RateLimit != nil) != (previous.RateLimit != nil)
 	cold := (current.ColdMS > 0) != (previous.ColdMS > 0)
-	return limited || cold || current.Born != previous.Born || current.Closing != previous.Closing || current.Leaving != previous.Leaving
+	return limited || cold || current.StartedAt != previous.StartedAt || current.NotAccepting != previous.NotAccepting || current.Leaving != previous.Leaving
 }
 
 // reportDue reports whether the load is to be sent to the entry now.
@@ -197,7 +197,7 @@
 	if elapsed >= s.maxInterval() || needsImmediateReport(s.lastLoad, load) {
 		return true
 	}
-	if load.Occupied == s.lastLoad.Occupied {
+	if load.RequestCount == s.lastLoad.RequestCount {
 		return false
 	}
 	if s.near {
@@ -212,12 +212,12 @@
 	return changes != s.crashChanges || now.Sub(s.crashesSentAt) >= idleInterval
 }
 
-func (a *Agent) currentLoad(now time.Time) (loadreport.Load, []loadreport.Naming) {
+func (a *Agent) currentLoad(now time.Time) (loadreport.Load, []loadreport.Activation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	load := loadreport.Load{
-		Address: a.host.Engine, Born: a.install.Born(), Occupied: a.install.Occupied(), Closing: a.install.Closing(), Versions: a.install.Loaded(),
-		RateLimit: a.install.RateLimit(), Leaving: a.install.Leaving(), ColdMS: a.install.ColdLeft().Milliseconds(), Slowdown: a.install.Slowdown(),
+		Address: a.host.Engine, StartedAt: a.install.StartedAt(), RequestCount: a.install.RequestCount(), NotAccepting: a.install.NotAccepting(), Versions: a.install.Loaded(),
+		RateLimit: a.install.RateLimit(), Leaving: a.install.Leaving(), ColdMS: a.install.ColdRemaining().Milliseconds(), Slowdown: a.install.Slowdown(),
 	}
-	return load, loadreport.Namings(now, a.catalog.Told(now, a.host.VersionTime))
+	return load, loadreport.Activations(now, a.catalog.ReportedActivations(now, a.host.VersionTime))
 }
--- a/internal/hostagent/resolve.go
+++ b/internal/hostagent/resolve.go
@@ -65,7 +65,7 @@
 		_, err = a.fetcher.Memory.AddVersion(digest, raw, m)
 	}
 	if err != nil {
-		logevent.Warn(a.log, logevent.BurstStuck).Str("model", e.Model).Int64("version", e.Version).Err(err).Msg("resolving the version's manifest failed")
+		logevent.Warn(a.log, logevent.BurstBlocked).Str("model", e.Model).Int64("version", e.Version).Err(err).Msg("resolving the version's manifest failed")
 		a.Step(install.Resolved{Model: e.Model, Version: e.Version})
 		return
 	}
@@ -86,7 +86,7 @@
 	if raw := a.queryPeers(peers, e.Model, e.Version); raw != nil {
 		return raw, nil
 	}
-	if position >= originRequestersAt(e.Try) {
+	if position >= originRequestersAt(e.Attempt) {
 		return nil, errOriginNotPermitted
 	}
 	return a.queryOrigin(e, peers)
--- a/internal/hostagent/staging.go
+++ b/internal/hostagent/staging.go
@@ -29,7 +29,7 @@
 func (a *Agent) reuseStaged(model string, m *manifest.Manifest) ([]int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), stageTimeout)
 	defer cancel()
-	staged, err := a.engine.StageHeld(ctx, model)
+	staged, err := a.engine.StagedChunks(ctx, model)
 	if err != nil {
 		logevent.Warn(a.log, logevent.EngineCallFailed).Err(err).Msg("engine call failed")
 		return nil, err
@@ -93,7 +93,7 @@
 	if err != nil {
 		logevent.Warn(a.log, logevent.EngineCallFailed).Str("model", e.Model).Int64("version", e.Version).Err(err).Msg("engine call failed")
 	}
-	a.Step(install.Prepared{Model: e.Model, Version: e.Version, OK: err == nil, Checked: checked})
+	a.Step(install.Prepared{Model: e.Model, Version: e.Version, OK: err == nil, CheckedAt: checked})
 }
 
 // stageChunks returns the start time of the pass in which every chunk was intact.
@@ -102,7 +102,7 @@
 	if m == nil {
 		return time.Time{}, errors.New("the version's manifest is not in memory")
 	}
-	indexes, err := a.engine.StageHeld(ctx, e.Model)
+	indexes, err := a.engine.StagedChunks(ctx, e.Model)
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -150,13 +150,13 @@
 }
 
 // orderLoad sends the engine a load order, unless the last check of the staged chunks is too old, as after a freeze of this process.
-func (a *Agent) orderLoad(e install.Order) {
+func (a *Agent) orderLoad(e install.LoadOrder) {
 	a.sendReports() // Reports to entries that the engine stops accepting requests before it does.
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	accepted := false
 	err := errors.Errorf("the staged chunks were last checked more than %v ago", e.MaxAge)
-	if withinAge(e.Checked, e.MaxAge) {
+	if withinAge(e.CheckedAt, e.MaxAge) {
 		accepted, err = a.engine.Load(ctx, e)
 	}
 	line := logevent.Info(a.log, logevent.LoadOrdered)
@@ -164,9 +164,9 @@
 		line = logevent.Warn(a.log, logevent.LoadFailed).Err(err)
 	}
 	line.Str("model", e.Model).Int64("version", e.Version).Int64("sequence", e.Sequence).Bool("accepted", accepted).
-		Dur("checked_ago_ms", time.Since(e.Checked)).Msg("load ordered")
+		Dur("checked_ago_ms", time.Since(e.CheckedAt)).Msg("load ordered")
 	a.metrics.Loads.Add(1, map[bool]string{true: "ordered", false: "failed"}[accepted])
-	a.Step(install.OrderEnded{Model: e.Model, Version: e.Version, Accepted: accepted})
+	a.Step(install.LoadOrderEnded{Model: e.Model, Version: e.Version, Accepted: accepted})
 }
 
 // withinAge reports whether t is at most maxAge ago, by the monotonic clock and by the wall clock: the monotonic clock stops while the
--- a/internal/hostagent/starting_test.go
+++ b/internal/hostagent/starting_test.go
@@ -39,14 +39,14 @@
 	a := newStartingAgent(&log, "127.0.0.1", 7700, origin.URL)
 	a.SetTimeouts(testTimeout)
 	require.GreaterOrEqual(t, hostagent.DiscoveryTimeout, 10*peersKnownAfter, "the default timeout is longer than discovery needs")
-	a.Step(catalog.VersionNamed{Model: "m", Version: 2, Revision: 52})
+	a.Step(catalog.VersionActivated{Model: "m", Version: 2, Revision: 52})
 	time.Sleep(peersKnownAfter)
 	var upstreams []*catalog.Upstream
 	for _, p := range append(earlierPeers(t, 9), agentSelf) {
 		upstreams = append(upstreams, &catalog.Upstream{ID: p, Service: "model", Address: p, DataCentre: "perth-a", Revision: 1})
 	}
 	a.Step(catalog.UpstreamsListed{Revision: 1, Upstreams: upstreams})
-	require.Eventually(t, func() bool { return log.Has("no queried peer knows the version yet") }, testTimeout, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return log.Contains("no queried peer knows the version yet") }, testTimeout, 10*time.Millisecond)
 	require.Zero(t, originRequests.Load())
 }
 
@@ -98,11 +98,11 @@
 		{ID: "peer", Service: "model", Address: "127.0.0.1:1", DataCentre: "perth-a", Revision: 1},
 		{ID: "self", Service: "model", Address: ip + ":1", DataCentre: "perth-a", Revision: 1},
 	}})
-	a.Step(catalog.VersionNamed{Model: "m", Version: 2, Revision: 52})
+	a.Step(catalog.VersionActivated{Model: "m", Version: 2, Revision: 52})
 	<-originAsked
 	hasManifest.Store(true)
-	require.Eventually(t, func() bool { return log.Has(`"fetching"`) }, testTimeout, 10*time.Millisecond)
-	require.False(t, log.Has("from the origin"), "the host did not wait for the origin")
+	require.Eventually(t, func() bool { return log.Contains(`"fetching"`) }, testTimeout, 10*time.Millisecond)
+	require.False(t, log.Contains("from the origin"), "the host did not wait for the origin")
 }
 
 // laterIP returns an IP address whose host follows another in the rendezvous order of version 2.
@@ -123,7 +123,7 @@
 func newStartingAgent(log *standin.Log, ip string, port int, origin string) *hostagent.Agent {
 	a := hostagent.New(hostconfig.Host{
 		Name: "a", IP: ip, PeerPort: port, DataCentre: "perth-a", Engine: "127.0.0.1:1", EngineService: "model", VersionTime: longVersionTime,
-		Memory: 64 << 20, Link: 1 << 20,
+		MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20,
 	}, zerolog.New(log), telemetry.NewMetrics(), nil)
 	m := catalog.NewManifest(1, nil, nil)
 	m.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{Models: []string{"m"}}}
--- a/internal/hostconfig/hostconfig.go
+++ b/internal/hostconfig/hostconfig.go
@@ -19,25 +19,25 @@
 	PeerPort int
 	// Seeds are the addresses, IP:PeerPort, of a few hosts on which an entry may run. They may be outdated.
 	Seeds []string
-	// Callers is the address at which callers connect; empty on hosts that don't serve callers.
-	Callers string
-	// Readiness is the address at which the load balancer checks readiness; empty like Callers.
-	Readiness string
+	// CallersListen is the address at which callers connect; empty on hosts that don't serve callers.
+	CallersListen string
+	// ReadinessListen is the address at which the load balancer checks readiness; empty like Callers.
+	ReadinessListen string
 	// Engine is the address of the engine on this host; empty on hosts without one.
 	Engine string
 	// EngineService is the service of that engine; empty like Engine.
 	EngineService string
 	// Store is the address of the platform's object store.
 	Store string
-	// StoreReads is the number of reads per second that the store allows all processes together; 0 when the platform does
+	// StoreReadsPerSecond is the number of reads per second that the store allows all processes together; 0 when the platform does
 	// not specify it.
-	StoreReads float64
-	// Memory is the memory limit of a process, in bytes.
-	Memory int64
-	// Link is the bandwidth of the host's network link, in bytes per second.
-	Link int64
-	// Grace is the time between the signal to stop and the kill of the process.
-	Grace time.Duration
+	StoreReadsPerSecond float64
+	// MemoryBytes is the memory limit of a process, in bytes.
+	MemoryBytes int64
+	// LinkBytesPerSecond is the bandwidth of the host's network link, in bytes per second.
+	LinkBytesPerSecond int64
+	// ShutdownGrace is the time between the signal to stop and the kill of the process.
+	ShutdownGrace time.Duration
 	// VersionTime is how long after the activation of a version requests may still start on an older one.
 	VersionTime time.Duration
 	// ManifestTime is the maximum time from a write of the manifest to the store until the change is in force on every host.
@@ -47,22 +47,22 @@
 	// EvacuationTime is the maximum time from a write of the evacuation of a data centre to the store until it is in force on
 	// every host; 0 when the platform has no evacuations.
 	EvacuationTime time.Duration
-	// Settle is the maximum time after its start or a disturbance during which a host may not know what is in force; 0 when
+	// SettleTime is the maximum time after its start or a disturbance during which a host may not know what is in force; 0 when
 	// the platform does not specify it.
-	Settle time.Duration
+	SettleTime time.Duration
 	// Retries is the retry budget of a service.
-	Retries Retries
+	Retries RetryBudget
 }
 
-// ListedAge returns the age that a process assumes at its start for a version of weights that it finds in the store. With
+// AssumedVersionAge returns the age that a process assumes at its start for a version of weights that it finds in the store. With
 // this age, the version becomes required when the host must know what is in force, Settle after the start. A version that
 // was activated long ago is then required in time, even if no other process can report when it was activated. A version
 // that was activated a moment ago is required up to VersionTime - Settle too early, until a process reports its age.
-func (h Host) ListedAge() time.Duration {
-	if h.Settle <= 0 {
+func (h Host) AssumedVersionAge() time.Duration {
+	if h.SettleTime <= 0 {
 		return 0
 	}
-	return max(0, h.VersionTime-h.Settle)
+	return max(0, h.VersionTime-h.SettleTime)
 }
 
 // ChangeTime returns the maximum time for a process to receive any change in the store: the shorter of ManifestTime and
@@ -74,13 +74,13 @@
 	return min(h.ManifestTime, h.DrainTime)
 }
 
-// Retries is a retry budget. It bounds the retries that all entries together may send to a service in a Window: Ratio
+// RetryBudget is a retry budget. It bounds the retries that all entries together may send to a service in a Window: Ratio
 // times the number of requests in the Window, plus Extra.
-type Retries struct {
+type RetryBudget struct {
 	// Ratio is the number of retries per request.
 	Ratio float64
-	// Extra is the number of retries that are allowed in addition.
-	Extra float64
+	// Base is the number of retries that are allowed in addition.
+	Base float64
 	// Window is the time over which requests and retries are counted.
 	Window time.Duration
 }
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -47,7 +47,7 @@
 // Check returns an error for the first setting that is missing or invalid.
 func (c *Config) Check() error {
 	if c.Secret == "" {
-		return code.Errorf(code.BadProcess, "-secret", "empty, want the secret that all processes of the system share")
+		return code.Errorf(code.BadProcessSetting, "-secret", "empty, want the secret that all processes of the system share")
 	}
 	given := 0
 	for _, f := range []string{c.CertFile, c.KeyFile, c.CAFile} {
@@ -56,7 +56,7 @@
 		}
 	}
 	if given != 0 && given != 3 {
-		return code.Errorf(code.SettingsClash, "-tls-cert, -tls-key and -tls-ca", "%d of the three given, want all or none", given)
+		return code.Errorf(code.ConflictingSettings, "-tls-cert, -tls-key and -tls-ca", "%d of the three given, want all or none", given)
 	}
 	return nil
 }
@@ -75,8 +75,8 @@
 	return isCurrent || isPrevious
 }
 
-// Pair holds the current certificate and reloads it when its file changes.
-type Pair struct {
+// ReloadingCertificate holds the current certificate and reloads it when its file changes.
+type ReloadingCertificate struct {
 	config Config
 	pool   *x509.CertPool
 
@@ -88,15 +88,15 @@
 	modifiedAt time.Time
 }
 
-// Load reads the certificate, its private key and the authority's certificate.
-func Load(c Config) (*Pair, error) {
-	p := &Pair{config: c, pool: x509.NewCertPool()}
+// LoadCertificate reads the certificate, its private key and the authority's certificate.
+func LoadCertificate(c Config) (*ReloadingCertificate, error) {
+	p := &ReloadingCertificate{config: c, pool: x509.NewCertPool()}
 	pem, err := os.ReadFile(c.CAFile)
 	if err != nil {
-		return nil, code.Errorf(code.BadProcess, "-tls-ca", "%v", err)
+		return nil, code.Errorf(code.BadProcessSetting, "-tls-ca", "%v", err)
 	}
 	if !p.pool.AppendCertsFromPEM(pem) {
-		return nil, code.Errorf(code.BadProcess, "-tls-ca", "%s contains no PEM certificate", c.CAFile)
+		return nil, code.Errorf(code.BadProcessSetting, "-tls-ca", "%s contains no PEM certificate", c.CAFile)
 	}
 	_, err = p.current(time.Now())
 	return p, err
@@ -104,7 +104,7 @@
 
 // current returns the certificate. It reloads the files if the certificate file has changed; the check is made at most
 // once per reloadInterval. If the files can't be read, the last valid certificate stays in use.
-func (p *Pair) current(now time.Time) (*tls.Certificate, error) {
+func (p *ReloadingCertificate) current(now time.Time) (*tls.Certificate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cert != nil && now.Sub(p.checkedAt) < reloadInterval {
@@ -124,11 +124,11 @@
 	if p.cert != nil {
 		return p.cert, nil
 	}
-	return nil, errors.Wrap(code.Errorf(code.BadProcess, "-tls-cert and -tls-key", "%v", loadErr), "loading the certificate")
+	return nil, errors.Wrap(code.Errorf(code.BadProcessSetting, "-tls-cert and -tls-key", "%v", loadErr), "loading the certificate")
 }
 
-// Server returns the TLS configuration for accepting connections from other processes.
-func (p *Pair) Server() *tls.Config {
+// ServerConfig returns the TLS configuration for accepting connections from other processes.
+func (p *ReloadingCertificate) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ClientAuth: tls.RequireAndVerifyClientCert,
@@ -140,9 +140,9 @@
 	}
 }
 
-// Client returns the TLS configuration for calling other processes. Processes are addressed by IP address, so the peer's
+// ClientConfig returns the TLS configuration for calling other processes. Processes are addressed by IP address, so the peer's
 // certificate must be signed by the authority, but its name is not checked.
-func (p *Pair) Client() *tls.Config {
+func (p *ReloadingCertificate) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		RootCAs:    p.pool,
@@ -157,7 +157,7 @@
 }
 
 // verify checks that the peer's certificate chain is signed by the authority.
-func (p *Pair) verify(state tls.ConnectionState) error {
+func (p *ReloadingCertificate) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.New("peer presented no certificate")
 	}
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -74,9 +74,9 @@
 }
 
 func serve(t *testing.T, c keys.Config) string {
-	pair, err := keys.Load(c)
+	pair, err := keys.LoadCertificate(c)
 	require.NoError(t, err)
-	l, err := tls.Listen("tcp", "127.0.0.1:0", pair.Server())
+	l, err := tls.Listen("tcp", "127.0.0.1:0", pair.ServerConfig())
 	require.NoError(t, err)
 	s := &http.Server{
 		Handler:  http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }),
@@ -103,18 +103,18 @@
 	ours, others := newAuthority(t), newAuthority(t)
 	address := serve(t, ours.issue(t, "server"))
 
-	trusted, err := keys.Load(ours.issue(t, "friend"))
+	trusted, err := keys.LoadCertificate(ours.issue(t, "friend"))
 	require.NoError(t, err)
-	require.NoError(t, get(address, trusted.Client()))
+	require.NoError(t, get(address, trusted.ClientConfig()))
 
-	untrusted, err := keys.Load(others.issue(t, "stranger"))
+	untrusted, err := keys.LoadCertificate(others.issue(t, "stranger"))
 	require.NoError(t, err)
-	require.Error(t, get(address, untrusted.Client()), "client certificate of another authority")
+	require.Error(t, get(address, untrusted.ClientConfig()), "client certificate of another authority")
 
 	untrustedServer := serve(t, others.issue(t, "impostor"))
-	require.Error(t, get(untrustedServer, trusted.Client()), "server certificate of another authority")
+	require.Error(t, get(untrustedServer, trusted.ClientConfig()), "server certificate of another authority")
 
-	withoutCert := trusted.Client()
+	withoutCert := trusted.ClientConfig()
 	withoutCert.GetClientCertificate = nil
 	require.Error(t, get(address, withoutCert), "no client certificate")
 }
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -22,8 +22,8 @@
 // maxDatagram is the maximum size of a received datagram, in bytes. The datagrams that are sent are much smaller.
 const maxDatagram = 4096
 
-// Naming is the activation of a version of weights, as the sender knows it.
-type Naming struct {
+// Activation is the activation of a version of weights, as the sender knows it.
+type Activation struct {
 	Model    string `json:"m"`
 	Version  int64  `json:"v"`
 	Revision int64  `json:"r"`
@@ -33,18 +33,18 @@
 	Assumed bool  `json:"u,omitempty"`
 }
 
-// Namings encodes the activations that a process knows at now for a datagram.
-func Namings(now time.Time, list []catalog.Naming) []Naming {
-	var encoded []Naming
+// Activations encodes the activations that a process knows at now for a datagram.
+func Activations(now time.Time, list []catalog.Activation) []Activation {
+	var encoded []Activation
 	for _, n := range list {
-		encoded = append(encoded, Naming{Model: n.Model, Version: n.Version, Revision: n.Revision, AgeMS: now.Sub(n.Since).Milliseconds(), Assumed: n.Assumed})
+		encoded = append(encoded, Activation{Model: n.Model, Version: n.Version, Revision: n.Revision, AgeMS: now.Sub(n.ActivatedAt).Milliseconds(), Assumed: n.Assumed})
 	}
 	return encoded
 }
 
 // Event returns the activation as an event for package catalog.
-func (n Naming) Event() catalog.VersionNamed {
-	return catalog.VersionNamed{
+func (n Activation) Event() catalog.VersionActivated {
+	return catalog.VersionActivated{
 		Model: n.Model, Version: n.Version, Revision: n.Revision, Age: time.Duration(n.AgeMS) * time.Millisecond, Assumed: n.Assumed,
 	}
 }
@@ -53,12 +53,12 @@
 type Load struct {
 	// Address is the engine's address, to which callers' requests are sent.
 	Address string `json:"e"`
-	// Born is the start time of the engine, in milliseconds since 1970; 0 if the engine does not report it.
-	Born int64 `json:"b,omitempty"`
-	// Occupied is the number of requests at the engine.
-	Occupied int `json:"o"`
-	// Closing is set while the engine is not accepting requests.
-	Closing bool `json:"c,omitempty"`
+	// StartedAt is the start time of the engine, in milliseconds since 1970; 0 if the engine does not report it.
+	StartedAt int64 `json:"b,omitempty"`
+	// RequestCount is the number of requests at the engine.
+	RequestCount int `json:"o"`
+	// NotAccepting is set while the engine is not accepting requests.
+	NotAccepting bool `json:"c,omitempty"`
 	// Versions holds the version of weights that the engine has loaded completely, by model.
 	Versions map[string]int64 `json:"v"`
 	// RateLimit is the limit that the engine requests, in requests per second from all entries together; nil for none.
@@ -71,8 +71,8 @@
 	Slowdown float64 `json:"y,omitempty"`
 	// Entries is the number of entries that recently sent a heartbeat to the agent, and Near is the number of those in
 	// the agent's data centre.
-	Entries int `json:"n"`
-	Near    int `json:"i"`
+	Entries     int `json:"n"`
+	NearEntries int `json:"i"`
 }
 
 // Message is one datagram. Only agents set Load.
@@ -84,11 +84,11 @@
 	// number of entries in the receiver's data centre; see package source.
 	Entries    []string `json:"e,omitempty"`
 	EntryCount int      `json:"k,omitempty"`
-	// RunningMS is the uptime of a seed that answers a heartbeat, in milliseconds.
-	RunningMS int64 `json:"r,omitempty"`
-	Load      *Load `json:"l,omitempty"`
-	// Named holds the activations that the sender knows.
-	Named []Naming `json:"w,omitempty"`
+	// UptimeMS is the uptime of a seed that answers a heartbeat, in milliseconds.
+	UptimeMS int64 `json:"r,omitempty"`
+	Load     *Load `json:"l,omitempty"`
+	// Activations holds the activations that the sender knows.
+	Activations []Activation `json:"w,omitempty"`
 	// Crashes holds the requests that recently crashed upstreams.
 	Crashes []quarantine.Report `json:"x,omitempty"`
 }
@@ -122,7 +122,7 @@
 // Run calls handle for each message received until the socket is closed. It logs and skips datagrams that can't be
 // decoded.
 func (s *Socket) Run(handle func(from netip.AddrPort, m Message), log zerolog.Logger) {
-	logFailure := func(err error) { logevent.Warn(log, logevent.BadEntry).Err(err).Msg("failed to read datagram") }
+	logFailure := func(err error) { logevent.Warn(log, logevent.MalformedObject).Err(err).Msg("failed to read datagram") }
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buffer)
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -34,8 +34,8 @@
 	go s.Run(func(_ netip.AddrPort, m loadreport.Message) { received <- m }, zerolog.New(logged))
 	defer s.Close()
 	to := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port))
-	sent := loadreport.Message{Load: &loadreport.Load{Address: "10.0.0.1:80", Occupied: 3}, Crashes: []quarantine.Report{
-		{Fingerprint: 7, HeldMS: 30000}, {Fingerprint: 8, Crashes: []quarantine.Crash{{Upstream: 1, AgeMS: 20}}},
+	sent := loadreport.Message{Load: &loadreport.Load{Address: "10.0.0.1:80", RequestCount: 3}, Crashes: []quarantine.Report{
+		{Fingerprint: 7, RemainingMS: 30000}, {Fingerprint: 8, Crashes: []quarantine.Crash{{Upstream: 1, AgeMS: 20}}},
 	}}
 	require.NoError(t, s.Send(to, sent))
 	require.Equal(t, sent, <-received)
@@ -78,12 +78,12 @@
 func TestActivationKeepsAgeAndAssumedFlag(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, assumed := range []bool{false, true} {
-		n := catalog.Naming{Model: "m", Version: 2, Revision: 9, Since: now.Add(-3 * time.Second), Assumed: assumed}
-		text, err := json.Marshal(loadreport.Namings(now, []catalog.Naming{n}))
+		n := catalog.Activation{Model: "m", Version: 2, Revision: 9, ActivatedAt: now.Add(-3 * time.Second), Assumed: assumed}
+		text, err := json.Marshal(loadreport.Activations(now, []catalog.Activation{n}))
 		require.NoError(t, err)
-		var decoded []loadreport.Naming
+		var decoded []loadreport.Activation
 		require.NoError(t, json.Unmarshal(text, &decoded))
 		require.Len(t, decoded, 1)
-		require.Equal(t, catalog.VersionNamed{Model: "m", Version: 2, Revision: 9, Age: 3 * time.Second, Assumed: assumed}, decoded[0].Event())
+		require.Equal(t, catalog.VersionActivated{Model: "m", Version: 2, Revision: 9, Age: 3 * time.Second, Assumed: assumed}, decoded[0].Event())
 	}
 }
--- a/internal/logevent/logevent.go
+++ b/internal/logevent/logevent.go
@@ -10,49 +10,49 @@
 
 // The event numbers.
 const (
-	Listening           ID = 1001
-	Ready               ID = 1002
-	StopAsked           ID = 1003
-	Stopped             ID = 1004
-	PanicContained      ID = 1005
-	ServerError         ID = 1006
-	LinesDropped        ID = 1007
-	SettingInForce      ID = 2001
-	PlatformLost        ID = 2002
-	PlatformBack        ID = 2003
-	PeerFailed          ID = 2004
-	BadRecord           ID = 2005
-	HostListLost        ID = 2006
-	HostListBack        ID = 2007
-	BeliefChanged       ID = 2008
-	BadEntry            ID = 2009
-	SettingsFileChanged ID = 2010
-	UpstreamSaid        ID = 2011
-	BurstStarted        ID = 3001
-	BurstComplete       ID = 3002
-	ChunkRefused        ID = 3003
-	LoadOrdered         ID = 3004
-	LoadDone            ID = 3005
-	LoadFailed          ID = 3006
-	BurstStuck          ID = 3007
-	IncarnationHeld     ID = 3008
-	IncarnationLost     ID = 3009
-	OutOfService        ID = 3010
-	DrainOverdue        ID = 3011
-	InstallMoved        ID = 3012
-	EngineCallFailed    ID = 3013
-	RequestRefused      ID = 4001
-	AttemptFailed       ID = 4002
-	StreamResumed       ID = 4003
-	AnswerWithheld      ID = 4004
-	ClaimFailed         ID = 4005
-	RequestSuspect      ID = 4006
-	RequestSent         ID = 4007
-	RequestEnded        ID = 4008
-	BegunLate           ID = 4009
-	RequestHeldBack     ID = 4010
-	CrashesDropped      ID = 4011
-	SlowCallerEnded     ID = 4012
+	Listening              ID = 1001
+	Ready                  ID = 1002
+	ShutdownStarted        ID = 1003
+	Stopped                ID = 1004
+	PanicRecovered         ID = 1005
+	ServerError            ID = 1006
+	LinesDropped           ID = 1007
+	SettingInForce         ID = 2001
+	PlatformLost           ID = 2002
+	PlatformRecovered      ID = 2003
+	PeerFailed             ID = 2004
+	MalformedRecord        ID = 2005
+	HostListLost           ID = 2006
+	HostListRecovered      ID = 2007
+	StateChanged           ID = 2008
+	MalformedObject        ID = 2009
+	SettingsFileChanged    ID = 2010
+	UpstreamNotice         ID = 2011
+	BurstStarted           ID = 3001
+	BurstComplete          ID = 3002
+	ChunkRefused           ID = 3003
+	LoadOrdered            ID = 3004
+	LoadDone               ID = 3005
+	LoadFailed             ID = 3006
+	BurstBlocked           ID = 3007
+	IncarnationHeld        ID = 3008
+	IncarnationLost        ID = 3009
+	OutOfService           ID = 3010
+	DrainOverdue           ID = 3011
+	InstallPhaseChanged    ID = 3012
+	EngineCallFailed       ID = 3013
+	RequestRefused         ID = 4001
+	AttemptFailed          ID = 4002
+	StreamResumed          ID = 4003
+	AnswerWithheld         ID = 4004
+	ClaimFailed            ID = 4005
+	RequestSuspected       ID = 4006
+	RequestSent            ID = 4007
+	RequestEnded           ID = 4008
+	StartedLate            ID = 4009
+	RequestQuarantined     ID = 4010
+	CrashesDropped         ID = 4011
+	SlowCallerDisconnected ID = 4012
 )
 
 // Entry describes an event for the catalogue.
@@ -69,47 +69,47 @@
 var Catalogue = []Entry{
 	{Listening, "listening", "The process accepts connections; the fields callers, peers and operators are its listen addresses."},
 	{Ready, "ready", "The process has read the settings and accepts requests."},
-	{StopAsked, "stop asked", "A graceful shutdown started."},
+	{ShutdownStarted, "stop asked", "A graceful shutdown started."},
 	{Stopped, "stopped", "The process exits; the field open counts requests that were still open and were aborted."},
-	{PanicContained, "panic contained", "A bug caused a panic, which was recovered and affects one request or message only; the field stack is the stack trace. Report it to the maintainers."},
+	{PanicRecovered, "panic contained", "A bug caused a panic, which was recovered and affects one request or message only; the field stack is the stack trace. Report it to the maintainers."},
 	{ServerError, "server error", "The HTTP library reported an error on a connection, such as a malformed request head or a failed handshake."},
 	{LinesDropped, "log lines dropped", "The process logged more lines than its rate limit allows, or the reader of the log was too slow; the field dropped counts the lines left out."},
 	{SettingInForce, "setting in force", "A new revision of a setting came into force in this process."},
 	{PlatformLost, "platform lost", "The object API does not answer; the process keeps the settings in force."},
-	{PlatformBack, "platform back", "The object API answers again."},
+	{PlatformRecovered, "platform back", "The object API answers again."},
 	{PeerFailed, "peer failed", "A call to another process of the system failed."},
-	{BadRecord, "bad record", "A record or setting is malformed and was ignored."},
+	{MalformedRecord, "bad record", "A record or setting is malformed and was ignored."},
 	{HostListLost, "host list lost", "The platform's host list does not answer; the process keeps the hosts of the last list that it read."},
-	{HostListBack, "host list back", "The platform's host list answers again."},
-	{BeliefChanged, "belief changed", "What the process knows about the manifest, an upstream or a version changed; the field revision is the store's revision."},
-	{BadEntry, "bad entry", "An object of the platform's store, a datagram or the settings file could not be read or is malformed; what was in force before stays in force."},
+	{HostListRecovered, "host list back", "The platform's host list answers again."},
+	{StateChanged, "belief changed", "What the process knows about the manifest, an upstream or a version changed; the field revision is the store's revision."},
+	{MalformedObject, "bad entry", "An object of the platform's store, a datagram or the settings file could not be read or is malformed; what was in force before stays in force."},
 	{SettingsFileChanged, "settings file changed", "The platform's settings file changed and is valid; the change takes effect at the next start of the process."},
-	{UpstreamSaid, "upstream said", "The notice in an upstream's answer head differs from the previous one. limited: it accepts rate_limit requests per second from all entries together; garbled: its limit is malformed; leaving: it is shutting down; retry_after_ms: the backoff in milliseconds that it requests from this entry."},
+	{UpstreamNotice, "upstream said", "The notice in an upstream's answer head differs from the previous one. limited: it accepts rate_limit requests per second from all entries together; garbled: its limit is malformed; leaving: it is shutting down; retry_after_ms: the backoff in milliseconds that it requests from this entry."},
 	{BurstStarted, "burst started", "The host started to fetch a version of weights."},
 	{BurstComplete, "burst complete", "The host holds every chunk of a version, each verified against its digest."},
 	{ChunkRefused, "chunk refused", "A chunk did not match its digest or could not be fetched; the field from names the sender."},
 	{LoadOrdered, "load ordered", "The agent sent an engine the order to load a version."},
 	{LoadDone, "load done", "An engine has loaded a version and serves it."},
 	{LoadFailed, "load failed", "An engine failed to load a version, or did not accept the order; it is retried."},
-	{BurstStuck, "burst stuck", "The installation of a version makes no progress; the field why or error says what is missing."},
+	{BurstBlocked, "burst stuck", "The installation of a version makes no progress; the field why or error says what is missing."},
 	{IncarnationHeld, "incarnation held", "The agent holds a new incarnation (fencing number) of its upstreams."},
 	{IncarnationLost, "incarnation lost", "Another process took over this host's incarnation; this process sends no load orders and accepts no requests. Stop one of the two."},
 	{OutOfService, "out of service", "An engine went out of service; the field why gives the reason."},
 	{DrainOverdue, "drain overdue", "Requests in flight at an engine delay its load order for longer than a drain should take; they are not aborted, and their deadlines bound the wait."},
-	{InstallMoved, "install moved", "The installation of a version of weights on this host's engine entered another phase; the field why gives the reason."},
+	{InstallPhaseChanged, "install moved", "The installation of a version of weights on this host's engine entered another phase; the field why gives the reason."},
 	{EngineCallFailed, "engine call failed", "A call to this host's engine failed; it is retried."},
 	{RequestRefused, "request refused", "A request was refused; the field code is the result code, ran says whether an upstream ran it."},
 	{AttemptFailed, "attempt failed", "One attempt of a request failed; the request may be retried at another upstream."},
 	{StreamResumed, "stream resumed", "A stream was resumed over a new connection."},
 	{AnswerWithheld, "answer withheld", "The weights changed while a request ran; its answer was withheld from the caller."},
 	{ClaimFailed, "claim failed", "A claim could not be recorded in the object API."},
-	{RequestSuspect, "request suspect", "A request was in flight when an upstream crashed; it is now suspected of causing the crash."},
+	{RequestSuspected, "request suspect", "A request was in flight when an upstream crashed; it is now suspected of causing the crash."},
 	{RequestSent, "request sent", "A request was sent to an upstream; the field sends is the number of the attempt, and resume is set when the attempt resumes an answer."},
 	{RequestEnded, "request ended", "A request ended with an upstream's answer, or because its caller disconnected. For a stream, upstream_pause_ms is the longest time in milliseconds between two events as they were read from the upstream, and caller_pause_ms the longest duration of a write to the caller."},
-	{BegunLate, "begun late", "An upstream started a request on an expired version of weights: late_ms is the time in milliseconds since the version expired, waited_ms how long the request had waited at the upstream."},
-	{RequestHeldBack, "request held back", "A request is quarantined because upstreams crashed while they ran it: requests with the same fingerprint are refused for left_ms milliseconds. told is set when another process reported the quarantine; otherwise the field upstream names the upstream that crashed last. Events 4001 (field why) and 4002 have the same fingerprint."},
+	{StartedLate, "begun late", "An upstream started a request on an expired version of weights: late_ms is the time in milliseconds since the version expired, waited_ms how long the request had waited at the upstream."},
+	{RequestQuarantined, "request held back", "A request is quarantined because upstreams crashed while they ran it: requests with the same fingerprint are refused for left_ms milliseconds. told is set when another process reported the quarantine; otherwise the field upstream names the upstream that crashed last. Events 4001 (field why) and 4002 have the same fingerprint."},
 	{CrashesDropped, "crashes dropped", "Crashes of upstreams were not attributed to requests, because the table of requests that were in flight at crashed upstreams is full."},
-	{SlowCallerEnded, "slow caller ended", "The memory for callers was full, and the connection of the caller that had been idle for longest was closed to free memory; answering is set when its answer had started, held is the memory in bytes that is now held for callers."},
+	{SlowCallerDisconnected, "slow caller ended", "The memory for callers was full, and the connection of the caller that had been idle for longest was closed to free memory; answering is set when its answer had started, held is the memory in bytes that is now held for callers."},
 }
 
 // Debug starts a log line of level debug for event id.
--- a/internal/logevent/page.go
+++ b/internal/logevent/page.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Page returns the content of docs/EVENTS.md, in Markdown.
-func Page() string {
+// Markdown returns the content of docs/EVENTS.md, in Markdown.
+func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Log events\n\nPrinted by `samphireweir events`; a test checks that this page matches the binary.\n\n")
 	b.WriteString("| event | name | meaning |\n|---|---|---|\n")
--- a/internal/logevent/page_test.go
+++ b/internal/logevent/page_test.go
@@ -13,5 +13,5 @@
 func TestEventsPageMatchesCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../../docs/EVENTS.md")
 	require.NoError(t, err)
-	require.Equal(t, logevent.Page(), string(page))
+	require.Equal(t, logevent.Markdown(), string(page))
 }
--- a/internal/node/bursts.go
+++ b/internal/node/bursts.go
@@ -32,7 +32,7 @@
 // because every record is sent to all entries and progress is read rarely.
 func (p *Process) handleBursts(w http.ResponseWriter, r *http.Request) {
 	var hosts []string
-	p.Loop.View(func(s *core.State) { hosts = s.TakingPart() })
+	p.Loop.View(func(s *core.State) { hosts = s.BurstHosts() })
 	reports := p.hostProgress(r.Context(), hosts)
 	unanswered := len(hosts) - len(reports)
 	var view core.BurstView
@@ -40,7 +40,7 @@
 		reports[p.Address()] = s.Weights.Summaries(time.Now())
 		view = s.Bursts(time.Now(), reports)
 	})
-	view.Silent = unanswered
+	view.Unanswered = unanswered
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(view)
 }
--- a/internal/node/bursts_test.go
+++ b/internal/node/bursts_test.go
@@ -43,7 +43,7 @@
 				hosts += p.Hosts
 			}
 		}
-		return hosts == 3 && view.Silent == 0
+		return hosts == 3 && view.Unanswered == 0
 	}, limit, 50*time.Millisecond)
 	unreachable := "127.0.0.1:1"
 	s.list(unreachable, member.Agent, "place-0")
@@ -52,5 +52,5 @@
 	require.NoError(t, err)
 	r = record.Record{Key: member.AdvertPrefix + unreachable, Version: record.Version{Major: 1}, Value: value}
 	s.procs[0].Loop.Step(record.Published{Records: []record.Record{r}})
-	require.Eventually(t, func() bool { return read().Silent == 1 }, limit, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return read().Unanswered == 1 }, limit, 50*time.Millisecond)
 }
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Decide steps the event that newEvent returns for a new call, and returns the core's answer to it.
-func (p *Process) Decide(newEvent func(call uint64) step.Event) step.Effect {
+// CallCore steps the event that newEvent returns for a new call, and returns the core's answer to it.
+func (p *Process) CallCore(newEvent func(call uint64) step.Event) step.Effect {
 	call, answer, done := p.Calls.Open()
 	defer done()
 	p.Loop.Step(newEvent(call))
--- a/internal/node/catchup.go
+++ b/internal/node/catchup.go
@@ -47,7 +47,7 @@
 
 func (p *Process) behind(key string, revision uint64) bool {
 	behind := false
-	p.Loop.View(func(s *core.State) { behind = s.Behind(key, revision) })
+	p.Loop.View(func(s *core.State) { behind = s.IsBehind(key, revision) })
 	return behind
 }
 
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -67,7 +67,7 @@
 	names := []struct{ field, value string }{{"name", c.Name}, {"place", c.Place}, {"region", c.Region}}
 	for _, n := range names {
 		if !setting.ValidName(n.value) {
-			return code.Errorf(code.BadProcess, "-"+n.field, "%q, want a name of a-z, 0-9 and -", n.value)
+			return code.Errorf(code.BadProcessSetting, "-"+n.field, "%q, want a name of a-z, 0-9 and -", n.value)
 		}
 	}
 	if err := c.checkListeners(); err != nil {
@@ -80,7 +80,7 @@
 		return err
 	}
 	if !logLevels[c.LogLevel] {
-		return code.Errorf(code.BadProcess, "-log-level", "%q, want debug, info, warn or error", c.LogLevel)
+		return code.Errorf(code.BadProcessSetting, "-log-level", "%q, want debug, info, warn or error", c.LogLevel)
 	}
 	if err := c.Trace.Check(); err != nil {
 		return err
@@ -95,14 +95,14 @@
 	if err := config.CheckListen("operators-listen", c.OperatorsListen); err != nil {
 		return err
 	}
-	return config.CheckApart("peers-listen", c.PeersListen, "operators-listen", c.OperatorsListen)
+	return config.CheckDistinct("peers-listen", c.PeersListen, "operators-listen", c.OperatorsListen)
 }
 
 // CheckURL returns an error unless value is the URL of an HTTP service. field is the flag's name without the dash.
 func CheckURL(field, value string) error {
 	u, err := url.Parse(value)
 	if err != nil || u.Host == "" || !strings.HasPrefix(u.Scheme, "http") {
-		return code.Errorf(code.BadProcess, "-"+field, "%q, want a URL such as http://10.0.0.5:7000", value)
+		return code.Errorf(code.BadProcessSetting, "-"+field, "%q, want a URL such as http://10.0.0.5:7000", value)
 	}
 	return nil
 }
--- a/internal/node/count.go
+++ b/internal/node/count.go
@@ -33,8 +33,8 @@
 	Addresses []string `json:"addresses,omitempty"`
 }
 
-// InForce counts the processes on the host list that have a revision of a setting in force.
-func (p *Process) InForce(ctx context.Context, key string, revision uint64) fleet.InForce {
+// CountInForce counts the processes on the host list that have a revision of a setting in force.
+func (p *Process) CountInForce(ctx context.Context, key string, revision uint64) fleet.InForce {
 	var addresses []string
 	p.Loop.View(func(s *core.State) { addresses = append(addresses, s.Members.Peers()...) })
 	return p.count(ctx, countMessage{Key: key, Revision: revision, Addresses: addresses})
@@ -94,11 +94,11 @@
 			found.Add(silent)
 			return found
 		}
-		p.Loop.Step(member.DialFailed{Address: delegate})
-		silent.Add(fleet.InForce{Processes: 1, SilentCount: 1, Silent: []string{delegate}})
+		p.Loop.Step(member.CallFailed{Address: delegate})
+		silent.Add(fleet.InForce{Processes: 1, UnresponsiveCount: 1, Unresponsive: []string{delegate}})
 	}
 	rest := partition[min(len(partition), maxDelegateTries):]
-	silent.Add(fleet.InForce{Processes: len(rest), SilentCount: len(rest), Silent: rest})
+	silent.Add(fleet.InForce{Processes: len(rest), UnresponsiveCount: len(rest), Unresponsive: rest})
 	return silent
 }
 
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -74,7 +74,7 @@
 		ObjectAPI: s.objects.URL, HostList: s.hosts.URL, Config: keys.Config{Secret: s.secret}, Role: role,
 	}, zerolog.Nop(), ups)
 	require.NoError(s.t, err)
-	p.Loop.SetCarrier(func(e step.Effect) { p.Carry(e) })
+	p.Loop.SetExecutor(func(e step.Effect) { p.Execute(e) })
 	s.list(p.Address(), role, place)
 	ctx, stop := context.WithCancel(context.Background())
 	p.Run(ctx, nil)
@@ -125,8 +125,8 @@
 	return ok
 }
 
-func (s *site) fleet(i int) *operator.Fleet {
-	return &operator.Fleet{Base: "http://" + s.procs[i].OperatorsAddress(), HTTP: http.DefaultClient}
+func (s *site) fleet(i int) *operator.FleetClient {
+	return &operator.FleetClient{Base: "http://" + s.procs[i].OperatorsAddress(), HTTP: http.DefaultClient}
 }
 
 func (s *site) awaitReady(procs ...*node.Process) {
@@ -149,14 +149,14 @@
 func TestChangeIsInForceAndCountedOnRealProcesses(t *testing.T) {
 	s := newSite(t, 8)
 	s.awaitReady(s.procs...)
-	require.Eventually(t, func() bool { return s.procs[0].InForce(context.Background(), "x", 0).Processes == 8 }, limit, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return s.procs[0].CountInForce(context.Background(), "x", 0).Processes == 8 }, limit, 50*time.Millisecond)
 	s.awaitEverywhere(s.apply(1))
 	s.awaitEverywhere(s.apply(2))
 	s.list("127.0.0.1:1", member.Agent, "place-0")
 	a := s.apply(3)
 	require.Eventually(t, func() bool {
-		f := s.procs[1].InForce(context.Background(), a.Key, a.Revision)
-		return f.Processes == 9 && f.Current == 8 && f.SilentCount == 1 && f.Silent[0] == "127.0.0.1:1"
+		f := s.procs[1].CountInForce(context.Background(), a.Key, a.Revision)
+		return f.Processes == 9 && f.Current == 8 && f.UnresponsiveCount == 1 && f.Unresponsive[0] == "127.0.0.1:1"
 	}, limit, 50*time.Millisecond)
 }
 
@@ -176,7 +176,7 @@
 	p, err := s.fleet(0).Preview(ctx, setting.Key("karrakin", "portal"), &setting.Setting{Kind: setting.Plain, Places: map[string]int{"place-0": 1, "place-1": 5}})
 	require.NoError(t, err)
 	require.Len(t, p.Drop, 1)
-	require.Equal(t, []fleet.Shortage{{Place: "place-1", Want: 5, Have: 2}}, p.Short)
+	require.Equal(t, []fleet.Shortage{{Place: "place-1", Requested: 5, Have: 2}}, p.Shortages)
 	s.awaitEverywhere(s.apply(4))
 	require.Eventually(t, func() bool {
 		st, err := s.fleet(0).Status(ctx)
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -64,7 +64,7 @@
 	if cause == http.ErrAbortHandler {
 		panic(cause)
 	}
-	p.NotePanic("request", cause)
+	p.ReportPanic("request", cause)
 	if g.wrote {
 		panic(http.ErrAbortHandler)
 	}
@@ -77,10 +77,10 @@
 	})
 }
 
-// NotePanic counts and logs a recovered panic. where is the kind of work that panicked.
-func (p *Process) NotePanic(where string, cause any) {
+// ReportPanic counts and logs a recovered panic. where is the kind of work that panicked.
+func (p *Process) ReportPanic(where string, cause any) {
 	p.Telemetry.Metrics.Panics.Add(1, where)
-	logevent.Warn(p.Log, logevent.PanicContained).Str("where", where).Interface("cause", cause).Str("stack", string(debug.Stack())).Msg("panic contained")
+	logevent.Warn(p.Log, logevent.PanicRecovered).Str("where", where).Interface("cause", cause).Str("stack", string(debug.Stack())).Msg("panic contained")
 }
 
 // guardedWriter sets a new deadline for each write.
@@ -132,7 +132,7 @@
 	control *http.ResponseController
 
 	mu   sync.Mutex
-	pace intake.Pace
+	pace intake.BodyRate
 	// readStartedAt is when the last read started.
 	readStartedAt time.Time
 	released      bool
@@ -157,7 +157,7 @@
 		return errBodyTooSlow()
 	}
 	if !b.released {
-		_ = b.control.SetReadDeadline(b.earlierDeadline(b.readStartedAt.Add(b.pace.Patience())))
+		_ = b.control.SetReadDeadline(b.earlierDeadline(b.readStartedAt.Add(b.pace.Timeout())))
 	}
 	return nil
 }
@@ -193,7 +193,7 @@
 }
 
 func errBodyTooSlow() error {
-	return code.Errorf(code.BodyTooSlow, "body", "want bytes at least every %v and %d bytes a second after %v", intake.Silence, intake.MinRate, intake.Grace)
+	return code.Errorf(code.BodyTooSlow, "body", "want bytes at least every %v and %d bytes a second after %v", intake.MaxBodyGap, intake.MinBytesPerSecond, intake.RateGrace)
 }
 
 // release ends the guard when its handler returns: later reads of the body must not change the connection's deadlines.
--- a/internal/node/instrument.go
+++ b/internal/node/instrument.go
@@ -21,9 +21,9 @@
 	p.Telemetry = telemetry.New(traces)
 	p.Loop.SetObserver(p.Telemetry)
 	p.Pool.Meter = p.Telemetry
-	p.Telemetry.Platform(p.Outside)
-	traces.Client(p.Outside, telemetry.NameOutsideCall)
-	p.Operators.HandleFunc("GET /metrics", p.Telemetry.ServePage)
+	p.Telemetry.CountPlatformCalls(p.ExternalClient)
+	traces.Client(p.ExternalClient, telemetry.PlatformSpanName)
+	p.OperatorsMux.HandleFunc("GET /metrics", p.Telemetry.ServeMetrics)
 	if p.Config.Profile {
 		p.registerProfiles()
 	}
@@ -34,13 +34,13 @@
 func (p *Process) controlServer() *control.Server {
 	s := control.NewServer(p.Handlers)
 	s.Meter = p.Telemetry
-	s.OnPanic = func(cause any) { p.NotePanic("message", cause) }
+	s.OnPanic = func(cause any) { p.ReportPanic("message", cause) }
 	return s
 }
 
 // registerProfiles registers the pprof handlers on the operators' address.
 func (p *Process) registerProfiles() {
-	p.Operators.HandleFunc("GET /debug/pprof/", pprof.Index)
-	p.Operators.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
-	p.Operators.HandleFunc("GET /debug/pprof/trace", pprof.Trace)
+	p.OperatorsMux.HandleFunc("GET /debug/pprof/", pprof.Index)
+	p.OperatorsMux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
+	p.OperatorsMux.HandleFunc("GET /debug/pprof/trace", pprof.Trace)
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -12,15 +12,15 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// Carrier carries out one effect. It is called under the loop's lock, in the order of the effects, so it must neither
+// Executor carries out one effect. It is called under the loop's lock, in the order of the effects, so it must neither
 // block nor call Step. Longer work must run in a goroutine of its own.
-type Carrier func(step.Effect)
+type Executor func(step.Effect)
 
 // Loop owns the state of a process and serializes the events that change it.
 type Loop struct {
 	mu    sync.Mutex
 	state *core.State
-	carry Carrier
+	carry Executor
 	// observer is nil when nothing observes the loop.
 	observer Observer
 }
@@ -28,8 +28,8 @@
 // Observer receives each event and each effect. It is called under the loop's lock, so it must neither block nor call
 // Step.
 type Observer interface {
-	Event(step.Event)
-	Effect(step.Effect)
+	ObserveEvent(step.Event)
+	ObserveEffect(step.Effect)
 }
 
 // NewLoop returns a loop over state. SetCarrier must be called before the first Step.
@@ -38,8 +38,8 @@
 // SetObserver sets the observer of events and effects. It must be called before the first Step.
 func (l *Loop) SetObserver(o Observer) { l.observer = o }
 
-// SetCarrier sets the function that carries out effects. It must be called before the first Step.
-func (l *Loop) SetCarrier(c Carrier) { l.carry = c }
+// SetExecutor sets the function that carries out effects. It must be called before the first Step.
+func (l *Loop) SetExecutor(c Executor) { l.carry = c }
 
 // Step reduces one event and carries out its effects.
 func (l *Loop) Step(ev step.Event) {
@@ -49,7 +49,7 @@
 	in := step.Input{Now: time.Now(), Rand: rand.Uint64(), Event: ev}
 	for _, e := range l.state.Reduce(in) {
 		if l.observer != nil {
-			l.observer.Effect(e)
+			l.observer.ObserveEffect(e)
 		}
 		l.carry(e)
 	}
@@ -57,7 +57,7 @@
 
 func (l *Loop) observe(ev step.Event) {
 	if l.observer != nil {
-		l.observer.Event(ev)
+		l.observer.ObserveEvent(ev)
 	}
 }
 
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -18,7 +18,7 @@
 // fleetRoutes registers the handlers for this process's view of the whole fleet, for operators and, with the secret, for
 // peers.
 func (p *Process) fleetRoutes() {
-	for _, mux := range []*http.ServeMux{p.Operators, p.PeersMux} {
+	for _, mux := range []*http.ServeMux{p.OperatorsMux, p.PeersMux} {
 		mux.HandleFunc("GET "+fleet.StatusPath, p.handleStatus)
 		mux.HandleFunc("GET "+fleet.InForcePath, p.handleInForce)
 		mux.HandleFunc("POST "+fleet.PreviewPath, p.handlePreview)
@@ -28,7 +28,7 @@
 func (p *Process) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	var status fleet.Status
 	p.Loop.View(func(s *core.State) { status = s.Status(time.Now()) })
-	status.Process.ControlIn, status.Process.ControlOut = control.Carried()
+	status.Process.ControlIn, status.Process.ControlOut = control.TransferredBytes()
 	writeJSON(w, status)
 }
 
@@ -40,7 +40,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), countTimeout)
 	defer cancel()
-	writeJSON(w, p.InForce(ctx, r.FormValue("key"), revision))
+	writeJSON(w, p.CountInForce(ctx, r.FormValue("key"), revision))
 }
 
 func (p *Process) handlePreview(w http.ResponseWriter, r *http.Request) {
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -44,7 +44,7 @@
 		return
 	}
 	if p.hostListLost.CompareAndSwap(true, false) {
-		logevent.Info(p.Log, logevent.HostListBack).Msg("host list back")
+		logevent.Info(p.Log, logevent.HostListRecovered).Msg("host list back")
 	}
 	p.Loop.Step(member.ListRead{Hosts: hosts})
 }
@@ -78,12 +78,12 @@
 	if !gone && p.objectAPILost.CompareAndSwap(false, true) && p.runCtx.Err() == nil {
 		logevent.Warn(p.Log, logevent.PlatformLost).Err(err).Msg("platform lost")
 	}
-	p.Loop.Step(watch.ReadFailed{Gone: gone})
+	p.Loop.Step(watch.ReadFailed{Compacted: gone})
 }
 
 func (p *Process) noteObjectAPIReachable() {
 	if p.objectAPILost.CompareAndSwap(true, false) {
-		logevent.Info(p.Log, logevent.PlatformBack).Msg("platform back")
+		logevent.Info(p.Log, logevent.PlatformRecovered).Msg("platform back")
 	}
 }
 
@@ -94,7 +94,7 @@
 	for _, i := range items {
 		r := record.Record{Key: i.Key, Version: record.Version{Major: i.Version}, Deleted: i.Deleted}
 		if !i.Deleted {
-			r.Value, r.Deleted = setting.Relayed(i.Value)
+			r.Value, r.Deleted = setting.WithoutHistory(i.Value)
 		}
 		list = append(list, r)
 	}
--- a/internal/node/process.go
+++ b/internal/node/process.go
@@ -40,20 +40,20 @@
 // Process is the part of a process that entries and agents share: listeners, the event loop, the relay of records and
 // the reading of the platform.
 type Process struct {
-	Config    Config
-	Log       zerolog.Logger
-	Loop      *Loop
-	Pool      *control.Pool
-	Objects   *objectapi.Client
-	Hosts     *hostlist.Client
-	Handlers  control.Handlers
-	PeersMux  *http.ServeMux
-	Operators *http.ServeMux
-	Telemetry *telemetry.Telemetry
-	// Client calls other processes of the system, with mutual TLS when certificates are configured.
-	Client *http.Client
-	// Outside calls the platform and the sources of weights.
-	Outside *http.Client
+	Config       Config
+	Log          zerolog.Logger
+	Loop         *Loop
+	Pool         *control.Pool
+	Objects      *objectapi.Client
+	Hosts        *hostlist.Client
+	Handlers     control.Handlers
+	PeersMux     *http.ServeMux
+	OperatorsMux *http.ServeMux
+	Telemetry    *telemetry.Telemetry
+	// PeerClient calls other processes of the system, with mutual TLS when certificates are configured.
+	PeerClient *http.Client
+	// ExternalClient calls the platform and the sources of weights.
+	ExternalClient *http.Client
 
 	peersListener     net.Listener
 	operatorsListener net.Listener
@@ -72,20 +72,20 @@
 
 // NewProcess opens the listeners and creates the parts of a process. upstreams is empty except for an agent.
 func NewProcess(c Config, log zerolog.Logger, upstreams []rollout.Upstream) (*Process, error) {
-	p := &Process{Config: c, Log: log, Handlers: control.Handlers{}, PeersMux: http.NewServeMux(), Operators: http.NewServeMux()}
+	p := &Process{Config: c, Log: log, Handlers: control.Handlers{}, PeersMux: http.NewServeMux(), OperatorsMux: http.NewServeMux()}
 	var err error
 	if p.peersListener, err = net.Listen("tcp", c.PeersListen); err != nil {
-		return nil, code.Errorf(code.BadProcess, "-peers-listen", "can't listen: %v", err)
+		return nil, code.Errorf(code.BadProcessSetting, "-peers-listen", "can't listen: %v", err)
 	}
 	if p.operatorsListener, err = net.Listen("tcp", c.OperatorsListen); err != nil {
-		return nil, code.Errorf(code.BadProcess, "-operators-listen", "can't listen: %v", err)
+		return nil, code.Errorf(code.BadProcessSetting, "-operators-listen", "can't listen: %v", err)
 	}
 	if err = p.setUpPeerTransport(); err != nil {
 		return nil, err
 	}
-	p.Outside = NewHTTPClient()
-	p.Objects = objectapi.NewClient(c.ObjectAPI, p.Outside)
-	p.Hosts = hostlist.NewClient(c.HostList, p.Outside)
+	p.ExternalClient = NewHTTPClient()
+	p.Objects = objectapi.NewClient(c.ObjectAPI, p.ExternalClient)
+	p.Hosts = hostlist.NewClient(c.HostList, p.ExternalClient)
 	self := core.Self{
 		Host: c.Name, Address: p.Address(), Place: c.Place, Region: c.Region, Role: c.Role,
 		Incarnation: uint64(time.Now().UnixNano()),
@@ -103,14 +103,14 @@
 func (p *Process) setUpPeerTransport() error {
 	dial := dialer().DialContext
 	if p.Config.TLS() {
-		pair, err := keys.Load(p.Config.Config)
+		pair, err := keys.LoadCertificate(p.Config.Config)
 		if err != nil {
 			return err
 		}
-		p.peersListener = tls.NewListener(p.peersListener, pair.Server())
-		dial = (&tls.Dialer{NetDialer: dialer(), Config: pair.Client()}).DialContext
+		p.peersListener = tls.NewListener(p.peersListener, pair.ServerConfig())
+		dial = (&tls.Dialer{NetDialer: dialer(), Config: pair.ClientConfig()}).DialContext
 	}
-	p.Client = newHTTPClient(dial)
+	p.PeerClient = newHTTPClient(dial)
 	p.Pool = control.NewPool(p.Address(), p.Config.Secret, dial)
 	return nil
 }
@@ -141,9 +141,9 @@
 	p.relayRoutes()
 	p.fleetRoutes()
 	p.PeersMux.Handle(control.Path, p.controlServer())
-	p.Operators.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	p.Operators.HandleFunc("GET /ready", p.handleReady)
-	p.Operators.HandleFunc("GET "+BurstsPath, p.handleBursts)
+	p.OperatorsMux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
+	p.OperatorsMux.HandleFunc("GET /ready", p.handleReady)
+	p.OperatorsMux.HandleFunc("GET "+BurstsPath, p.handleBursts)
 }
 
 // Serve serves h on l in the background until Close is called.
@@ -158,7 +158,7 @@
 func (p *Process) Run(ctx context.Context, fields map[string]string) {
 	p.runCtx = ctx
 	p.Serve(p.peersListener, p.authorized(p.Telemetry.Traces.AgentServer(p.PeersMux)))
-	p.Serve(p.operatorsListener, p.Operators)
+	p.Serve(p.operatorsListener, p.OperatorsMux)
 	ev := logevent.Info(p.Log, logevent.Listening).Str("peers", p.Address()).Str("operators", p.OperatorsAddress())
 	for k, v := range fields {
 		ev = ev.Str(k, v)
@@ -168,17 +168,17 @@
 	go p.Loop.Tick(ctx)
 }
 
-// NotReady makes the readiness check fail while the process still serves.
-func (p *Process) NotReady() { p.stopping.Store(true) }
+// MarkNotReady makes the readiness check fail while the process still serves.
+func (p *Process) MarkNotReady() { p.stopping.Store(true) }
 
-// Leaving reports whether the readiness check fails because the process is about to stop.
-func (p *Process) Leaving() bool { return p.stopping.Load() }
+// ShuttingDown reports whether the readiness check fails because the process is about to stop.
+func (p *Process) ShuttingDown() bool { return p.stopping.Load() }
 
-// Stopping makes the readiness check fail, so that the load balancer sends no more requests, and tells the core that a
+// StartShutdown makes the readiness check fail, so that the load balancer sends no more requests, and tells the core that a
 // shutdown was requested.
-func (p *Process) Stopping() {
+func (p *Process) StartShutdown() {
 	p.stopping.Store(true)
-	p.Loop.Step(core.StopAsked{})
+	p.Loop.Step(core.StopRequested{})
 }
 
 // Close closes the listeners, waits for open requests until ctx is done, and then closes all connections.
@@ -188,8 +188,8 @@
 		_ = s.Close()
 	}
 	p.Pool.Close()
-	p.Client.CloseIdleConnections()
-	p.Outside.CloseIdleConnections()
+	p.PeerClient.CloseIdleConnections()
+	p.ExternalClient.CloseIdleConnections()
 	p.Telemetry.Traces.Close(ctx)
 }
 
@@ -213,20 +213,20 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Carry carries out e if it is one of the effects that entries and agents share, and reports whether it is.
-func (p *Process) Carry(e step.Effect) bool {
+// Execute carries out e if it is one of the effects that entries and agents share, and reports whether it is.
+func (p *Process) Execute(e step.Effect) bool {
 	switch e := e.(type) {
-	case record.Push, record.Exchange, record.Compare, record.Answer, record.CompareAnswer,
+	case record.Push, record.Exchange, record.Compare, record.ExchangeAnswer, record.CompareAnswer,
 		record.Offer, record.OfferAnswer:
 		p.relay(e)
-	case core.AskServed:
+	case core.QueryServed:
 		go p.askServed(e)
 	case watch.List, watch.Watch, watch.ReadHosts:
 		p.readPlatform(e)
 	case core.SettingChanged:
 		logevent.Info(p.Log, logevent.SettingInForce).Str("key", e.Key).Uint64("revision", e.Revision).Bool("deleted", e.Deleted).Msg("setting in force")
 	case core.BadRecord:
-		logevent.Warn(p.Log, logevent.BadRecord).Str("key", e.Key).Err(e.Err).Msg("bad record")
+		logevent.Warn(p.Log, logevent.MalformedRecord).Str("key", e.Key).Err(e.Err).Msg("bad record")
 	case core.BecameReady:
 		logevent.Info(p.Log, logevent.Ready).Msg("ready")
 	default:
--- a/internal/node/refusals.go
+++ b/internal/node/refusals.go
@@ -13,9 +13,9 @@
 // No response of a handler has just these two fields, because each also has a Date.
 const serverErrorHeader = "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n"
 
-// NumberRefusals wraps l so that the error responses that net/http itself writes, to requests that are malformed or too
+// WithCodedRejections wraps l so that the error responses that net/http itself writes, to requests that are malformed or too
 // large, have the form of all other rejections: with a result code and the statement that the request was not run.
-func NumberRefusals(l net.Listener) net.Listener { return rejectionListener{l} }
+func WithCodedRejections(l net.Listener) net.Listener { return rejectionListener{l} }
 
 type rejectionListener struct{ net.Listener }
 
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -27,13 +27,13 @@
 type exchangeMessage struct {
 	Common   uint64          `json:"common"`
 	Dynamic  uint64          `json:"dynamic,omitempty"`
-	Standing record.Standing `json:"standing"`
+	Standing record.Coverage `json:"standing"`
 }
 
 type exchangeAnswer struct {
 	Same     bool            `json:"same,omitempty"`
 	Digest   []byte          `json:"digest,omitempty"`
-	Standing record.Standing `json:"standing"`
+	Standing record.Coverage `json:"standing"`
 }
 
 type compareMessage struct {
@@ -83,7 +83,7 @@
 		go p.offer(e)
 	case record.OfferAnswer:
 		p.Calls.Answer(e.Call, e)
-	case record.Answer:
+	case record.ExchangeAnswer:
 		p.Calls.Answer(e.Call, e)
 	case record.CompareAnswer:
 		p.Calls.Answer(e.Call, e)
@@ -95,10 +95,10 @@
 	err := p.Pool.Call(context.Background(), to, method, params, answer)
 	if err != nil {
 		logevent.Warn(p.Log, logevent.PeerFailed).Str("peer", to).Err(err).Msg("peer failed")
-		p.Loop.Step(member.DialFailed{Address: to})
+		p.Loop.Step(member.CallFailed{Address: to})
 		return err
 	}
-	p.Loop.Step(member.DialWorked{Address: to})
+	p.Loop.Step(member.CallSucceeded{Address: to})
 	return nil
 }
 
@@ -113,12 +113,12 @@
 	if p.callPeer(e.To, exchangeMethod, m, &a) != nil || record.CheckDigest(a.Digest) != nil {
 		return
 	}
-	p.Loop.Step(record.Answered{From: e.To, Same: a.Same, Digest: a.Digest, Standing: a.Standing})
+	p.Loop.Step(record.ExchangeAnswered{From: e.To, Same: a.Same, Digest: a.Digest, Standing: a.Standing})
 }
 
 func (p *Process) compare(e record.Compare) {
 	var a compareAnswer
-	if p.callPeer(e.To, compareMethod, compareMessage{Buckets: e.Buckets, Versions: e.Versions, Prints: e.Prints}, &a) != nil {
+	if p.callPeer(e.To, compareMethod, compareMessage{Buckets: e.Buckets, Versions: e.Versions, Prints: e.Fingerprints}, &a) != nil {
 		return
 	}
 	p.Loop.Step(record.Compared{From: e.To, Records: a.Records, Wants: a.Wants, WantPrints: a.WantPrints, Partial: a.Partial, Standing: e.Standing})
@@ -126,10 +126,10 @@
 
 func (p *Process) offer(e record.Offer) {
 	var a offerAnswer
-	if p.callPeer(e.To, offerMethod, offerMessage{Prints: e.Prints}, &a) != nil || record.CheckPrints(a.Wants) != nil {
+	if p.callPeer(e.To, offerMethod, offerMessage{Prints: e.Fingerprints}, &a) != nil || record.CheckFingerprints(a.Wants) != nil {
 		return
 	}
-	p.Loop.Step(record.Wanted{From: e.To, Prints: a.Wants})
+	p.Loop.Step(record.OfferAnswered{From: e.To, Fingerprints: a.Wants})
 }
 
 func (p *Process) handleOffer(_ context.Context, from string, params json.RawMessage) (any, error) {
@@ -137,11 +137,11 @@
 	if err := control.Decode(params, &m); err != nil {
 		return nil, err
 	}
-	if err := record.CheckPrints(m.Prints); err != nil {
+	if err := record.CheckFingerprints(m.Prints); err != nil {
 		return nil, err
 	}
-	a := p.Decide(func(call uint64) step.Event {
-		return record.Offered{Call: call, From: from, Prints: m.Prints}
+	a := p.CallCore(func(call uint64) step.Event {
+		return record.Offered{Call: call, From: from, Fingerprints: m.Prints}
 	}).(record.OfferAnswer)
 	return offerAnswer{Wants: a.Wants}, nil
 }
@@ -160,9 +160,9 @@
 	if err := control.Decode(params, &m); err != nil {
 		return nil, err
 	}
-	a := p.Decide(func(call uint64) step.Event {
-		return record.Asked{Call: call, From: from, Common: m.Common, Dynamic: m.Dynamic, Standing: m.Standing}
-	}).(record.Answer)
+	a := p.CallCore(func(call uint64) step.Event {
+		return record.ExchangeAsked{Call: call, From: from, Common: m.Common, Dynamic: m.Dynamic, Standing: m.Standing}
+	}).(record.ExchangeAnswer)
 	return exchangeAnswer{Same: a.Same, Digest: a.Digest, Standing: a.Standing}, nil
 }
 
@@ -171,8 +171,8 @@
 	if err := control.Decode(params, &m); err != nil {
 		return nil, err
 	}
-	a := p.Decide(func(call uint64) step.Event {
-		return record.CompareAsked{Call: call, Buckets: m.Buckets, Versions: m.Versions, Prints: m.Prints}
+	a := p.CallCore(func(call uint64) step.Event {
+		return record.CompareAsked{Call: call, Buckets: m.Buckets, Versions: m.Versions, Fingerprints: m.Prints}
 	}).(record.CompareAnswer)
 	return compareAnswer{Records: a.Records, Wants: a.Wants, WantPrints: a.WantPrints, Partial: a.Partial}, nil
 }
--- a/internal/node/served.go
+++ b/internal/node/served.go
@@ -19,10 +19,10 @@
 	Digests []string `json:"digests,omitempty"`
 }
 
-func (p *Process) askServed(e core.AskServed) {
+func (p *Process) askServed(e core.QueryServed) {
 	var a servedAnswer
 	if p.callPeer(e.To, servedMethod, servedMessage{Key: e.Key}, &a) == nil {
-		p.Loop.Step(core.ServedRead{Key: e.Key, Digests: a.Digests})
+		p.Loop.Step(core.ServedReceived{Key: e.Key, Digests: a.Digests})
 	}
 }
 
--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -14,8 +14,8 @@
 	"github.com/pkg/errors"
 )
 
-// MaxValue is the size limit of a value in the platform's object API, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the size limit of a value in the platform's object API, in bytes.
+const MaxValueBytes = 1 << 20
 
 // maxAnswerBytes bounds how much of one answer is read, in bytes.
 const maxAnswerBytes = 64 << 20
@@ -44,15 +44,15 @@
 
 // ConflictError means that the object's version differs from the version in the condition. Nothing was written. Present
 // is the object as it is.
-type ConflictError struct{ Present Item }
+type ConflictError struct{ Current Item }
 
 // Error describes the conflict.
 func (e *ConflictError) Error() string {
-	return "version conflict on " + e.Present.Key + ": present version " + strconv.FormatUint(e.Present.Version, 10)
+	return "version conflict on " + e.Current.Key + ": present version " + strconv.FormatUint(e.Current.Version, 10)
 }
 
-// RefusedError means that the platform rejected a call without carrying it out, because of a rate limit or an outage.
-type RefusedError struct {
+// RejectedError means that the platform rejected a call without carrying it out, because of a rate limit or an outage.
+type RejectedError struct {
 	// Status is the HTTP status.
 	Status int
 	// RetryAfter is the delay that the platform asked for; 0 when it gave none.
@@ -60,7 +60,7 @@
 }
 
 // Error describes the rejection.
-func (e *RefusedError) Error() string {
+func (e *RejectedError) Error() string {
 	return "platform rejected the call with status " + strconv.Itoa(e.Status)
 }
 
@@ -153,11 +153,11 @@
 		return ErrGone
 	case http.StatusConflict:
 		conflict := &ConflictError{}
-		if err := json.Unmarshal(raw, &conflict.Present); err != nil {
+		if err := json.Unmarshal(raw, &conflict.Current); err != nil {
 			return errors.Wrap(err, "decoding the platform's version conflict")
 		}
 		return conflict
 	}
 	seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
-	return &RefusedError{Status: resp.StatusCode, RetryAfter: time.Duration(seconds) * time.Second}
+	return &RejectedError{Status: resp.StatusCode, RetryAfter: time.Duration(seconds) * time.Second}
 }
--- a/internal/operator/commit.go
+++ b/internal/operator/commit.go
@@ -30,12 +30,12 @@
 	Revision uint64
 	// Digest is the digest of the setting's weights; empty for a setting without weights.
 	Digest string
-	// Change is the id of the change.
-	Change string
-	// Settled is set if the answer to a write was lost and the outcome was determined by a later attempt.
-	Settled bool
-	// Over lists later changes, if other operators made some before the outcome of this one was known.
-	Over []setting.Past
+	// ChangeID is the id of the change.
+	ChangeID string
+	// Recovered is set if the answer to a write was lost and the outcome was determined by a later attempt.
+	Recovered bool
+	// LaterChanges lists later changes, if other operators made some before the outcome of this one was known.
+	LaterChanges []setting.HistoryEntry
 }
 
 // pendingWrite is a conditional write of one change to the object API.
@@ -43,7 +43,7 @@
 	key string
 	// seen is the object's version that the write requires.
 	seen  uint64
-	stamp setting.Stamp
+	stamp setting.ChangeInfo
 	value []byte
 	// outcomeUnknown is set if an attempt may have taken effect although no answer was received.
 	outcomeUnknown bool
@@ -70,8 +70,8 @@
 }
 
 // stamp returns the id, author and time of a new change.
-func (e *Editor) stamp() setting.Stamp {
-	return setting.Stamp{Change: uuid.NewString(), Author: e.Author, At: time.Now().UTC().Format(time.RFC3339)}
+func (e *Editor) stamp() setting.ChangeInfo {
+	return setting.ChangeInfo{Change: uuid.NewString(), Author: e.Author, At: time.Now().UTC().Format(time.RFC3339)}
 }
 
 // commit repeats a conditional write until its outcome is known or ctx ends. Repeating it is safe: the condition lets at most one attempt
@@ -82,9 +82,9 @@
 		var conflicted *objectapi.ConflictError
 		switch {
 		case err == nil:
-			return Applied{Key: w.key, Revision: item.Version, Change: w.stamp.Change, Settled: w.outcomeUnknown}, nil
+			return Applied{Key: w.key, Revision: item.Version, ChangeID: w.stamp.Change, Recovered: w.outcomeUnknown}, nil
 		case errors.As(err, &conflicted):
-			return w.resolveConflict(conflicted.Present)
+			return w.resolveConflict(conflicted.Current)
 		}
 		w.outcomeUnknown = w.outcomeUnknown || !refusedWithoutEffect(err)
 		if !sleep(ctx, max(backoff, retryAfter(err))) {
@@ -108,13 +108,13 @@
 	if err != nil {
 		return Applied{}, err
 	}
-	revision, ok := present.Object.Holds(w.stamp.Change, present.Version)
+	revision, ok := present.Object.FindChange(w.stamp.Change, present.Version)
 	if ok {
 		return Applied{
-			Key: w.key, Revision: revision, Change: w.stamp.Change, Settled: true, Over: statesSince(present, revision),
+			Key: w.key, Revision: revision, ChangeID: w.stamp.Change, Recovered: true, LaterChanges: statesSince(present, revision),
 		}, nil
 	}
-	if w.outcomeUnknown && !present.Object.ReachesBack(w.seen) {
+	if w.outcomeUnknown && !present.Object.CompleteSince(w.seen) {
 		return Applied{}, code.Errorf(code.PlatformDown, w.key,
 			"the answer to the write was lost, and later changes have pushed its version out of the history: whether change %s took effect is unknown", w.stamp.Change)
 	}
@@ -133,13 +133,13 @@
 // refusedWithoutEffect reports whether the platform certainly didn't carry out a write. Only status 429 proves that: a 503 may come from
 // a proxy in front of the platform after the write took effect.
 func refusedWithoutEffect(err error) bool {
-	var r *objectapi.RefusedError
+	var r *objectapi.RejectedError
 	return errors.As(err, &r) && r.Status == http.StatusTooManyRequests
 }
 
 // retryAfter returns the Retry-After delay of a refusal, at most maxBackoff; 0 if err is none.
 func retryAfter(err error) time.Duration {
-	var r *objectapi.RefusedError
+	var r *objectapi.RejectedError
 	if errors.As(err, &r) {
 		return min(r.RetryAfter, maxBackoff)
 	}
--- a/internal/operator/conflict.go
+++ b/internal/operator/conflict.go
@@ -9,17 +9,17 @@
 )
 
 // statesSince returns the states after version, the latest first, including the present one.
-func statesSince(s *State, version uint64) []setting.Past {
+func statesSince(s *State, version uint64) []setting.HistoryEntry {
 	if s.Version <= version {
 		return nil
 	}
-	present := setting.Past{
+	present := setting.HistoryEntry{
 		Version: s.Version, Change: s.Object.Change, Author: s.Object.Author, At: s.Object.At, Deleted: s.Object.Deleted,
 	}
 	if !s.Object.Deleted {
 		present.Setting = &s.Object.Setting
 	}
-	list := []setting.Past{present}
+	list := []setting.HistoryEntry{present}
 	for _, p := range s.Object.History {
 		if p.Version > version {
 			list = append(list, p)
@@ -35,12 +35,12 @@
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "you saw version %d, but the present version is %d; your change was not made. Changes since then:", seen, present.Version)
-	before, known := present.Object.PastAt(seen)
+	before, known := present.Object.HistoryAt(seen)
 	list := statesSince(present, seen)
 	for i := len(list) - 1; i >= 0; i-- {
 		fmt.Fprintf(&text, "\n  version %d by %s at %s", list[i].Version, orNotRecorded(list[i].Author), orNotRecorded(list[i].At))
 		if known || seen == 0 {
-			text.WriteString(Lines(setting.Diff(before.Setting, list[i].Setting), "\n    "))
+			text.WriteString(FormatChanges(setting.Diff(before.Setting, list[i].Setting), "\n    "))
 		}
 		before, known = list[i], list[i].Setting != nil || list[i].Deleted
 	}
@@ -56,8 +56,8 @@
 	return s
 }
 
-// Lines formats each change as "field: old -> new", preceded by the separator.
-func Lines(changes []setting.FieldChange, separator string) string {
+// FormatChanges formats each change as "field: old -> new", preceded by the separator.
+func FormatChanges(changes []setting.FieldChange, separator string) string {
 	var text strings.Builder
 	for _, c := range changes {
 		fmt.Fprintf(&text, "%s%s: %s -> %s", separator, c.Field, c.From, c.To)
@@ -65,8 +65,8 @@
 	return text.String()
 }
 
-// Show returns the present and the earlier states of a setting, the latest first; nil if it never existed.
-func Show(s *State) []setting.Past {
+// History returns the present and the earlier states of a setting, the latest first; nil if it never existed.
+func History(s *State) []setting.HistoryEntry {
 	if s.Version == 0 {
 		return nil
 	}
--- a/internal/operator/editor.go
+++ b/internal/operator/editor.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return Applied{}, err
 	}
-	past, ok := present.Object.PastAt(to)
+	past, ok := present.Object.HistoryAt(to)
 	if !ok || past.Setting == nil {
 		return Applied{}, code.Errorf(code.SettingMissing, present.Key,
 			"the history doesn't hold version %d in full; `settings history` lists the versions that it holds", to)
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -24,8 +24,8 @@
 	maxAnswerBytes = 16 << 20
 )
 
-// Fleet is a client of one process of the system, which reports on all processes.
-type Fleet struct {
+// FleetClient is a client of one process of the system, which reports on all processes.
+type FleetClient struct {
 	// Base is the URL of the process's address for operators or for peers, without a slash at its end.
 	Base string
 	// HTTP is the client that sends the requests.
@@ -35,7 +35,7 @@
 }
 
 // InForce returns how many processes have a revision of a setting in force.
-func (f *Fleet) InForce(ctx context.Context, key string, revision uint64) (fleet.InForce, error) {
+func (f *FleetClient) InForce(ctx context.Context, key string, revision uint64) (fleet.InForce, error) {
 	q := url.Values{}
 	q.Set("key", key)
 	q.Set("revision", strconv.FormatUint(revision, 10))
@@ -45,7 +45,7 @@
 }
 
 // Preview returns what a setting would change at the hosts.
-func (f *Fleet) Preview(ctx context.Context, key string, s *setting.Setting) (fleet.Preview, error) {
+func (f *FleetClient) Preview(ctx context.Context, key string, s *setting.Setting) (fleet.Preview, error) {
 	var preview fleet.Preview
 	body, err := json.Marshal(s)
 	if err != nil {
@@ -58,7 +58,7 @@
 }
 
 // Status returns what the process knows about what should run, what runs and what is wrong.
-func (f *Fleet) Status(ctx context.Context) (fleet.Status, error) {
+func (f *FleetClient) Status(ctx context.Context) (fleet.Status, error) {
 	var status fleet.Status
 	err := f.call(ctx, http.MethodGet, fleet.StatusPath, nil, &status)
 	return status, err
@@ -66,7 +66,7 @@
 
 // Wait polls until every process has the revision in force or ctx ends, and returns the result of the last poll. It calls report after each
 // successful poll; failed ones are retried.
-func (f *Fleet) Wait(ctx context.Context, key string, revision uint64, report func(fleet.InForce)) (fleet.InForce, error) {
+func (f *FleetClient) Wait(ctx context.Context, key string, revision uint64, report func(fleet.InForce)) (fleet.InForce, error) {
 	for {
 		inForce, err := f.InForce(ctx, key, revision)
 		if err == nil {
@@ -82,7 +82,7 @@
 }
 
 // call sends a request and decodes the JSON answer into result. Any status but 200 is an error.
-func (f *Fleet) call(ctx context.Context, method, path string, body []byte, result any) error {
+func (f *FleetClient) call(ctx context.Context, method, path string, body []byte, result any) error {
 	req, err := http.NewRequestWithContext(ctx, method, f.Base+path, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrapf(err, "create request %s %s", method, path)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -99,7 +99,7 @@
 	faults(t, s, `{"lose_next_answers":1}`)
 	applied, err := ann.Apply(ctx, team, service, plain(1), 0)
 	require.NoError(t, err)
-	require.True(t, applied.Settled)
+	require.True(t, applied.Recovered)
 	state, err := ann.Read(ctx, team, service)
 	require.NoError(t, err)
 	require.Equal(t, applied.Revision, state.Version)
@@ -141,9 +141,9 @@
 	ann := editor(proxy, "ann")
 	applied, err := ann.Apply(ctx, team, service, plain(1), 0)
 	require.NoError(t, err)
-	require.True(t, applied.Settled)
-	require.Len(t, applied.Over, 1)
-	require.Equal(t, "bob", applied.Over[0].Author)
+	require.True(t, applied.Recovered)
+	require.Len(t, applied.LaterChanges, 1)
+	require.Equal(t, "bob", applied.LaterChanges[0].Author)
 	state, err := bob.Read(ctx, team, service)
 	require.NoError(t, err)
 	require.Equal(t, 7, state.Setting().Places["perth-a"], "bob's change is in force")
@@ -183,7 +183,7 @@
 	require.NoError(t, err)
 	item, err := ann.Objects.Get(ctx, setting.Key(team, service))
 	require.NoError(t, err, "the tombstone exists")
-	value, deleted := setting.Relayed(item.Value)
+	value, deleted := setting.WithoutHistory(item.Value)
 	require.True(t, deleted)
 	require.Nil(t, value)
 	restored, err := ann.Rollback(ctx, team, service, first.Revision, deletion.Revision)
@@ -199,16 +199,16 @@
 func TestHistoryIsBounded(t *testing.T) {
 	o := &setting.Object{}
 	for version := uint64(0); version < 200; version++ {
-		o = o.Next(version, plain(int(version)), setting.Stamp{Change: fmt.Sprint(version)})
+		o = o.Next(version, plain(int(version)), setting.ChangeInfo{Change: fmt.Sprint(version)})
 	}
-	require.Len(t, o.History, setting.FullHistory+setting.SlimHistory)
+	require.Len(t, o.History, setting.FullHistory+setting.MetadataHistory)
 	raw, err := json.Marshal(o)
 	require.NoError(t, err)
 	require.Less(t, len(raw), setting.MaxBytes)
-	_, ok := o.Holds("150", 200)
+	_, ok := o.FindChange("150", 200)
 	require.True(t, ok)
-	require.False(t, o.ReachesBack(100))
-	require.True(t, o.ReachesBack(150))
+	require.False(t, o.CompleteSince(100))
+	require.True(t, o.CompleteSince(150))
 }
 
 // TestConcurrentChangesAreLinearizable guards against lost or duplicate changes when operators change the same settings concurrently and
@@ -275,7 +275,7 @@
 	for n := range services {
 		state, err := e.Read(ctx, team, fmt.Sprintf("service-%d", n))
 		require.NoError(t, err)
-		for _, p := range operator.Show(state) {
+		for _, p := range operator.History(state) {
 			kept[p.Version] = true
 		}
 	}
--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -35,10 +35,10 @@
 }
 
 // Matrix returns all cells, ordered by concern.
-func Matrix() []Cell { return append(Product(), OnPlatform()...) }
+func Matrix() []Cell { return append(ProductCells(), PlatformCells()...) }
 
-// Product returns the cells of the product's own path.
-func Product() []Cell {
+// ProductCells returns the cells of the product's own path.
+func ProductCells() []Cell {
 	var cells []Cell
 	for _, part := range [][]Cell{requestCells, claimCells, routingCells, weightCells, orderCells, settingCells, shellCells} {
 		cells = append(cells, part...)
@@ -46,5 +46,5 @@
 	return cells
 }
 
-// OnPlatform returns the cells of the users' platform.
-func OnPlatform() []Cell { return platformCells }
+// PlatformCells returns the cells of the users' platform.
+func PlatformCells() []Cell { return platformCells }
--- a/internal/setting/file_test.go
+++ b/internal/setting/file_test.go
@@ -48,10 +48,10 @@
 // TestRelayedOmitsHistory guards against the relay of a setting's history to all processes, which need only the current
 // setting.
 func TestRelayedOmitsHistory(t *testing.T) {
-	object := (&setting.Object{}).Next(0, &setting.Setting{Kind: setting.Plain}, setting.Stamp{Change: "a"})
-	object = object.Next(3, &setting.Setting{Kind: setting.Plain}, setting.Stamp{Change: "b"})
+	object := (&setting.Object{}).Next(0, &setting.Setting{Kind: setting.Plain}, setting.ChangeInfo{Change: "a"})
+	object = object.Next(3, &setting.Setting{Kind: setting.Plain}, setting.ChangeInfo{Change: "b"})
 	raw := mustJSON(t, object)
-	value, deleted := setting.Relayed(raw)
+	value, deleted := setting.WithoutHistory(raw)
 	require.False(t, deleted)
 	require.NotContains(t, string(value), "history")
 	s, err := setting.Parse(value)
--- a/internal/setting/object.go
+++ b/internal/setting/object.go
@@ -9,14 +9,14 @@
 const (
 	// FullHistory is the number of earlier settings that an object keeps completely, for diff and rollback.
 	FullHistory = 10
-	// SlimHistory is the number of further changes of which an object keeps only the ID, author, time and version.
-	SlimHistory = 50
+	// MetadataHistory is the number of further changes of which an object keeps only the ID, author, time and version.
+	MetadataHistory = 50
 	// MaxHistoryBytes bounds the total size of the earlier settings that are kept completely, in bytes.
 	MaxHistoryBytes = 256 << 10
 )
 
-// Past is an earlier state of a setting.
-type Past struct {
+// HistoryEntry is an earlier state of a setting.
+type HistoryEntry struct {
 	// Version is the object's version while this state was current.
 	Version uint64 `json:"version"`
 	// Change is the ID of the change that wrote this state.
@@ -38,7 +38,7 @@
 	// Deleted marks a tombstone: the service has no setting, but its history is kept.
 	Deleted bool `json:"deleted,omitempty"`
 	// History holds the earlier states, the latest first.
-	History []Past `json:"history,omitempty"`
+	History []HistoryEntry `json:"history,omitempty"`
 }
 
 // ParseObject decodes an object without validating the setting, which a tombstone does not have.
@@ -52,7 +52,7 @@
 
 // Next returns the object that replaces o, which was read at version, with the setting s. A nil s deletes the setting.
 // Version 0 means that o does not exist, and adds nothing to the history.
-func (o *Object) Next(version uint64, s *Setting, stamp Stamp) *Object {
+func (o *Object) Next(version uint64, s *Setting, stamp ChangeInfo) *Object {
 	next := &Object{}
 	if s != nil {
 		next.Setting = *s
@@ -60,14 +60,14 @@
 	next.Deleted = s == nil
 	next.Change, next.Author, next.At = stamp.Change, stamp.Author, stamp.At
 	if version != 0 {
-		next.History = append([]Past{o.past(version)}, o.History...)
+		next.History = append([]HistoryEntry{o.past(version)}, o.History...)
 		next.History = trimHistory(next.History)
 	}
 	return next
 }
 
-// Stamp identifies the change that wrote a state.
-type Stamp struct {
+// ChangeInfo identifies the change that wrote a state.
+type ChangeInfo struct {
 	// Change is the ID of the change.
 	Change string
 	// Author is the operator who made the change.
@@ -77,8 +77,8 @@
 }
 
 // past returns the current state of o, which was read at version, as an entry of the history.
-func (o *Object) past(version uint64) Past {
-	p := Past{Version: version, Change: o.Change, Author: o.Author, At: o.At, Deleted: o.Deleted}
+func (o *Object) past(version uint64) HistoryEntry {
+	p := HistoryEntry{Version: version, Change: o.Change, Author: o.Author, At: o.At, Deleted: o.Deleted}
 	if !o.Deleted {
 		s := o.Setting
 		p.Setting = &s
@@ -87,8 +87,8 @@
 }
 
 // trimHistory keeps the latest states completely, only the metadata of SlimHistory more, and drops the rest.
-func trimHistory(history []Past) []Past {
-	history = history[:min(len(history), FullHistory+SlimHistory)]
+func trimHistory(history []HistoryEntry) []HistoryEntry {
+	history = history[:min(len(history), FullHistory+MetadataHistory)]
 	size := 0
 	for i := range history {
 		if history[i].Setting == nil {
@@ -103,9 +103,9 @@
 	return history
 }
 
-// Holds reports whether a change is the current one or in the history, and returns the version with which it took effect.
+// FindChange reports whether a change is the current one or in the history, and returns the version with which it took effect.
 // version is the current version of the object.
-func (o *Object) Holds(change string, version uint64) (uint64, bool) {
+func (o *Object) FindChange(change string, version uint64) (uint64, bool) {
 	if o.Change == change {
 		return version, true
 	}
@@ -117,12 +117,12 @@
 	return 0, false
 }
 
-// ReachesBack reports whether the history is complete since version. If it is, a change that was conditional on that
+// CompleteSince reports whether the history is complete since version. If it is, a change that was conditional on that
 // version and is not in the history has not taken effect and never will.
-func (o *Object) ReachesBack(version uint64) bool {
+func (o *Object) CompleteSince(version uint64) bool {
 	if version == 0 {
 		// The first state is in the history unless the history is full.
-		return len(o.History) < FullHistory+SlimHistory
+		return len(o.History) < FullHistory+MetadataHistory
 	}
 	for _, p := range o.History {
 		if p.Version <= version {
@@ -132,19 +132,19 @@
 	return false
 }
 
-// PastAt returns the earlier state that was current at version.
-func (o *Object) PastAt(version uint64) (Past, bool) {
+// HistoryAt returns the earlier state that was current at version.
+func (o *Object) HistoryAt(version uint64) (HistoryEntry, bool) {
 	for _, p := range o.History {
 		if p.Version == version {
 			return p, true
 		}
 	}
-	return Past{}, false
+	return HistoryEntry{}, false
 }
 
-// Relayed returns the part of an object's raw value that processes relay to one another: the setting without its history,
+// WithoutHistory returns the part of an object's raw value that processes relay to one another: the setting without its history,
 // or deleted for a tombstone. A value that can't be decoded is relayed unchanged, and the receiver rejects it.
-func Relayed(raw json.RawMessage) (value json.RawMessage, deleted bool) {
+func WithoutHistory(raw json.RawMessage) (value json.RawMessage, deleted bool) {
 	o, err := ParseObject(raw)
 	if err != nil {
 		return raw, false
--- a/internal/soak/fault_injector_test.go
+++ b/internal/soak/fault_injector_test.go
@@ -75,8 +75,8 @@
 		s.forAllProcesses(func(p *process) { p.terminateAndRestart(syscall.SIGKILL) })
 	default:
 		faults := []standin.Fault{
-			standin.Decline, standin.Misdirect, standin.Fail, standin.Lose, standin.Foreign, standin.BreakEvent, standin.Hang,
-			standin.Unmarked, standin.Short,
+			standin.Decline, standin.Misdirect, standin.Fail, standin.DropResponse, standin.OtherRequest, standin.BreakMidEvent, standin.Hang,
+			standin.Unsealed, standin.ShortBody,
 		}
 		var next []standin.Fault
 		for range 20 {
@@ -155,13 +155,13 @@
 	s.operator.Lock()
 	defer s.operator.Unlock()
 	s.version++
-	s.fleet.Name(s.version)
+	s.fleet.ActivateVersion(s.version)
 }
 
 func (s *soak) configure() {
 	s.operator.Lock()
 	defer s.operator.Unlock()
-	s.fleet.Configure()
+	s.fleet.WriteManifest()
 }
 
 // toggleSecondKey revokes the second key, or restores it.
@@ -178,6 +178,6 @@
 		keys = append(keys, key)
 	}
 	s.secondKeyAllowed = allowed
-	s.fleet.Tenants = append([]map[string]any{{"name": "karrakin", "apiKeys": keys}}, s.tenants...)
-	s.fleet.Configure()
+	s.fleet.Accounts = append([]map[string]any{{"name": "karrakin", "apiKeys": keys}}, s.tenants...)
+	s.fleet.WriteManifest()
 }
--- a/internal/soak/notices_test.go
+++ b/internal/soak/notices_test.go
@@ -75,7 +75,7 @@
 		return i
 	}
 	for i, host := range s.hosts {
-		if host.Callers == address {
+		if host.CallersListen == address {
 			return i
 		}
 	}
@@ -113,7 +113,7 @@
 			}
 		case 2:
 			backoff := time.Duration(500+s.random.IntN(3000)) * time.Millisecond
-			s.announce(i, 0, standin.Notice{Rest: backoff}, 200*time.Millisecond)
+			s.announce(i, 0, standin.Notice{Backoff: backoff}, 200*time.Millisecond)
 		default:
 			s.announce(i, 0, standin.Notice{Limit: pick(s, malformedLimits)}, time.Second)
 		}
@@ -124,9 +124,9 @@
 // announce makes an upstream send a notice for the duration d.
 func (s *injector) announce(upstream int, limit float64, n standin.Notice, d time.Duration) {
 	from := time.Now()
-	s.upstreams[upstream].Say(n)
+	s.upstreams[upstream].SetNotice(n)
 	time.Sleep(max(0, d))
-	s.upstreams[upstream].Say(standin.Notice{})
+	s.upstreams[upstream].SetNotice(standin.Notice{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.noticePeriods = append(s.noticePeriods, noticePeriod{span: span{from: from, to: time.Now()}, upstream: upstream, notice: n, limit: limit})
@@ -135,11 +135,11 @@
 // drainAndRestart makes an engine report that it is draining, and restarts it under the same id after the duration d.
 func (s *injector) drainAndRestart(upstream int, d time.Duration) {
 	u, from := s.upstreams[upstream], time.Now()
-	u.Say(standin.Notice{Leaving: true})
+	u.SetNotice(standin.Notice{Leaving: true})
 	time.Sleep(max(0, d))
 	to := time.Now()
 	u.Weights.Crash(true)
-	u.Say(standin.Notice{})
+	u.SetNotice(standin.Notice{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.noticePeriods = append(s.noticePeriods, noticePeriod{span: span{from: from, to: to}, upstream: upstream, notice: standin.Notice{Leaving: true}})
@@ -212,19 +212,19 @@
 func (s *soak) checkBackoffs(upstream int, arrivals []arrival) int {
 	looked := 0
 	for _, trigger := range arrivals {
-		end := trigger.At.Add(trigger.Rest)
-		if trigger.Rest == 0 || overlaps(s.entries[trigger.entry].disruptions, trigger.At, end) || overlaps(s.upstreamProxies[upstream].disruptions, trigger.At.Add(-contactGrace), end) {
+		end := trigger.At.Add(trigger.Backoff)
+		if trigger.Backoff == 0 || overlaps(s.entries[trigger.entry].disruptions, trigger.At, end) || overlaps(s.upstreamProxies[upstream].disruptions, trigger.At.Add(-contactGrace), end) {
 			continue
 		}
 		n := 0
 		for _, a := range arrivals {
-			if a.entry == trigger.entry && a.Life == trigger.Life && a.At.After(trigger.At.Add(backoffGrace)) && a.At.Before(end) {
+			if a.entry == trigger.entry && a.Instance == trigger.Instance && a.At.After(trigger.At.Add(backoffGrace)) && a.At.Before(end) {
 				n++
 			}
 		}
 		looked++
 		if n > backoffMaxRequests {
-			s.t.Errorf("BUDGET: %s requested a backoff from entry %d for %v but received %d requests from it", s.upstreams[upstream].ID, trigger.entry, trigger.Rest, n)
+			s.t.Errorf("BUDGET: %s requested a backoff from entry %d for %v but received %d requests from it", s.upstreams[upstream].ID, trigger.entry, trigger.Backoff, n)
 		}
 	}
 	return looked
--- a/internal/soak/places_test.go
+++ b/internal/soak/places_test.go
@@ -53,16 +53,16 @@
 func newPlacesSoak(t *testing.T) *placesSoak {
 	s := &soak{t: t, fleet: standin.NewFleet(t), version: 1, places: []string{"perth-a", "karratha-a", "bunbury-a"}}
 	s.fleet.EvacuationTime, s.fleet.ColdPerS = evacuationDelay, coldRate
-	s.fleet.AddHomeRoute("/bound/", homeRegion)
-	s.tenants = []map[string]any{standin.BoundTenant(homeAccount, homeKey, accountRegion)}
+	s.fleet.AddRegionBoundRoute("/bound/", homeRegion)
+	s.tenants = []map[string]any{standin.RegionBoundAccount(homeAccount, homeKey, accountRegion)}
 	return &placesSoak{soak: startSoak(t, placesHosts, s), evacuated: map[string][]span{}, cold: map[string][]span{}}
 }
 
 // homeCallers starts callers that send requests of the bound account and to the bound route, until stop is closed.
 func (s *placesSoak) homeCallers(stop <-chan struct{}, done *sync.WaitGroup) {
 	for i, host := range s.hosts {
-		for k, q := range []standin.Request{{Path: homePath}, {Path: "/again/1", Key: homeKey}, {Path: "/once/1", Key: homeKey}, {Path: "/stream/1", Key: homeKey}, {Path: homePath, Key: homeKey}} {
-			c := &standin.Caller{Address: host.Callers, Name: fmt.Sprintf("%s-home-%d-%d", s.t.Name(), i, k)}
+		for k, q := range []standin.Request{{Path: homePath}, {Path: "/again/1", APIKey: homeKey}, {Path: "/once/1", APIKey: homeKey}, {Path: "/stream/1", APIKey: homeKey}, {Path: homePath, APIKey: homeKey}} {
+			c := &standin.Caller{Address: host.CallersListen, Name: fmt.Sprintf("%s-home-%d-%d", s.t.Name(), i, k)}
 			done.Go(func() {
 				for {
 					select {
@@ -89,9 +89,9 @@
 			s.evacuated[place] = append(s.evacuated[place], span{from: from, to: time.Now()})
 		} else {
 			service := fmt.Sprintf("i-desk-%d", injector.random.IntN(placesHosts))
-			s.fleet.TurnCold(service)
+			s.fleet.SetCold(service)
 			time.Sleep(coldDuration)
-			s.fleet.Warm(service)
+			s.fleet.SetWarm(service)
 			s.cold[service] = append(s.cold[service], span{from: from, to: from.Add(coldDuration)})
 		}
 		injector.pause()
@@ -119,7 +119,7 @@
 			if account || boundRoute {
 				homes++
 			}
-			if account && standin.Places[place] != accountRegion || boundRoute && standin.Places[place] != homeRegion {
+			if account && standin.DataCentres[place] != accountRegion || boundRoute && standin.DataCentres[place] != homeRegion {
 				s.t.Errorf("HOME: a request of account %v, route %v reached %s", account, boundRoute, place)
 			}
 			for _, e := range s.evacuated[place] {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -109,12 +109,12 @@
 // startSoak starts the upstreams, agents and entries of s, as many of each kind as hosts, spread over the data centres of s in turn.
 func startSoak(t *testing.T, hosts int, s *soak) *soak {
 	dir := t.TempDir()
-	s.fleet.Through = s.proxyFor
-	s.fleet.Name(1)
+	s.fleet.RegisteredAddress = s.proxyFor
+	s.fleet.ActivateVersion(1)
 	s.setSecondKey(secondKey, true)
 	for i := range hosts {
 		if len(s.places) > 0 {
-			s.fleet.Place = s.places[i%len(s.places)]
+			s.fleet.DataCentre = s.places[i%len(s.places)]
 		}
 		s.upstreams = append(s.upstreams, s.fleet.AddService(fmt.Sprintf("i-desk-%d", i)))
 		s.upstreamProxies = append(s.upstreamProxies, s.lastProxy())
@@ -126,7 +126,7 @@
 		s.agents = append(s.agents, &process{t: t, role: "platform-agent", settings: s.fleet.SettingsFile(dir, agent)})
 		entry := s.fleet.Host(standin.NextIP(), false)
 		entry.Store = s.proxyFor(entry.Store)
-		s.proxiedEntries = append(s.proxiedEntries, s.proxyFor(entry.Callers))
+		s.proxiedEntries = append(s.proxiedEntries, s.proxyFor(entry.CallersListen))
 		s.hosts = append(s.hosts, entry)
 		s.entries = append(s.entries, &process{t: t, role: "platform-entry", settings: s.fleet.SettingsFile(dir, entry)})
 	}
@@ -201,7 +201,7 @@
 // requestKinds are the requests that callers send: one for each kind of route, one with secondKey, and one that crashes each engine that
 // runs it.
 var requestKinds = []standin.Request{
-	{Path: "/once/1"}, {Path: "/again/1"}, {Path: "/stream/1"}, {Path: "/again/2", Key: secondKey}, {Path: "/stream/1", Body: standin.CrashBody},
+	{Path: "/once/1"}, {Path: "/again/1"}, {Path: "/stream/1"}, {Path: "/again/2", APIKey: secondKey}, {Path: "/stream/1", Body: standin.CrashBody},
 }
 
 // crashInterval is the pause between two copies of a request that crashes engines.
@@ -212,11 +212,11 @@
 	// Callers that connect to an entry directly have no timeout: an entry that never answers blocks the soak.
 	addresses := slices.Clone(s.proxiedEntries)
 	for _, host := range s.hosts {
-		addresses = append(addresses, host.Callers)
+		addresses = append(addresses, host.CallersListen)
 	}
 	for i, address := range addresses {
 		for k, q := range requestKinds {
-			c := &standin.Caller{Address: address, Name: fmt.Sprintf("%s-%d-%d", s.t.Name(), i, k), Keep: i%2 == 0}
+			c := &standin.Caller{Address: address, Name: fmt.Sprintf("%s-%d-%d", s.t.Name(), i, k), KeepAlive: i%2 == 0}
 			pause := 5 * time.Millisecond
 			if q.Body != "" {
 				pause = crashInterval
@@ -242,7 +242,7 @@
 func (s *soak) verify() {
 	s.fleet.Faults.Next()
 	for i, host := range s.hosts {
-		c := &standin.Caller{Address: host.Callers, Name: fmt.Sprintf("%s-end-%d", s.t.Name(), i)}
+		c := &standin.Caller{Address: host.CallersListen, Name: fmt.Sprintf("%s-end-%d", s.t.Name(), i)}
 		for _, q := range requestKinds[:3] {
 			require.Eventually(s.t, func() bool { return s.call(c, q).Status == 200 }, recoveryTimeout, 50*time.Millisecond, "%s is served again", q.Path)
 		}
@@ -267,7 +267,7 @@
 	}
 	for _, u := range s.upstreams {
 		if u.Weights != nil {
-			corrupted, _ := u.Weights.Spoilt()
+			corrupted, _ := u.Weights.Loads()
 			require.Zero(s.t, corrupted, "an engine loaded missing or corrupted chunks")
 		}
 	}
@@ -281,8 +281,8 @@
 	s.setSecondKey(secondKey, false)
 	s.operator.Unlock()
 	for i, host := range s.hosts {
-		c := &standin.Caller{Address: host.Callers, Name: fmt.Sprintf("%s-key-%d", s.t.Name(), i)}
-		q := standin.Request{Path: "/again/2", Key: secondKey}
+		c := &standin.Caller{Address: host.CallersListen, Name: fmt.Sprintf("%s-key-%d", s.t.Name(), i)}
+		q := standin.Request{Path: "/again/2", APIKey: secondKey}
 		require.Eventually(s.t, func() bool { return s.call(c, q).Status == http.StatusUnauthorized }, recoveryTimeout, 50*time.Millisecond)
 		for range 20 {
 			require.Equal(s.t, http.StatusUnauthorized, s.call(c, q).Status)
@@ -290,17 +290,17 @@
 	}
 }
 
-// verifyCrashCount bounds the number of engine crashes that the one crashing request caused: quarantine.CrashesToHold, which is 3, for
+// verifyCrashCount bounds the number of engine crashes that the one crashing request caused: quarantine.CrashThreshold, which is 3, for
 // each instance of an entry, because an entry starts without knowledge of earlier crashes.
 func (s *soak) verifyCrashCount() {
 	crashes, instances := 0, 0
 	for _, u := range s.engines() {
-		crashes += u.BroughtDown()
+		crashes += u.Crashes()
 	}
 	for _, p := range s.entries {
 		instances += p.instances()
 	}
-	require.LessOrEqual(s.t, crashes, quarantine.CrashesToHold*instances)
+	require.LessOrEqual(s.t, crashes, quarantine.CrashThreshold*instances)
 	s.t.Logf("%d engine crashes, %d instances of entries", crashes, instances)
 }
 
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -22,7 +22,7 @@
 )
 
 // readRequest creates a request from a generate call. It returns an error if a header is malformed or a value is out of bounds.
-func readRequest(r *http.Request, call GenerateCall) (*request, error) {
+func readRequest(r *http.Request, call GenerateRequest) (*request, error) {
 	priority, err := headerNumber(r, headerPriority, defaultPriority)
 	if err != nil {
 		return nil, err
@@ -54,7 +54,7 @@
 
 // generate handles POST /v1/generate.
 func (e *engine) generate(w http.ResponseWriter, r *http.Request) {
-	var call GenerateCall
+	var call GenerateRequest
 	if !serve.ReadJSON(w, r, &call) {
 		return
 	}
@@ -115,7 +115,7 @@
 		serve.Fail(w, http.StatusConflict, "cancelled")
 		return
 	}
-	serve.WriteJSON(w, http.StatusOK, GenerateAnswer{
+	serve.WriteJSON(w, http.StatusOK, GenerateResponse{
 		RequestID:  run.id,
 		Text:       text.String(),
 		Tokens:     run.next,
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -130,7 +130,7 @@
 	}
 	if !e.beginLoad(o) {
 		e.logLoad(o, "", outcomeRefused)
-		serve.WriteJSON(w, http.StatusConflict, FencingAnswer{Fencing: e.highestFencing()})
+		serve.WriteJSON(w, http.StatusConflict, FencingResponse{Fencing: e.highestFencing()})
 		return
 	}
 	stop := interruptRead(w, r)
@@ -181,15 +181,15 @@
 	case serve.OutcomeCrashed:
 		return
 	case outcomeSuperseded:
-		serve.WriteJSON(w, http.StatusConflict, FencingAnswer{Fencing: e.highestFencing()})
+		serve.WriteJSON(w, http.StatusConflict, FencingResponse{Fencing: e.highestFencing()})
 	case outcomeTruncated:
 		serve.Fail(w, http.StatusBadRequest, "body cut short")
 	default:
-		if e.faults.Take(func(f *Faults) *int { return &f.DropLoadAnswer }) {
+		if e.faults.Take(func(f *Faults) *int { return &f.DropLoadResponse }) {
 			serve.Reset(w)
 			return
 		}
-		serve.WriteJSON(w, http.StatusOK, LoadAnswer{Digest: o.digest, Generation: o.generation})
+		serve.WriteJSON(w, http.StatusOK, LoadResponse{Digest: o.digest, Generation: o.generation})
 	}
 }
 
--- a/internal/standin/engine/messages.go
+++ b/internal/standin/engine/messages.go
@@ -22,16 +22,16 @@
 	headerOrderID        = "Order-Id"
 )
 
-// GenerateCall is the body of POST /v1/generate.
-type GenerateCall struct {
+// GenerateRequest is the body of POST /v1/generate.
+type GenerateRequest struct {
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
 }
 
-// GenerateAnswer is the response to a generate call that isn't streamed. Tokens includes the tokens skipped by a resume. Digest and
+// GenerateResponse is the response to a generate call that isn't streamed. Tokens includes the tokens skipped by a resume. Digest and
 // Generation are those at the end of the run.
-type GenerateAnswer struct {
+type GenerateResponse struct {
 	RequestID  string `json:"request_id"`
 	Text       string `json:"text"`
 	Tokens     int    `json:"tokens"`
@@ -52,25 +52,25 @@
 	Generation int64  `json:"generation"`
 }
 
-// CancelCall is the body of POST /v1/cancel.
-type CancelCall struct {
+// CancelRequest is the body of POST /v1/cancel.
+type CancelRequest struct {
 	RequestID string `json:"request_id"`
 }
 
-// CancelAnswer is the response to a cancel call. Cancelled reports whether a request with this id was running or waiting.
-type CancelAnswer struct {
+// CancelResponse is the response to a cancel call. Cancelled reports whether a request with this id was running or waiting.
+type CancelResponse struct {
 	RequestID string `json:"request_id"`
 	Cancelled bool   `json:"cancelled"`
 }
 
-// LoadAnswer is the response to a successful load order: the weights that are now loaded.
-type LoadAnswer struct {
+// LoadResponse is the response to a successful load order: the weights that are now loaded.
+type LoadResponse struct {
 	Digest     string `json:"digest"`
 	Generation int64  `json:"generation"`
 }
 
-// FencingAnswer is the body of a response with status 409: the fencing number of the last accepted order.
-type FencingAnswer struct {
+// FencingResponse is the body of a response with status 409: the fencing number of the last accepted order.
+type FencingResponse struct {
 	Fencing int64 `json:"fencing"`
 }
 
@@ -81,8 +81,8 @@
 	OrderID       string `json:"order_id"`
 }
 
-// RoleAnswer is the response to a role order: the role that the engine now has.
-type RoleAnswer struct {
+// RoleResponse is the response to a role order: the role that the engine now has.
+type RoleResponse struct {
 	Role string `json:"role"`
 }
 
@@ -175,6 +175,6 @@
 	Crash bool `json:"crash"`
 	// RestartMS is the time for which a crashed engine is unavailable, in milliseconds.
 	RestartMS int64 `json:"restart_ms"`
-	// DropLoadAnswer is the number of next loads that take effect but whose connection is reset instead of sending the response.
-	DropLoadAnswer int `json:"drop_load_answer"`
+	// DropLoadResponse is the number of next loads that take effect but whose connection is reset instead of sending the response.
+	DropLoadResponse int `json:"drop_load_answer"`
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -71,12 +71,12 @@
 }
 
 func (e *engine) cancelCall(w http.ResponseWriter, r *http.Request) {
-	var call CancelCall
+	var call CancelRequest
 	if !serve.ReadJSON(w, r, &call) {
 		return
 	}
 	found := e.cancel(func(run *request) bool { return run.id == call.RequestID })
-	serve.WriteJSON(w, http.StatusOK, CancelAnswer{RequestID: call.RequestID, Cancelled: found})
+	serve.WriteJSON(w, http.StatusOK, CancelResponse{RequestID: call.RequestID, Cancelled: found})
 }
 
 func (e *engine) setRole(w http.ResponseWriter, r *http.Request) {
@@ -95,10 +95,10 @@
 	}
 	e.mu.Unlock()
 	if !accepted {
-		serve.WriteJSON(w, http.StatusConflict, FencingAnswer{Fencing: e.highestFencing()})
+		serve.WriteJSON(w, http.StatusConflict, FencingResponse{Fencing: e.highestFencing()})
 		return
 	}
-	serve.WriteJSON(w, http.StatusOK, RoleAnswer{Role: order.Role})
+	serve.WriteJSON(w, http.StatusOK, RoleResponse{Role: order.Role})
 }
 
 func (e *engine) state(w http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -92,7 +92,7 @@
 }
 
 func generateBody(prompt string, tokens int, stream bool) string {
-	text, _ := json.Marshal(GenerateCall{Prompt: prompt, MaxTokens: tokens, Stream: stream})
+	text, _ := json.Marshal(GenerateRequest{Prompt: prompt, MaxTokens: tokens, Stream: stream})
 	return string(text)
 }
 
@@ -168,10 +168,10 @@
 	header := map[string]string{headerRequestID: "r1", headerAttempt: "2", headerIdempotencyKey: "k"}
 	response, err := do(t, "POST", url+"/e1/v1/generate", generateBody("p", 3, false), header)
 	require.NoError(t, err)
-	var got GenerateAnswer
+	var got GenerateResponse
 	require.NoError(t, json.NewDecoder(response.Body).Decode(&got))
 	text := Token("d1", "p", 0) + Token("d1", "p", 1) + Token("d1", "p", 2)
-	assert.Equal(t, GenerateAnswer{RequestID: "r1", Text: text, Tokens: 3, Digest: "d1", Generation: 3}, got)
+	assert.Equal(t, GenerateResponse{RequestID: "r1", Text: text, Tokens: 3, Digest: "d1", Generation: 3}, got)
 	assert.Equal(t, "d1", response.Header.Get(headerWeightsDigest))
 	assert.Equal(t, "3", response.Header.Get(headerLoadGeneration))
 	assert.Equal(t, state.BootID, response.Header.Get(headerBootID))
@@ -244,7 +244,7 @@
 func TestOldFencingNumbersAreRefused(t *testing.T) {
 	url := start(t, testConfig())
 	load(t, url, "d2", 2, 2)
-	var refused FencingAnswer
+	var refused FencingResponse
 	call(t, 409, "PUT", url+"/e1/orders/load", "old", loadHeader("d1", 1, 1), &refused)
 	assert.Equal(t, int64(2), refused.Fencing)
 	call(t, 409, "POST", url+"/e1/orders/role", `{"role":"decode","fencing_number":1}`, nil, nil)
@@ -348,7 +348,7 @@
 	url := start(t, testConfig())
 	load(t, url, "d1", 1, 1)
 	_, events := startStream(t, url, generateBody("p", endlessTokens, true), map[string]string{headerRequestID: "r1"})
-	var response CancelAnswer
+	var response CancelResponse
 	call(t, 200, "POST", url+"/e1/v1/cancel", `{"request_id":"r1"}`, nil, &response)
 	assert.True(t, response.Cancelled)
 	last := events.next()
--- a/internal/standin/objectapi/server.go
+++ b/internal/standin/objectapi/server.go
@@ -33,8 +33,8 @@
 	Hang bool `json:"hang"`
 	// DelayMS delays the handling of each call, in milliseconds.
 	DelayMS int64 `json:"delay_ms"`
-	// LoseNextAnswers is the number of next writes that take effect but whose connection is reset instead of sending the response.
-	LoseNextAnswers int `json:"lose_next_answers"`
+	// LoseNextResponses is the number of next writes that take effect but whose connection is reset instead of sending the response.
+	LoseNextResponses int `json:"lose_next_answers"`
 	// LoseNextKeyPrefix restricts LoseNextAnswers to keys with this prefix.
 	LoseNextKeyPrefix string `json:"lose_next_key_prefix"`
 }
@@ -49,8 +49,8 @@
 	Revision  int64 `json:"revision"`
 }
 
-// Written is the response to a successful write.
-type Written struct {
+// WriteResult is the response to a successful write.
+type WriteResult struct {
 	Key     string `json:"key"`
 	Version int64  `json:"version"`
 }
@@ -197,11 +197,11 @@
 
 func (s *Server) writeResult(w http.ResponseWriter, object Object) {
 	matches := strings.HasPrefix(object.Key, s.faults.Get().LoseNextKeyPrefix)
-	if matches && s.faults.Take(func(f *Faults) *int { return &f.LoseNextAnswers }) {
+	if matches && s.faults.Take(func(f *Faults) *int { return &f.LoseNextResponses }) {
 		serve.Reset(w)
 		return
 	}
-	serve.WriteJSON(w, http.StatusOK, Written{Key: object.Key, Version: object.Version})
+	serve.WriteJSON(w, http.StatusOK, WriteResult{Key: object.Key, Version: object.Version})
 }
 
 func expectedVersion(r *http.Request) (int64, bool) {
--- a/internal/standin/objectapi/server_test.go
+++ b/internal/standin/objectapi/server_test.go
@@ -56,14 +56,14 @@
 func TestConditionalWrites(t *testing.T) {
 	_, url := start(t, Config{})
 	object := url + "/v1/objects/a/b"
-	var done Written
+	var done WriteResult
 	var current Object
 	assert.Equal(t, 404, call(t, "GET", object, "", "", nil))
 	assert.Equal(t, 404, call(t, "DELETE", object, "", "", nil))
 	assert.Equal(t, 409, call(t, "PUT", object, "4", `1`, &current))
 	assert.Equal(t, int64(0), current.Version)
 	assert.Equal(t, 200, call(t, "PUT", object, "0", `{"x":"<1>"}`, &done))
-	assert.Equal(t, Written{Key: "a/b", Version: 1}, done)
+	assert.Equal(t, WriteResult{Key: "a/b", Version: 1}, done)
 	assert.Equal(t, 409, call(t, "PUT", object, "0", `2`, &current))
 	assert.Equal(t, int64(1), current.Version)
 	assert.JSONEq(t, `{"x":"<1>"}`, string(current.Value))
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -30,13 +30,13 @@
 	Crash bool `json:"crash"`
 	// RestartMS is the time for which a crashed service is unavailable, in milliseconds.
 	RestartMS int64 `json:"restart_ms"`
-	// DropAnswer is the number of next calls that run but whose connection is reset instead of sending the response.
-	DropAnswer int `json:"drop_answer"`
+	// DropResponse is the number of next calls that run but whose connection is reset instead of sending the response.
+	DropResponse int `json:"drop_answer"`
 }
 
-// Answer is the body of the response to any call. Run is the number of calls that the service has run, including this one. BodyLen is the
+// Response is the body of the response to any call. Run is the number of calls that the service has run, including this one. BodyLen is the
 // length of the request body, in bytes.
-type Answer struct {
+type Response struct {
 	RequestID  string `json:"request_id"`
 	Method     string `json:"method"`
 	Path       string `json:"path"`
@@ -130,7 +130,7 @@
 	if err := s.faults.WaitWhile(r.Context(), func(f Faults) bool { return f.Freeze }); err != nil {
 		return
 	}
-	response := Answer{
+	response := Response{
 		RequestID:  r.Header.Get("Request-Id"),
 		Method:     r.Method,
 		Path:       r.URL.Path,
@@ -142,7 +142,7 @@
 	if s.run(r) != serve.OutcomeDone {
 		return
 	}
-	if s.faults.Take(func(f *Faults) *int { return &f.DropAnswer }) {
+	if s.faults.Take(func(f *Faults) *int { return &f.DropResponse }) {
 		serve.Reset(w)
 		return
 	}
--- a/internal/standin/plain/plain_test.go
+++ b/internal/standin/plain/plain_test.go
@@ -61,10 +61,10 @@
 	url := start(t)
 	response, err := post(t, url+"/p1/a/b?c=d")
 	require.NoError(t, err)
-	var body Answer
+	var body Response
 	require.NoError(t, json.NewDecoder(response.Body).Decode(&body))
 	const helloSHA256 = "2cf24dba5fb0a30e26e83b2ac5b9e29e1b161e5c1fa7425e73043362938b9824"
-	expected := Answer{RequestID: "r1", Method: "POST", Path: "/a/b", Query: "c=d", BodySHA256: helloSHA256, BodyLen: 5, Run: 1}
+	expected := Response{RequestID: "r1", Method: "POST", Path: "/a/b", Query: "c=d", BodySHA256: helloSHA256, BodyLen: 5, Run: 1}
 	assert.Equal(t, expected, body)
 	entries := readLog(t, url)
 	require.Len(t, entries, 1)
--- a/internal/standin/weights/manifest.go
+++ b/internal/standin/weights/manifest.go
@@ -33,7 +33,7 @@
 
 // manifests creates manifests and caches their encoded form.
 type manifests struct {
-	shape Shape
+	shape ContentConfig
 
 	mu    sync.Mutex
 	bytes map[manifestKey]func() ([]byte, error)
@@ -57,7 +57,7 @@
 	return manifest()
 }
 
-func (s Shape) manifest(key manifestKey) ([]byte, error) {
+func (s ContentConfig) manifest(key manifestKey) ([]byte, error) {
 	source := &content{shape: s, version: key.version, changed: key.changed, corruptAt: noCorruption}
 	contentHash := sha256.New()
 	manifest := Manifest{
--- a/internal/standin/weights/server.go
+++ b/internal/standin/weights/server.go
@@ -26,7 +26,7 @@
 
 // Config configures a Server.
 type Config struct {
-	Shape Shape
+	Shape ContentConfig
 	// Rate limits the data sent over all connections together, in bytes per second; 0 means no limit.
 	Rate int64
 	// RequestsPerSecond limits the rate of calls, with a burst of one second's worth; 0 means no limit.
--- a/internal/standin/weights/server_test.go
+++ b/internal/standin/weights/server_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var testShape = Shape{Size: 20*1000 + 37, ChunkSize: 1000, Seed: 7, Share: 0.9}
+var testShape = ContentConfig{Size: 20*1000 + 37, ChunkSize: 1000, Seed: 7, SharedFraction: 0.9}
 
 // frozenCallTimeout is the time that a test waits for a call that must not be answered.
 const frozenCallTimeout = 50 * time.Millisecond
