--- a/internal/agent/load.go
+++ b/internal/agent/load.go
@@ -66,7 +66,7 @@
 func (a *Agent) pollEnginesOnce(ctx context.Context, cursors map[string]int64) {
 	var serving []rollout.Upstream
 	a.Loop.View(func(s *core.State) {
-		for _, name := range s.Rollout.Names {
+		for _, name := range s.Rollout.UpstreamNames {
 			u := s.Rollout.Upstreams[name]
 			if u.Kind == setting.Engine && u.Phase == member.Serving {
 				serving = append(serving, *u)
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -21,7 +21,7 @@
 // why requests were not answered in time.
 type explainCommand struct {
 	request string
-	belief  string
+	changes string
 	sample  int
 	seed    uint64
 	losses  bool
@@ -55,7 +55,7 @@
 // SetFlags defines the command's flags.
 func (c *explainCommand) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.request, "request", "", "id of a request, as its caller gave it")
-	fs.StringVar(&c.belief, "belief", "", "topic of the known state: manifest, upstreams, versions or source, with /NAME for one upstream or model")
+	fs.StringVar(&c.changes, "belief", "", "topic of the known state: manifest, upstreams, versions or source, with /NAME for one upstream or model")
 	fs.IntVar(&c.sample, "sample", 0, "number of failed and refused requests to draw")
 	fs.Uint64Var(&c.seed, "seed", 1, "seed of -sample; the same logs and seed give the same requests")
 	fs.BoolVar(&c.losses, "losses", false, "count the requests that were not answered in time, by reason")
@@ -66,7 +66,7 @@
 // Check returns an error unless exactly one of the flags says what to explain.
 func (c *explainCommand) Check() error {
 	given := 0
-	for _, set := range []bool{c.request != "", c.belief != "", c.sample != 0, c.losses, c.install != ""} {
+	for _, set := range []bool{c.request != "", c.changes != "", c.sample != 0, c.losses, c.install != ""} {
 		if set {
 			given++
 		}
@@ -141,8 +141,8 @@
 			return err
 		}
 		return log.Installs(model, version).Print(w)
-	case c.belief != "":
-		topic, of, _ := strings.Cut(c.belief, "/")
+	case c.changes != "":
+		topic, of, _ := strings.Cut(c.changes, "/")
 		return log.StateChanges(topic, of).Print(w)
 	}
 	return c.printSample(w, log)
--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -197,7 +197,7 @@
 func (s *State) Reduce(in step.Input) []step.Effect {
 	switch ev := in.Event.(type) {
 	case StoreAnswered:
-		s.storeHeard(in.Now)
+		s.storeAnswered(in.Now)
 	case StoreFailed:
 		if s.failingSince.IsZero() {
 			s.failingSince = in.Now
@@ -228,7 +228,7 @@
 	return nil
 }
 
-func (s *State) storeHeard(now time.Time) {
+func (s *State) storeAnswered(now time.Time) {
 	if !s.failingSince.IsZero() && now.Sub(s.failingSince) > minOutage {
 		s.graceUntil = now.Add(outageGrace)
 	}
--- a/internal/core/cluster_test.go
+++ b/internal/core/cluster_test.go
@@ -259,11 +259,11 @@
 	case record.Exchange:
 		c.call(p, e.To, e,
 			func(call uint64) step.Event {
-				return record.ExchangeAsked{Call: call, From: from, Common: e.Common, Dynamic: e.Dynamic, Standing: e.Standing}
+				return record.ExchangeAsked{Call: call, From: from, Common: e.Common, Dynamic: e.Dynamic, Coverage: e.Coverage}
 			},
 			func(a step.Effect) step.Event {
 				got := a.(record.ExchangeAnswer)
-				return record.ExchangeAnswered{From: e.To, Same: got.Same, Digest: got.Digest, Standing: got.Standing}
+				return record.ExchangeAnswered{From: e.To, Same: got.Same, Digest: got.Digest, Coverage: got.Coverage}
 			})
 	case record.Compare:
 		c.call(p, e.To, e,
@@ -272,7 +272,7 @@
 			},
 			func(a step.Effect) step.Event {
 				got := a.(record.CompareAnswer)
-				return record.Compared{From: e.To, Records: got.Records, Wants: got.Wants, WantPrints: got.WantPrints, Partial: got.Partial, Standing: e.Standing}
+				return record.Compared{From: e.To, Records: got.Records, Wants: got.Wants, WantFingerprints: got.WantFingerprints, Partial: got.Partial, Coverage: e.Coverage}
 			})
 	case record.Offer:
 		c.call(p, e.To, e,
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -172,7 +172,7 @@
 		s.applyServed(ev)
 		return nil
 	case StopRequested:
-		return s.stopAsked(in)
+		return s.stopRequested(in)
 	case record.Published, record.Received, record.ExchangeAsked, record.ExchangeAnswered, record.CompareAsked, record.Compared,
 		record.Offered, record.OfferAnswered:
 		return s.reduceRecords(in)
@@ -213,7 +213,7 @@
 	return append(effects, s.reduceRollout(in)...)
 }
 
-func (s *State) stopAsked(in step.Input) []step.Effect {
+func (s *State) stopRequested(in step.Input) []step.Effect {
 	s.leaving = true
 	s.stopping = true
 	s.Requests.Reduce(withEvent(in, request.StopRequested{}), s.Members, s.Suspects)
--- a/internal/core/forward/rate_limit_test.go
+++ b/internal/core/forward/rate_limit_test.go
@@ -50,9 +50,9 @@
 type limitedEntry struct {
 	rig  *rig
 	next uint64
-	// toldAt is when the entry first received an answer with the limit; 0 before that.
-	toldAt   time.Duration
-	attempts []openAttempt
+	// reportedAt is when the entry first received an answer with the limit; 0 before that.
+	reportedAt time.Duration
+	attempts   []openAttempt
 }
 
 type openAttempt struct {
@@ -154,7 +154,7 @@
 			continue
 		}
 		f.total++
-		if e.toldAt > 0 && f.now-e.toldAt >= limitDelay {
+		if e.reportedAt > 0 && f.now-e.reportedAt >= limitDelay {
 			f.arrivals = append(f.arrivals, f.now)
 		}
 	}
@@ -184,8 +184,8 @@
 	notice := catalog.Notice{}
 	if s.send.Upstream.ID == limited && f.limit > 0 {
 		notice = catalog.Notice{Limited: true, RateLimit: f.limit}
-		if e.toldAt == 0 {
-			e.toldAt = f.now
+		if e.reportedAt == 0 {
+			e.reportedAt = f.now
 		}
 	}
 	e.rig.step(forward.AnswerHeadReceived{
--- a/internal/core/phase_propagation_test.go
+++ b/internal/core/phase_propagation_test.go
@@ -47,7 +47,7 @@
 				Digest: strings.Repeat("0a", 32), Generation: 1 << 40,
 			}}
 			p.state.Rollout.Upstreams[name] = u
-			p.state.Rollout.Names = append(p.state.Rollout.Names, name)
+			p.state.Rollout.UpstreamNames = append(p.state.Rollout.UpstreamNames, name)
 		}
 		c.step(p, core.StopRequested{})
 	}
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -18,7 +18,7 @@
 	s.replan = false
 	replicas := s.replicas()
 	wants := map[string]*weights.Want{}
-	for _, name := range s.Rollout.Names {
+	for _, name := range s.Rollout.UpstreamNames {
 		u := s.Rollout.Upstreams[name]
 		digest := ""
 		key := setting.Key(u.Team, u.Service)
--- a/internal/core/record/digest_test.go
+++ b/internal/core/record/digest_test.go
@@ -65,7 +65,7 @@
 					if x.Dynamic != 0 {
 						n++
 					}
-					reduce(s, now, record.ExchangeAnswered{From: "e", Same: true, Standing: entry}, peers)
+					reduce(s, now, record.ExchangeAnswered{From: "e", Same: true, Coverage: entry}, peers)
 				}
 			}
 		}
@@ -84,10 +84,10 @@
 	fresh := newState()
 	entry := record.Coverage{Dynamic: true, SettingsKnown: true, Floor: 1}
 	var empty record.Sums
-	a := reduce(fresh, start, record.ExchangeAsked{From: "e", Common: empty.Common(), Standing: entry}, record.Peers{})[0].(record.ExchangeAnswer)
+	a := reduce(fresh, start, record.ExchangeAsked{From: "e", Common: empty.Common(), Coverage: entry}, record.Peers{})[0].(record.ExchangeAnswer)
 	require.True(t, a.Same)
 	require.False(t, fresh.DynamicMerged)
-	reduce(fresh, start, record.ExchangeAsked{From: "e", Common: empty.Common(), Dynamic: empty.Dynamic(), Standing: entry}, record.Peers{})
+	reduce(fresh, start, record.ExchangeAsked{From: "e", Common: empty.Common(), Dynamic: empty.Dynamic(), Coverage: entry}, record.Peers{})
 	require.True(t, fresh.DynamicMerged)
 }
 
@@ -99,13 +99,13 @@
 	deliver(asker, phase("a", 1), phase("b", 1), phase("c", 2), phase("same", 3), phase("gone", 1))
 	deliver(peer, phase("b", 2), phase("c", 1), phase("d", 1), phase("same", 3), gone)
 	a := reduce(peer, start, record.ExchangeAsked{Common: 1, Dynamic: 1}, record.Peers{})[0].(record.ExchangeAnswer)
-	c := reduce(asker, start, record.ExchangeAnswered{From: "peer", Digest: a.Digest, Standing: a.Standing}, record.Peers{})[0].(record.Compare)
+	c := reduce(asker, start, record.ExchangeAnswered{From: "peer", Digest: a.Digest, Coverage: a.Coverage}, record.Peers{})[0].(record.Compare)
 	require.Empty(t, c.Versions, "dynamic records are compared by their fingerprints")
 	got := reduce(peer, start, record.CompareAsked{Buckets: c.Buckets, Versions: c.Versions, Fingerprints: c.Fingerprints}, record.Peers{})[0].(record.CompareAnswer)
 	for _, r := range got.Records {
 		require.NotEqual(t, record.PhasePrefix+"same", r.Key)
 	}
-	pushes := reduce(asker, start, record.Compared{From: "peer", Records: got.Records, Wants: got.Wants, WantPrints: got.WantPrints}, record.Peers{})
+	pushes := reduce(asker, start, record.Compared{From: "peer", Records: got.Records, Wants: got.Wants, WantFingerprints: got.WantFingerprints}, record.Peers{})
 	var back []step.Effect
 	for _, e := range pushes {
 		back = append(back, reduce(peer, start, record.Received{From: "asker", Records: e.(record.Push).Records}, record.Peers{})...)
--- a/internal/core/record/exchange.go
+++ b/internal/core/record/exchange.go
@@ -42,7 +42,7 @@
 	// Common and Dynamic are the peer's hashes over all its buckets. Dynamic is 0 when it is left out.
 	Common   uint64
 	Dynamic  uint64
-	Standing Coverage
+	Coverage Coverage
 }
 
 // ExchangeAnswered reports that a peer answered an Exchange with its own sums.
@@ -51,7 +51,7 @@
 	// Same is set when the states are equal. Otherwise Digest contains the peer's sums.
 	Same     bool
 	Digest   []byte
-	Standing Coverage
+	Coverage Coverage
 }
 
 // KeyVersion identifies a version of a record. Its JSON names are short like those of Record.
@@ -79,11 +79,11 @@
 	Records []Record
 	// Wants are the keys of records that the peer lacks or has in an older version.
 	Wants []string
-	// WantPrints are the fingerprints of the dynamic records that the peer lacks.
-	WantPrints []byte
+	// WantFingerprints are the fingerprints of the dynamic records that the peer lacks.
+	WantFingerprints []byte
 	// Partial is set when the answer was cut off at the limit of records or bytes.
 	Partial  bool
-	Standing Coverage
+	Coverage Coverage
 }
 
 // Event marks the type as an event.
@@ -103,7 +103,7 @@
 	To       string
 	Common   uint64
 	Dynamic  uint64
-	Standing Coverage
+	Coverage Coverage
 }
 
 // ExchangeAnswer answers an Asked.
@@ -112,7 +112,7 @@
 	// Same is set when the states are equal. Otherwise Digest contains the sums of this process.
 	Same     bool
 	Digest   []byte
-	Standing Coverage
+	Coverage Coverage
 }
 
 // Compare sends the versions of this process's records in the buckets that differ.
@@ -121,8 +121,8 @@
 	Buckets      []int
 	Versions     []KeyVersion
 	Fingerprints []byte
-	// Standing is what the peer reported before; the shell returns it with Compared.
-	Standing Coverage
+	// Coverage is what the peer reported before; the shell returns it with Compared.
+	Coverage Coverage
 }
 
 // CompareAnswer answers a CompareAsked.
@@ -131,8 +131,8 @@
 	Records []Record
 	// Wants are the keys of records that this process lacks or has in an older version.
 	Wants []string
-	// WantPrints are the fingerprints of the dynamic records that this process lacks.
-	WantPrints []byte
+	// WantFingerprints are the fingerprints of the dynamic records that this process lacks.
+	WantFingerprints []byte
 	// Partial is set when the answer was cut off at the limit of records or bytes.
 	Partial bool
 }
@@ -149,16 +149,16 @@
 // Effect marks the type as an effect.
 func (CompareAnswer) Effect() {}
 
-// standing returns what this process reports about its own state.
-func (s *State) standing(now time.Time) Coverage {
+// coverage returns what this process reports about its own state.
+func (s *State) coverage(now time.Time) Coverage {
 	if !s.SettingsKnown {
 		return Coverage{}
 	}
 	return Coverage{Dynamic: s.holdDynamic, SettingsKnown: true, Floor: s.Floor, AgeMS: now.Sub(s.FloorCurrentAt).Milliseconds()}
 }
 
-// adoptStanding raises Floor and Fresh to those of a peer whose complete state was merged.
-func (s *State) adoptStanding(now time.Time, from string, st Coverage) {
+// adoptCoverage raises Floor and Fresh to those of a peer whose complete state was merged.
+func (s *State) adoptCoverage(now time.Time, from string, st Coverage) {
 	if !st.SettingsKnown {
 		return
 	}
@@ -177,15 +177,15 @@
 	return s.sums.Dynamic()
 }
 
-// handleAsked compares a peer's sums with those of this process.
-func (s *State) handleAsked(in step.Input, ask ExchangeAsked) ExchangeAnswer {
-	a := ExchangeAnswer{Call: ask.Call, Standing: s.standing(in.Now)}
+// handleExchangeAsked compares a peer's sums with those of this process.
+func (s *State) handleExchangeAsked(in step.Input, ask ExchangeAsked) ExchangeAnswer {
+	a := ExchangeAnswer{Call: ask.Call, Coverage: s.coverage(in.Now)}
 	both := s.holdDynamic && ask.Dynamic != 0
 	a.Same = s.sums.Common() == ask.Common && (!both || s.sums.Dynamic() == ask.Dynamic)
 	if a.Same {
 		// Records that were not compared do not count as received.
-		ask.Standing.Dynamic = ask.Standing.Dynamic && both
-		s.adoptStanding(in.Now, ask.From, ask.Standing)
+		ask.Coverage.Dynamic = ask.Coverage.Dynamic && both
+		s.adoptCoverage(in.Now, ask.From, ask.Coverage)
 		return a
 	}
 	switch {
@@ -199,18 +199,18 @@
 	return a
 }
 
-// handleAnswered compares a peer's digest and asks for the differences, if any.
-func (s *State) handleAnswered(in step.Input, ev ExchangeAnswered) []step.Effect {
-	if ev.Standing.Dynamic && !in.Now.Before(s.nextDynamicCompare) {
+// handleExchangeAnswered compares a peer's digest and asks for the differences, if any.
+func (s *State) handleExchangeAnswered(in step.Input, ev ExchangeAnswered) []step.Effect {
+	if ev.Coverage.Dynamic && !in.Now.Before(s.nextDynamicCompare) {
 		s.nextDynamicCompare = in.Now.Add(DynamicInterval)
 	}
 	if ev.Same {
-		s.adoptStanding(in.Now, ev.From, ev.Standing)
+		s.adoptCoverage(in.Now, ev.From, ev.Coverage)
 		return nil
 	}
 	from, sums := unpack(ev.Digest)
 	differs := map[int]bool{}
-	c := Compare{To: ev.From, Standing: ev.Standing}
+	c := Compare{To: ev.From, Coverage: ev.Coverage}
 	for i, sum := range sums {
 		b := from + i
 		if sum != s.sums[b] {
@@ -243,7 +243,7 @@
 	for _, fp := range decodeFingerprints(ask.Fingerprints) {
 		known[fp] = true
 		if _, held := s.keyByFingerprint[fp]; s.holdDynamic && !held {
-			a.WantPrints = binary.BigEndian.AppendUint64(a.WantPrints, fp)
+			a.WantFingerprints = binary.BigEndian.AppendUint64(a.WantFingerprints, fp)
 		}
 	}
 	requested := map[int]bool{}
@@ -283,12 +283,12 @@
 func (s *State) handleCompared(in step.Input, ev Compared) ([]Record, []step.Effect) {
 	changed, newer := s.merge(in.Now, ev.From, ev.Records)
 	if !ev.Partial {
-		s.adoptStanding(in.Now, ev.From, ev.Standing)
+		s.adoptCoverage(in.Now, ev.From, ev.Coverage)
 	}
 	for _, key := range ev.Wants {
 		if r, known := s.Records[key]; known {
 			newer = append(newer, r)
 		}
 	}
-	return changed, append(splitIntoPushes(ev.From, newer), s.handleWanted(OfferAnswered{From: ev.From, Fingerprints: ev.WantPrints})...)
+	return changed, append(splitIntoPushes(ev.From, newer), s.handleOfferAnswered(OfferAnswered{From: ev.From, Fingerprints: ev.WantFingerprints})...)
 }
--- a/internal/core/record/offer.go
+++ b/internal/core/record/offer.go
@@ -109,8 +109,8 @@
 	return a
 }
 
-// handleWanted sends the requested records. Those that changed since the offer are offered again anyway.
-func (s *State) handleWanted(ev OfferAnswered) []step.Effect {
+// handleOfferAnswered sends the requested records. Those that changed since the offer are offered again anyway.
+func (s *State) handleOfferAnswered(ev OfferAnswered) []step.Effect {
 	var records []Record
 	for _, fp := range decodeFingerprints(ev.Fingerprints) {
 		if key, held := s.keyByFingerprint[fp]; held {
--- a/internal/core/record/push.go
+++ b/internal/core/record/push.go
@@ -40,7 +40,7 @@
 		return effects
 	}
 	s.nextExchange = in.Now.Add(s.exchangeInterval(len(peers.Entries) > 0))
-	e := Exchange{To: s.exchangePeer(in, peers), Common: s.sums.Common(), Dynamic: s.dynamicSum(in.Now), Standing: s.standing(in.Now)}
+	e := Exchange{To: s.exchangePeer(in, peers), Common: s.sums.Common(), Dynamic: s.dynamicSum(in.Now), Coverage: s.coverage(in.Now)}
 	return append(effects, e)
 }
 
--- a/internal/core/record/record.go
+++ b/internal/core/record/record.go
@@ -145,11 +145,11 @@
 	case Offered:
 		return nil, []step.Effect{s.handleOffered(in.Now, ev)}
 	case OfferAnswered:
-		return nil, s.handleWanted(ev)
+		return nil, s.handleOfferAnswered(ev)
 	case ExchangeAsked:
-		return nil, []step.Effect{s.handleAsked(in, ev)}
+		return nil, []step.Effect{s.handleExchangeAsked(in, ev)}
 	case ExchangeAnswered:
-		return nil, s.handleAnswered(in, ev)
+		return nil, s.handleExchangeAnswered(in, ev)
 	case CompareAsked:
 		return nil, []step.Effect{s.handleCompareAsked(ev)}
 	case Compared:
--- a/internal/core/record/record_test.go
+++ b/internal/core/record/record_test.go
@@ -119,10 +119,10 @@
 		return effects[0]
 	}
 	a := reduce(peer, record.ExchangeAsked{From: "asker", Common: 1, Dynamic: 1}).(record.ExchangeAnswer)
-	c := reduce(asker, record.ExchangeAnswered{From: "peer", Digest: a.Digest, Standing: a.Standing}).(record.Compare)
+	c := reduce(asker, record.ExchangeAnswered{From: "peer", Digest: a.Digest, Coverage: a.Coverage}).(record.Compare)
 	got := reduce(peer, record.CompareAsked{Buckets: c.Buckets, Versions: c.Versions, Fingerprints: c.Fingerprints}).(record.CompareAnswer)
 	raw, err := json.Marshal(got)
 	require.NoError(t, err)
 	require.Less(t, len(raw), 4<<20, "the answer must fit into one message")
-	reduce(asker, record.Compared{From: "peer", Records: got.Records, Wants: got.Wants, WantPrints: got.WantPrints, Partial: got.Partial, Standing: c.Standing})
+	reduce(asker, record.Compared{From: "peer", Records: got.Records, Wants: got.Wants, WantFingerprints: got.WantFingerprints, Partial: got.Partial, Coverage: c.Coverage})
 }
--- a/internal/core/replicas.go
+++ b/internal/core/replicas.go
@@ -110,7 +110,7 @@
 		Host: s.Self.Host, Address: s.Self.Address, Place: s.Self.Place, Region: s.Self.Region,
 		Role: s.Self.Role, Leaving: s.leaving, Incarnation: s.Self.Incarnation,
 	}
-	for _, name := range s.Rollout.Names {
+	for _, name := range s.Rollout.UpstreamNames {
 		a.Upstreams = append(a.Upstreams, s.Rollout.Upstreams[name].Upstream)
 	}
 	return a
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -161,8 +161,8 @@
 // State holds the upstreams by name.
 type State struct {
 	Upstreams map[string]*Upstream
-	// Names lists the upstreams' names in the order of the process's settings.
-	Names []string
+	// UpstreamNames lists the upstreams' names in the order of the process's settings.
+	UpstreamNames []string
 	// Incarnation is nil before Begin.
 	Incarnation *incarnation.State
 	// Slots holds the slots of each engine's service, by the key of their object.
@@ -190,7 +190,7 @@
 			u.Phase = member.Serving
 		}
 		s.Upstreams[u.Name] = &u
-		s.Names = append(s.Names, u.Name)
+		s.UpstreamNames = append(s.UpstreamNames, u.Name)
 	}
 	return s
 }
@@ -234,7 +234,7 @@
 	before := s.advertised()
 	effects = s.handle(in)
 	effects = append(effects, s.advance(in, complete)...)
-	for i, name := range s.Names {
+	for i, name := range s.UpstreamNames {
 		changed = changed || before[i] != s.Upstreams[name].Upstream
 	}
 	return changed, effects
@@ -242,8 +242,8 @@
 
 // advertised returns a copy of the advertised state of all upstreams.
 func (s *State) advertised() []member.Upstream {
-	list := make([]member.Upstream, 0, len(s.Names))
-	for _, name := range s.Names {
+	list := make([]member.Upstream, 0, len(s.UpstreamNames))
+	for _, name := range s.UpstreamNames {
 		list = append(list, s.Upstreams[name].Upstream)
 	}
 	return list
@@ -286,7 +286,7 @@
 	}
 	var effects []step.Effect
 	s.renewLease = false
-	for _, name := range s.Names {
+	for _, name := range s.UpstreamNames {
 		u := s.Upstreams[name]
 		if u.Kind != setting.Engine {
 			continue
--- a/internal/core/rollout/slots.go
+++ b/internal/core/rollout/slots.go
@@ -11,7 +11,7 @@
 // createSlots creates the slots of the services of this host's engines.
 func (s *State) createSlots(ev OrdersEnabled) {
 	s.Slots = map[string]*slot.Service{}
-	for _, name := range s.Names {
+	for _, name := range s.UpstreamNames {
 		u := s.Upstreams[name]
 		if u.Kind == setting.Engine {
 			s.Slots[slot.Key(u.Team, u.Service)] = slot.NewService(u.Team, u.Service, ev.Host, ev.Timing.Slots)
@@ -41,7 +41,7 @@
 	}
 	var effects []step.Effect
 	done := map[string]bool{}
-	for _, name := range s.Names {
+	for _, name := range s.UpstreamNames {
 		u := s.Upstreams[name]
 		key := slot.Key(u.Team, u.Service)
 		service := s.Slots[key]
--- a/internal/core/run/reduce.go
+++ b/internal/core/run/reduce.go
@@ -10,8 +10,8 @@
 	"samphireweir.example/samphireweir/internal/core/suspect"
 )
 
-// handleAsked decides whether a request starts, waits in the queue or is refused.
-func (s *State) handleAsked(in step.Input, ev StartRequested, upstreams *rollout.State, verdicts SuspectStatuses) []step.Effect {
+// handleStartRequested decides whether a request starts, waits in the queue or is refused.
+func (s *State) handleStartRequested(in step.Input, ev StartRequested, upstreams *rollout.State, verdicts SuspectStatuses) []step.Effect {
 	if refusal, known := s.answerRepeated(ev); known {
 		return []step.Effect{refusal}
 	}
--- a/internal/core/run/run.go
+++ b/internal/core/run/run.go
@@ -213,7 +213,7 @@
 func (s *State) Reduce(in step.Input, upstreams *rollout.State, verdicts SuspectStatuses) []step.Effect {
 	switch ev := in.Event.(type) {
 	case StartRequested:
-		return s.handleAsked(in, ev, upstreams, verdicts)
+		return s.handleStartRequested(in, ev, upstreams, verdicts)
 	case Crashed:
 		if r := s.Running[ev.ID]; r != nil {
 			s.crashedBootIDs[r.Upstream] = r.bootID
--- a/internal/core/served.go
+++ b/internal/core/served.go
@@ -62,7 +62,7 @@
 	s.nextServed = in.Now.Add(servedInterval)
 	asked := map[string]bool{}
 	var effects []step.Effect
-	for _, name := range s.Rollout.Names {
+	for _, name := range s.Rollout.UpstreamNames {
 		u := s.Rollout.Upstreams[name]
 		key := setting.Key(u.Team, u.Service)
 		target, known := s.Settings[key]
--- a/internal/core/suspect/suspect_test.go
+++ b/internal/core/suspect/suspect_test.go
@@ -84,9 +84,9 @@
 	next, ok := s.Crashed(now.Add(QuarantineDuration), f, false)
 	require.True(t, ok)
 	assert.True(t, quarantine.Version.Less(next.Version))
-	unheard, ok := NewState().Crashed(now.Add(QuarantineDuration+time.Millisecond), f, false)
+	unaware, ok := NewState().Crashed(now.Add(QuarantineDuration+time.Millisecond), f, false)
 	require.True(t, ok)
-	assert.True(t, quarantine.Version.Less(unheard.Version), "an ended quarantine must not hide a new suspect mark")
+	assert.True(t, quarantine.Version.Less(unaware.Version), "an ended quarantine must not hide a new suspect mark")
 }
 
 // A process whose clock is ahead starts an episode with a number above the end of the quarantine. The quarantine of that
--- a/internal/core/weights/burst.go
+++ b/internal/core/weights/burst.go
@@ -84,12 +84,12 @@
 	// fallbackTurns is the number of idle turns after which this host began to fetch from the
 	// origin by itself; 0 while it does not.
 	fallbackTurns int
-	// trouble is the result code of the problem that blocks the burst; 0 if there is none.
-	trouble code.Code
+	// blockedBy is the result code of the problem that blocks the burst; 0 if there is none.
+	blockedBy code.Code
 
 	Counts Counts
-	// reportedTrouble is the trouble last reported to other processes.
-	reportedTrouble code.Code
+	// reportedBlockedBy is the trouble last reported to other processes.
+	reportedBlockedBy code.Code
 }
 
 // Counts are the bytes received by this host for a version, by the tier they came from, and the
@@ -148,7 +148,7 @@
 		return nil
 	}
 	b.Manifest = ev.Manifest
-	b.trouble = 0
+	b.blockedBy = 0
 	n := len(ev.Manifest.Chunks)
 	b.chunks = make([]chunk, n)
 	b.keys = make([]uint64, n)
@@ -195,7 +195,7 @@
 }
 
 func (b *Burst) manifestFailed(in step.Input, ev ManifestFailed) []step.Effect {
-	b.trouble = ev.Code
+	b.blockedBy = ev.Code
 	switch ev.Code {
 	case code.MemoryTooSmall:
 		b.nextManifestAttempt = in.Now.Add(memoryRetryInterval)
@@ -246,7 +246,7 @@
 	effects := b.cancelDuplicates(ev.Index)
 	if tier == FromOrigin {
 		b.originFailures = 0
-		b.trouble = 0
+		b.blockedBy = 0
 		b.recordOriginChunk(in.Now, true)
 		b.recordSlotChunk(in, ev.Index)
 		b.queueForCandidates(ev.Index)
@@ -256,7 +256,7 @@
 	}
 	if b.complete() {
 		b.completedAt = in.Now
-		b.trouble = 0
+		b.blockedBy = 0
 	}
 	effects = append(effects, b.announceIfDue(in)...)
 	return append(effects, b.scheduleFetches(in)...)
@@ -364,8 +364,8 @@
 	if b.complete() {
 		return effects
 	}
-	if b.trouble == 0 && b.outage.prolonged(in.Now) {
-		b.trouble = code.SourceUnavailable
+	if b.blockedBy == 0 && b.outage.prolonged(in.Now) {
+		b.blockedBy = code.SourceUnavailable
 	}
 	effects = append(effects, b.pollPeers(in)...)
 	effects = append(effects, b.hedge(in)...)
--- a/internal/core/weights/faults_test.go
+++ b/internal/core/weights/faults_test.go
@@ -256,7 +256,7 @@
 			f.want(newVersion("v1", 8, 0))
 			f.run(20*time.Second, func() bool { return false })
 			for _, h := range f.hosts {
-				require.Equal(t, c.want, h.state.View(f.now)[0].Trouble)
+				require.Equal(t, c.want, h.state.View(f.now)[0].BlockedBy)
 				require.Empty(t, h.completed)
 			}
 		})
--- a/internal/core/weights/fetch.go
+++ b/internal/core/weights/fetch.go
@@ -209,7 +209,7 @@
 
 // recordMemoryFull postpones a chunk for which this host has no free memory.
 func (b *Burst) recordMemoryFull(in step.Input, c int) {
-	b.trouble = code.MemoryTooSmall
+	b.blockedBy = code.MemoryTooSmall
 	b.chunks[c].retryAt = in.Now.Add(memoryRetryInterval)
 }
 
--- a/internal/core/weights/mesh.go
+++ b/internal/core/weights/mesh.go
@@ -189,7 +189,7 @@
 
 // requestManifestFrom fetches the manifest from a peer that has it.
 func (b *Burst) requestManifestFrom(in step.Input, p *peer, ev PeerHas) []step.Effect {
-	if ev.All == nil && ev.New == nil || b.trouble == code.MemoryTooSmall || in.Now.Before(b.nextPeerManifest) {
+	if ev.All == nil && ev.New == nil || b.blockedBy == code.MemoryTooSmall || in.Now.Before(b.nextPeerManifest) {
 		return nil
 	}
 	b.nextPeerManifest = in.Now.Add(manifestRetryInterval / 2)
--- a/internal/core/weights/origin.go
+++ b/internal/core/weights/origin.go
@@ -232,17 +232,17 @@
 	b.fallbackTurns = 0
 	clear(b.tookOverSlot)
 	if b.originFailures >= reportedFailures {
-		b.trouble = code.SourceUnavailable
+		b.blockedBy = code.SourceUnavailable
 	}
 }
 
 func (b *Burst) recordCorruptOrigin(why Reason, c *chunk) {
 	if why == Changed {
-		b.trouble = code.SourceChanged
+		b.blockedBy = code.SourceChanged
 		return
 	}
 	if c.originFailures >= reportedFailures {
-		b.trouble = code.ChunkCorrupt
+		b.blockedBy = code.ChunkCorrupt
 	}
 }
 
--- a/internal/core/weights/outage.go
+++ b/internal/core/weights/outage.go
@@ -162,8 +162,8 @@
 	}
 	b.outage.endedAt = now
 	b.originRetryAt, b.originFailures = time.Time{}, 0
-	if b.trouble == code.SourceUnavailable {
-		b.trouble = 0
+	if b.blockedBy == code.SourceUnavailable {
+		b.blockedBy = 0
 	}
 }
 
--- a/internal/core/weights/state.go
+++ b/internal/core/weights/state.go
@@ -25,8 +25,8 @@
 	earlyPeers map[string][]string
 	// fetchCount numbers the fetches.
 	fetchCount uint64
-	// nextTroubleReport is the earliest time of the next report of blocked bursts.
-	nextTroubleReport time.Time
+	// nextBlockedReport is the earliest time of the next report of blocked bursts.
+	nextBlockedReport time.Time
 }
 
 const (
--- a/internal/core/weights/state_test.go
+++ b/internal/core/weights/state_test.go
@@ -70,11 +70,11 @@
 	s := weights.NewState(weights.Peer{Address: "a", Place: "p", Region: "r"})
 	s.SetWants(at(0, nil), []weights.Want{wantOf(v)})
 	s.Reduce(at(0, weights.ManifestFailed{Digest: v.digest, From: weights.Origin, Code: code.MemoryTooSmall}))
-	require.Equal(t, code.MemoryTooSmall, s.View(at(0, nil).Now)[0].Trouble)
+	require.Equal(t, code.MemoryTooSmall, s.View(at(0, nil).Now)[0].BlockedBy)
 	require.Empty(t, s.Reduce(at(time.Second, step.Tick{})))
 	require.NotEmpty(t, s.Reduce(at(6*time.Second, step.Tick{})))
 	s.Reduce(at(6*time.Second, weights.ManifestRead{Digest: v.digest, Manifest: v.manifest}))
-	require.Zero(t, s.View(at(0, nil).Now)[0].Trouble)
+	require.Zero(t, s.View(at(0, nil).Now)[0].BlockedBy)
 }
 
 // TestUploadsAreBounded checks that a few uploads start, some wait with delegates from other data
--- a/internal/core/weights/summary.go
+++ b/internal/core/weights/summary.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// minTroubleInterval is the minimum time between two reports of blocked bursts. Each report is
+	// minBlockedInterval is the minimum time between two reports of blocked bursts. Each report is
 	// sent to all entries, so reports must be rare.
-	minTroubleInterval = 5 * time.Second
+	minBlockedInterval = 5 * time.Second
 	percentScale       = 100
 )
 
@@ -42,7 +42,7 @@
 func (p Progress) summary() Summary {
 	return Summary{
 		Digest: p.Digest, Percent: p.Percent(), Rate: p.Rate, LeftMS: p.Left.Milliseconds(),
-		From: p.Counts.Bytes, BlockedBy: p.Trouble,
+		From: p.Counts.Bytes, BlockedBy: p.BlockedBy,
 	}
 }
 
@@ -68,18 +68,18 @@
 // BlockedReportDue reports whether a burst became blocked or unblocked since the last report and a new
 // report is due.
 func (s *State) BlockedReportDue(in step.Input) bool {
-	if in.Now.Before(s.nextTroubleReport) {
+	if in.Now.Before(s.nextBlockedReport) {
 		return false
 	}
 	due := false
 	for _, b := range s.Bursts {
-		if b.trouble != b.reportedTrouble {
-			b.reportedTrouble = b.trouble
+		if b.blockedBy != b.reportedBlockedBy {
+			b.reportedBlockedBy = b.blockedBy
 			due = true
 		}
 	}
 	if due {
-		s.nextTroubleReport = in.Now.Add(minTroubleInterval)
+		s.nextBlockedReport = in.Now.Add(minBlockedInterval)
 	}
 	return due
 }
--- a/internal/core/weights/view.go
+++ b/internal/core/weights/view.go
@@ -35,8 +35,8 @@
 	Took time.Duration `json:"took_ns"`
 	// Quiet is the time since the last progress of an incomplete burst.
 	Quiet time.Duration `json:"quiet_ns"`
-	// Trouble is the result code of the problem that blocks the burst; 0 if none is known.
-	Trouble code.Code `json:"trouble"`
+	// BlockedBy is the result code of the problem that blocks the burst; 0 if none is known.
+	BlockedBy code.Code `json:"trouble"`
 	// Unheld is the number of missing chunks that no reachable peer is known to have.
 	Unheld int `json:"unheld"`
 }
@@ -62,7 +62,7 @@
 func (b *Burst) view(now time.Time) Progress {
 	p := Progress{
 		Ref: b.Ref, Digest: b.Digest, Policy: b.Policy, Chunks: len(b.chunks), Held: len(b.chunks) - b.missing.len(),
-		Counts: b.Counts, Hosts: 1, Links: b.linkCount(), Senders: b.senders(), OriginFetches: b.originFetches, Trouble: b.trouble,
+		Counts: b.Counts, Hosts: 1, Links: b.linkCount(), Senders: b.senders(), OriginFetches: b.originFetches, BlockedBy: b.blockedBy,
 	}
 	for _, other := range b.peers {
 		if other.listed {
--- a/internal/experiment/faults/kinds.go
+++ b/internal/experiment/faults/kinds.go
@@ -44,7 +44,7 @@
 
 // catalogue returns all kinds of faults.
 func catalogue() []fault {
-	return append(processFaults(), outsideFaults()...)
+	return append(processFaults(), standInFaults()...)
 }
 
 func faultNames() []string {
--- a/internal/experiment/faults/outside.go
+++ b/internal/experiment/faults/outside.go
@@ -9,8 +9,8 @@
 	"samphireweir.example/samphireweir/internal/demo/layout"
 )
 
-// outsideFaults returns the faults of the systems around the product.
-func outsideFaults() []fault {
+// standInFaults returns the faults of the systems around the product.
+func standInFaults() []fault {
 	plain, engines := plainOf, enginesOf
 	list := []fault{
 		{name: "crash-engine", about: "crash of an engine, restarted after 1 s", hold: time.Second, prepare: oneEngine(`{"crash":true,"restart_ms":1000}`, ``)},
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -132,7 +132,7 @@
 	control *http.ResponseController
 
 	mu   sync.Mutex
-	pace intake.BodyRate
+	rate intake.BodyRate
 	// readStartedAt is when the last read started.
 	readStartedAt time.Time
 	released      bool
@@ -153,11 +153,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.readStartedAt = time.Now()
-	if b.pace.TooSlow() {
+	if b.rate.TooSlow() {
 		return errBodyTooSlow()
 	}
 	if !b.released {
-		_ = b.control.SetReadDeadline(b.earlierDeadline(b.readStartedAt.Add(b.pace.Timeout())))
+		_ = b.control.SetReadDeadline(b.earlierDeadline(b.readStartedAt.Add(b.rate.Timeout())))
 	}
 	return nil
 }
@@ -180,8 +180,8 @@
 func (b *guardedBody) endRead(n int, err error) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.pace.Bytes += int64(n)
-	b.pace.Waited += time.Since(b.readStartedAt)
+	b.rate.Bytes += int64(n)
+	b.rate.Waited += time.Since(b.readStartedAt)
 	if b.released {
 		return err
 	}
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -48,7 +48,7 @@
 // fail with a result code, and it can still answer.
 func TestStalledBodyFailsWithCode(t *testing.T) {
 	address := serveTest(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b := &guardedBody{ReadCloser: r.Body, control: http.NewResponseController(w), pace: intake.BodyRate{Waited: intake.RateGrace - guardTimeout}}
+		b := &guardedBody{ReadCloser: r.Body, control: http.NewResponseController(w), rate: intake.BodyRate{Waited: intake.RateGrace - guardTimeout}}
 		defer b.release()
 		_, err := io.ReadAll(b)
 		_, again := b.Read(make([]byte, 1))
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -18,9 +18,9 @@
 
 // Loop owns the state of a process and serializes the events that change it.
 type Loop struct {
-	mu    sync.Mutex
-	state *core.State
-	carry Executor
+	mu      sync.Mutex
+	state   *core.State
+	execute Executor
 	// observer is nil when nothing observes the loop.
 	observer Observer
 }
@@ -39,7 +39,7 @@
 func (l *Loop) SetObserver(o Observer) { l.observer = o }
 
 // SetExecutor sets the function that carries out effects. It must be called before the first Step.
-func (l *Loop) SetExecutor(c Executor) { l.carry = c }
+func (l *Loop) SetExecutor(c Executor) { l.execute = c }
 
 // Step reduces one event and carries out its effects.
 func (l *Loop) Step(ev step.Event) {
@@ -51,7 +51,7 @@
 		if l.observer != nil {
 			l.observer.ObserveEffect(e)
 		}
-		l.carry(e)
+		l.execute(e)
 	}
 }
 
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -27,30 +27,30 @@
 type exchangeMessage struct {
 	Common   uint64          `json:"common"`
 	Dynamic  uint64          `json:"dynamic,omitempty"`
-	Standing record.Coverage `json:"standing"`
+	Coverage record.Coverage `json:"standing"`
 }
 
 type exchangeAnswer struct {
 	Same     bool            `json:"same,omitempty"`
 	Digest   []byte          `json:"digest,omitempty"`
-	Standing record.Coverage `json:"standing"`
+	Coverage record.Coverage `json:"standing"`
 }
 
 type compareMessage struct {
-	Buckets  []int               `json:"buckets"`
-	Versions []record.KeyVersion `json:"versions"`
-	Prints   []byte              `json:"prints,omitempty"`
+	Buckets      []int               `json:"buckets"`
+	Versions     []record.KeyVersion `json:"versions"`
+	Fingerprints []byte              `json:"prints,omitempty"`
 }
 
 type compareAnswer struct {
-	Records    []record.Record `json:"records,omitempty"`
-	Wants      []string        `json:"wants,omitempty"`
-	WantPrints []byte          `json:"want_prints,omitempty"`
-	Partial    bool            `json:"partial,omitempty"`
+	Records          []record.Record `json:"records,omitempty"`
+	Wants            []string        `json:"wants,omitempty"`
+	WantFingerprints []byte          `json:"want_prints,omitempty"`
+	Partial          bool            `json:"partial,omitempty"`
 }
 
 type offerMessage struct {
-	Prints []byte `json:"prints"`
+	Fingerprints []byte `json:"prints"`
 }
 
 type offerAnswer struct {
@@ -109,24 +109,24 @@
 
 func (p *Process) exchange(e record.Exchange) {
 	var a exchangeAnswer
-	m := exchangeMessage{Common: e.Common, Dynamic: e.Dynamic, Standing: e.Standing}
+	m := exchangeMessage{Common: e.Common, Dynamic: e.Dynamic, Coverage: e.Coverage}
 	if p.callPeer(e.To, exchangeMethod, m, &a) != nil || record.CheckDigest(a.Digest) != nil {
 		return
 	}
-	p.Loop.Step(record.ExchangeAnswered{From: e.To, Same: a.Same, Digest: a.Digest, Standing: a.Standing})
+	p.Loop.Step(record.ExchangeAnswered{From: e.To, Same: a.Same, Digest: a.Digest, Coverage: a.Coverage})
 }
 
 func (p *Process) compare(e record.Compare) {
 	var a compareAnswer
-	if p.callPeer(e.To, compareMethod, compareMessage{Buckets: e.Buckets, Versions: e.Versions, Prints: e.Fingerprints}, &a) != nil {
+	if p.callPeer(e.To, compareMethod, compareMessage{Buckets: e.Buckets, Versions: e.Versions, Fingerprints: e.Fingerprints}, &a) != nil {
 		return
 	}
-	p.Loop.Step(record.Compared{From: e.To, Records: a.Records, Wants: a.Wants, WantPrints: a.WantPrints, Partial: a.Partial, Standing: e.Standing})
+	p.Loop.Step(record.Compared{From: e.To, Records: a.Records, Wants: a.Wants, WantFingerprints: a.WantFingerprints, Partial: a.Partial, Coverage: e.Coverage})
 }
 
 func (p *Process) offer(e record.Offer) {
 	var a offerAnswer
-	if p.callPeer(e.To, offerMethod, offerMessage{Prints: e.Fingerprints}, &a) != nil || record.CheckFingerprints(a.Wants) != nil {
+	if p.callPeer(e.To, offerMethod, offerMessage{Fingerprints: e.Fingerprints}, &a) != nil || record.CheckFingerprints(a.Wants) != nil {
 		return
 	}
 	p.Loop.Step(record.OfferAnswered{From: e.To, Fingerprints: a.Wants})
@@ -137,11 +137,11 @@
 	if err := control.Decode(params, &m); err != nil {
 		return nil, err
 	}
-	if err := record.CheckFingerprints(m.Prints); err != nil {
+	if err := record.CheckFingerprints(m.Fingerprints); err != nil {
 		return nil, err
 	}
 	a := p.CallCore(func(call uint64) step.Event {
-		return record.Offered{Call: call, From: from, Fingerprints: m.Prints}
+		return record.Offered{Call: call, From: from, Fingerprints: m.Fingerprints}
 	}).(record.OfferAnswer)
 	return offerAnswer{Wants: a.Wants}, nil
 }
@@ -161,9 +161,9 @@
 		return nil, err
 	}
 	a := p.CallCore(func(call uint64) step.Event {
-		return record.ExchangeAsked{Call: call, From: from, Common: m.Common, Dynamic: m.Dynamic, Standing: m.Standing}
+		return record.ExchangeAsked{Call: call, From: from, Common: m.Common, Dynamic: m.Dynamic, Coverage: m.Coverage}
 	}).(record.ExchangeAnswer)
-	return exchangeAnswer{Same: a.Same, Digest: a.Digest, Standing: a.Standing}, nil
+	return exchangeAnswer{Same: a.Same, Digest: a.Digest, Coverage: a.Coverage}, nil
 }
 
 func (p *Process) handleCompare(_ context.Context, _ string, params json.RawMessage) (any, error) {
@@ -172,7 +172,7 @@
 		return nil, err
 	}
 	a := p.CallCore(func(call uint64) step.Event {
-		return record.CompareAsked{Call: call, Buckets: m.Buckets, Versions: m.Versions, Fingerprints: m.Prints}
+		return record.CompareAsked{Call: call, Buckets: m.Buckets, Versions: m.Versions, Fingerprints: m.Fingerprints}
 	}).(record.CompareAnswer)
-	return compareAnswer{Records: a.Records, Wants: a.Wants, WantPrints: a.WantPrints, Partial: a.Partial}, nil
+	return compareAnswer{Records: a.Records, Wants: a.Wants, WantFingerprints: a.WantFingerprints, Partial: a.Partial}, nil
 }
--- a/internal/soak/fault_injector_test.go
+++ b/internal/soak/fault_injector_test.go
@@ -178,6 +178,6 @@
 		keys = append(keys, key)
 	}
 	s.secondKeyAllowed = allowed
-	s.fleet.Accounts = append([]map[string]any{{"name": "karrakin", "apiKeys": keys}}, s.tenants...)
+	s.fleet.Accounts = append([]map[string]any{{"name": "karrakin", "apiKeys": keys}}, s.accounts...)
 	s.fleet.WriteManifest()
 }
--- a/internal/soak/places_test.go
+++ b/internal/soak/places_test.go
@@ -54,7 +54,7 @@
 	s := &soak{t: t, fleet: standin.NewFleet(t), version: 1, places: []string{"perth-a", "karratha-a", "bunbury-a"}}
 	s.fleet.EvacuationTime, s.fleet.ColdPerS = evacuationDelay, coldRate
 	s.fleet.AddRegionBoundRoute("/bound/", homeRegion)
-	s.tenants = []map[string]any{standin.RegionBoundAccount(homeAccount, homeKey, accountRegion)}
+	s.accounts = []map[string]any{standin.RegionBoundAccount(homeAccount, homeKey, accountRegion)}
 	return &placesSoak{soak: startSoak(t, placesHosts, s), evacuated: map[string][]span{}, cold: map[string][]span{}}
 }
 
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -87,8 +87,8 @@
 	// upstreamProxies are the proxies in front of the upstreams, in the order of upstreams.
 	upstreamProxies []*proxy
 	notices
-	// tenants are client accounts in addition to the default one.
-	tenants []map[string]any
+	// accounts are client accounts in addition to the default one.
+	accounts []map[string]any
 	// places are the data centres to which hosts are assigned in turn. If it is empty, all hosts are in one data centre.
 	places []string
 	// proxiedEntries are the addresses of the proxies in front of the entries, in the order of entries.
--- a/internal/storefeed/peers.go
+++ b/internal/storefeed/peers.go
@@ -251,7 +251,7 @@
 func (n *Peers) step(ev step.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if told, ok := ev.(source.EntriesReported); ok && told.EntryCount >= source.MinEntries {
+	if reported, ok := ev.(source.EntriesReported); ok && reported.EntryCount >= source.MinEntries {
 		defer n.releaseListsIfKnown()
 	}
 	for _, e := range n.state.Reduce(step.Input{Now: time.Now(), Event: ev}) {
