--- a/internal/core/bursts.go
+++ b/internal/core/bursts.go
@@ -63,7 +63,7 @@
 	Text string    `json:"text"`
 }
 
-// Bursts describes the bursts of all engine settings in force. progress holds the reports of the hosts that TakingPart
+// Bursts describes the bursts of all engine settings in force. progress holds the reports of the hosts that BurstHosts
 // lists, by address. For a host without one it uses the advertisement.
 func (s *State) Bursts(now time.Time, progress map[string][]weights.Summary) BurstView {
 	v := BurstView{Bursts: []FleetBurst{}, Local: s.Weights.View(now), Share: s.Weights.Yield.Share, Sent: s.Weights.Uploads.Sent[:]}
--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -20,7 +20,7 @@
 
 // Upstream is one registered upstream of a service.
 type Upstream struct {
-	// ID identifies the upstream. A restarted upstream may reuse its ID; see Life.
+	// ID identifies the upstream. A restarted upstream may reuse its ID; see Instance.
 	ID string
 	// StartedAt is the upstream's start time by its own clock, in milliseconds since 1970; 0 when it is unknown.
 	StartedAt  int64
--- a/internal/core/catalog/version.go
+++ b/internal/core/catalog/version.go
@@ -21,7 +21,7 @@
 	Revision int64
 	// ActivatedAt is the earliest time at which any process is known to have received the activation.
 	ActivatedAt time.Time
-	// Assumed is set while Since is an assumption: the version was found in a list, and no process that received the
+	// Assumed is set while ActivatedAt is an assumption: the version was found in a list, and no process that received the
 	// activation has reported its age.
 	Assumed bool
 }
--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -99,13 +99,13 @@
 	StillRunning
 	// KeyTooOld: the key's time is before the horizon, so its record may have been swept.
 	KeyTooOld
-	// KeyAhead: the key's time is more than MaxAhead in the future.
+	// KeyAhead: the key's time is more than MaxKeyAhead in the future.
 	KeyAhead
 	// KeyReused: the key was used before with another request.
 	KeyReused
 	// NotRecorded: the claim or settlement is certainly not recorded.
 	NotRecorded
-	// Unsure: the claim is not granted but may have been recorded; the asking process must release it.
+	// MaybeRecorded: the claim is not granted but may have been recorded; the asking process must release it.
 	MaybeRecorded
 )
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -69,7 +69,7 @@
 	nextPhases       time.Time
 	phasesPending    bool
 	nextCleanup      time.Time
-	// reportedServed holds the versions that an entry reported as served, by setting key, see AskServed.
+	// reportedServed holds the versions that an entry reported as served, by setting key, see QueryServed.
 	reportedServed map[string][]string
 	nextServed     time.Time
 	// leaving is set while this process accepts no new requests, stopping once a graceful shutdown has begun.
--- a/internal/core/forward/forward.go
+++ b/internal/core/forward/forward.go
@@ -79,7 +79,7 @@
 	BodyReadTime time.Duration
 	// Size is the length of the body in bytes.
 	Size int64
-	// PromptTokens is the length of the prompt in tokens, and Answer the maximum length of the answer; 0 if unknown.
+	// PromptTokens is the length of the prompt in tokens, and MaxAnswerTokens the maximum length of the answer; 0 if unknown.
 	PromptTokens, MaxAnswerTokens int
 	// Fingerprint identifies the request's content and its caller, independent of the request's ID; 0 if unknown.
 	Fingerprint uint64
@@ -96,7 +96,7 @@
 type AttemptEnded struct {
 	ID      uint64
 	Outcome Outcome
-	// Partial is set if part of the answer was passed on to the caller, and Quiet is the time since the last part.
+	// Partial is set if part of the answer was passed on to the caller, and SinceLastPart is the time since the last part.
 	Partial       bool
 	SinceLastPart time.Duration
 }
@@ -127,13 +127,13 @@
 	Versions map[string]int64
 	// RateLimit is the limit that the engine reported to its agent, in requests per second from all entries together; nil for none.
 	RateLimit *float64
-	// Leaving is set if the engine told its agent that it is shutting down.
+	// Leaving is set if the engine reported to its agent that it is shutting down.
 	Leaving bool
-	// ColdRemaining is how much longer the engine is cold, as it told its agent; 0 if it does not say.
+	// ColdRemaining is how much longer the engine is cold, as it reported to its agent; 0 if it does not say.
 	ColdRemaining time.Duration
 	// Slowdown is the engine's processing time relative to what its service declares, as a factor; 0 if it does not say.
 	Slowdown float64
-	// Entries is the number of entries that this agent reports to, and Near the number of these in its data centre.
+	// Entries is the number of entries that this agent reports to, and NearEntries the number of these in its data centre.
 	Entries     int
 	NearEntries int
 }
@@ -296,7 +296,7 @@
 	queues map[string][]uint64
 	// lastQueuedAt is when a request was last put into the queue, or back into it, by service.
 	lastQueuedAt map[string]time.Time
-	// heartbeatTargets are the IDs of the engines whose agents get heartbeats from this entry; nil before the first Greet.
+	// heartbeatTargets are the IDs of the engines whose agents get heartbeats from this entry; nil before the first call of ChooseHeartbeatTargets.
 	heartbeatTargets map[string]bool
 	// unreportedResumeAt ends the pause for engines without a load report, and unreportedPause is the length of the last pause.
 	unreportedResumeAt time.Time
--- a/internal/core/forward/leaving_test.go
+++ b/internal/core/forward/leaving_test.go
@@ -18,7 +18,7 @@
 	r.step(forward.AnswerHeadReceived{Upstream: instance, Sent: begin.Add(r.now), Outcome: outcome, Notice: catalog.Notice{Leaving: true}})
 }
 
-// TestUpstreamThatSaysItIsLeavingGetsNoRequests guards against requests to an upstream that told this entry that it is shutting
+// TestUpstreamThatSaysItIsLeavingGetsNoRequests guards against requests to an upstream that reported to this entry that it is shutting
 // down, while the store, which may be unreachable, still lists it as ready. Without the check, a request was sent to one 2.3 s
 // later.
 func TestUpstreamThatSaysItIsLeavingGetsNoRequests(t *testing.T) {
--- a/internal/core/forward/quarantine.go
+++ b/internal/core/forward/quarantine.go
@@ -109,7 +109,7 @@
 // atRisk counts the upstream instances that a request has crashed or may crash: those found down, those of attempts that broke so
 // recently that the upstream may yet be found down, and those that hold a copy of the request. An upstream may restart and break
 // again before it is found to have been down, so each break counts. The result is 0 as long as no attempt of the request broke. The
-// sum is limited to CrashesToHold, so that concurrent copies crash no more upstreams than successive ones.
+// sum is limited to CrashThreshold, so that concurrent copies crash no more upstreams than successive ones.
 func (s *State) atRisk(now time.Time, r *request) int {
 	down := map[uint32]bool{}
 	for _, upstream := range s.Crashes.RecentCrashes(now, r.fingerprint) {
--- a/internal/core/forward/version.go
+++ b/internal/core/forward/version.go
@@ -9,8 +9,8 @@
 )
 
 // withdrawMargin is how long before a version expires entries withdraw the requests that engines with that version have not
-// started. It covers the delay until the engine is told: an activation is received up to 0.5 s after its confirmation if another
-// one came just before, a tick is 20 ms, and the network takes some milliseconds. Attempts within the last VersionMargin require
+// started. It covers the delay until the engine is informed: an activation is received up to 0.5 s after its confirmation if another
+// one came just before, a tick is 20 ms, and the network takes some milliseconds. Attempts within the last RequireVersionMargin require
 // the new version, so a request that is withdrawn has been with its engine for at least 0.7 s.
 const withdrawMargin = 600 * time.Millisecond
 
--- a/internal/core/intake/pace.go
+++ b/internal/core/intake/pace.go
@@ -7,7 +7,7 @@
 	MaxBodyGap = 30 * time.Second
 	// RateGrace is the total time spent waiting for a body during which no minimum rate applies.
 	RateGrace = 30 * time.Second
-	// MinBytesPerSecond is the minimum average rate of a body after Grace, in bytes per second.
+	// MinBytesPerSecond is the minimum average rate of a body after RateGrace, in bytes per second.
 	MinBytesPerSecond = 256
 )
 
--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -2,8 +2,8 @@
 // fingerprint, a hash of its path, its caller and its body, so that a repeated request is recognized under any request ID.
 //
 // Entries observe which requests were in flight on an upstream when it crashed, and report the crashes to all processes (see Report).
-// Crashes are therefore counted over the whole fleet, and each upstream's crash counts once. A request that crashed CrashesToHold
-// upstreams, without a complete answer in between, is quarantined for HoldFor at every process that receives a report of it. A complete
+// Crashes are therefore counted over the whole fleet, and each upstream's crash counts once. A request that crashed CrashThreshold
+// upstreams, without a complete answer in between, is quarantined for QuarantineDuration at every process that receives a report of it. A complete
 // answer does not lift a quarantine; otherwise processes that receive answers and crashes in a different order would disagree.
 //
 // The package is pure: the current time is a parameter of each call.
@@ -19,7 +19,7 @@
 	CrashThreshold = 3
 	// QuarantineDuration is the duration of a quarantine. Upstreams are back a few seconds after a crash, and callers give up after a few attempts.
 	QuarantineDuration = 30 * time.Second
-	// CrashRetention is how long a crash counts towards CrashesToHold.
+	// CrashRetention is how long a crash counts towards CrashThreshold.
 	CrashRetention = 20 * time.Second
 	// minReported is the minimum remaining time of a crash or quarantine that is sent to or accepted from another process. It is longer
 	// than a datagram takes to arrive, so that two processes don't renew each other's quarantine forever, each time a little longer.
--- a/internal/core/record/exchange.go
+++ b/internal/core/record/exchange.go
@@ -64,7 +64,7 @@
 func (k KeyVersion) version() Version { return Version{Major: k.Major, Minor: k.Minor} }
 
 // CompareAsked reports that a peer sent the versions of its records in some buckets and waits for the differences.
-// Prints contains the fingerprints of its dynamic records in these buckets; a key with its version takes five times as
+// Fingerprints contains the fingerprints of its dynamic records in these buckets; a key with its version takes five times as
 // much space.
 type CompareAsked struct {
 	Call         uint64
@@ -73,7 +73,7 @@
 	Fingerprints []byte
 }
 
-// Compared reports that a peer answered a Compare. Standing is what the peer reported before the comparison.
+// Compared reports that a peer answered a Compare. Coverage is what the peer reported before the comparison.
 type Compared struct {
 	From    string
 	Records []Record
@@ -106,7 +106,7 @@
 	Coverage Coverage
 }
 
-// ExchangeAnswer answers an Asked.
+// ExchangeAnswer answers an ExchangeAsked.
 type ExchangeAnswer struct {
 	Call uint64
 	// Same is set when the states are equal. Otherwise Digest contains the sums of this process.
@@ -157,7 +157,7 @@
 	return Coverage{Dynamic: s.holdDynamic, SettingsKnown: true, Floor: s.Floor, AgeMS: now.Sub(s.FloorCurrentAt).Milliseconds()}
 }
 
-// adoptCoverage raises Floor and Fresh to those of a peer whose complete state was merged.
+// adoptCoverage raises Floor and FloorCurrentAt to those of a peer whose complete state was merged.
 func (s *State) adoptCoverage(now time.Time, from string, st Coverage) {
 	if !st.SettingsKnown {
 		return
--- a/internal/core/record/record.go
+++ b/internal/core/record/record.go
@@ -185,7 +185,7 @@
 	return changed
 }
 
-// raiseFloor raises Floor and Fresh; neither ever decreases.
+// raiseFloor raises Floor and FloorCurrentAt; neither ever decreases.
 func (s *State) raiseFloor(floor uint64, fresh time.Time) {
 	s.SettingsKnown = true
 	s.Floor = max(s.Floor, floor)
--- a/internal/core/relay_test.go
+++ b/internal/core/relay_test.go
@@ -169,7 +169,7 @@
 }
 
 // TestNewProcessIsNotReadyFromStalePeersAlone guards against a new process that serves with outdated settings because it
-// has only merged the state of peers that are behind. It waits for the state of PeersToHear peers. PeersToHear-1 peers
+// has only merged the state of peers that are behind. It waits for the state of MinPeers peers. MinPeers-1 peers
 // are stale here, so at least one of the merged states is up to date.
 func TestNewProcessIsNotReadyFromStalePeersAlone(t *testing.T) {
 	for seed := range uint64(20) {
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -300,7 +300,7 @@
 	Continue bool
 }
 
-// Resume is the effect that, after the delay Wait, requests the rest of the answer from the agent of the current
+// Resume is the effect that, after Delay, requests the rest of the answer from the agent of the current
 // attempt.
 type Resume struct {
 	Attempt
--- a/internal/core/request/request_test.go
+++ b/internal/core/request/request_test.go
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// environment is a fake Directory and a fake Verdicts.
+// environment is a fake Directory and a fake SuspectStatuses.
 type environment struct {
 	candidates []member.Candidate
 	verdict    suspect.Status
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -163,7 +163,7 @@
 	Upstreams map[string]*Upstream
 	// UpstreamNames lists the upstreams' names in the order of the process's settings.
 	UpstreamNames []string
-	// Incarnation is nil before Begin.
+	// Incarnation is nil before OrdersEnabled.
 	Incarnation *incarnation.State
 	// Slots holds the slots of each engine's service, by the key of their object.
 	Slots map[string]*slot.Service
--- a/internal/core/routing/upstream.go
+++ b/internal/core/routing/upstream.go
@@ -23,7 +23,7 @@
 	Running int `json:"running"`
 	// Limit is how many requests the agent currently admits; 0 if unknown.
 	Limit int `json:"limit,omitempty"`
-	// Waiting is how many requests waited at the engine outside its batch, according to its report AgeMS milliseconds ago.
+	// Waiting is how many requests waited at the engine outside its batch, according to its report WaitingAgeMS milliseconds ago.
 	Waiting      int   `json:"waiting,omitempty"`
 	WaitingAgeMS int64 `json:"age_ms,omitempty"`
 	// Leaving reports whether the agent is shutting down and accepts no new requests.
--- a/internal/core/run/load.go
+++ b/internal/core/run/load.go
@@ -152,7 +152,7 @@
 	return r
 }
 
-// cacheChanges returns the cache changes after mark. Gap is set if some of them are no longer kept.
+// cacheChanges returns the cache changes after mark. Incomplete is set if some of them are no longer kept.
 func (u *upstreamLoad) cacheChanges(mark routing.CachePosition) *routing.CacheChanges {
 	seen := mark.Seq
 	if mark.BootID != u.bootID || seen > u.seq {
--- a/internal/core/run/run.go
+++ b/internal/core/run/run.go
@@ -175,7 +175,7 @@
 	ID   ID
 }
 
-// Refuse tells the entry that the attempt does not start, and whether it ran earlier.
+// Refuse reports to the entry that the attempt does not start, and whether it ran earlier.
 type Refuse struct {
 	Call uint64
 	ID   ID
@@ -183,7 +183,7 @@
 	Ran  code.Ran
 }
 
-// FenceAnswer tells the entry whether the attempt that it abandoned ran. If Running is set, the attempt is running and
+// FenceAnswer reports to the entry whether the attempt that it abandoned ran. If Running is set, the attempt is running and
 // the shell cancels it.
 type FenceAnswer struct {
 	Call    uint64
--- a/internal/core/served.go
+++ b/internal/core/served.go
@@ -9,7 +9,7 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// servedInterval is the time between two rounds of AskServed while an engine of this host does not serve its target.
+// servedInterval is the time between two rounds of QueryServed while an engine of this host does not serve its target.
 const servedInterval = 2 * time.Second
 
 // QueryServed is the effect that asks an entry which versions of a service are served. Agents need it because they hold no
@@ -19,7 +19,7 @@
 	Key string
 }
 
-// ServedReceived is the event that an entry answered AskServed.
+// ServedReceived is the event that an entry answered QueryServed.
 type ServedReceived struct {
 	Key     string
 	Digests []string
--- a/internal/core/source/source_test.go
+++ b/internal/core/source/source_test.go
@@ -46,7 +46,7 @@
 	require.Empty(t, p.Address())
 }
 
-// readersIn returns the address that each entry of a data centre reads from, by entry. Each entry knows those that First reports.
+// readersIn returns the address that each entry of a data centre reads from, by entry. Each entry knows those that EntryCandidates returns.
 func readersIn(dataCentre string, n int) map[string]string {
 	all := entries(n)
 	from := map[string]string{}
--- a/internal/core/suspect/suspect.go
+++ b/internal/core/suspect/suspect.go
@@ -171,7 +171,7 @@
 	return newRecord(fingerprint, record.Version{Major: number, Minor: rankQuarantined}, QuarantineDuration)
 }
 
-// Expired returns the deletions to publish of marks that expired at least ForgetAfter ago. Without them each fingerprint
+// Expired returns the deletions to publish of marks that expired at least ExpiredRetention ago. Without them each fingerprint
 // that ever crashed an upstream would stay in the memory of every process.
 func (s *State) Expired(now time.Time) []record.Record {
 	var old []record.Record
--- a/internal/core/suspect/suspect_test.go
+++ b/internal/core/suspect/suspect_test.go
@@ -37,7 +37,7 @@
 	assert.Equal(t, QuarantineDuration, s.Remaining(now, f))
 }
 
-// An innocent request that was in flight at a crash must not stay a suspect for the whole of SuspectFor.
+// An innocent request that was in flight at a crash must not stay a suspect for the whole of SuspectDuration.
 func TestSuspectThatCompletesAloneIsCleared(t *testing.T) {
 	s := NewState()
 	crash(t, s, false)
@@ -172,7 +172,7 @@
 	}
 }
 
-// Marks are deleted ForgetAfter after they expired, so that they don't accumulate. The mark of a later crash must have a
+// Marks are deleted ExpiredRetention after they expired, so that they don't accumulate. The mark of a later crash must have a
 // higher version than the deletion; otherwise processes that still hold the deletion would ignore it.
 func TestExpiredMarksAreDeleted(t *testing.T) {
 	s := NewState()
--- a/internal/core/watch/watch.go
+++ b/internal/core/watch/watch.go
@@ -20,9 +20,9 @@
 	WatchTimeout = 3 * time.Second
 	// MaxAge is the age of the last reading from which the watchers count as failed and the next process in rank takes over.
 	MaxAge = 9 * time.Second
-	// RankDelay is the additional wait per rank after a failed reading. Half of it per rank is added to Silence.
+	// RankDelay is the additional wait per rank after a failed reading. Half of it per rank is added to MaxAge.
 	RankDelay = time.Second
-	// InitialRetry and LastRetry are the minimum and maximum wait after a failed reading, for ranks whose wait by RankPause is
+	// InitialRetry and MaxRetry are the minimum and maximum wait after a failed reading, for ranks whose wait by RankDelay is
 	// shorter.
 	InitialRetry = 500 * time.Millisecond
 	MaxRetry     = 4 * time.Second
@@ -46,7 +46,7 @@
 	PlatformTimeout = 2 * time.Second
 )
 
-// ReadFailed is the event of a failed reading of the settings. Gone is set when the platform no longer keeps the changes since
+// ReadFailed is the event of a failed reading of the settings. Compacted is set when the platform no longer keeps the changes since
 // the requested revision.
 type ReadFailed struct{ Compacted bool }
 
@@ -89,7 +89,7 @@
 	// Hosts is the number of listed processes without this one. Listed is set when this process is listed.
 	Hosts  int
 	Listed bool
-	// SettingsKnown is set once every setting up to revision Floor is known. Fresh is when the platform was last at Floor.
+	// SettingsKnown is set once every setting up to revision Floor is known. FloorCurrentAt is when the platform was last at Floor.
 	SettingsKnown  bool
 	Floor          uint64
 	FloorCurrentAt time.Time
--- a/internal/core/weights/burst.go
+++ b/internal/core/weights/burst.go
@@ -88,7 +88,7 @@
 	blockedBy code.Code
 
 	Counts Counts
-	// reportedBlockedBy is the trouble last reported to other processes.
+	// reportedBlockedBy is the BlockedBy last reported to other processes.
 	reportedBlockedBy code.Code
 }
 
--- a/internal/core/weights/outage.go
+++ b/internal/core/weights/outage.go
@@ -10,7 +10,7 @@
 const (
 	// standbyBackoff is how long the first standby of an origin slot, the candidate after its
 	// fetcher, waits before it asks an unavailable origin. Each further rank waits that much
-	// longer, and a host that falls back by itself waits longest. During an outage nobody can tell
+	// longer, and a host that falls back by itself waits longest. During an outage nobody knows
 	// whether a slot's fetcher is alive. If all candidates kept retrying, the origin's link would
 	// carry most chunks several times after the recovery.
 	standbyBackoff = 10 * time.Second
@@ -47,7 +47,7 @@
 	reportedDown bool
 }
 
-// OriginFailure is what hosts tell each other about failed fetches since a chunk last came from the
+// OriginFailure is what hosts report to each other about failed fetches since a chunk last came from the
 // origin.
 type OriginFailure struct {
 	// Ago is the time since the last failure; 0 if there is none.
@@ -124,7 +124,7 @@
 	return !o.lastOwnFailure.IsZero() || reportedByPeers
 }
 
-// prolonged reports whether the outage has lasted so long that operators are told.
+// prolonged reports whether the outage has lasted so long that it is reported to operators.
 func (o *outage) prolonged(now time.Time) bool {
 	return o.ongoing(now) && now.Sub(o.startedAt()) > reportedFailures*shortOriginBackoff
 }
--- a/internal/core/weights/outage_state_test.go
+++ b/internal/core/weights/outage_state_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestStaleFailureReportsDoNotReopenAnOutage covers hellos that were already in transit when a
-// chunk came from the origin. It also checks that the shell is told once of the start and once of
+// chunk came from the origin. It also checks that the shell is informed once of the start and once of
 // the end of an outage.
 func TestStaleFailureReportsDoNotReopenAnOutage(t *testing.T) {
 	start := time.Unix(1000, 0)
--- a/internal/core/weights/peer.go
+++ b/internal/core/weights/peer.go
@@ -21,7 +21,7 @@
 	// listed is set while the host is live and wants the version.
 	listed bool
 	tier   Tier
-	// have tells which chunks the peer has; nil until the peer reports.
+	// have holds which chunks the peer has; nil until the peer reports.
 	have []bool
 	// linked is set if the peer is linked: both hosts send each other announcements.
 	linked bool
--- a/internal/core/weights/summary.go
+++ b/internal/core/weights/summary.go
@@ -15,7 +15,7 @@
 )
 
 // Summary is a host's report about one burst. The full summary is sent on request; only the digest
-// and the trouble are sent to all entries.
+// and what blocks a burst are sent to all entries.
 type Summary struct {
 	Digest  string `json:"digest"`
 	Percent int    `json:"percent,omitempty"`
--- a/internal/core/weights/weights.go
+++ b/internal/core/weights/weights.go
@@ -232,7 +232,7 @@
 	ID uint64
 }
 
-// Announce tells a peer which chunks this host has.
+// Announce reports to a peer which chunks this host has.
 type Announce struct {
 	effect
 	Digest string
--- a/internal/demo/load/generator.go
+++ b/internal/demo/load/generator.go
@@ -58,7 +58,7 @@
 }
 
 // Start returns a generator that sends lookups. Submissions and model requests follow when they are enabled with
-// OpenSubmissions and OpenGenerations.
+// EnableSubmissions and EnableGenerations.
 func Start(options Options) *Generator {
 	if options.ResponseTimeout == 0 {
 		options.ResponseTimeout = defaultResponseTimeout
--- a/internal/demo/processes/process.go
+++ b/internal/demo/processes/process.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// Suspend suspends the process with SIGSTOP until Thaw is called.
+// Suspend suspends the process with SIGSTOP until Resume is called.
 func (p *Process) Suspend() { p.signal(syscall.SIGSTOP) }
 
 // Resume resumes a frozen process with SIGCONT.
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -130,7 +130,7 @@
 }
 
 // LoadWeights orders the engine at the URL base to load a version of weights. It returns when the engine serves the
-// version, or with ErrOldFencing if the engine has accepted an order with a newer fencing number.
+// version, or with ErrSupersededFencing if the engine has accepted an order with a newer fencing number.
 func (c *Client) LoadWeights(ctx context.Context, base string, o Order) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, base+"/orders/load", o.Content)
 	if err != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -19,11 +19,11 @@
 	// force.
 	Processes int `json:"processes"`
 	Current   int `json:"current"`
-	// Lagging holds the addresses of processes that responded and do not have the revision in force, and Silent those of
+	// Lagging holds the addresses of processes that responded and do not have the revision in force, and Unresponsive those of
 	// processes that did not respond. Each holds at most MaxNames addresses.
 	Lagging      []string `json:"lagging,omitempty"`
 	Unresponsive []string `json:"silent,omitempty"`
-	// LaggingCount and SilentCount are the numbers of all such processes, named or not.
+	// LaggingCount and UnresponsiveCount are the numbers of all such processes, named or not.
 	LaggingCount      int `json:"lagging_count"`
 	UnresponsiveCount int `json:"silent_count"`
 }
--- a/internal/frame/envelope.go
+++ b/internal/frame/envelope.go
@@ -72,7 +72,7 @@
 	CachePosition routing.CachePosition `json:"cache,omitzero"`
 }
 
-// Set encodes e into EnvelopeHeader of h. It fails if the encoded envelope exceeds MaxEnvelope bytes.
+// Set encodes e into EnvelopeHeader of h. It fails if the encoded envelope exceeds MaxEnvelopeBytes.
 func (e Envelope) Set(h http.Header) error {
 	raw, err := json.Marshal(e)
 	if err != nil {
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -78,7 +78,7 @@
 	Load *routing.Report `json:"load,omitempty"`
 }
 
-// Write writes one frame. It fails for a payload of more than MaxPayload bytes.
+// Write writes one frame. It fails for a payload of more than MaxPayloadBytes.
 func Write(w io.Writer, t Type, payload []byte) error {
 	if len(payload) > MaxPayloadBytes {
 		return code.Errorf(code.BadMessage, "frame.length", "%d bytes, at most %d", len(payload), MaxPayloadBytes)
--- a/internal/frame/fuzz_test.go
+++ b/internal/frame/fuzz_test.go
@@ -10,7 +10,7 @@
 	"samphireweir.example/samphireweir/internal/frame"
 )
 
-// FuzzReader checks that Reader accepts no payload over MaxPayload, and that the accepted frames are encoded to the same
+// FuzzReader checks that Reader accepts no payload over MaxPayloadBytes, and that the accepted frames are encoded to the same
 // bytes encoded.
 func FuzzReader(f *testing.F) {
 	var good bytes.Buffer
--- a/internal/hostconfig/hostconfig.go
+++ b/internal/hostconfig/hostconfig.go
@@ -21,7 +21,7 @@
 	Seeds []string
 	// CallersListen is the address at which callers connect; empty on hosts that don't serve callers.
 	CallersListen string
-	// ReadinessListen is the address at which the load balancer checks readiness; empty like Callers.
+	// ReadinessListen is the address at which the load balancer checks readiness; empty like CallersListen.
 	ReadinessListen string
 	// Engine is the address of the engine on this host; empty on hosts without one.
 	Engine string
@@ -55,9 +55,9 @@
 }
 
 // AssumedVersionAge returns the age that a process assumes at its start for a version of weights that it finds in the store. With
-// this age, the version becomes required when the host must know what is in force, Settle after the start. A version that
+// this age, the version becomes required when the host must know what is in force, SettleTime after the start. A version that
 // was activated long ago is then required in time, even if no other process can report when it was activated. A version
-// that was activated a moment ago is required up to VersionTime - Settle too early, until a process reports its age.
+// that was activated a moment ago is required up to VersionTime - SettleTime too early, until a process reports its age.
 func (h Host) AssumedVersionAge() time.Duration {
 	if h.SettleTime <= 0 {
 		return 0
@@ -75,7 +75,7 @@
 }
 
 // RetryBudget is a retry budget. It bounds the retries that all entries together may send to a service in a Window: Ratio
-// times the number of requests in the Window, plus Extra.
+// times the number of requests in the Window, plus Base.
 type RetryBudget struct {
 	// Ratio is the number of retries per request.
 	Ratio float64
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -69,7 +69,7 @@
 	ColdMS int64 `json:"h,omitempty"`
 	// Slowdown is the factor by which the engine is slower than usual, as it reports itself; absent if it is not slower.
 	Slowdown float64 `json:"y,omitempty"`
-	// Entries is the number of entries that recently sent a heartbeat to the agent, and Near is the number of those in
+	// Entries is the number of entries that recently sent a heartbeat to the agent, and NearEntries is the number of those in
 	// the agent's data centre.
 	Entries     int `json:"n"`
 	NearEntries int `json:"i"`
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -32,7 +32,7 @@
 	ObserveEffect(step.Effect)
 }
 
-// NewLoop returns a loop over state. SetCarrier must be called before the first Step.
+// NewLoop returns a loop over state. SetExecutor must be called before the first Step.
 func NewLoop(state *core.State) *Loop { return &Loop{state: state} }
 
 // SetObserver sets the observer of events and effects. It must be called before the first Step.
--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -42,7 +42,7 @@
 // objects again.
 var ErrGone = errors.New("revision no longer kept")
 
-// ConflictError means that the object's version differs from the version in the condition. Nothing was written. Present
+// ConflictError means that the object's version differs from the version in the condition. Nothing was written. Current
 // is the object as it is.
 type ConflictError struct{ Current Item }
 
--- a/internal/setting/object.go
+++ b/internal/setting/object.go
@@ -86,7 +86,7 @@
 	return p
 }
 
-// trimHistory keeps the latest states completely, only the metadata of SlimHistory more, and drops the rest.
+// trimHistory keeps the latest states completely, only the metadata of MetadataHistory more, and drops the rest.
 func trimHistory(history []HistoryEntry) []HistoryEntry {
 	history = history[:min(len(history), FullHistory+MetadataHistory)]
 	size := 0
--- a/internal/standin/objectapi/server.go
+++ b/internal/standin/objectapi/server.go
@@ -35,7 +35,7 @@
 	DelayMS int64 `json:"delay_ms"`
 	// LoseNextResponses is the number of next writes that take effect but whose connection is reset instead of sending the response.
 	LoseNextResponses int `json:"lose_next_answers"`
-	// LoseNextKeyPrefix restricts LoseNextAnswers to keys with this prefix.
+	// LoseNextKeyPrefix restricts LoseNextResponses to keys with this prefix.
 	LoseNextKeyPrefix string `json:"lose_next_key_prefix"`
 }
 
--- a/internal/storewatch/storewatch.go
+++ b/internal/storewatch/storewatch.go
@@ -44,7 +44,7 @@
 type Follower struct {
 	Store Store
 	Kind  string
-	// OnList receives all objects as of a revision. Changed receives the objects that changed since the last call of either.
+	// OnList receives all objects as of a revision. OnChanges receives the objects that changed since the last call of either.
 	OnList    func(revision int64, objects []platform.Object)
 	OnChanges func(objects []platform.Object)
 	// Wait is how long one call waits for a change.
--- a/internal/story/installs.go
+++ b/internal/story/installs.go
@@ -98,7 +98,7 @@
 	i.setSteps(times)
 }
 
-// beginAt moves Begin to t if t is earlier.
+// beginAt moves StartedAt to t if t is earlier.
 func (i *Installs) beginAt(t time.Time) {
 	if i.StartedAt.IsZero() || t.Before(i.StartedAt) {
 		i.StartedAt = t
--- a/internal/story/read.go
+++ b/internal/story/read.go
@@ -31,7 +31,7 @@
 	Request string `json:"request"`
 	// Dropped is the number of lines that the process dropped before this one.
 	Dropped int64 `json:"dropped"`
-	// Topic, Of, Value and Revision describe a change of the known state: the topic, the upstream or model, the new value and the
+	// Topic, Subject, Value and Revision describe a change of the known state: the topic, the upstream or model, the new value and the
 	// store's revision.
 	Topic    string `json:"what"`
 	Subject  string `json:"of"`
@@ -41,7 +41,7 @@
 	Model   string `json:"model"`
 	Version int64  `json:"version"`
 	Phase   string `json:"phase"`
-	// Upstream is an upstream's id, Sends the number of the request's attempt.
+	// Upstream is an upstream's id, Attempt the number of the request's attempt.
 	Upstream string `json:"upstream"`
 	Attempt  int    `json:"sends"`
 	Outcome  string `json:"outcome"`
