--- a/internal/core/forward/forward.go
+++ b/internal/core/forward/forward.go
@@ -336,7 +336,7 @@
 	case Started:
 		return s.started(in, ev)
 	case AttemptEnded:
-		return s.sendEnded(in, ev)
+		return s.attemptEnded(in, ev)
 	case TimedOut:
 		return s.timedOut(in, ev)
 	case CallerGone:
@@ -346,7 +346,7 @@
 	case CrashesReported:
 		return s.crashesReported(in, ev)
 	case AnswerHeadReceived:
-		return s.noticed(in, ev)
+		return s.answerHeadReceived(in, ev)
 	case ShutdownStarted:
 		s.stopping = true
 	case step.Tick:
--- a/internal/core/forward/notice.go
+++ b/internal/core/forward/notice.go
@@ -34,8 +34,8 @@
 // Effect marks the type as an effect.
 func (NoticeChanged) Effect() {}
 
-// noticed handles an upstream's statement about itself.
-func (s *State) noticed(in step.Input, ev AnswerHeadReceived) []step.Effect {
+// answerHeadReceived handles an upstream's statement about itself.
+func (s *State) answerHeadReceived(in step.Input, ev AnswerHeadReceived) []step.Effect {
 	if ev.Outcome == Misdirected || ev.Outcome == Broken {
 		return nil // It is from another upstream, or its sender is unknown.
 	}
--- a/internal/core/forward/reduce.go
+++ b/internal/core/forward/reduce.go
@@ -125,7 +125,7 @@
 	return []step.Effect{e}
 }
 
-func (s *State) sendEnded(in step.Input, ev AttemptEnded) []step.Effect {
+func (s *State) attemptEnded(in step.Input, ev AttemptEnded) []step.Effect {
 	r := s.requests[ev.ID]
 	if r == nil {
 		return nil
--- a/internal/core/install/install.go
+++ b/internal/core/install/install.go
@@ -363,7 +363,7 @@
 	case Prepared:
 		effects = s.prepared(in, ev)
 	case LoadOrderEnded:
-		effects = s.orderEnded(in, ev)
+		effects = s.loadOrderEnded(in, ev)
 	case PeersChanged:
 		s.peers = ev.Peers
 	}
--- a/internal/core/install/reduce.go
+++ b/internal/core/install/reduce.go
@@ -162,7 +162,7 @@
 	return append(m.enter(Ordering, in.Now.Add(orderTimeout), "chunks read back"), order)
 }
 
-func (s *State) orderEnded(in step.Input, ev LoadOrderEnded) []step.Effect {
+func (s *State) loadOrderEnded(in step.Input, ev LoadOrderEnded) []step.Effect {
 	m := s.modelInPhase(ev.Model, ev.Version, Ordering)
 	if m == nil {
 		return nil
--- a/internal/core/request/admit.go
+++ b/internal/core/request/admit.go
@@ -63,7 +63,7 @@
 }
 
 // admit admits a new request, queues it or refuses it at once.
-func (s *State) admit(in step.Input, r *Request, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) admit(in step.Input, r *Request, dir Directory, statuses SuspectStatuses) []step.Effect {
 	_, outcome := s.Routing.Pick(in, r.query(), dir.Candidates(in.Now, r.Team, r.Service))
 	if outcome == routing.None {
 		return s.refuse(r, code.NoUpstream, code.NotRun, DefaultRetryAfter)
@@ -71,16 +71,16 @@
 	r.Phase = Queued
 	admitted, refused := s.gate(r.serviceKey()).Admit(in.Now, s.admissionAsk(r), outcome == routing.Found)
 	if admitted {
-		return s.admitted(in, r, dir, verdicts)
+		return s.admitted(in, r, dir, statuses)
 	}
 	return s.refuseQueued(refused)
 }
 
 // admitted sends a request that was admitted. A call that runs at most once is claimed before its first attempt.
-func (s *State) admitted(in step.Input, r *Request, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) admitted(in step.Input, r *Request, dir Directory, statuses SuspectStatuses) []step.Effect {
 	r.Phase = Admitted
 	if !r.AtMostOnce || r.Attempt > 0 {
-		return s.send(in, r, dir, verdicts)
+		return s.send(in, r, dir, statuses)
 	}
 	r.Phase = Claiming
 	return []step.Effect{Claim{ID: r.ID, Key: r.Key}}
@@ -101,7 +101,7 @@
 }
 
 // admitWaiting admits waiting requests of a service while an upstream has free capacity.
-func (s *State) admitWaiting(in step.Input, team, service string, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) admitWaiting(in step.Input, team, service string, dir Directory, statuses SuspectStatuses) []step.Effect {
 	key := setting.Key(team, service)
 	g := s.gate(key)
 	var effects []step.Effect
@@ -122,7 +122,7 @@
 			g.Remove(id, false)
 			continue
 		}
-		effects = append(effects, s.admitted(in, r, dir, verdicts)...)
+		effects = append(effects, s.admitted(in, r, dir, statuses)...)
 	}
 	return effects
 }
@@ -163,12 +163,12 @@
 
 // tick refuses the requests that waited too long, and admits waiting ones. A load report that has become too old can
 // free capacity without any other event.
-func (s *State) tick(in step.Input, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) tick(in step.Input, dir Directory, statuses SuspectStatuses) []step.Effect {
 	var effects []step.Effect
 	for _, key := range sortedKeys(s.gates) {
 		effects = append(effects, s.refuseQueued(s.gates[key].Sweep(in.Now))...)
 		if team, service, ok := setting.SplitKey(key); ok {
-			effects = append(effects, s.admitWaiting(in, team, service, dir, verdicts)...)
+			effects = append(effects, s.admitWaiting(in, team, service, dir, statuses)...)
 		}
 	}
 	return effects
@@ -194,13 +194,13 @@
 }
 
 // finish removes a request that ended from the gate and admits the next one.
-func (s *State) finish(in step.Input, r *Request, answered bool, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) finish(in step.Input, r *Request, answered bool, dir Directory, statuses SuspectStatuses) []step.Effect {
 	key := r.serviceKey()
 	s.gate(key).Remove(r.ID, answered)
 	if answered {
 		s.budget(key).Succeeded()
 	}
-	return s.admitWaiting(in, r.Team, r.Service, dir, verdicts)
+	return s.admitWaiting(in, r.Team, r.Service, dir, statuses)
 }
 
 // Demand returns the number of requests of a client account that are in flight at this entry, wait, or were recently
--- a/internal/core/request/attempt.go
+++ b/internal/core/request/attempt.go
@@ -24,14 +24,14 @@
 
 // attemptFailed retries the request or refuses it. The run status that it reports covers all attempts, not only the
 // last one.
-func (s *State) attemptFailed(in step.Input, ev AttemptFailed, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) attemptFailed(in step.Input, ev AttemptFailed, dir Directory, statuses SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return nil
 	}
 	switch r.Phase {
 	case Continuing:
-		return s.answerFailed(in, AnswerFailed{ID: ev.ID, Attempt: ev.Attempt, Code: ev.Code, Ran: ev.Ran}, dir, verdicts)
+		return s.answerFailed(in, AnswerFailed{ID: ev.ID, Attempt: ev.Attempt, Code: ev.Code, Ran: ev.Ran}, dir, statuses)
 	case Sent:
 	default:
 		return nil
@@ -43,20 +43,20 @@
 	s.release(in.Now, r)
 	s.recordReport(in.Now, r, ev.Report)
 	s.recordOutcome(r, ev.Code, ev.Ran)
-	if refusal, quarantined := s.refuseQuarantined(in, r, verdicts); quarantined {
+	if refusal, quarantined := s.refuseQuarantined(in, r, statuses); quarantined {
 		return refusal
 	}
 	if !in.Now.Before(r.Deadline) || ev.Code == code.DeadlinePassed {
 		return s.refuse(r, code.DeadlinePassed, r.Ran, 0)
 	}
-	if !s.mayRetry(r, ev.Ran) || !s.withinBudget(in, r, ev.Ran, verdicts) {
+	if !s.mayRetry(r, ev.Ran) || !s.withinBudget(in, r, ev.Ran, statuses) {
 		return s.refuse(r, ev.Code, r.Ran, s.retryAfter(r, ev))
 	}
 	if s.shouldRequeue(r, ev.Code) {
 		s.requeue(in, r)
-		return s.admitWaiting(in, r.Team, r.Service, dir, verdicts)
+		return s.admitWaiting(in, r.Team, r.Service, dir, statuses)
 	}
-	return s.send(in, r, dir, verdicts)
+	return s.send(in, r, dir, statuses)
 }
 
 // recordOutcome records the outcome of a failed attempt.
@@ -97,8 +97,8 @@
 
 // withinBudget reports whether the retry budget allows another attempt, and takes it from the budget. A suspect is
 // exempt, because its single attempt alone on an upstream is already a limit.
-func (s *State) withinBudget(in step.Input, r *Request, ran code.Ran, verdicts SuspectStatuses) bool {
-	return verdicts.Status(in.Now, r.Fingerprint) == suspect.Suspect || s.takeRetry(r, ran)
+func (s *State) withinBudget(in step.Input, r *Request, ran code.Ran, statuses SuspectStatuses) bool {
+	return statuses.Status(in.Now, r.Fingerprint) == suspect.Suspect || s.takeRetry(r, ran)
 }
 
 func (s *State) retryAfter(r *Request, ev AttemptFailed) time.Duration {
@@ -108,7 +108,7 @@
 	return resendDelay(r.Ran)
 }
 
-func (s *State) answerBegan(in step.Input, ev AnswerStarted, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) answerStarted(in step.Input, ev AnswerStarted, dir Directory, statuses SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return nil
@@ -129,10 +129,10 @@
 	r.Phase = Answering
 	r.Ran = code.DidRun
 	s.recordReport(in.Now, r, ev.Report)
-	return s.admitWaiting(in, r.Team, r.Service, dir, verdicts)
+	return s.admitWaiting(in, r.Team, r.Service, dir, statuses)
 }
 
-func (s *State) answerMoved(ev AnswerProgressed) {
+func (s *State) answerProgressed(ev AnswerProgressed) {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return
@@ -143,16 +143,16 @@
 	}
 }
 
-// answerBroke requests the rest of the answer from the same run over a new connection. After too many resumes without
+// answerInterrupted requests the rest of the answer from the same run over a new connection. After too many resumes without
 // progress, or after the deadline, it treats the run as lost.
-func (s *State) answerBroke(in step.Input, ev AnswerInterrupted, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) answerInterrupted(in step.Input, ev AnswerInterrupted, dir Directory, statuses SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt || (r.Phase != Answering && r.Phase != Resuming) {
 		return nil
 	}
 	if r.Resumes >= maxResumes(r) || !in.Now.Before(r.Deadline) {
 		lost := AnswerFailed{ID: r.ID, Attempt: r.Attempt, Code: code.StreamBroken, Ran: code.DidRun}
-		return s.answerFailed(in, lost, dir, verdicts)
+		return s.answerFailed(in, lost, dir, statuses)
 	}
 	delay := time.Duration(0)
 	if r.Resumes > 0 {
@@ -172,7 +172,7 @@
 }
 
 // answerFailed continues an answer on another upstream with the same version, or aborts it.
-func (s *State) answerFailed(in step.Input, ev AnswerFailed, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) answerFailed(in step.Input, ev AnswerFailed, dir Directory, statuses SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return nil
@@ -182,20 +182,20 @@
 	}
 	s.release(in.Now, r)
 	s.recordOutcome(r, ev.Code, ev.Ran)
-	if _, quarantined := s.refuseQuarantined(in, r, verdicts); quarantined {
+	if _, quarantined := s.refuseQuarantined(in, r, statuses); quarantined {
 		return s.abort(r, code.Quarantined)
 	}
 	if !in.Now.Before(r.Deadline) || ev.Code == code.DeadlinePassed {
 		return s.abort(r, code.DeadlinePassed)
 	}
-	if ev.Final || !r.continuable || !s.mayRetry(r, ev.Ran) || !s.withinBudget(in, r, ev.Ran, verdicts) {
+	if ev.Final || !r.continuable || !s.mayRetry(r, ev.Ran) || !s.withinBudget(in, r, ev.Ran, statuses) {
 		return s.abort(r, ev.Code)
 	}
-	target, outcome := s.choose(in, r, withVersion(dir.Candidates(in.Now, r.Team, r.Service), r.digest), verdicts)
+	target, outcome := s.choose(in, r, withVersion(dir.Candidates(in.Now, r.Team, r.Service), r.digest), statuses)
 	if outcome != routing.Found {
 		return s.abort(r, ev.Code)
 	}
-	t := s.newAttempt(in, r, target, verdicts)
+	t := s.newAttempt(in, r, target, statuses)
 	t.Digest = r.digest
 	r.Phase = Continuing
 	r.Resumes = 0
--- a/internal/core/request/bench_test.go
+++ b/internal/core/request/bench_test.go
@@ -27,10 +27,10 @@
 				dir = append(dir, member.Candidate{Address: fmt.Sprint("host-", i), Upstream: member.Upstream{Name: "e"}})
 			}
 			s := request.NewState()
-			verdicts := suspect.NewState()
+			statuses := suspect.NewState()
 			now := time.Unix(1000, 0)
 			reduce := func(ev step.Event) []step.Effect {
-				return s.Reduce(step.Input{Now: now, Rand: uint64(now.UnixNano()), Event: ev}, dir, verdicts)
+				return s.Reduce(step.Input{Now: now, Rand: uint64(now.UnixNano()), Event: ev}, dir, statuses)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/internal/core/request/reduce.go
+++ b/internal/core/request/reduce.go
@@ -12,33 +12,33 @@
 )
 
 // Reduce applies one input to the state and returns the effects that the shell must carry out.
-func (s *State) Reduce(in step.Input, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) Reduce(in step.Input, dir Directory, statuses SuspectStatuses) []step.Effect {
 	switch ev := in.Event.(type) {
 	case Received:
-		return s.received(in, ev, dir, verdicts)
+		return s.received(in, ev, dir, statuses)
 	case ClaimSettled:
-		return s.claimSettled(in, ev, dir, verdicts)
+		return s.claimSettled(in, ev, dir, statuses)
 	case AttemptFailed:
-		return s.attemptFailed(in, ev, dir, verdicts)
+		return s.attemptFailed(in, ev, dir, statuses)
 	case AnswerStarted:
-		return s.answerBegan(in, ev, dir, verdicts)
+		return s.answerStarted(in, ev, dir, statuses)
 	case AnswerProgressed:
-		s.answerMoved(ev)
+		s.answerProgressed(ev)
 	case AnswerInterrupted:
-		return s.answerBroke(in, ev, dir, verdicts)
+		return s.answerInterrupted(in, ev, dir, statuses)
 	case AnswerFailed:
-		return s.answerFailed(in, ev, dir, verdicts)
+		return s.answerFailed(in, ev, dir, statuses)
 	case Ended:
-		return s.ended(in, ev, dir, verdicts)
+		return s.ended(in, ev, dir, statuses)
 	case StopRequested:
 		s.stopping = true
 	case step.Tick:
-		return s.tick(in, dir, verdicts)
+		return s.tick(in, dir, statuses)
 	}
 	return nil
 }
 
-func (s *State) received(in step.Input, ev Received, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) received(in step.Input, ev Received, dir Directory, statuses SuspectStatuses) []step.Effect {
 	r := &Request{
 		ID: ev.ID, Team: ev.Team, Service: ev.Service, Deadline: ev.Deadline, Key: ev.Key, AtMostOnce: ev.AtMostOnce,
 		Fingerprint: ev.Fingerprint, Ran: code.NotRun, replayable: ev.Replayable, tried: map[string]bool{}, terms: ev.Terms,
@@ -47,20 +47,20 @@
 	if s.stopping {
 		return s.refuse(r, code.Stopping, code.NotRun, DefaultRetryAfter)
 	}
-	if refusal, quarantined := s.refuseQuarantined(in, r, verdicts); quarantined {
+	if refusal, quarantined := s.refuseQuarantined(in, r, statuses); quarantined {
 		return refusal
 	}
-	return s.admit(in, r, dir, verdicts)
+	return s.admit(in, r, dir, statuses)
 }
 
-func (s *State) claimSettled(in step.Input, ev ClaimSettled, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) claimSettled(in step.Input, ev ClaimSettled, dir Directory, statuses SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Phase != Claiming {
 		return nil
 	}
 	switch ev.Outcome {
 	case ClaimGranted:
-		return s.send(in, r, dir, verdicts)
+		return s.send(in, r, dir, statuses)
 	case ClaimRefused:
 		return s.refuse(r, ev.Code, ev.Ran, ev.RetryAfter)
 	case ClaimHeld:
@@ -74,22 +74,22 @@
 }
 
 // send chooses an upstream and sends the request to it, or refuses the request.
-func (s *State) send(in step.Input, r *Request, dir Directory, verdicts SuspectStatuses) []step.Effect {
-	if refusal, quarantined := s.refuseQuarantined(in, r, verdicts); quarantined {
+func (s *State) send(in step.Input, r *Request, dir Directory, statuses SuspectStatuses) []step.Effect {
+	if refusal, quarantined := s.refuseQuarantined(in, r, statuses); quarantined {
 		return refusal
 	}
 	if !in.Now.Before(r.Deadline) {
 		return s.refuse(r, code.DeadlinePassed, r.Ran, 0)
 	}
-	target, outcome := s.choose(in, r, dir.Candidates(in.Now, r.Team, r.Service), verdicts)
+	target, outcome := s.choose(in, r, dir.Candidates(in.Now, r.Team, r.Service), statuses)
 	if outcome != routing.Found {
 		return s.noCapacity(in, r, outcome)
 	}
-	return []step.Effect{Send{Attempt: s.newAttempt(in, r, target, verdicts)}}
+	return []step.Effect{Send{Attempt: s.newAttempt(in, r, target, statuses)}}
 }
 
 // newAttempt starts a new attempt at the target and returns it.
-func (s *State) newAttempt(in step.Input, r *Request, target member.Candidate, verdicts SuspectStatuses) Attempt {
+func (s *State) newAttempt(in step.Input, r *Request, target member.Candidate, statuses SuspectStatuses) Attempt {
 	r.Attempt++
 	r.Phase = Sent
 	r.target = target
@@ -101,18 +101,18 @@
 		ID: r.ID, Number: r.Attempt, Target: target, Sequence: s.sequence, AtMostOnce: r.AtMostOnce,
 		Delay:     r.delay,
 		Cache:     s.Routing.CachePosition(r.serviceKey(), target),
-		Exclusive: verdicts.Status(in.Now, r.Fingerprint) == suspect.Suspect,
+		Exclusive: statuses.Status(in.Now, r.Fingerprint) == suspect.Suspect,
 	}
 }
 
 // choose returns an upstream that was not tried yet or, if none is left, one that did not cause the failure of its
 // earlier attempt. It sets the delay of the next attempt.
-func (s *State) choose(in step.Input, r *Request, candidates []member.Candidate, verdicts SuspectStatuses) (member.Candidate, routing.Outcome) {
+func (s *State) choose(in step.Input, r *Request, candidates []member.Candidate, statuses SuspectStatuses) (member.Candidate, routing.Outcome) {
 	r.delay = 0
 	if r.declined >= MaxTotalAttempts {
 		r.delay = MaxRetryDelay
 	}
-	target, outcome := s.untried(in, r, candidates, verdicts)
+	target, outcome := s.untried(in, r, candidates, statuses)
 	if outcome != routing.None || len(r.retryable) == 0 {
 		return target, outcome
 	}
@@ -122,7 +122,7 @@
 	r.retryable = nil
 	r.delay = max(r.delay, retryDelay(r.retryRounds))
 	r.retryRounds++
-	return s.untried(in, r, candidates, verdicts)
+	return s.untried(in, r, candidates, statuses)
 }
 
 // retryDelay returns the delay before upstreams are tried again for the nth time, counted from 0.
@@ -134,8 +134,8 @@
 }
 
 // untried returns an upstream that was not tried yet.
-func (s *State) untried(in step.Input, r *Request, candidates []member.Candidate, verdicts SuspectStatuses) (member.Candidate, routing.Outcome) {
-	if verdicts.Status(in.Now, r.Fingerprint) == suspect.Suspect {
+func (s *State) untried(in step.Input, r *Request, candidates []member.Candidate, statuses SuspectStatuses) (member.Candidate, routing.Outcome) {
+	if statuses.Status(in.Now, r.Fingerprint) == suspect.Suspect {
 		return isolatedTarget(r, candidates)
 	}
 	return s.Routing.Pick(in, r.query(), candidates)
@@ -158,11 +158,11 @@
 }
 
 // refuseQuarantined refuses a request that crashes upstreams. It reports whether the request is quarantined.
-func (s *State) refuseQuarantined(in step.Input, r *Request, verdicts SuspectStatuses) ([]step.Effect, bool) {
-	if verdicts.Status(in.Now, r.Fingerprint) != suspect.Quarantined {
+func (s *State) refuseQuarantined(in step.Input, r *Request, statuses SuspectStatuses) ([]step.Effect, bool) {
+	if statuses.Status(in.Now, r.Fingerprint) != suspect.Quarantined {
 		return nil, false
 	}
-	return s.refuse(r, code.Quarantined, r.Ran, verdicts.Remaining(in.Now, r.Fingerprint)), true
+	return s.refuse(r, code.Quarantined, r.Ran, statuses.Remaining(in.Now, r.Fingerprint)), true
 }
 
 // refuse settles a request of whose answer nothing was passed on.
@@ -180,7 +180,7 @@
 	return 0
 }
 
-func (s *State) ended(in step.Input, ev Ended, dir Directory, verdicts SuspectStatuses) []step.Effect {
+func (s *State) ended(in step.Input, ev Ended, dir Directory, statuses SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil {
 		return nil
@@ -191,7 +191,7 @@
 		s.recordReport(in.Now, r, ev.Report)
 	}
 	delete(s.Requests, ev.ID)
-	return s.finish(in, r, answered, dir, verdicts)
+	return s.finish(in, r, answered, dir, statuses)
 }
 
 // release removes the attempt in flight, if any, from the load of its upstream.
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -353,11 +353,11 @@
 // RequestID returns the ID of the request that the effect is for.
 func (e Abort) RequestID() string { return e.ID }
 
-// SuspectStatuses returns the verdict on a request's fingerprint.
+// SuspectStatuses returns the status on a request's fingerprint.
 type SuspectStatuses interface {
-	// Status returns the current verdict.
+	// Status returns the current status.
 	Status(now time.Time, fingerprint string) suspect.Status
-	// Remaining returns how long the verdict lasts from now.
+	// Remaining returns how long the status lasts from now.
 	Remaining(now time.Time, fingerprint string) time.Duration
 }
 
--- a/internal/core/request/request_test.go
+++ b/internal/core/request/request_test.go
@@ -29,14 +29,14 @@
 // environment is a fake Directory and a fake SuspectStatuses.
 type environment struct {
 	candidates []member.Candidate
-	verdict    suspect.Status
+	status     suspect.Status
 }
 
 // Candidates returns the upstreams.
 func (e *environment) Candidates(time.Time, string, string) []member.Candidate { return e.candidates }
 
-// Status returns the same verdict for every fingerprint.
-func (e *environment) Status(time.Time, string) suspect.Status { return e.verdict }
+// Status returns the same status for every fingerprint.
+func (e *environment) Status(time.Time, string) suspect.Status { return e.status }
 
 // Remaining returns a fixed duration.
 func (e *environment) Remaining(time.Time, string) time.Duration { return time.Minute }
@@ -96,8 +96,8 @@
 		l.attempt = e.Number
 		l.resumes = 0
 		require.Equal(l.t, l.began, e.Continue)
-		require.NotEqual(l.t, suspect.Quarantined, l.env.verdict)
-		require.Equal(l.t, l.env.verdict == suspect.Suspect, e.Exclusive)
+		require.NotEqual(l.t, suspect.Quarantined, l.env.status)
+		require.Equal(l.t, l.env.status == suspect.Suspect, e.Exclusive)
 		require.Less(l.t, l.executed, MaxExecutedAttempts)
 		require.LessOrEqual(l.t, e.Number-l.declined, MaxTotalAttempts)
 		require.LessOrEqual(l.t, e.Delay, MaxRetryDelay)
@@ -154,7 +154,7 @@
 	codes := []code.Code{code.UpstreamDied, code.UpstreamSilent, code.AgentRestarted, code.UpstreamLoading, code.UpstreamReserved}
 	rapid.Check(t, func(t *rapid.T) {
 		env := newEnvironment(rapid.IntRange(1, 6).Draw(t, "upstreams"))
-		env.verdict = rapid.SampledFrom([]suspect.Status{suspect.Clear, suspect.Clear, suspect.Suspect}).Draw(t, "verdict")
+		env.status = rapid.SampledFrom([]suspect.Status{suspect.Clear, suspect.Clear, suspect.Suspect}).Draw(t, "verdict")
 		l := receive(t, env, rapid.Bool().Draw(t, "once"))
 		if _, claims := l.last.(Claim); claims {
 			l.step(ClaimSettled{ID: "r", Outcome: ClaimGranted})
@@ -191,7 +191,7 @@
 			},
 			"convicted": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "rarely") == 0 {
-					env.verdict = suspect.Quarantined
+					env.status = suspect.Quarantined
 				}
 			},
 			"time": func(t *rapid.T) {
--- a/internal/core/request/retry_test.go
+++ b/internal/core/request/retry_test.go
@@ -22,10 +22,10 @@
 		{Address: "b", Upstream: member.Upstream{Name: "e"}},
 	}
 	s := request.NewState()
-	verdicts := suspect.NewState()
+	statuses := suspect.NewState()
 	now := time.Unix(1000, 0)
 	reduce := func(ev step.Event) []step.Effect {
-		return s.Reduce(step.Input{Now: now, Event: ev}, dir, verdicts)
+		return s.Reduce(step.Input{Now: now, Event: ev}, dir, statuses)
 	}
 	effects := reduce(request.Received{
 		ID: "r", Team: "karrakin", Service: "summary-model", Deadline: now.Add(time.Minute), Replayable: true,
--- a/internal/core/run/reduce.go
+++ b/internal/core/run/reduce.go
@@ -11,16 +11,16 @@
 )
 
 // handleStartRequested decides whether a request starts, waits in the queue or is refused.
-func (s *State) handleStartRequested(in step.Input, ev StartRequested, upstreams *rollout.State, verdicts SuspectStatuses) []step.Effect {
+func (s *State) handleStartRequested(in step.Input, ev StartRequested, upstreams *rollout.State, statuses SuspectStatuses) []step.Effect {
 	if refusal, known := s.answerRepeated(ev); known {
 		return []step.Effect{refusal}
 	}
-	verdict := verdicts.Status(in.Now, ev.Fingerprint)
+	status := statuses.Status(in.Now, ev.Fingerprint)
 	r := &Run{
 		Message: ev.Message, Upstream: ev.Upstream, Fingerprint: ev.Fingerprint,
-		Exclusive: ev.Exclusive || verdict == suspect.Suspect, call: ev.Call,
+		Exclusive: ev.Exclusive || status == suspect.Suspect, call: ev.Call,
 	}
-	if rejection := s.startRejection(ev, r, verdict, upstreams); rejection != 0 {
+	if rejection := s.startRejection(ev, r, status, upstreams); rejection != 0 {
 		// A refused attempt is over. A second copy of its message must not start it.
 		s.recordOutcome(in.Now, ev.Message, code.NotRun)
 		return []step.Effect{Refuse{Call: ev.Call, ID: ev.ID, Code: rejection, Ran: code.NotRun}}
@@ -57,12 +57,12 @@
 }
 
 // startRejection returns why an attempt must not start, or 0 when it may.
-func (s *State) startRejection(ev StartRequested, r *Run, verdict suspect.Status, upstreams *rollout.State) code.Code {
+func (s *State) startRejection(ev StartRequested, r *Run, status suspect.Status, upstreams *rollout.State) code.Code {
 	u := upstreams.Upstreams[ev.Upstream]
 	switch {
 	case s.stopping:
 		return code.Stopping
-	case verdict == suspect.Quarantined:
+	case status == suspect.Quarantined:
 		return code.Quarantined
 	case !s.serving(upstreams, ev.Upstream):
 		return code.UpstreamLoading
@@ -175,8 +175,8 @@
 	return effects
 }
 
-// handleFenced prevents an attempt from starting, or reports its outcome if it is already known.
-func (s *State) handleFenced(in step.Input, ev FenceRequested) []step.Effect {
+// handleFenceRequested prevents an attempt from starting, or reports its outcome if it is already known.
+func (s *State) handleFenceRequested(in step.Input, ev FenceRequested) []step.Effect {
 	a := FenceAnswer{Call: ev.Call, ID: ev.ID, Ran: code.Unknown}
 	if ev.Incarnation != s.incarnation {
 		return []step.Effect{a} // The previous incarnation may have run it.
--- a/internal/core/run/run.go
+++ b/internal/core/run/run.go
@@ -204,16 +204,16 @@
 // Effect marks the type as an effect.
 func (FenceAnswer) Effect() {}
 
-// SuspectStatuses returns the verdict on a request's fingerprint: whether it is suspect or quarantined.
+// SuspectStatuses returns the status on a request's fingerprint: whether it is suspect or quarantined.
 type SuspectStatuses interface {
 	Status(now time.Time, fingerprint string) suspect.Status
 }
 
 // Reduce handles one input.
-func (s *State) Reduce(in step.Input, upstreams *rollout.State, verdicts SuspectStatuses) []step.Effect {
+func (s *State) Reduce(in step.Input, upstreams *rollout.State, statuses SuspectStatuses) []step.Effect {
 	switch ev := in.Event.(type) {
 	case StartRequested:
-		return s.handleStartRequested(in, ev, upstreams, verdicts)
+		return s.handleStartRequested(in, ev, upstreams, statuses)
 	case Crashed:
 		if r := s.Running[ev.ID]; r != nil {
 			s.crashedBootIDs[r.Upstream] = r.bootID
@@ -221,7 +221,7 @@
 	case Finished:
 		return s.handleFinished(in, ev, upstreams)
 	case FenceRequested:
-		return s.handleFenced(in, ev)
+		return s.handleFenceRequested(in, ev)
 	case StopRequested:
 		s.stopping = true
 		s.Load.leaving = true
--- a/internal/core/run/run_test.go
+++ b/internal/core/run/run_test.go
@@ -28,11 +28,11 @@
 	os.Exit(m.Run())
 }
 
-// verdicts holds the verdicts on fingerprints in a test.
-type verdicts map[string]suspect.Status
+// statuses holds the statuses on fingerprints in a test.
+type statuses map[string]suspect.Status
 
-// Status returns the verdict on a fingerprint.
-func (m verdicts) Status(_ time.Time, fingerprint string) suspect.Status { return m[fingerprint] }
+// Status returns the status on a fingerprint.
+func (m statuses) Status(_ time.Time, fingerprint string) suspect.Status { return m[fingerprint] }
 
 func upstreams() *rollout.State {
 	return rollout.NewState([]rollout.Upstream{{Upstream: member.Upstream{Name: "p", Kind: setting.Plain}}})
@@ -46,7 +46,7 @@
 	incarnation uint64
 	agent       *State
 	upstreams   *rollout.State
-	verdicts    verdicts
+	statuses    statuses
 	sequence    uint64
 	calls       uint64
 	inFlight    []StartRequested
@@ -61,7 +61,7 @@
 }
 
 func newNetwork(t *rapid.T) *network {
-	n := &network{t: t, now: time.Unix(1000, 0), verdicts: verdicts{"suspect": suspect.Suspect}, started: map[ID]int{}, notRun: map[ID]bool{}, receivedBy: map[ID]uint64{}}
+	n := &network{t: t, now: time.Unix(1000, 0), statuses: statuses{"suspect": suspect.Suspect}, started: map[ID]int{}, notRun: map[ID]bool{}, receivedBy: map[ID]uint64{}}
 	n.restart()
 	return n
 }
@@ -75,7 +75,7 @@
 }
 
 func (n *network) step(ev step.Event) {
-	for _, e := range n.agent.Reduce(step.Input{Now: n.now, Event: ev}, n.upstreams, n.verdicts) {
+	for _, e := range n.agent.Reduce(step.Input{Now: n.now, Event: ev}, n.upstreams, n.statuses) {
 		n.recordEffect(e)
 	}
 	n.checkSuspectsRunAlone()
@@ -197,7 +197,7 @@
 func sendAttempt(s *State, u *rollout.State, sequence uint64, alone bool) []step.Effect {
 	m := Message{ID: ID{fmt.Sprint(sequence), 1}, Incarnation: 1, Entry: "e", Sequence: sequence}
 	ev := StartRequested{Call: sequence, Message: m, Upstream: "p", Exclusive: alone}
-	return s.Reduce(step.Input{Now: time.Unix(1000, 0), Event: ev}, u, verdicts{})
+	return s.Reduce(step.Input{Now: time.Unix(1000, 0), Event: ev}, u, statuses{})
 }
 
 // TestSuspectsWaitForIdleUpstream guards against a suspect that runs along with other requests, which its crash would
@@ -205,7 +205,7 @@
 func TestSuspectsWaitForIdleUpstream(t *testing.T) {
 	s, u := NewState(1), upstreams()
 	finish := func(n uint64) []step.Effect {
-		return s.Reduce(step.Input{Now: time.Unix(1000, 0), Event: Finished{ID: ID{fmt.Sprint(n), 1}}}, u, verdicts{})
+		return s.Reduce(step.Input{Now: time.Unix(1000, 0), Event: Finished{ID: ID{fmt.Sprint(n), 1}}}, u, statuses{})
 	}
 	require.IsType(t, Start{}, sendAttempt(s, u, 1, false)[0])
 	require.Empty(t, sendAttempt(s, u, 2, true), "a suspect must wait")
@@ -223,8 +223,8 @@
 	s, u := NewState(1), upstreams()
 	sendAttempt(s, u, 1, false)
 	sendAttempt(s, u, 2, true)
-	s.Reduce(step.Input{Event: StopRequested{}}, u, verdicts{})
-	effects := s.Reduce(step.Input{Now: time.Unix(1000, 0), Event: step.Tick{}}, u, verdicts{})
+	s.Reduce(step.Input{Event: StopRequested{}}, u, statuses{})
+	effects := s.Reduce(step.Input{Now: time.Unix(1000, 0), Event: step.Tick{}}, u, statuses{})
 	require.Len(t, effects, 1)
 	assert.Equal(t, Refuse{Call: 2, ID: ID{"2", 1}, Code: code.Stopping, Ran: code.NotRun}, effects[0])
 }
--- a/internal/core/suspect/suspect.go
+++ b/internal/core/suspect/suspect.go
@@ -48,7 +48,7 @@
 // Status is the status of a fingerprint.
 type Status int
 
-// The verdicts, by severity.
+// The statuses, by severity.
 const (
 	Clear Status = iota
 	Suspect
--- a/internal/entry/crash_test.go
+++ b/internal/entry/crash_test.go
@@ -165,9 +165,9 @@
 
 // isQuarantined reports whether an entry quarantines a request.
 func (f *testFleet) isQuarantined(entry int, fingerprint string) bool {
-	verdict := suspect.Clear
-	f.entries[entry].Loop.View(func(s *core.State) { verdict = s.Suspects.Status(time.Now(), fingerprint) })
-	return verdict == suspect.Quarantined
+	status := suspect.Clear
+	f.entries[entry].Loop.View(func(s *core.State) { status = s.Suspects.Status(time.Now(), fingerprint) })
+	return status == suspect.Quarantined
 }
 
 // TestAgentRefusesQuarantinedRequestInFlight has the agents receive a quarantine while the request is on its way to
--- a/internal/story/installs.go
+++ b/internal/story/installs.go
@@ -90,7 +90,7 @@
 			continue
 		}
 		i.Hosts++
-		i.beginAt(installStart)
+		i.startAt(installStart)
 		for name, at := range steps {
 			times[name] = append(times[name], at)
 		}
@@ -98,8 +98,8 @@
 	i.setSteps(times)
 }
 
-// beginAt moves StartedAt to t if t is earlier.
-func (i *Installs) beginAt(t time.Time) {
+// startAt moves StartedAt to t if t is earlier.
+func (i *Installs) startAt(t time.Time) {
 	if i.StartedAt.IsZero() || t.Before(i.StartedAt) {
 		i.StartedAt = t
 	}
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -78,7 +78,7 @@
 	return b
 }
 
-// Print writes the changes and the silent processes to w. It returns the error of w.
+// Print writes the changes and the unreported processes to w. It returns the error of w.
 func (b StateChanges) Print(w io.Writer) error {
 	var out strings.Builder
 	for _, line := range b.Lines {
