--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -106,7 +106,7 @@
 	a.enableOrders()
 	go a.pollEngines(runCtx)
 	<-ctx.Done()
-	logevent.Info(a.Log, logevent.ShutdownStarted).Msg("stop asked")
+	logevent.Info(a.Log, logevent.ShutdownStarted).Msg("shutdown started")
 	a.StartShutdown()
 	a.drain(grace)
 	a.cancelRemainingRuns()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -69,7 +69,7 @@
 	e.Process.Run(processCtx, map[string]string{"callers": e.callerListener.Addr().String()})
 	e.Serve(node.WithCodedRejections(e.callerListener), e.callerHandler())
 	<-ctx.Done()
-	logevent.Info(e.Log, logevent.ShutdownStarted).Msg("stop asked")
+	logevent.Info(e.Log, logevent.ShutdownStarted).Msg("shutdown started")
 	e.awaitBalancer()
 	e.StartShutdown()
 	shutdownCtx, cancelShutdown := context.WithTimeout(context.Background(), grace)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -114,7 +114,7 @@
 func (x *exchange) logIfEvicted() {
 	if x.reservation.Evicted() {
 		logevent.Warn(x.gateway.log, logevent.SlowCallerDisconnected).Str("request", x.call.AttemptID).Str("route", x.routeName()).Bool("answering", x.headerSent).
-			Int64("held", x.gateway.memory.Used()).Dur("took_ms", time.Since(x.arrivedAt)).Msg("slow caller ended")
+			Int64("held", x.gateway.memory.Used()).Dur("took_ms", time.Since(x.arrivedAt)).Msg("slow caller disconnected")
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -146,7 +146,7 @@
 	switch e := e.(type) {
 	case catalog.StateChanged:
 		logevent.Info(g.log, logevent.StateChanged).Str("what", string(e.Topic)).Str("of", e.Name).Str("value", e.Value).
-			Int64("revision", e.Revision).Msg("belief changed")
+			Int64("revision", e.Revision).Msg("known state changed")
 	case forward.QuarantineStarted:
 		g.logQuarantine(e.Fingerprint, quarantine.QuarantineDuration, e.Upstream)
 		go g.sendHeartbeats()
@@ -178,7 +178,7 @@
 // logQuarantine logs that a request is quarantined. upstream is the one whose crash caused it; it is empty if another process reported the quarantine.
 func (g *Gateway) logQuarantine(fingerprint uint64, left time.Duration, upstream string) {
 	logevent.Warn(g.log, logevent.RequestQuarantined).Uint64("fingerprint", fingerprint).Dur("left_ms", left).Str("upstream", upstream).
-		Bool("told", upstream == "").Msg("request held back")
+		Bool("told", upstream == "").Msg("request quarantined")
 }
 
 func (g *Gateway) logUpstreamNotice(e forward.NoticeChanged) {
@@ -186,14 +186,14 @@
 	logevent.Info(g.log, logevent.UpstreamNotice).Str("upstream", e.Upstream).Bool("limited", e.Notice.Limited).Float64("rate_limit", e.Notice.RateLimit).
 		Bool("garbled", e.Notice.Malformed).Bool("leaving", e.Notice.Leaving).Dur("retry_after_ms", e.Notice.RetryAfter).
 		Bool("limited_before", e.Before.Limited).Bool("leaving_before", e.Before.Leaving).
-		Msg("upstream said")
+		Msg("upstream notice changed")
 }
 
 func (g *Gateway) logLateStart(e forward.StartedLate) {
 	g.metrics.StartedLate.Add(1)
 	if x := g.exchanges[e.ID]; x != nil {
 		logevent.Warn(g.log, logevent.StartedLate).Str("request", x.call.AttemptID).Str("upstream", e.Upstream).Int64("version", e.Version).
-			Int64("successor", e.Successor).Int64("insisted", e.Required).Dur("late_ms", e.Late).Dur("waited_ms", e.Waited).Msg("begun late")
+			Int64("successor", e.Successor).Int64("insisted", e.Required).Dur("late_ms", e.Late).Dur("waited_ms", e.Waited).Msg("started late")
 	}
 }
 
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -63,7 +63,7 @@
 func (g *Gateway) stop(server *http.Server) {
 	start := time.Now()
 	g.stopping.Store(true)
-	logevent.Info(g.log, logevent.ShutdownStarted).Int64("open", g.inFlight.Load()).Msg("stop asked")
+	logevent.Info(g.log, logevent.ShutdownStarted).Int64("open", g.inFlight.Load()).Msg("shutdown started")
 	time.Sleep(min(acceptAfterStop, max(0, g.host.ShutdownGrace-stopMargin)))
 	g.step(forward.ShutdownStarted{})
 	for g.inFlight.Load() > 0 && time.Since(start) < g.host.ShutdownGrace-stopMargin {
--- a/internal/hostagent/hostagent.go
+++ b/internal/hostagent/hostagent.go
@@ -172,7 +172,7 @@
 		a.reduce(install.VersionActivated{Model: e.Activation.Model, Version: e.Activation.Version, Age: in.Now.Sub(e.Activation.ActivatedAt)})
 	case install.PhaseChanged:
 		logevent.Info(a.log, logevent.InstallPhaseChanged).Str("model", e.Model).Int64("version", e.Version).Str("phase", string(e.Phase)).
-			Str("why", e.Reason).Msg("install moved")
+			Str("why", e.Reason).Msg("install phase changed")
 	case install.Resolve:
 		go a.resolve(e)
 	case install.Fetch:
@@ -196,7 +196,7 @@
 		return
 	}
 	logevent.Info(a.log, logevent.StateChanged).Str("what", string(c.Topic)).Str("of", c.Name).Str("value", c.Value).
-		Int64("revision", c.Revision).Msg("belief changed")
+		Int64("revision", c.Revision).Msg("known state changed")
 }
 
 // updatePeers informs the reducers of the hosts in the fleet. It does so once for all changes since the last tick or list, since each
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -80,7 +80,7 @@
 // ReportPanic counts and logs a recovered panic. where is the kind of work that panicked.
 func (p *Process) ReportPanic(where string, cause any) {
 	p.Telemetry.Metrics.Panics.Add(1, where)
-	logevent.Warn(p.Log, logevent.PanicRecovered).Str("where", where).Interface("cause", cause).Str("stack", string(debug.Stack())).Msg("panic contained")
+	logevent.Warn(p.Log, logevent.PanicRecovered).Str("where", where).Interface("cause", cause).Str("stack", string(debug.Stack())).Msg("panic recovered")
 }
 
 // guardedWriter sets a new deadline for each write.
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -44,7 +44,7 @@
 		return
 	}
 	if p.hostListLost.CompareAndSwap(true, false) {
-		logevent.Info(p.Log, logevent.HostListRecovered).Msg("host list back")
+		logevent.Info(p.Log, logevent.HostListRecovered).Msg("host list recovered")
 	}
 	p.Loop.Step(member.ListRead{Hosts: hosts})
 }
@@ -83,7 +83,7 @@
 
 func (p *Process) noteObjectAPIReachable() {
 	if p.objectAPILost.CompareAndSwap(true, false) {
-		logevent.Info(p.Log, logevent.PlatformRecovered).Msg("platform back")
+		logevent.Info(p.Log, logevent.PlatformRecovered).Msg("platform recovered")
 	}
 }
 
--- a/internal/node/process.go
+++ b/internal/node/process.go
@@ -226,7 +226,7 @@
 	case core.SettingChanged:
 		logevent.Info(p.Log, logevent.SettingInForce).Str("key", e.Key).Uint64("revision", e.Revision).Bool("deleted", e.Deleted).Msg("setting in force")
 	case core.BadRecord:
-		logevent.Warn(p.Log, logevent.MalformedRecord).Str("key", e.Key).Err(e.Err).Msg("bad record")
+		logevent.Warn(p.Log, logevent.MalformedRecord).Str("key", e.Key).Err(e.Err).Msg("malformed record")
 	case core.BecameReady:
 		logevent.Info(p.Log, logevent.Ready).Msg("ready")
 	default:
--- a/internal/storefeed/peers.go
+++ b/internal/storefeed/peers.go
@@ -256,7 +256,7 @@
 	}
 	for _, e := range n.state.Reduce(step.Input{Now: time.Now(), Event: ev}) {
 		if c, changed := e.(source.Changed); changed {
-			logevent.Info(n.log, logevent.StateChanged).Str("what", "source").Str("value", c.Address).Int("entries", c.EntryCount).Msg("belief changed")
+			logevent.Info(n.log, logevent.StateChanged).Str("what", "source").Str("value", c.Address).Int("entries", c.EntryCount).Msg("known state changed")
 			n.source.Set(c.Address)
 		}
 	}
--- a/internal/storewatch/events.go
+++ b/internal/storewatch/events.go
@@ -150,5 +150,5 @@
 		clear(b.loggedRevisions)
 	}
 	b.loggedRevisions[o.Name] = o.Revision
-	logevent.Warn(b.Log, logevent.MalformedObject).Str("entry", o.Name).Int64("revision", o.Revision).Err(err).Msg("bad entry")
+	logevent.Warn(b.Log, logevent.MalformedObject).Str("entry", o.Name).Int64("revision", o.Revision).Err(err).Msg("malformed object")
 }
--- a/internal/storewatch/events_test.go
+++ b/internal/storewatch/events_test.go
@@ -47,7 +47,7 @@
 		}
 		require.Nil(t, state.Upstreams["i-1"])
 		require.NotNil(t, state.Upstreams["i-2"])
-		require.Equal(t, 1, strings.Count(log.String(), "bad entry"))
+		require.Equal(t, 1, strings.Count(log.String(), "malformed object"))
 		f.OnChanges([]platform.Object{object("i-1", 8, validUpstream)})
 		require.NotNil(t, state.Upstreams["i-1"], "the upstream wrote its object again")
 	}
--- a/internal/storewatch/storewatch.go
+++ b/internal/storewatch/storewatch.go
@@ -166,7 +166,7 @@
 func (f *Follower) recordSuccess() {
 	if f.lost {
 		f.lost = false
-		logevent.Info(f.Log, logevent.PlatformRecovered).Str("kind", f.Kind).Msg("platform back")
+		logevent.Info(f.Log, logevent.PlatformRecovered).Str("kind", f.Kind).Msg("platform recovered")
 	}
 }
 
--- a/internal/transfer/fetcher.go
+++ b/internal/transfer/fetcher.go
@@ -88,7 +88,7 @@
 		f.Memory.DropVersion(e.Digest)
 	case weights.OriginOutageChanged:
 		logevent.Info(f.Log, logevent.StateChanged).Str("what", "origin").Str("of", e.Digest).Str("value", map[bool]string{true: "away", false: "back"}[e.Down]).
-			Bool("own_draw", e.OwnFetch).Dur("lasted_ms", e.Lasted).Msg("belief changed")
+			Bool("own_draw", e.OwnFetch).Dur("lasted_ms", e.Lasted).Msg("known state changed")
 	case weights.Completed:
 		logevent.Info(f.Log, logevent.BurstComplete).Str("digest", e.Digest).Dur("took_ms", e.Took).
 			Ints64("bytes_by_tier", e.Counts.Bytes[:]).Int64("wasted", e.Counts.Wasted).Int64("hedged", e.Counts.Hedged).
--- a/internal/transfer/manifest.go
+++ b/internal/transfer/manifest.go
@@ -55,7 +55,7 @@
 	var coded *code.Error
 	if errors.As(err, &coded) {
 		event.Code = coded.Code
-		logevent.Warn(f.Log, logevent.BurstBlocked).Str("digest", e.Digest).Int("code", int(coded.Code)).Str("why", coded.Error()).Msg("burst stuck")
+		logevent.Warn(f.Log, logevent.BurstBlocked).Str("digest", e.Digest).Int("code", int(coded.Code)).Str("why", coded.Error()).Msg("burst blocked")
 	}
 	f.Steps.Step(event)
 }
