--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -14,7 +14,7 @@
 
 	"samphireweir.example/samphireweir/internal/code"
 	"samphireweir.example/samphireweir/internal/config"
-	"samphireweir.example/samphireweir/internal/story"
+	"samphireweir.example/samphireweir/internal/explain"
 )
 
 // explainCommand explains from logs the outcome of a request, how a change of the known state spread, how a version was installed, or
@@ -93,7 +93,7 @@
 	if err == nil {
 		err = c.Check()
 	}
-	var log *story.Log
+	var log *explain.Log
 	if err == nil {
 		log, err = readLogs(fs.Args())
 	}
@@ -107,9 +107,9 @@
 }
 
 // readLogs reads log files, or standard input if names is empty.
-func readLogs(names []string) (*story.Log, error) {
+func readLogs(names []string) (*explain.Log, error) {
 	if len(names) == 0 {
-		return story.Read(os.Stdin)
+		return explain.Read(os.Stdin)
 	}
 	var readers []io.Reader
 	for _, name := range names {
@@ -120,11 +120,11 @@
 		defer func() { _ = f.Close() }()
 		readers = append(readers, f)
 	}
-	return story.Read(readers...)
+	return explain.Read(readers...)
 }
 
 // print writes the explanation for which the flags ask.
-func (c *explainCommand) print(w io.Writer, log *story.Log) error {
+func (c *explainCommand) print(w io.Writer, log *explain.Log) error {
 	_, _ = fmt.Fprintf(w, "%d lines, %d malformed lines, %d lines dropped by their processes\n\n", len(log.Lines), log.Malformed, log.Dropped)
 	switch {
 	case c.request != "":
@@ -149,7 +149,7 @@
 }
 
 // printSample writes the outcome and the cause of each request of a sample.
-func (c *explainCommand) printSample(w io.Writer, log *story.Log) error {
+func (c *explainCommand) printSample(w io.Writer, log *explain.Log) error {
 	ids := log.Sample(c.sample, c.seed)
 	explained := 0
 	for _, id := range ids {
--- a/internal/demo/commandline.go
+++ b/internal/demo/commandline.go
@@ -9,8 +9,8 @@
 
 	"github.com/pkg/errors"
 	"samphireweir.example/samphireweir/internal/demo/layout"
-	"samphireweir.example/samphireweir/internal/demo/outside"
 	"samphireweir.example/samphireweir/internal/demo/processes"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 // CommandLine builds the arguments with which the product's processes are started.
@@ -59,7 +59,7 @@
 
 // Apply runs `samphireweir settings apply` against the present version of the setting and returns the time at which
 // the change was accepted.
-func (c CommandLine) Apply(ctx context.Context, client *outside.Client, binary, service string, setting layout.Setting) (time.Time, error) {
+func (c CommandLine) Apply(ctx context.Context, client *standinclient.Client, binary, service string, setting layout.Setting) (time.Time, error) {
 	body, err := json.Marshal(setting)
 	if err != nil {
 		return time.Time{}, errors.Wrap(err, "encoding a setting")
--- a/internal/demo/count/count.go
+++ b/internal/demo/count/count.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"samphireweir.example/samphireweir/internal/demo/ledger"
-	"samphireweir.example/samphireweir/internal/demo/outside"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 // Percentile returns the smallest value that at least the given share (0 to 1) of the values does not exceed (nearest
@@ -22,7 +22,7 @@
 }
 
 // RunsByKey counts the runs of each idempotency key in the plain services' log.
-func RunsByKey(lines []outside.PlainLine) map[string]int {
+func RunsByKey(lines []standinclient.PlainLine) map[string]int {
 	runs := map[string]int{}
 	for _, line := range lines {
 		if line.IdempotencyKey != "" {
@@ -33,7 +33,7 @@
 }
 
 // DuplicateKeys returns the idempotency keys that ran more than once, sorted.
-func DuplicateKeys(lines []outside.PlainLine) []string {
+func DuplicateKeys(lines []standinclient.PlainLine) []string {
 	var keys []string
 	for key, runs := range RunsByKey(lines) {
 		if runs > 1 {
@@ -47,7 +47,7 @@
 // FalseNotRun returns the refusals that said "not run" although a stand-in's log shows the run. A run is recognised by
 // its request id. It is also recognised by its idempotency key, if the key ran more often than the other requests with
 // that key can explain.
-func FalseNotRun(records []ledger.Record, plain []outside.PlainLine, engines []outside.EngineLine) []ledger.Record {
+func FalseNotRun(records []ledger.Record, plain []standinclient.PlainLine, engines []standinclient.EngineLine) []ledger.Record {
 	ran := runIDs(plain, engines)
 	unexplained := keysWithUnexplainedRuns(records, plain)
 	var wrong []ledger.Record
@@ -67,7 +67,7 @@
 }
 
 // runIDs returns the request ids of all runs in the logs.
-func runIDs(plain []outside.PlainLine, engines []outside.EngineLine) map[string]bool {
+func runIDs(plain []standinclient.PlainLine, engines []standinclient.EngineLine) map[string]bool {
 	ids := map[string]bool{}
 	for _, line := range plain {
 		ids[line.RequestID] = true
@@ -82,7 +82,7 @@
 }
 
 // keysWithUnexplainedRuns returns the keys that ran more often than requests with that key may have run.
-func keysWithUnexplainedRuns(records []ledger.Record, plain []outside.PlainLine) map[string]bool {
+func keysWithUnexplainedRuns(records []ledger.Record, plain []standinclient.PlainLine) map[string]bool {
 	unexplained := RunsByKey(plain)
 	for _, record := range records {
 		if record.Key != "" && !refusedAsNotRun(record) {
--- a/internal/demo/count/count_test.go
+++ b/internal/demo/count/count_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"samphireweir.example/samphireweir/internal/demo/count"
 	"samphireweir.example/samphireweir/internal/demo/ledger"
-	"samphireweir.example/samphireweir/internal/demo/outside"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 // TestPercentileIsTheNearestRank guards against a percentile that is off by one rank, or that sorts the caller's slice.
@@ -28,7 +28,7 @@
 // TestDoubledListsEachKeyOnce guards against a key that is listed once per extra run, and against requests without a key
 // that are taken for one key.
 func TestDoubledListsEachKeyOnce(t *testing.T) {
-	lines := []outside.PlainLine{
+	lines := []standinclient.PlainLine{
 		{Service: "p1", IdempotencyKey: "b"},
 		{Service: "p2", IdempotencyKey: "b"},
 		{Service: "p2", IdempotencyKey: "b"},
@@ -56,8 +56,8 @@
 		refused("honest", "", ledger.NotRun),
 		refused("unsure", "", ledger.Unknown),
 	}
-	plain := []outside.PlainLine{{RequestID: "plain-ran"}, {RequestID: "unsure"}, {RequestID: ""}}
-	engines := []outside.EngineLine{
+	plain := []standinclient.PlainLine{{RequestID: "plain-ran"}, {RequestID: "unsure"}, {RequestID: ""}}
+	engines := []standinclient.EngineLine{
 		{Kind: "run", RequestID: "engine-ran"},
 		{Kind: "load", RequestID: "loaded"},
 	}
@@ -69,8 +69,8 @@
 // against a true one that is blamed for the run of its resend with the same key.
 func TestFalseNotRunByKey(t *testing.T) {
 	complete := ledger.Record{RequestID: "second", Key: "k", Outcome: ledger.Complete}
-	once := []outside.PlainLine{{RequestID: "inner-1", IdempotencyKey: "k"}}
-	twice := append(once, outside.PlainLine{RequestID: "inner-2", IdempotencyKey: "k"})
+	once := []standinclient.PlainLine{{RequestID: "inner-1", IdempotencyKey: "k"}}
+	twice := append(once, standinclient.PlainLine{RequestID: "inner-2", IdempotencyKey: "k"})
 	first := refused("first", "k", ledger.NotRun)
 
 	assert.Len(t, count.FalseNotRun([]ledger.Record{first}, once, nil), 1, "no other request explains the run")
@@ -82,7 +82,7 @@
 // TestMixedRuns guards against a run on two versions that is overlooked, and against a crash that is counted as one: a
 // crashed engine has no digest at the end.
 func TestMixedRuns(t *testing.T) {
-	lines := []outside.EngineLine{
+	lines := []standinclient.EngineLine{
 		{Kind: "run", Outcome: "done", DigestStart: "1", DigestEnd: "2"},
 		{Kind: "run", Outcome: "cancelled", DigestStart: "1", DigestEnd: "2"},
 		{Kind: "run", Outcome: "done", DigestStart: "1", DigestEnd: ""},
@@ -97,7 +97,7 @@
 // did not finish don't count.
 func TestMixedLoads(t *testing.T) {
 	content := map[string]string{"d1": "content"}
-	lines := []outside.EngineLine{
+	lines := []standinclient.EngineLine{
 		{Kind: "load", Outcome: "done", Digest: "d1", ContentSHA256: "content"},
 		{Kind: "load", Outcome: "done", Digest: "d1", ContentSHA256: "other"},
 		{Kind: "load", Outcome: "done", Digest: "d9", ContentSHA256: "content"},
@@ -111,7 +111,7 @@
 // one or from another version's.
 func TestServeTimesUseTheFirstFinishedLoad(t *testing.T) {
 	since := time.UnixMilli(1000)
-	lines := []outside.EngineLine{
+	lines := []standinclient.EngineLine{
 		{Engine: "e1", Kind: "load", Outcome: "done", Digest: "d1", EndMS: 3000},
 		{Engine: "e1", Kind: "load", Outcome: "done", Digest: "d1", EndMS: 2500},
 		{Engine: "e1", Kind: "load", Outcome: "done", Digest: "d0", EndMS: 1100},
--- a/internal/demo/count/engine_log.go
+++ b/internal/demo/count/engine_log.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"samphireweir.example/samphireweir/internal/demo/outside"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 // RunsAcrossVersions counts the engine runs that started on one version and ended on another.
-func RunsAcrossVersions(lines []outside.EngineLine) int {
+func RunsAcrossVersions(lines []standinclient.EngineLine) int {
 	mixed := 0
 	for _, line := range lines {
 		if line.IsRun() && line.DigestStart != line.DigestEnd && !crashedWithoutWeights(line) {
@@ -18,13 +18,13 @@
 }
 
 // crashedWithoutWeights reports whether a crash ended the run. The engine then has no version, which is not a mix.
-func crashedWithoutWeights(line outside.EngineLine) bool {
-	return line.Outcome == outside.OutcomeCrashed && line.DigestEnd == ""
+func crashedWithoutWeights(line standinclient.EngineLine) bool {
+	return line.Outcome == standinclient.OutcomeCrashed && line.DigestEnd == ""
 }
 
 // LoadsWithWrongContent counts the finished loads whose content doesn't belong to their digest. The map holds the SHA-256 of the
 // content by digest; a load of a digest that is not in the map counts as well.
-func LoadsWithWrongContent(lines []outside.EngineLine, content map[string]string) int {
+func LoadsWithWrongContent(lines []standinclient.EngineLine, content map[string]string) int {
 	mixed := 0
 	for _, line := range lines {
 		if !finishedLoad(line) {
@@ -37,13 +37,13 @@
 	return mixed
 }
 
-func finishedLoad(line outside.EngineLine) bool {
-	return line.IsLoad() && line.Outcome == outside.OutcomeDone
+func finishedLoad(line standinclient.EngineLine) bool {
+	return line.IsLoad() && line.Outcome == standinclient.OutcomeDone
 }
 
 // ServeTimes returns, by engine, the time from since to the end of the engine's first finished load of the digest.
 // Engines without such a load are left out.
-func ServeTimes(lines []outside.EngineLine, digest string, since time.Time) map[string]time.Duration {
+func ServeTimes(lines []standinclient.EngineLine, digest string, since time.Time) map[string]time.Duration {
 	times := map[string]time.Duration{}
 	for _, line := range lines {
 		if !finishedLoad(line) || line.Digest != digest {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -10,8 +10,8 @@
 
 	"github.com/pkg/errors"
 	"samphireweir.example/samphireweir/internal/demo/layout"
-	"samphireweir.example/samphireweir/internal/demo/outside"
 	"samphireweir.example/samphireweir/internal/demo/processes"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 const (
@@ -28,7 +28,7 @@
 	logs         string
 	standIns     *StandIns
 	commandLine  CommandLine
-	client       *outside.Client
+	client       *standinclient.Client
 	hosts        []layout.Host
 	agents       []*processes.Process
 	entries      []*processes.Process
@@ -37,7 +37,7 @@
 	startTimeout time.Duration
 }
 
-func newFleet(options Options, hosts []layout.Host, standIns *StandIns, client *outside.Client, binaries, logs string) *fleet {
+func newFleet(options Options, hosts []layout.Host, standIns *StandIns, client *standinclient.Client, binaries, logs string) *fleet {
 	return &fleet{
 		options:      options,
 		binary:       filepath.Join(binaries, processes.Product),
@@ -63,14 +63,14 @@
 	}
 	var operators []string
 	for index, agent := range f.agents {
-		addresses, err := f.register(timeoutCtx, agent, outside.RoleAgent, f.hosts[index].Place)
+		addresses, err := f.register(timeoutCtx, agent, standinclient.RoleAgent, f.hosts[index].Place)
 		if err != nil {
 			return err
 		}
 		operators = append(operators, addresses.Operators)
 	}
 	for index, entry := range f.entries {
-		addresses, err := f.register(timeoutCtx, entry, outside.RoleEntry, layout.Entries()[index].Place)
+		addresses, err := f.register(timeoutCtx, entry, standinclient.RoleEntry, layout.Entries()[index].Place)
 		if err != nil {
 			return err
 		}
@@ -110,7 +110,7 @@
 	if err != nil {
 		return addresses, err
 	}
-	host := outside.ListedHost{Address: addresses.Peers, Role: role, Place: place.Name, Region: place.Region}
+	host := standinclient.ListedHost{Address: addresses.Peers, Role: role, Place: place.Name, Region: place.Region}
 	return addresses, f.client.Register(ctx, f.standIns.HostList, host)
 }
 
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -6,8 +6,8 @@
 
 	"samphireweir.example/samphireweir/internal/demo/count"
 	"samphireweir.example/samphireweir/internal/demo/ledger"
-	"samphireweir.example/samphireweir/internal/demo/outside"
 	"samphireweir.example/samphireweir/internal/demo/report"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 const (
@@ -16,7 +16,7 @@
 )
 
 // report computes the report from the logs and the ledger.
-func (r *run) report(engines []outside.EngineLine, plain []outside.PlainLine) report.Report {
+func (r *run) report(engines []standinclient.EngineLine, plain []standinclient.PlainLine) report.Report {
 	records := r.book.Records()
 	tally := r.book.Tally()
 	result := report.Report{
@@ -49,7 +49,7 @@
 	return result
 }
 
-func (r *run) spreadFigures(result *spreadResult, engines []outside.EngineLine, records []ledger.Record) report.Spread {
+func (r *run) spreadFigures(result *spreadResult, engines []standinclient.EngineLine, records []ledger.Record) report.Spread {
 	before := count.Percentile(count.LookupTimes(records, r.baselineStart, r.baselineEnd), p95)
 	during := count.Percentile(count.LookupTimes(records, result.startedAt, result.endedAt), p95)
 	figures := report.Spread{
@@ -77,7 +77,7 @@
 
 // liveServeTimes returns, for the live hosts whose engines loaded the version, the time from the acceptance of the
 // setting to the end of the load.
-func (r *run) liveServeTimes(result *spreadResult, engines []outside.EngineLine) []time.Duration {
+func (r *run) liveServeTimes(result *spreadResult, engines []standinclient.EngineLine) []time.Duration {
 	byEngine := count.ServeTimes(engines, result.manifest.Digest, result.acceptedAt)
 	var times []time.Duration
 	for _, host := range r.fleet.live() {
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -13,9 +13,9 @@
 	"samphireweir.example/samphireweir/internal/demo/layout"
 	"samphireweir.example/samphireweir/internal/demo/ledger"
 	"samphireweir.example/samphireweir/internal/demo/load"
-	"samphireweir.example/samphireweir/internal/demo/outside"
 	"samphireweir.example/samphireweir/internal/demo/processes"
 	"samphireweir.example/samphireweir/internal/demo/report"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 const (
@@ -30,13 +30,13 @@
 type run struct {
 	options       Options
 	tempDir       string // removed at the end
-	client        *outside.Client
+	client        *standinclient.Client
 	progress      *progress
 	book          *ledger.Book
 	hosts         []layout.Host
 	standIns      *StandIns
 	fleet         *fleet
-	manifests     map[string]outside.Manifest // by version
+	manifests     map[string]standinclient.Manifest // by version
 	generator     *load.Generator
 	baselineStart time.Time // period of the lookups before the first spread
 	baselineEnd   time.Time
@@ -57,11 +57,11 @@
 	r := &run{
 		options:   options,
 		tempDir:   tempDir,
-		client:    outside.NewClient(),
+		client:    standinclient.NewClient(),
 		book:      book,
 		progress:  startProgress(out, book),
 		hosts:     layout.Hosts(options.Hosts),
-		manifests: map[string]outside.Manifest{},
+		manifests: map[string]standinclient.Manifest{},
 		killed:    []string{},
 	}
 	defer r.progress.stop()
--- a/internal/demo/saved_logs.go
+++ b/internal/demo/saved_logs.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 	"samphireweir.example/samphireweir/internal/demo/count"
 	"samphireweir.example/samphireweir/internal/demo/ledger"
-	"samphireweir.example/samphireweir/internal/demo/outside"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 const (
@@ -20,7 +20,7 @@
 )
 
 // saveLogs writes the ledger and the stand-ins' logs into the directory that keeps the processes' output, if there is one.
-func (r *run) saveLogs(engines []outside.EngineLine, plain []outside.PlainLine) error {
+func (r *run) saveLogs(engines []standinclient.EngineLine, plain []standinclient.PlainLine) error {
 	folder := r.options.KeepLogs
 	if folder == "" {
 		return nil
@@ -50,7 +50,7 @@
 }
 
 // printExamples prints a few of the requests behind each kind of fault.
-func (r *run) printExamples(engines []outside.EngineLine, plain []outside.PlainLine) {
+func (r *run) printExamples(engines []standinclient.EngineLine, plain []standinclient.PlainLine) {
 	records := r.book.Records()
 	r.printRecords("lost", count.WithOutcome(records, ledger.Lost))
 	r.printRecords("garbled", count.WithOutcome(records, ledger.Incorrect))
--- a/internal/demo/spread.go
+++ b/internal/demo/spread.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"samphireweir.example/samphireweir/internal/demo/layout"
-	"samphireweir.example/samphireweir/internal/demo/outside"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 const (
@@ -21,7 +21,7 @@
 // spreadResult holds what was measured while one version was distributed to the hosts.
 type spreadResult struct {
 	version    string
-	manifest   outside.Manifest
+	manifest   standinclient.Manifest
 	startedAt  time.Time // just before the setting was applied
 	acceptedAt time.Time // the setting was accepted
 	endedAt    time.Time // all live engines serve the version, or the timeout has passed
--- a/internal/demo/outside/client.go
+++ b/internal/demo/standinclient/client.go
@@ -1,4 +1,4 @@
-package outside
+package standinclient
 
 import (
 	"bufio"
--- a/internal/demo/outside/messages.go
+++ b/internal/demo/standinclient/messages.go
@@ -1,6 +1,6 @@
-// Package outside is a client of the stand-ins: it registers hosts, injects faults, and reads states, manifests, counters
+// Package standinclient is a client of the stand-ins: it registers hosts, injects faults, and reads states, manifests, counters
 // and logs.
-package outside
+package standinclient
 
 // Outcomes in the stand-ins' logs.
 const (
--- a/internal/experiment/faults/fleet.go
+++ b/internal/experiment/faults/fleet.go
@@ -13,8 +13,8 @@
 
 	"samphireweir.example/samphireweir/internal/demo"
 	"samphireweir.example/samphireweir/internal/demo/layout"
-	"samphireweir.example/samphireweir/internal/demo/outside"
 	"samphireweir.example/samphireweir/internal/demo/processes"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 const (
@@ -42,7 +42,7 @@
 	binary      string
 	logs        string
 	commandLine demo.CommandLine
-	client      *outside.Client
+	client      *standinclient.Client
 	hostList    string
 	hosts       []layout.Host
 	agents      []*node
@@ -66,17 +66,17 @@
 	return entries
 }
 
-func newFleet(hosts []layout.Host, commandLine demo.CommandLine, client *outside.Client, binaries, logs string) *fleet {
+func newFleet(hosts []layout.Host, commandLine demo.CommandLine, client *standinclient.Client, binaries, logs string) *fleet {
 	commandLine.Secret = rand.Text()
 	f := &fleet{
 		binary: filepath.Join(binaries, processes.Product), logs: logs, commandLine: commandLine, client: client,
 		hostList: commandLine.StandIns.HostList, hosts: hosts, available: make([]atomic.Bool, len(layout.Places())),
 	}
 	for _, host := range hosts {
-		f.agents = append(f.agents, &node{name: host.Name, role: outside.RoleAgent, dataCentre: host.Place})
+		f.agents = append(f.agents, &node{name: host.Name, role: standinclient.RoleAgent, dataCentre: host.Place})
 	}
 	for _, entry := range entriesOfAllDataCentres() {
-		f.entries = append(f.entries, &node{name: entry.Name, role: outside.RoleEntry, dataCentre: entry.Place})
+		f.entries = append(f.entries, &node{name: entry.Name, role: standinclient.RoleEntry, dataCentre: entry.Place})
 	}
 	return f
 }
@@ -146,7 +146,7 @@
 	f.mutex.Lock()
 	n.addresses = addresses
 	f.mutex.Unlock()
-	listed := outside.ListedHost{Address: n.addresses.Peers, Role: n.role, Place: n.dataCentre.Name, Region: n.dataCentre.Region}
+	listed := standinclient.ListedHost{Address: n.addresses.Peers, Role: n.role, Place: n.dataCentre.Name, Region: n.dataCentre.Region}
 	return f.client.Register(ctx, f.hostList, listed)
 }
 
--- a/internal/experiment/faults/judge.go
+++ b/internal/experiment/faults/judge.go
@@ -8,7 +8,7 @@
 	"samphireweir.example/samphireweir/internal/demo/count"
 	"samphireweir.example/samphireweir/internal/demo/layout"
 	"samphireweir.example/samphireweir/internal/demo/ledger"
-	"samphireweir.example/samphireweir/internal/demo/outside"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 // Result codes of the at-most-once guarantee that a resent request may get.
@@ -54,8 +54,8 @@
 // Evidence is all data by which a run is judged.
 type Evidence struct {
 	Records   []ledger.Record
-	Plain     []outside.PlainLine
-	Engines   []outside.EngineLine
+	Plain     []standinclient.PlainLine
+	Engines   []standinclient.EngineLine
 	Contents  map[string]string // SHA-256 of the content by digest
 	Windows   []Window
 	Downtimes []Downtime
@@ -236,7 +236,7 @@
 	observe := func(name, outcome string, startMS int64) {
 		after := time.UnixMilli(startMS).Sub(s.window.End)
 		known, seen := first[name]
-		if outcome != outside.OutcomeDone || after < 0 || !s.window.containsMS(startMS) || (seen && known <= after) {
+		if outcome != standinclient.OutcomeDone || after < 0 || !s.window.containsMS(startMS) || (seen && known <= after) {
 			return
 		}
 		first[name] = after
@@ -255,7 +255,7 @@
 func (s windowEvidence) crashes() int {
 	seen := map[string]bool{}
 	for _, line := range s.Engines {
-		if line.IsRun() && line.Outcome == outside.OutcomeCrashed {
+		if line.IsRun() && line.Outcome == standinclient.OutcomeCrashed {
 			seen[fmt.Sprint(line.Engine, line.EndMS)] = true
 		}
 	}
--- a/internal/experiment/faults/judge_test.go
+++ b/internal/experiment/faults/judge_test.go
@@ -8,7 +8,7 @@
 
 	"samphireweir.example/samphireweir/internal/demo/layout"
 	"samphireweir.example/samphireweir/internal/demo/ledger"
-	"samphireweir.example/samphireweir/internal/demo/outside"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 var begin = time.UnixMilli(1_000_000)
@@ -79,7 +79,7 @@
 	send := func(seconds float64) ledger.Record {
 		return ledger.Record{Outcome: ledger.Complete, Key: "k", Start: at(seconds)}
 	}
-	plain := []outside.PlainLine{{IdempotencyKey: "k"}, {IdempotencyKey: "k"}}
+	plain := []standinclient.PlainLine{{IdempotencyKey: "k"}, {IdempotencyKey: "k"}}
 	rows := Judge(Evidence{
 		Records: []ledger.Record{send(-1), send(1)}, Plain: plain, Windows: []Window{first, window()},
 	})
@@ -89,22 +89,22 @@
 // TestFalseNotRunIsFoundInLogsOfAnyTime guards against a false "not run" that is missed since the request ran only after the window of its refusal.
 func TestFalseNotRunIsFoundInLogsOfAnyTime(t *testing.T) {
 	record := ledger.Record{RequestID: "r", Outcome: ledger.Refused, Ran: ledger.NotRun, Start: at(12.9)}
-	ranLater := outside.PlainLine{RequestID: "r", StartMS: at(14).UnixMilli()}
-	assert.Equal(t, 1, judged(Evidence{Records: []ledger.Record{record}, Plain: []outside.PlainLine{ranLater}}).FalseNotRun)
+	ranLater := standinclient.PlainLine{RequestID: "r", StartMS: at(14).UnixMilli()}
+	assert.Equal(t, 1, judged(Evidence{Records: []ledger.Record{record}, Plain: []standinclient.PlainLine{ranLater}}).FalseNotRun)
 	assert.Zero(t, judged(Evidence{Records: []ledger.Record{record}}).FalseNotRun)
 }
 
 // TestUpstreamRecoversByACompletedRunAfterTheFault guards against upstreams that count as recovered by a run that started before the end of the
 // fault, or that crashed.
 func TestUpstreamRecoversByACompletedRunAfterTheFault(t *testing.T) {
-	run := func(engine, outcome string, seconds float64) outside.EngineLine {
-		return outside.EngineLine{Engine: engine, Kind: "run", Outcome: outcome, StartMS: at(seconds).UnixMilli()}
+	run := func(engine, outcome string, seconds float64) standinclient.EngineLine {
+		return standinclient.EngineLine{Engine: engine, Kind: "run", Outcome: outcome, StartMS: at(seconds).UnixMilli()}
 	}
 	hosts := []layout.Host{{Engine: "e1"}, {Engine: "e2"}, {Engine: "e3"}, {Engine: "e4", Plain: "p4"}}
-	lines := []outside.EngineLine{
+	lines := []standinclient.EngineLine{
 		run("e1", "done", 5), run("e1", "done", 9), run("e2", "done", 2), run("e3", "crashed", 5), run("e4", "done", 4),
 	}
-	row := judged(Evidence{Hosts: hosts, Engines: lines, Plain: []outside.PlainLine{{Service: "p4", Outcome: "done", StartMS: at(4).UnixMilli()}}})
+	row := judged(Evidence{Hosts: hosts, Engines: lines, Plain: []standinclient.PlainLine{{Service: "p4", Outcome: "done", StartMS: at(4).UnixMilli()}}})
 	assert.Equal(t, []string{"e2", "e3"}, row.NotRecovered)
 	assert.InDelta(t, 2, row.NormalSeconds, 0.01)
 	assert.Equal(t, 1, row.EngineCrashes)
--- a/internal/experiment/faults/run.go
+++ b/internal/experiment/faults/run.go
@@ -15,8 +15,8 @@
 	"samphireweir.example/samphireweir/internal/demo/layout"
 	"samphireweir.example/samphireweir/internal/demo/ledger"
 	"samphireweir.example/samphireweir/internal/demo/load"
-	"samphireweir.example/samphireweir/internal/demo/outside"
 	"samphireweir.example/samphireweir/internal/demo/processes"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 )
 
 const (
@@ -49,15 +49,15 @@
 	options   Options
 	progress  io.Writer
 	startedAt time.Time
-	client    *outside.Client
+	client    *standinclient.Client
 	standIns  *demo.StandIns
 	fleet     *fleet
 	hosts     []layout.Host
 	book      *ledger.Book
 	generator *load.Generator
-	manifests map[string]outside.Manifest // by version
-	version   int                         // number of the version in force
-	checks    int                         // number of settings applied by checks
+	manifests map[string]standinclient.Manifest // by version
+	version   int                               // number of the version in force
+	checks    int                               // number of settings applied by checks
 	random    *rand.Rand
 	windows   []Window
 }
@@ -74,8 +74,8 @@
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	r := &run{
-		options: o, progress: progress, startedAt: time.Now(), client: outside.NewClient(), hosts: layout.Hosts(o.Hosts),
-		book: &ledger.Book{}, manifests: map[string]outside.Manifest{},
+		options: o, progress: progress, startedAt: time.Now(), client: standinclient.NewClient(), hosts: layout.Hosts(o.Hosts),
+		book: &ledger.Book{}, manifests: map[string]standinclient.Manifest{},
 		random: rand.New(rand.NewPCG(o.Seed, streamVictims)),
 	}
 	defer r.stop()
--- a/internal/experiment/realfleet.go
+++ b/internal/experiment/realfleet.go
@@ -14,15 +14,15 @@
 
 	"github.com/pkg/errors"
 
-	"samphireweir.example/samphireweir/internal/demo/outside"
 	"samphireweir.example/samphireweir/internal/demo/processes"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 	"samphireweir.example/samphireweir/internal/operator"
 )
 
 // realFleet is a fleet of separate product processes and platform stand-ins.
 type realFleet struct {
 	folder    string
-	client    *outside.Client
+	client    *standinclient.Client
 	standIns  []*processes.Process
 	procs     []*processes.Process
 	addresses []processes.Addresses
@@ -75,13 +75,13 @@
 
 func (f *realFleet) startProcess(ctx context.Context, i int) error {
 	dataCentre := settingsDataCentres[i%len(settingsDataCentres)]
-	role := outside.RoleAgent
+	role := standinclient.RoleAgent
 	args := []string{
 		"-name", fmt.Sprintf("host-%d", i), "-place", dataCentre.name, "-region", dataCentre.region, "-secret", "experiment",
 		"-object-api", "http://" + f.objects, "-host-list", "http://" + f.hosts,
 	}
 	if i%processesPerEntry == 0 {
-		role = outside.RoleEntry
+		role = standinclient.RoleEntry
 		args = append([]string{"entry", "-callers-listen", "127.0.0.1:0"}, args...)
 	} else {
 		up := fmt.Sprintf("%s/service-%d=plain@http://127.0.0.1:9/p%d", settingsTeam, i%20, i)
@@ -95,7 +95,7 @@
 	if f.addresses[i], err = p.Addresses(ctx); err != nil {
 		return err
 	}
-	return f.client.Register(ctx, f.hosts, outside.ListedHost{Address: f.addresses[i].Peers, Role: role, Place: dataCentre.name, Region: dataCentre.region})
+	return f.client.Register(ctx, f.hosts, standinclient.ListedHost{Address: f.addresses[i].Peers, Role: role, Place: dataCentre.name, Region: dataCentre.region})
 }
 
 func (f *realFleet) awaitReady(ctx context.Context) error {
--- a/internal/experiment/settings.go
+++ b/internal/experiment/settings.go
@@ -15,8 +15,8 @@
 	"github.com/google/subcommands"
 	"github.com/pkg/errors"
 
-	"samphireweir.example/samphireweir/internal/demo/outside"
 	"samphireweir.example/samphireweir/internal/demo/processes"
+	"samphireweir.example/samphireweir/internal/demo/standinclient"
 	"samphireweir.example/samphireweir/internal/fleet"
 	"samphireweir.example/samphireweir/internal/objectapi"
 	"samphireweir.example/samphireweir/internal/operator"
@@ -105,7 +105,7 @@
 	if err := processes.Build(ctx, folder); err != nil {
 		return nil, err
 	}
-	f := &realFleet{folder: folder, client: outside.NewClient()}
+	f := &realFleet{folder: folder, client: standinclient.NewClient()}
 	defer f.stop()
 	if err := f.start(ctx, c.processes); err != nil {
 		return nil, err
--- a/internal/story/story.go
+++ b/internal/explain/explain.go
@@ -1,4 +1,4 @@
-package story
+package explain
 
 import (
 	"encoding/json"
--- a/internal/story/story_test.go
+++ b/internal/explain/explain_test.go
@@ -1,4 +1,4 @@
-package story_test
+package explain_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"samphireweir.example/samphireweir/internal/story"
+	"samphireweir.example/samphireweir/internal/explain"
 )
 
 // line returns a log line of a process at 10:00 and the given second; rest holds its other JSON fields.
@@ -16,14 +16,14 @@
 }
 
 // read parses the log of an entry and the logs of other processes.
-func read(t *testing.T, logs ...string) *story.Log {
+func read(t *testing.T, logs ...string) *explain.Log {
 	t.Helper()
 	var readers []*strings.Reader
 	for _, l := range logs {
 		readers = append(readers, strings.NewReader(l))
 	}
 	require.Len(t, readers, 2, "want the log of an entry and the logs of other processes")
-	l, err := story.Read(readers[0], readers[1])
+	l, err := explain.Read(readers[0], readers[1])
 	require.NoError(t, err)
 	return l
 }
--- a/internal/story/fuzz_test.go
+++ b/internal/explain/fuzz_test.go
@@ -1,4 +1,4 @@
-package story_test
+package explain_test
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"samphireweir.example/samphireweir/internal/story"
+	"samphireweir.example/samphireweir/internal/explain"
 )
 
 // FuzzRead guards against panics and lost lines on arbitrary input. Each line must be parsed or counted as malformed, and whatever was
@@ -15,7 +15,7 @@
 	f.Add([]byte(line(28, "entry", "edge-1", sent) + line(29, "entry", "edge-1", broken) + line(30, "entry", "edge-1", refused)))
 	f.Add([]byte("12.5 edge-1 {\"event\":4008,\"request\":\"abc\"}\n{\"event\":\"x\"}\n{\"time\":7}\n{\n\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		l, err := story.Read(bytes.NewReader(raw))
+		l, err := explain.Read(bytes.NewReader(raw))
 		if err != nil {
 			return // A line is longer than maxLineBytes.
 		}
--- a/internal/story/installs_test.go
+++ b/internal/explain/installs_test.go
@@ -1,4 +1,4 @@
-package story_test
+package explain_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"samphireweir.example/samphireweir/internal/story"
+	"samphireweir.example/samphireweir/internal/explain"
 )
 
 // TestInstallsOfAVersion checks the steps of a version that two hosts install, one of which restarts in between; lines before its restart
@@ -29,7 +29,7 @@
 	phaseChanged(8, "side-3", 1, "whole")
 	i := read(t, log.String(), "").Installs("m", 2)
 	require.Equal(t, 2, i.Hosts)
-	require.Equal(t, []story.Step{
+	require.Equal(t, []explain.Step{
 		{Name: "resolving (so)", Times: []time.Duration{0, 5 * time.Second}},
 		{Name: "agent started", Times: []time.Duration{-time.Second, 4 * time.Second}},
 		{Name: "whole (so)", Times: []time.Duration{2 * time.Second, 7 * time.Second}},
@@ -40,9 +40,9 @@
 }
 
 // sorted returns the steps in the order that the test expects: the median of two times is the later one.
-func sorted(steps []story.Step) []story.Step {
+func sorted(steps []explain.Step) []explain.Step {
 	order := map[string]int{"resolving (so)": 0, "agent started": 1, "whole (so)": 2}
-	list := make([]story.Step, len(order))
+	list := make([]explain.Step, len(order))
 	for _, s := range steps {
 		list[order[s.Name]] = s
 	}
--- a/internal/story/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -1,4 +1,4 @@
-package story_test
+package explain_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"samphireweir.example/samphireweir/internal/story"
+	"samphireweir.example/samphireweir/internal/explain"
 )
 
 // TestLossesCountEachReason checks that requests with different ends are counted under different reasons.
@@ -43,7 +43,7 @@
 	losses := read(t, log.String(), "").Losses()
 	require.Equal(t, 15, losses.Ended)
 	require.Equal(t, 1, losses.InTime)
-	require.Equal(t, story.Loss{Reason: "refused: no capacity", Requests: 2}, losses.ByReason[0])
+	require.Equal(t, explain.Loss{Reason: "refused: no capacity", Requests: 2}, losses.ByReason[0])
 	require.Len(t, losses.ByReason, 13)
 	var out strings.Builder
 	require.NoError(t, losses.Print(&out))
--- a/internal/story/read.go
+++ b/internal/explain/read.go
@@ -1,6 +1,6 @@
-// Package story reads the logs of several processes. From the log lines alone it explains the outcome of a request, how a change of
+// Package explain reads the logs of several processes. From the log lines alone it explains the outcome of a request, how a change of
 // the known state spread, how a version was installed, and why requests were not answered in time.
-package story
+package explain
 
 import (
 	"bufio"
--- a/internal/house/house_test.go
+++ b/internal/repocheck/repocheck_test.go
@@ -1,6 +1,6 @@
-// Package house_test checks conventions of the whole repository that go vet and staticcheck don't cover: the length of files, doc comments, links
+// Package repocheck_test checks conventions of the whole repository that go vet and staticcheck don't cover: the length of files, doc comments, links
 // between pages, and paths that exist on one machine only.
-package house_test
+package repocheck_test
 
 import (
 	"go/ast"
