--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -51,7 +51,7 @@
 	fs.StringVar(&c.Origin, "origin", "", "URL of the origin of weights")
 	fs.StringVar(&c.Upstreams, "upstreams", "", "the host's upstreams: TEAM/SERVICE=engine@URL or TEAM/SERVICE=plain@URL, with commas between")
 	fs.Int64Var(&c.LinkRate, "link-rate", 0, "bytes a second of each direction of the host's link; 0 for no pacing")
-	fs.DurationVar(&c.StalledAfter, "stalled-after", defaultStalledAfter, "how long an answer that has begun may bring no byte though its upstream lives")
+	fs.DurationVar(&c.StalledAfter, "stalled-after", defaultStalledAfter, "how long a response that has started may deliver no byte although its upstream answers probes")
 	fs.Int64Var(&c.ChunkMemory, "chunk-memory", defaultChunkMemory, "bytes of memory for chunks of weights")
 	fs.StringVar(&c.Spread, "spread", string(weights.Tiers), "for experiments only: how weights spread, tiers, swarm or direct")
 	fs.BoolVar(&c.NoYield, "no-yield", false, "for experiments only: transfers don't yield to live requests")
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -175,6 +175,4 @@
 }
 
 // recheck has the core read an upstream's state at once, so that a crashed upstream gets no further requests.
-func (a *Agent) recheck(start run.Start) {
-	a.Loop.Step(rollout.StateReadRequested{Upstream: start.Upstream})
-}
+func (a *Agent) recheck(s run.Start) { a.Loop.Step(rollout.StateReadRequested{Upstream: s.Upstream}) }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -55,7 +55,7 @@
 func (c *statusCommand) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.process, "process", "", "operators' address of any process of the system, as a URL")
 	fs.StringVar(&c.hostList, "host-list", "", "URL of the platform's host list")
-	fs.StringVar(&c.secret, "secret", "", "secret shared by the system's processes; preferably set by its variable")
+	fs.StringVar(&c.secret, "secret", "", "secret shared by the system's processes; prefer the environment variable")
 	fs.BoolVar(&c.json, "json", false, "print JSON")
 	describeFlags(fs)
 }
--- a/internal/core/slot/slot.go
+++ b/internal/core/slot/slot.go
@@ -30,9 +30,9 @@
 const (
 	// expiryMarginDivisor sets the safety margin: a holder leaves 1/10 of the expiry unused.
 	expiryMarginDivisor = 10
-	// heartbeatsPerExpiry is the number of heartbeats per expiry. An observation has a gap when no answer arrived for longer
+	// heartbeatCount is the number of heartbeats per expiry. An observation has a gap when no answer arrived for longer
 	// than one such interval.
-	heartbeatsPerExpiry = 3
+	heartbeatCount = 3
 	// requestersPerSlot is the number of engines that request each slot. More requesters would only cause conflicts.
 	requestersPerSlot = 2
 	// maxTableAge is the maximum age of the table that a write is based on. Other agents write too, and a read is
@@ -287,7 +287,7 @@
 // nextTable computes the table that this agent wants. changed reports whether the table must be written: a local slot
 // is added, released, due for a heartbeat or held under another fencing number.
 func (s *Service) nextTable(now time.Time, maxUnavailable int, fencing uint64) (wanted Table, changed bool) {
-	heartbeatDue := now.Sub(s.heartbeatAt) >= s.timing.Expiry/heartbeatsPerExpiry
+	heartbeatDue := now.Sub(s.heartbeatAt) >= s.timing.Expiry/heartbeatCount
 	wanted = s.table.without(s.isLocal)
 	for _, h := range s.table.Holders {
 		if !s.isLocal(h) {
@@ -337,9 +337,7 @@
 
 // hasGap reports whether the observation has a gap: the last answer is so old that an outage may have kept holders
 // from sending heartbeats.
-func (s *Service) hasGap(now time.Time) bool {
-	return now.Sub(s.asOf) > s.timing.Expiry/heartbeatsPerExpiry
-}
+func (s *Service) hasGap(now time.Time) bool { return now.Sub(s.asOf) > s.timing.Expiry/heartbeatCount }
 
 // expired reports whether a slot of another host has not changed for the whole expiry, under observation without a
 // gap.
--- a/internal/entry/config.go
+++ b/internal/entry/config.go
@@ -42,12 +42,12 @@
 func (c *Config) Flags(fs *flag.FlagSet) {
 	c.Config.Flags(fs)
 	fs.StringVar(&c.CallersListen, "callers-listen", "127.0.0.1:0", "address for callers, IP:PORT")
-	fs.DurationVar(&c.DefaultDeadline, "deadline", defaultDeadline, "deadline of a request that names none")
+	fs.DurationVar(&c.DefaultDeadline, "deadline", defaultDeadline, "deadline of a request without a Deadline-Ms header")
 	fs.Int64Var(&c.MaxBodyBytes, "max-body", defaultMaxBody, "largest body of a request, in bytes")
-	fs.StringVar(&c.Routing, "routing", string(routing.Affinity), "how upstreams are chosen: affinity; random, least and two are for experiments")
-	fs.DurationVar(&c.ReadinessDelay, "settle", defaultSettle, "how long a stopping entry takes requests while the balancer notices; longer than the balancer's check")
-	fs.DurationVar(&c.Claims.Retention, "claim-retention", claim.DefaultRetention, "how long a run is remembered after the time in its UUIDv7 idempotency key; alike in all entries")
-	fs.DurationVar(&c.Claims.UntimedRetention, "claim-untimed-retention", claim.DefaultUntimedRetention, "how long a run of another idempotency key is remembered; alike in all entries")
+	fs.StringVar(&c.Routing, "routing", string(routing.Affinity), "policy for choosing upstreams: affinity; random, least and two are for experiments")
+	fs.DurationVar(&c.ReadinessDelay, "settle", defaultSettle, "how long a stopping entry accepts requests after it reports itself as not ready; longer than the balancer's check interval")
+	fs.DurationVar(&c.Claims.Retention, "claim-retention", claim.DefaultRetention, "how long the record of a run is retained after the time in its UUIDv7 idempotency key; equal for all entries")
+	fs.DurationVar(&c.Claims.UntimedRetention, "claim-untimed-retention", claim.DefaultUntimedRetention, "how long the record of a run with any other idempotency key is retained; equal for all entries")
 }
 
 // Check returns an error for the first setting that is missing or invalid.
