--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -34,7 +34,7 @@
 	health run.Health
 }
 
-// monitor probes the upstream of a run while it sends nothing, to tell a slow upstream from a dead one. It returns when
+// monitor probes the upstream of a run while it sends nothing, to distinguish a slow upstream from a dead one. It returns when
 // the run ends.
 func (a *Agent) monitor(x *execution) {
 	startedAt := time.Now()
--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -160,7 +160,7 @@
 // Event marks the type as an event.
 func (StoreFailed) Event() {}
 
-// StateChanged tells the shell to log a change of the known state.
+// StateChanged has the shell log a change of the known state.
 type StateChanged struct {
 	// Topic is the kind of object that changed.
 	Topic Topic
--- a/internal/core/catalog/version.go
+++ b/internal/core/catalog/version.go
@@ -43,7 +43,7 @@
 // Event marks the type as an event.
 func (VersionActivated) Event() {}
 
-// ActivationChanged tells the shell that an activation was received for the first time, or that its known age was corrected.
+// ActivationChanged reports to the shell that an activation was received for the first time, or that its known age was corrected.
 type ActivationChanged struct{ Activation Activation }
 
 // Effect marks the type as an effect.
--- a/internal/core/forward/forward.go
+++ b/internal/core/forward/forward.go
@@ -162,7 +162,7 @@
 // Event marks the type as an event.
 func (ShutdownStarted) Event() {}
 
-// Admitted tells the shell the deadline of a request and the route whose terms apply to it.
+// Admitted reports to the shell the deadline of a request and the route whose terms apply to it.
 type Admitted struct {
 	ID       uint64
 	Route    *catalog.Route
--- a/internal/core/forward/quarantine.go
+++ b/internal/core/forward/quarantine.go
@@ -23,7 +23,7 @@
 // Event marks the type as an event.
 func (CrashesReported) Event() {}
 
-// QuarantineStarted tells the shell that a request is quarantined from now on, because this entry counted the crash that reached the
+// QuarantineStarted reports to the shell that a request is quarantined from now on, because this entry counted the crash that reached the
 // threshold.
 type QuarantineStarted struct {
 	Fingerprint uint64
@@ -31,14 +31,14 @@
 	Upstream string
 }
 
-// Quarantined tells the shell that a request is quarantined from now on because another process reported it.
+// Quarantined reports to the shell that a request is quarantined from now on because another process reported it.
 type Quarantined struct {
 	Fingerprint uint64
 	// Remaining is the remaining time of the quarantine.
 	Remaining time.Duration
 }
 
-// CrashesDropped tells the shell how many crashes were not recorded because the table is full; see quarantine.Table.
+// CrashesDropped reports to the shell how many crashes were not recorded because the table is full; see quarantine.Table.
 type CrashesDropped struct{ Count int }
 
 // Effect marks the type as an effect.
--- a/internal/core/forward/version.go
+++ b/internal/core/forward/version.go
@@ -25,7 +25,7 @@
 // Effect marks the type as an effect.
 func (Withdraw) Effect() {}
 
-// StartedLate tells the shell that an upstream started a request on a version of weights that had expired.
+// StartedLate reports to the shell that an upstream started a request on a version of weights that had expired.
 type StartedLate struct {
 	ID       uint64
 	Upstream string
--- a/internal/core/install/install.go
+++ b/internal/core/install/install.go
@@ -188,7 +188,7 @@
 	MaxAge    time.Duration
 }
 
-// PhaseChanged tells the shell to log that a model or version entered a phase.
+// PhaseChanged has the shell log that a model or version entered a phase.
 type PhaseChanged struct {
 	Model   string
 	Version int64
--- a/internal/core/source/source.go
+++ b/internal/core/source/source.go
@@ -49,7 +49,7 @@
 // Event marks the type as an event.
 func (PeerFailed) Event() {}
 
-// Changed tells the shell to read from another source from now on.
+// Changed has the shell read from another source from now on.
 type Changed struct {
 	// Address is the entry to read from; empty for the store.
 	Address string
--- a/internal/core/weights/outage.go
+++ b/internal/core/weights/outage.go
@@ -56,7 +56,7 @@
 	Widespread bool
 }
 
-// OriginOutageChanged tells the shell that the origin is considered unavailable, or available
+// OriginOutageChanged reports to the shell that the origin is considered unavailable, or available
 // again.
 type OriginOutageChanged struct {
 	effect
@@ -167,7 +167,7 @@
 	}
 }
 
-// reportOutage tells the shell when the known state of the origin has changed.
+// reportOutage reports to the shell when the known state of the origin has changed.
 func (b *Burst) reportOutage(now time.Time) []step.Effect {
 	o := &b.outage
 	down := o.ongoing(now)
--- a/internal/node/process.go
+++ b/internal/node/process.go
@@ -174,7 +174,7 @@
 // ShuttingDown reports whether the readiness check fails because the process is about to stop.
 func (p *Process) ShuttingDown() bool { return p.stopping.Load() }
 
-// StartShutdown makes the readiness check fail, so that the load balancer sends no more requests, and tells the core that a
+// StartShutdown makes the readiness check fail, so that the load balancer sends no more requests, and informs the core that a
 // shutdown was requested.
 func (p *Process) StartShutdown() {
 	p.stopping.Store(true)
--- a/internal/telemetry/watcher.go
+++ b/internal/telemetry/watcher.go
@@ -99,7 +99,7 @@
 
 func (w *watcher) fetchStarted(e weights.FetchChunk) {
 	if e.From == weights.Origin {
-		return // Chunks from the weight store and the origin are counted as they are read: only there are the two told apart.
+		return // Chunks from the weight store and the origin are counted as they are read: only there can the two be distinguished.
 	}
 	w.mu.Lock()
 	w.fetchSizes[e.ID] = e.Chunk.Size
