--- a/internal/core/forward/rate_limit_test.go
+++ b/internal/core/forward/rate_limit_test.go
@@ -195,7 +195,7 @@
 }
 
 // maxInWindow returns the largest number of requests in any window that ends after the given time.
-func (f *limitedFleet) highest(after time.Duration) int {
+func (f *limitedFleet) maxInWindow(after time.Duration) int {
 	highest, first := 0, 0
 	for i, at := range f.arrivals {
 		for f.arrivals[first] <= at-limitWindow {
@@ -230,7 +230,7 @@
 						f.agentRestarted = false
 						f.play(4*time.Second, 20)
 						allowed := limitFactor*limit*limitWindow.Seconds() + limitExtra
-						require.LessOrEqual(t, float64(f.highest(limitFrom)), allowed, "limit %v, seed %d", limit, seed)
+						require.LessOrEqual(t, float64(f.maxInWindow(limitFrom)), allowed, "limit %v, seed %d", limit, seed)
 					}
 				}
 			})
--- a/internal/experiment/faults/check.go
+++ b/internal/experiment/faults/check.go
@@ -114,7 +114,7 @@
 	c.inForce = time.Now()
 }
 
-// knows reports whether an entry has the setting of a service: its refusal then has another code than "no such service".
+// hasSetting reports whether an entry has the setting of a service: its refusal then has another code than "no such service".
 func hasSetting(ctx context.Context, client *http.Client, url string) bool {
 	message, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/experiment/faults/fleet.go
+++ b/internal/experiment/faults/fleet.go
@@ -150,7 +150,7 @@
 	return f.client.Register(ctx, f.hostList, listed)
 }
 
-// balance acts as the platform's balancer until ctx ends: it polls the readiness of each entry.
+// pollReadiness acts as the platform's balancer until ctx ends: it polls the readiness of each entry.
 func (f *fleet) pollReadiness(ctx context.Context) {
 	for index := range f.entries {
 		f.available[index].Store(true)
@@ -167,7 +167,7 @@
 	}
 }
 
-// down records that an entry is down from now on. The function that it returns records the end of the downtime.
+// startDowntime records that an entry is down from now on. The function that it returns records the end of the downtime.
 func (f *fleet) startDowntime(entry int, abrupt bool) (endDowntime func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/experiment/faults/judge.go
+++ b/internal/experiment/faults/judge.go
@@ -115,7 +115,7 @@
 	return rows
 }
 
-// slice is the part of the evidence that belongs to one window.
+// windowEvidence is the part of the evidence that belongs to one window.
 type windowEvidence struct {
 	Evidence
 	all    Evidence
@@ -126,7 +126,7 @@
 
 func (w Window) containsMS(ms int64) bool { return w.contains(time.UnixMilli(ms)) }
 
-// in returns the part of the evidence that belongs to a window. The runs of an idempotency key count in the window in which the key was first sent.
+// during returns the part of the evidence that belongs to a window. The runs of an idempotency key count in the window in which the key was first sent.
 func (e Evidence) during(w Window) windowEvidence {
 	s := windowEvidence{Evidence: e, all: e, window: w}
 	s.Records, s.Engines, s.Plain = nil, nil, nil
@@ -284,7 +284,7 @@
 	}
 }
 
-// disturbed reports whether the outcome of a request shows that the fleet did not work as usual.
+// isDisturbance reports whether the outcome of a request shows that the fleet did not work as usual.
 func isDisturbance(r ledger.Record, resent bool) bool {
 	if r.Outcome == ledger.Complete || r.Kind == ledger.Poison {
 		return false
