--- a/internal/agent/env_test.go
+++ b/internal/agent/env_test.go
@@ -85,7 +85,7 @@
 func buildTestEnv(t testing.TB, f setting.Fencing, engines ...string) *testEnv {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	origin, err := weights.NewServer(weights.Config{Shape: weights.ContentConfig{Size: 2 << 20, ChunkSize: 256 << 10, Seed: 7}})
+	origin, err := weights.NewServer(weights.Config{Content: weights.ContentConfig{Size: 2 << 20, ChunkSize: 256 << 10, Seed: 7}})
 	require.NoError(t, err)
 	b := &testEnv{
 		t:       t,
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -90,7 +90,7 @@
 		a.Loop.Step(rollout.StateFailed{Upstream: e.Upstream, Serial: e.Serial})
 		return
 	}
-	a.Loop.Step(rollout.StateRead{Upstream: e.Upstream, Serial: e.Serial, Reading: rollout.EngineState{
+	a.Loop.Step(rollout.StateRead{Upstream: e.Upstream, Serial: e.Serial, State: rollout.EngineState{
 		BootID: state.BootID, Digest: state.Digest, Generation: state.Generation, Fencing: state.Fencing,
 		Loading: state.Loading, Role: setting.Role(state.Role),
 	}})
--- a/internal/core/crashing_test.go
+++ b/internal/core/crashing_test.go
@@ -53,7 +53,7 @@
 // attempt is an attempt of an entry to run the request on an agent's engine.
 type attempt struct {
 	entry string
-	try   request.Attempt
+	sent  request.Attempt
 }
 
 func newCrashSimulation(seed uint64, entries, agents, copies int) *crashSimulation {
@@ -160,7 +160,7 @@
 		}
 		c.runLater(func() { c.step(e.To, record.Received{From: address, Records: e.Records}) })
 	case request.Send:
-		c.startAttempt(attempt{entry: address, try: e.Attempt})
+		c.startAttempt(attempt{entry: address, sent: e.Attempt})
 	case request.Refuse:
 		c.step(address, request.Ended{ID: e.ID})
 		c.send(address)
@@ -183,17 +183,17 @@
 // startAttempt sends an attempt to its agent, with the entry's mark if the request must run alone.
 func (c *crashSimulation) startAttempt(a attempt) {
 	var marks []record.Record
-	if a.try.Exclusive {
+	if a.sent.Exclusive {
 		marks = c.mark(a.entry)
 	}
-	agent := a.try.Target.Address
+	agent := a.sent.Target.Address
 	c.runLater(func() {
 		c.call++
 		c.attempts[c.call] = a
 		c.step(agent, record.Received{Records: marks})
 		c.step(agent, run.StartRequested{
-			Call: c.call, Upstream: "e", Fingerprint: crashingRequest, Exclusive: a.try.Exclusive,
-			Message: run.Message{ID: run.ID{Request: a.try.ID, Attempt: a.try.Number}, Incarnation: 1, Entry: a.entry, Sequence: a.try.Sequence},
+			Call: c.call, Upstream: "e", Fingerprint: crashingRequest, Exclusive: a.sent.Exclusive,
+			Message: run.Message{ID: run.ID{Request: a.sent.ID, Attempt: a.sent.Number}, Incarnation: 1, Entry: a.entry, Sequence: a.sent.Sequence},
 		})
 	})
 }
@@ -236,7 +236,7 @@
 func (c *crashSimulation) fail(agent string, a attempt, why code.Code, ran code.Ran, marks []record.Record) {
 	c.runLater(func() {
 		c.step(a.entry, record.Received{From: agent, Records: marks})
-		c.step(a.entry, request.AttemptFailed{ID: a.try.ID, Attempt: a.try.Number, Code: why, Ran: ran})
+		c.step(a.entry, request.AttemptFailed{ID: a.sent.ID, Attempt: a.sent.Number, Code: why, Ran: ran})
 	})
 }
 
--- a/internal/core/rollout/messages.go
+++ b/internal/core/rollout/messages.go
@@ -26,7 +26,7 @@
 type StateRead struct {
 	Upstream string
 	Serial   uint64
-	Reading  EngineState
+	State    EngineState
 }
 
 // StateFailed is the event of a ReadState without an answer.
--- a/internal/core/rollout/model_test.go
+++ b/internal/core/rollout/model_test.go
@@ -16,8 +16,8 @@
 // engine is a simulated engine.
 type engine struct {
 	ignoresFencing bool
-	// reading is the state that the engine reports.
-	reading EngineState
+	// state is the state that the engine reports.
+	state EngineState
 	// boots counts the restarts.
 	boots int
 	// epoch counts the changes of its weights.
@@ -29,18 +29,18 @@
 // dropWeights discards the weights and ends a load.
 func (eng *engine) dropWeights() {
 	eng.epoch++
-	eng.reading.Digest = ""
-	eng.reading.Generation = 0
+	eng.state.Digest = ""
+	eng.state.Generation = 0
 	eng.loading = nil
-	eng.reading.Loading = false
+	eng.state.Loading = false
 }
 
 // accepts reports whether the engine obeys an order with a fencing number, and records the number if so.
 func (eng *engine) accepts(fencing uint64) bool {
-	if !eng.ignoresFencing && fencing < eng.reading.Fencing {
+	if !eng.ignoresFencing && fencing < eng.state.Fencing {
 		return false
 	}
-	eng.reading.Fencing = fencing
+	eng.state.Fencing = fencing
 	return true
 }
 
@@ -94,7 +94,7 @@
 	m := &model{t: t, now: time.Unix(1000, 0), objects: map[string]*object{}, generations: map[string]bool{}}
 	ignoresFencing := rapid.Bool().Draw(t, "ignores fencing")
 	for i := range 2 {
-		m.engines = append(m.engines, &engine{ignoresFencing: ignoresFencing, reading: EngineState{BootID: "b0", Role: setting.RoleBoth}})
+		m.engines = append(m.engines, &engine{ignoresFencing: ignoresFencing, state: EngineState{BootID: "b0", Role: setting.RoleBoth}})
 		m.startAgent(i)
 	}
 	return m
@@ -199,7 +199,7 @@
 	eng := m.engines[c.agent.host]
 	switch e := c.effect.(type) {
 	case ReadState:
-		c.answer = StateRead{Upstream: engineName, Serial: e.Serial, Reading: eng.reading}
+		c.answer = StateRead{Upstream: engineName, Serial: e.Serial, State: eng.state}
 	case SetRole:
 		c.answer = OrderEnded{Upstream: engineName, Order: e.Order, Outcome: OrderFailed}
 		if m.permits(c) {
@@ -221,7 +221,7 @@
 	if !eng.accepts(e.Fencing) {
 		return OrderRefused
 	}
-	eng.reading.Role = e.Role
+	eng.state.Role = e.Role
 	return OrderDone
 }
 
@@ -236,7 +236,7 @@
 		return
 	}
 	eng.dropWeights()
-	eng.reading.Loading = true
+	eng.state.Loading = true
 	eng.loading = c
 }
 
@@ -252,8 +252,8 @@
 	if !permitted {
 		return
 	}
-	eng.reading.Digest = e.Digest
-	eng.reading.Generation = e.Generation
+	eng.state.Digest = e.Digest
+	eng.state.Generation = e.Generation
 	c.answer = OrderEnded{Upstream: engineName, Order: e.Order, Outcome: OrderDone}
 }
 
--- a/internal/core/rollout/observe.go
+++ b/internal/core/rollout/observe.go
@@ -38,9 +38,9 @@
 		return nil // The reading may be from before the last order ended; the next one is due already.
 	}
 	u.nextReadAt = in.Now.Add(s.timing.Poll)
-	u.observed = ev.Reading
+	u.observed = ev.State
 	u.fresh = true
-	if s.Incarnation.Held() && ev.Reading.Fencing > s.Incarnation.Number {
+	if s.Incarnation.Held() && ev.State.Fencing > s.Incarnation.Number {
 		s.Incarnation.RequestRead()
 	}
 	if u.order != nil && !u.order.announceOnly {
--- a/internal/core/rollout/orders_test.go
+++ b/internal/core/rollout/orders_test.go
@@ -42,7 +42,7 @@
 	a.running = a.running[1:]
 	a.state.RequestFinished(engineName)
 	eng := m.engines[a.host]
-	r := eng.reading
+	r := eng.state
 	matchesPin := r.loaded() && r.Digest == run.digest && r.Generation == run.generation && r.BootID == run.boot
 	sameWeights := run.epoch == eng.epoch
 	if matchesPin && !sameWeights {
@@ -58,8 +58,8 @@
 	eng := m.engines[host]
 	eng.boots++
 	eng.dropWeights()
-	eng.reading.BootID = fmt.Sprint("b", eng.boots)
-	eng.reading.Role = setting.RoleBoth
+	eng.state.BootID = fmt.Sprint("b", eng.boots)
+	eng.state.Role = setting.RoleBoth
 }
 
 // converge runs the model without further failures until each host serves its target, and fails if that takes more than 3000
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -130,7 +130,7 @@
 	fleet.secret = rand.Text()
 	fleet.objectAPI = serve(t, objectapi.NewServer(objectapi.Config{}))
 	fleet.hostList = serve(t, hostlist.NewServer(0))
-	origin, err := weights.NewServer(weights.Config{Shape: weights.ContentConfig{Size: 4096, ChunkSize: 1024, Seed: 1, SharedFraction: 0.5}})
+	origin, err := weights.NewServer(weights.Config{Content: weights.ContentConfig{Size: 4096, ChunkSize: 1024, Seed: 1, SharedFraction: 0.5}})
 	require.NoError(t, err)
 	fleet.origin = serve(t, origin)
 	var names, services []string
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -146,8 +146,8 @@
 }
 
 func (f *Fleet) startStandIns(ctx context.Context) error {
-	shape := weights.ContentConfig{Size: weightsSize, ChunkSize: weightsSize / 4, Seed: 1}
-	origin, err := weights.NewServer(weights.Config{Shape: shape})
+	content := weights.ContentConfig{Size: weightsSize, ChunkSize: weightsSize / 4, Seed: 1}
+	origin, err := weights.NewServer(weights.Config{Content: content})
 	if err != nil {
 		return errors.Wrap(err, "starting the origin stand-in")
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -99,18 +99,18 @@
 		return a.outcomeOf(ctx, err), err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	reading := platform.ReadResponseHead(resp, a.x.call.AttemptID)
-	a.version = reading.Version
-	a.x.gateway.step(forward.AnswerHeadReceived{Upstream: a.decision.Upstream.Instance(), Sent: a.createdAt, Outcome: reading.Outcome, Notice: reading.Notice})
+	head := platform.ReadResponseHead(resp, a.x.call.AttemptID)
+	a.version = head.Version
+	a.x.gateway.step(forward.AnswerHeadReceived{Upstream: a.decision.Upstream.Instance(), Sent: a.createdAt, Outcome: head.Outcome, Notice: head.Notice})
 	switch {
-	case reading.Outcome == forward.ServerFailed:
-		return a.readFailure(ctx, resp, reading)
-	case reading.Outcome != forward.Answered:
-		return reading.Outcome, errors.New(reading.Problem)
+	case head.Outcome == forward.ServerFailed:
+		return a.readFailure(ctx, resp, head)
+	case head.Outcome != forward.Answered:
+		return head.Outcome, errors.New(head.Problem)
 	case a.isStream(resp):
-		err = a.copyStream(ctx, resp, reading.Header)
+		err = a.copyStream(ctx, resp, head.Header)
 	default:
-		err = a.copyBuffered(ctx, resp, reading.Header)
+		err = a.copyBuffered(ctx, resp, head.Header)
 	}
 	if err != nil {
 		return a.outcomeOf(ctx, err), err
@@ -178,13 +178,13 @@
 }
 
 // readFailure buffers an upstream's own failure, so that it can be passed on if no other upstream is tried.
-func (a *attempt) readFailure(ctx context.Context, resp *http.Response, reading platform.ResponseHead) (forward.Outcome, error) {
+func (a *attempt) readFailure(ctx context.Context, resp *http.Response, head platform.ResponseHead) (forward.Outcome, error) {
 	body, err := a.readAll(ctx, resp)
 	if err != nil {
 		return a.outcomeOf(ctx, err), errors.Wrap(err, "reading the upstream's error response")
 	}
-	a.x.upstreamFailure = &response{status: resp.StatusCode, header: reading.Header, body: body}
-	return forward.ServerFailed, errors.New(reading.Problem)
+	a.x.upstreamFailure = &response{status: resp.StatusCode, header: head.Header, body: body}
+	return forward.ServerFailed, errors.New(head.Problem)
 }
 
 // copyBuffered reads a complete response before it passes any of it on, so that another attempt can replace one that breaks off.
--- a/internal/operator/commit.go
+++ b/internal/operator/commit.go
@@ -43,7 +43,7 @@
 	key string
 	// seen is the object's version that the write requires.
 	seen  uint64
-	stamp setting.ChangeInfo
+	info  setting.ChangeInfo
 	value []byte
 	// outcomeUnknown is set if an attempt may have taken effect although no answer was received.
 	outcomeUnknown bool
@@ -59,8 +59,8 @@
 	if present.Version != seen {
 		return Applied{}, conflictError(present, seen)
 	}
-	w := &pendingWrite{key: present.Key, seen: seen, stamp: e.stamp()}
-	next := present.Object.Next(seen, s, w.stamp)
+	w := &pendingWrite{key: present.Key, seen: seen, info: e.newChangeInfo()}
+	next := present.Object.Next(seen, s, w.info)
 	if w.value, err = json.Marshal(next); err != nil {
 		return Applied{}, errors.Wrap(err, "encode setting")
 	}
@@ -69,8 +69,8 @@
 	return applied, err
 }
 
-// stamp returns the id, author and time of a new change.
-func (e *Editor) stamp() setting.ChangeInfo {
+// newChangeInfo returns the id, author and time of a new change.
+func (e *Editor) newChangeInfo() setting.ChangeInfo {
 	return setting.ChangeInfo{Change: uuid.NewString(), Author: e.Author, At: time.Now().UTC().Format(time.RFC3339)}
 }
 
@@ -82,7 +82,7 @@
 		var conflicted *objectapi.ConflictError
 		switch {
 		case err == nil:
-			return Applied{Key: w.key, Revision: item.Version, ChangeID: w.stamp.Change, Recovered: w.outcomeUnknown}, nil
+			return Applied{Key: w.key, Revision: item.Version, ChangeID: w.info.Change, Recovered: w.outcomeUnknown}, nil
 		case errors.As(err, &conflicted):
 			return w.resolveConflict(conflicted.Current)
 		}
@@ -108,15 +108,15 @@
 	if err != nil {
 		return Applied{}, err
 	}
-	revision, ok := present.Object.FindChange(w.stamp.Change, present.Version)
+	revision, ok := present.Object.FindChange(w.info.Change, present.Version)
 	if ok {
 		return Applied{
-			Key: w.key, Revision: revision, ChangeID: w.stamp.Change, Recovered: true, LaterChanges: statesSince(present, revision),
+			Key: w.key, Revision: revision, ChangeID: w.info.Change, Recovered: true, LaterChanges: statesSince(present, revision),
 		}, nil
 	}
 	if w.outcomeUnknown && !present.Object.CompleteSince(w.seen) {
 		return Applied{}, code.Errorf(code.PlatformDown, w.key,
-			"the answer to the write was lost, and later changes have pushed its version out of the history: whether change %s took effect is unknown", w.stamp.Change)
+			"the answer to the write was lost, and later changes have pushed its version out of the history: whether change %s took effect is unknown", w.info.Change)
 	}
 	return Applied{}, conflictError(present, w.seen)
 }
@@ -127,7 +127,7 @@
 		return code.Errorf(code.PlatformDown, w.key, "nothing was changed: %v", cause)
 	}
 	return code.Errorf(code.PlatformDown, w.key,
-		"the platform did not confirm the write (%v): whether change %s took effect is unknown; `settings history` lists it if it did", cause, w.stamp.Change)
+		"the platform did not confirm the write (%v): whether change %s took effect is unknown; `settings history` lists it if it did", cause, w.info.Change)
 }
 
 // refusedWithoutEffect reports whether the platform certainly didn't carry out a write. Only status 429 proves that: a 503 may come from
--- a/internal/setting/object.go
+++ b/internal/setting/object.go
@@ -52,15 +52,15 @@
 
 // Next returns the object that replaces o, which was read at version, with the setting s. A nil s deletes the setting.
 // Version 0 means that o does not exist, and adds nothing to the history.
-func (o *Object) Next(version uint64, s *Setting, stamp ChangeInfo) *Object {
+func (o *Object) Next(version uint64, s *Setting, info ChangeInfo) *Object {
 	next := &Object{}
 	if s != nil {
 		next.Setting = *s
 	}
 	next.Deleted = s == nil
-	next.Change, next.Author, next.At = stamp.Change, stamp.Author, stamp.At
+	next.Change, next.Author, next.At = info.Change, info.Author, info.At
 	if version != 0 {
-		next.History = append([]HistoryEntry{o.past(version)}, o.History...)
+		next.History = append([]HistoryEntry{o.historyEntry(version)}, o.History...)
 		next.History = trimHistory(next.History)
 	}
 	return next
@@ -76,8 +76,8 @@
 	At string
 }
 
-// past returns the current state of o, which was read at version, as an entry of the history.
-func (o *Object) past(version uint64) HistoryEntry {
+// historyEntry returns the current state of o, which was read at version, as an entry of the history.
+func (o *Object) historyEntry(version uint64) HistoryEntry {
 	p := HistoryEntry{Version: version, Change: o.Change, Author: o.Author, At: o.At, Deleted: o.Deleted}
 	if !o.Deleted {
 		s := o.Setting
--- a/internal/standin/weights/content.go
+++ b/internal/standin/weights/content.go
@@ -106,7 +106,7 @@
 
 // content is an io.ReadSeeker over the bytes of one version.
 type content struct {
-	shape   ContentConfig
+	config  ContentConfig
 	version Version
 	changed bool
 	// corruptAt is the offset of a byte whose bits are inverted, or noCorruption.
@@ -117,13 +117,13 @@
 
 // Read generates the next bytes. A single call doesn't read beyond the end of a chunk.
 func (c *content) Read(p []byte) (int, error) {
-	if c.offset >= c.shape.Size {
+	if c.offset >= c.config.Size {
 		return 0, io.EOF
 	}
-	index := int(c.offset / c.shape.ChunkSize)
-	within := c.offset % c.shape.ChunkSize
-	n := int(min(int64(len(p)), c.shape.chunkLen(index)-within))
-	fill(p[:n], c.shape.chunkKey(c.version, index, c.changed), within)
+	index := int(c.offset / c.config.ChunkSize)
+	within := c.offset % c.config.ChunkSize
+	n := int(min(int64(len(p)), c.config.chunkLen(index)-within))
+	fill(p[:n], c.config.chunkKey(c.version, index, c.changed), within)
 	if c.corruptAt >= c.offset && c.corruptAt < c.offset+int64(n) {
 		p[c.corruptAt-c.offset] ^= 0xff
 	}
@@ -137,7 +137,7 @@
 	case io.SeekCurrent:
 		offset += c.offset
 	case io.SeekEnd:
-		offset += c.shape.Size
+		offset += c.config.Size
 	}
 	c.offset = offset
 	return offset, nil
--- a/internal/standin/weights/manifest.go
+++ b/internal/standin/weights/manifest.go
@@ -33,7 +33,7 @@
 
 // manifests creates manifests and caches their encoded form.
 type manifests struct {
-	shape ContentConfig
+	content ContentConfig
 
 	mu    sync.Mutex
 	bytes map[manifestKey]func() ([]byte, error)
@@ -50,7 +50,7 @@
 	m.mu.Lock()
 	manifest, ok := m.bytes[key]
 	if !ok {
-		manifest = sync.OnceValues(func() ([]byte, error) { return m.shape.manifest(key) })
+		manifest = sync.OnceValues(func() ([]byte, error) { return m.content.manifest(key) })
 		m.bytes[key] = manifest
 	}
 	m.mu.Unlock()
@@ -58,7 +58,7 @@
 }
 
 func (s ContentConfig) manifest(key manifestKey) ([]byte, error) {
-	source := &content{shape: s, version: key.version, changed: key.changed, corruptAt: noCorruption}
+	source := &content{config: s, version: key.version, changed: key.changed, corruptAt: noCorruption}
 	contentHash := sha256.New()
 	manifest := Manifest{
 		Model:     key.version.Model,
--- a/internal/standin/weights/server.go
+++ b/internal/standin/weights/server.go
@@ -26,7 +26,7 @@
 
 // Config configures a Server.
 type Config struct {
-	Shape ContentConfig
+	Content ContentConfig
 	// Rate limits the data sent over all connections together, in bytes per second; 0 means no limit.
 	Rate int64
 	// RequestsPerSecond limits the rate of calls, with a burst of one second's worth; 0 means no limit.
@@ -69,9 +69,9 @@
 	requests, bytes, manifestRequests, refused atomic.Int64
 }
 
-// NewServer returns a server for the weights that config describes. It returns an error if a size in config.Shape isn't positive.
+// NewServer returns a server for the weights that config describes. It returns an error if a size in config.Content isn't positive.
 func NewServer(config Config) (*Server, error) {
-	if config.Shape.Size <= 0 || config.Shape.ChunkSize <= 0 {
+	if config.Content.Size <= 0 || config.Content.ChunkSize <= 0 {
 		return nil, errors.New("the size and the chunk size must be above 0")
 	}
 	s := &Server{
@@ -79,8 +79,8 @@
 		config: config,
 		faults: serve.NewFaults(Faults{CorruptChunk: noChunk, Changed: []string{}}),
 		manifests: manifests{
-			shape: config.Shape,
-			bytes: map[manifestKey]func() ([]byte, error){},
+			content: config.Content,
+			bytes:   map[manifestKey]func() ([]byte, error){},
 		},
 		callLimiter: newLimiter(int64(config.RequestsPerSecond), config.RequestsPerSecond),
 		dataLimiter: newLimiter(config.Rate, dataBurst),
@@ -174,10 +174,10 @@
 	faults := s.faults.Get()
 	corruptAt := noCorruption
 	if faults.CorruptChunk >= 0 {
-		corruptAt = int64(faults.CorruptChunk) * s.config.Shape.ChunkSize
+		corruptAt = int64(faults.CorruptChunk) * s.config.Content.ChunkSize
 	}
 	return &content{
-		shape:     s.config.Shape,
+		config:    s.config.Content,
 		version:   version,
 		changed:   slices.Contains(faults.Changed, version.String()),
 		corruptAt: corruptAt,
--- a/internal/standin/weights/server_test.go
+++ b/internal/standin/weights/server_test.go
@@ -18,14 +18,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-var testShape = ContentConfig{Size: 20*1000 + 37, ChunkSize: 1000, Seed: 7, SharedFraction: 0.9}
+var testContent = ContentConfig{Size: 20*1000 + 37, ChunkSize: 1000, Seed: 7, SharedFraction: 0.9}
 
 // frozenCallTimeout is the time that a test waits for a call that must not be answered.
 const frozenCallTimeout = 50 * time.Millisecond
 
 func start(t *testing.T, config Config) string {
 	t.Helper()
-	config.Shape = testShape
+	config.Content = testContent
 	server, err := NewServer(config)
 	require.NoError(t, err)
 	listener := httptest.NewServer(server)
@@ -87,8 +87,8 @@
 func TestDataMatchesManifest(t *testing.T) {
 	url := start(t, Config{Rate: 1 << 30})
 	manifest, data := fetch(t, url, "risk/none/v1")
-	assert.Equal(t, testShape.Size, manifest.Size)
-	assert.Len(t, data, int(testShape.Size))
+	assert.Equal(t, testContent.Size, manifest.Size)
+	assert.Len(t, data, int(testContent.Size))
 	assert.Len(t, manifest.Chunks, 21)
 	assert.Equal(t, int64(37), manifest.Chunks[20].Size)
 	assert.Equal(t, hexSum(data), manifest.SHA256)
