--- a/internal/core/request/attempt.go
+++ b/internal/core/request/attempt.go
@@ -10,9 +10,9 @@
 	"samphireweir.example/samphireweir/internal/core/suspect"
 )
 
-// Both returns the run status of two attempts together. It is NotRun only if neither ran, DidRun if one of them ran,
-// and Unknown otherwise.
-func Both(a, b code.Ran) code.Ran {
+// CombineRan returns the run status of two attempts together. It is NotRun only if neither ran. It is DidRun if at least
+// one of them ran, and Unknown otherwise.
+func CombineRan(a, b code.Ran) code.Ran {
 	if a == code.DidRun || b == code.DidRun {
 		return code.DidRun
 	}
@@ -24,22 +24,22 @@
 
 // attemptFailed retries the request or refuses it. The run status that it reports covers all attempts, not only the
 // last one.
-func (s *State) attemptFailed(in step.Input, ev AttemptFailed, dir Directory, statuses SuspectStatuses) []step.Effect {
+func (s *State) attemptFailed(in step.Input, ev AttemptFailed, directory Directory, statuses SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return nil
 	}
 	switch r.Phase {
 	case Continuing:
-		return s.answerFailed(in, AnswerFailed{ID: ev.ID, Attempt: ev.Attempt, Code: ev.Code, Ran: ev.Ran}, dir, statuses)
+		return s.answerFailed(in, AnswerFailed{ID: ev.ID, Attempt: ev.Attempt, Code: ev.Code, Ran: ev.Ran}, directory, statuses)
 	case Sent:
 	default:
 		return nil
 	}
 	if ev.Code == code.Stopping {
-		s.Routing.AgentLeaving(in.Now, r.target)
+		s.Routing.AgentLeaving(in.Now, r.upstream)
 	}
-	// The report that arrived with the failure no longer counts this attempt, so release must come first.
+	// The report that arrived with the failure does not count this attempt any more, so release must come first.
 	s.release(in.Now, r)
 	s.recordReport(in.Now, r, ev.Report)
 	s.recordOutcome(r, ev.Code, ev.Ran)
@@ -54,14 +54,14 @@
 	}
 	if s.shouldRequeue(r, ev.Code) {
 		s.requeue(in, r)
-		return s.admitWaiting(in, r.Team, r.Service, dir, statuses)
+		return s.admitWaiting(in, r.Team, r.Service, directory, statuses)
 	}
-	return s.send(in, r, dir, statuses)
+	return s.send(in, r, directory, statuses)
 }
 
 // recordOutcome records the outcome of a failed attempt.
 func (s *State) recordOutcome(r *Request, c code.Code, ran code.Ran) {
-	r.Ran = Both(r.Ran, ran)
+	r.Ran = CombineRan(r.Ran, ran)
 	r.lastCode = c
 	r.failed = r.failed || (c != code.Overloaded && c != code.UpstreamReserved)
 	if ran != code.NotRun {
@@ -70,13 +70,13 @@
 	}
 	if r.declinedAfterRun(c) {
 		r.declined++
-		r.retryable = append(r.retryable, routing.Key(r.target))
+		r.retryable = append(r.retryable, routing.Key(r.upstream))
 		return
 	}
 	switch c {
 	case code.UpstreamSilent, code.AgentRestarted, code.AttemptFenced, code.UpstreamReserved:
 		// The connection, a restart of the agent or another request caused the failure, not the upstream.
-		r.retryable = append(r.retryable, routing.Key(r.target))
+		r.retryable = append(r.retryable, routing.Key(r.upstream))
 	}
 }
 
@@ -87,7 +87,8 @@
 	return r.Ran != code.NotRun && (c == code.Overloaded || c == code.UpstreamReserved)
 }
 
-// mayRetry reports whether the limits on attempts, and the at-most-once guarantee, allow another attempt.
+// mayRetry reports whether the limits on attempts and the at-most-once guarantee allow another attempt. Requests that
+// are not replayable get none.
 func (s *State) mayRetry(r *Request, ran code.Ran) bool {
 	if !r.replayable || r.executed >= MaxExecutedAttempts || r.Attempt-r.declined >= MaxTotalAttempts {
 		return false
@@ -95,8 +96,8 @@
 	return ran == code.NotRun || !r.AtMostOnce
 }
 
-// withinBudget reports whether the retry budget allows another attempt, and takes it from the budget. A suspect is
-// exempt, because its single attempt alone on an upstream is already a limit.
+// withinBudget reports whether the retry budget allows another attempt, and takes it from the budget. A suspect request
+// is exempt, because running alone on an upstream already limits it.
 func (s *State) withinBudget(in step.Input, r *Request, ran code.Ran, statuses SuspectStatuses) bool {
 	return statuses.Status(in.Now, r.Fingerprint) == suspect.Suspect || s.takeRetry(r, ran)
 }
@@ -108,7 +109,7 @@
 	return resendDelay(r.Ran)
 }
 
-func (s *State) answerStarted(in step.Input, ev AnswerStarted, dir Directory, statuses SuspectStatuses) []step.Effect {
+func (s *State) answerStarted(in step.Input, ev AnswerStarted, directory Directory, statuses SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return nil
@@ -118,9 +119,9 @@
 		r.continuable = ev.Continuable && r.replayable && !r.AtMostOnce
 		r.digest = ev.Digest
 		if ev.CannotServe {
-			s.Routing.Failed(in.Now, r.serviceKey(), r.target)
+			s.Routing.Failed(in.Now, r.serviceKey(), r.upstream)
 		} else {
-			s.Routing.FirstByte(in.Now, r.serviceKey(), r.target, in.Now.Sub(r.sentAt))
+			s.Routing.FirstByte(in.Now, r.serviceKey(), r.upstream, in.Now.Sub(r.sentAt))
 		}
 	case Resuming, Continuing:
 	default:
@@ -129,7 +130,7 @@
 	r.Phase = Answering
 	r.Ran = code.DidRun
 	s.recordReport(in.Now, r, ev.Report)
-	return s.admitWaiting(in, r.Team, r.Service, dir, statuses)
+	return s.admitWaiting(in, r.Team, r.Service, directory, statuses)
 }
 
 func (s *State) answerProgressed(ev AnswerProgressed) {
@@ -143,16 +144,16 @@
 	}
 }
 
-// answerInterrupted requests the rest of the answer from the same run over a new connection. After too many resumes without
-// progress, or after the deadline, it treats the run as lost.
-func (s *State) answerInterrupted(in step.Input, ev AnswerInterrupted, dir Directory, statuses SuspectStatuses) []step.Effect {
+// answerInterrupted resumes the answer. After too many resumes without progress, or after the deadline, it treats the run
+// as lost.
+func (s *State) answerInterrupted(in step.Input, ev AnswerInterrupted, directory Directory, statuses SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt || (r.Phase != Answering && r.Phase != Resuming) {
 		return nil
 	}
 	if r.Resumes >= maxResumes(r) || !in.Now.Before(r.Deadline) {
 		lost := AnswerFailed{ID: r.ID, Attempt: r.Attempt, Code: code.StreamBroken, Ran: code.DidRun}
-		return s.answerFailed(in, lost, dir, statuses)
+		return s.answerFailed(in, lost, directory, statuses)
 	}
 	delay := time.Duration(0)
 	if r.Resumes > 0 {
@@ -160,8 +161,8 @@
 	}
 	r.Resumes++
 	r.Phase = Resuming
-	t := Attempt{ID: r.ID, Number: r.Attempt, Target: r.target, Sequence: r.sequence, AtMostOnce: r.AtMostOnce}
-	return []step.Effect{Resume{Attempt: t, Delay: delay}}
+	attempt := Attempt{ID: r.ID, Number: r.Attempt, Target: r.upstream, Sequence: r.sequence, AtMostOnce: r.AtMostOnce}
+	return []step.Effect{Resume{Attempt: attempt, Delay: delay}}
 }
 
 func maxResumes(r *Request) int {
@@ -172,7 +173,7 @@
 }
 
 // answerFailed continues an answer on another upstream with the same version, or aborts it.
-func (s *State) answerFailed(in step.Input, ev AnswerFailed, dir Directory, statuses SuspectStatuses) []step.Effect {
+func (s *State) answerFailed(in step.Input, ev AnswerFailed, directory Directory, statuses SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Attempt != ev.Attempt {
 		return nil
@@ -191,15 +192,15 @@
 	if ev.Final || !r.continuable || !s.mayRetry(r, ev.Ran) || !s.withinBudget(in, r, ev.Ran, statuses) {
 		return s.abort(r, ev.Code)
 	}
-	target, outcome := s.choose(in, r, withVersion(dir.Candidates(in.Now, r.Team, r.Service), r.digest), statuses)
-	if outcome != routing.Found {
+	upstream, availability := s.choose(in, r, withVersion(directory.Candidates(in.Now, r.Team, r.Service), r.digest), statuses)
+	if availability != routing.Found {
 		return s.abort(r, ev.Code)
 	}
-	t := s.newAttempt(in, r, target, statuses)
-	t.Digest = r.digest
+	attempt := s.newAttempt(in, r, upstream, statuses)
+	attempt.Digest = r.digest
 	r.Phase = Continuing
 	r.Resumes = 0
-	return []step.Effect{Send{Attempt: t, Continue: true}}
+	return []step.Effect{Send{Attempt: attempt, Continue: true}}
 }
 
 func withVersion(all []member.Candidate, digest string) []member.Candidate {
--- a/internal/core/request/reduce.go
+++ b/internal/core/request/reduce.go
@@ -12,33 +12,33 @@
 )
 
 // Reduce applies one input to the state and returns the effects that the shell must carry out.
-func (s *State) Reduce(in step.Input, dir Directory, statuses SuspectStatuses) []step.Effect {
+func (s *State) Reduce(in step.Input, directory Directory, statuses SuspectStatuses) []step.Effect {
 	switch ev := in.Event.(type) {
 	case Received:
-		return s.received(in, ev, dir, statuses)
+		return s.received(in, ev, directory, statuses)
 	case ClaimSettled:
-		return s.claimSettled(in, ev, dir, statuses)
+		return s.claimSettled(in, ev, directory, statuses)
 	case AttemptFailed:
-		return s.attemptFailed(in, ev, dir, statuses)
+		return s.attemptFailed(in, ev, directory, statuses)
 	case AnswerStarted:
-		return s.answerStarted(in, ev, dir, statuses)
+		return s.answerStarted(in, ev, directory, statuses)
 	case AnswerProgressed:
 		s.answerProgressed(ev)
 	case AnswerInterrupted:
-		return s.answerInterrupted(in, ev, dir, statuses)
+		return s.answerInterrupted(in, ev, directory, statuses)
 	case AnswerFailed:
-		return s.answerFailed(in, ev, dir, statuses)
+		return s.answerFailed(in, ev, directory, statuses)
 	case Ended:
-		return s.ended(in, ev, dir, statuses)
+		return s.ended(in, ev, directory, statuses)
 	case StopRequested:
 		s.stopping = true
 	case step.Tick:
-		return s.tick(in, dir, statuses)
+		return s.tick(in, directory, statuses)
 	}
 	return nil
 }
 
-func (s *State) received(in step.Input, ev Received, dir Directory, statuses SuspectStatuses) []step.Effect {
+func (s *State) received(in step.Input, ev Received, directory Directory, statuses SuspectStatuses) []step.Effect {
 	r := &Request{
 		ID: ev.ID, Team: ev.Team, Service: ev.Service, Deadline: ev.Deadline, Key: ev.Key, AtMostOnce: ev.AtMostOnce,
 		Fingerprint: ev.Fingerprint, Ran: code.NotRun, replayable: ev.Replayable, tried: map[string]bool{}, terms: ev.Terms,
@@ -50,23 +50,24 @@
 	if refusal, quarantined := s.refuseQuarantined(in, r, statuses); quarantined {
 		return refusal
 	}
-	return s.admit(in, r, dir, statuses)
+	return s.admit(in, r, directory, statuses)
 }
 
-func (s *State) claimSettled(in step.Input, ev ClaimSettled, dir Directory, statuses SuspectStatuses) []step.Effect {
+func (s *State) claimSettled(in step.Input, ev ClaimSettled, directory Directory, statuses SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil || r.Phase != Claiming {
 		return nil
 	}
 	switch ev.Outcome {
 	case ClaimGranted:
-		return s.send(in, r, dir, statuses)
+		return s.send(in, r, directory, statuses)
 	case ClaimRefused:
 		return s.refuse(r, ev.Code, ev.Ran, ev.RetryAfter)
 	case ClaimHeld:
 		return s.refuse(r, code.OutcomeUnknown, code.Unknown, 0)
 	case ClaimUnknown:
-		// The call did not run, but the key may be recorded. A resend with the same key may then be refused.
+		// The answer is the same as for ClaimNotMade, because this call did not run in either case. But here the key may
+		// be recorded, and a resend with the same key may then be refused.
 		return s.refuse(r, code.ClaimUnavailable, code.NotRun, DefaultRetryAfter)
 	default:
 		return s.refuse(r, code.ClaimUnavailable, code.NotRun, DefaultRetryAfter)
@@ -74,47 +75,47 @@
 }
 
 // send chooses an upstream and sends the request to it, or refuses the request.
-func (s *State) send(in step.Input, r *Request, dir Directory, statuses SuspectStatuses) []step.Effect {
+func (s *State) send(in step.Input, r *Request, directory Directory, statuses SuspectStatuses) []step.Effect {
 	if refusal, quarantined := s.refuseQuarantined(in, r, statuses); quarantined {
 		return refusal
 	}
 	if !in.Now.Before(r.Deadline) {
 		return s.refuse(r, code.DeadlinePassed, r.Ran, 0)
 	}
-	target, outcome := s.choose(in, r, dir.Candidates(in.Now, r.Team, r.Service), statuses)
-	if outcome != routing.Found {
-		return s.noCapacity(in, r, outcome)
+	upstream, availability := s.choose(in, r, directory.Candidates(in.Now, r.Team, r.Service), statuses)
+	if availability != routing.Found {
+		return s.noCapacity(in, r, availability)
 	}
-	return []step.Effect{Send{Attempt: s.newAttempt(in, r, target, statuses)}}
+	return []step.Effect{Send{Attempt: s.newAttempt(in, r, upstream, statuses)}}
 }
 
-// newAttempt starts a new attempt at the target and returns it.
-func (s *State) newAttempt(in step.Input, r *Request, target member.Candidate, statuses SuspectStatuses) Attempt {
+// newAttempt records a new attempt on the upstream and returns it.
+func (s *State) newAttempt(in step.Input, r *Request, upstream member.Candidate, statuses SuspectStatuses) Attempt {
 	r.Attempt++
 	r.Phase = Sent
-	r.target = target
-	r.tried[routing.Key(target)] = true
+	r.upstream = upstream
+	r.tried[routing.Key(upstream)] = true
 	s.recordSent(in.Now, r)
 	s.sequence++
 	r.sequence = s.sequence
 	return Attempt{
-		ID: r.ID, Number: r.Attempt, Target: target, Sequence: s.sequence, AtMostOnce: r.AtMostOnce,
+		ID: r.ID, Number: r.Attempt, Target: upstream, Sequence: s.sequence, AtMostOnce: r.AtMostOnce,
 		Delay:     r.delay,
-		Cache:     s.Routing.CachePosition(r.serviceKey(), target),
+		Cache:     s.Routing.CachePosition(r.serviceKey(), upstream),
 		Exclusive: statuses.Status(in.Now, r.Fingerprint) == suspect.Suspect,
 	}
 }
 
-// choose returns an upstream that was not tried yet or, if none is left, one that did not cause the failure of its
-// earlier attempt. It sets the delay of the next attempt.
-func (s *State) choose(in step.Input, r *Request, candidates []member.Candidate, statuses SuspectStatuses) (member.Candidate, routing.Outcome) {
+// choose returns an upstream that was not tried yet. If none is left, it returns one whose earlier attempt failed for a
+// cause other than the upstream. It sets the delay of the next attempt.
+func (s *State) choose(in step.Input, r *Request, candidates []member.Candidate, statuses SuspectStatuses) (member.Candidate, routing.Availability) {
 	r.delay = 0
 	if r.declined >= MaxTotalAttempts {
 		r.delay = MaxRetryDelay
 	}
-	target, outcome := s.untried(in, r, candidates, statuses)
-	if outcome != routing.None || len(r.retryable) == 0 {
-		return target, outcome
+	upstream, availability := s.untried(in, r, candidates, statuses)
+	if availability != routing.None || len(r.retryable) == 0 {
+		return upstream, availability
 	}
 	for _, key := range r.retryable {
 		delete(r.tried, key)
@@ -134,15 +135,15 @@
 }
 
 // untried returns an upstream that was not tried yet.
-func (s *State) untried(in step.Input, r *Request, candidates []member.Candidate, statuses SuspectStatuses) (member.Candidate, routing.Outcome) {
+func (s *State) untried(in step.Input, r *Request, candidates []member.Candidate, statuses SuspectStatuses) (member.Candidate, routing.Availability) {
 	if statuses.Status(in.Now, r.Fingerprint) == suspect.Suspect {
-		return isolatedTarget(r, candidates)
+		return isolatedUpstream(r, candidates)
 	}
 	return s.Routing.Pick(in, r.query(), candidates)
 }
 
-// isolatedTarget returns the upstream on which a suspect request runs alone.
-func isolatedTarget(r *Request, candidates []member.Candidate) (member.Candidate, routing.Outcome) {
+// isolatedUpstream returns the upstream on which a suspect request runs alone.
+func isolatedUpstream(r *Request, candidates []member.Candidate) (member.Candidate, routing.Availability) {
 	keys := make([]string, 0, len(candidates))
 	byKey := make(map[string]member.Candidate, len(candidates))
 	for _, c := range candidates {
@@ -180,7 +181,7 @@
 	return 0
 }
 
-func (s *State) ended(in step.Input, ev Ended, dir Directory, statuses SuspectStatuses) []step.Effect {
+func (s *State) ended(in step.Input, ev Ended, directory Directory, statuses SuspectStatuses) []step.Effect {
 	r := s.Requests[ev.ID]
 	if r == nil {
 		return nil
@@ -191,7 +192,7 @@
 		s.recordReport(in.Now, r, ev.Report)
 	}
 	delete(s.Requests, ev.ID)
-	return s.finish(in, r, answered, dir, statuses)
+	return s.finish(in, r, answered, directory, statuses)
 }
 
 // release removes the attempt in flight, if any, from the load of its upstream.
@@ -203,7 +204,7 @@
 	if r.Phase == Sent || r.Phase == Continuing {
 		waited = now.Sub(r.sentAt)
 	}
-	s.Routing.Ended(now, r.serviceKey(), r.target, waited)
+	s.Routing.Ended(now, r.serviceKey(), r.upstream, waited)
 	r.Phase = Admitted
 }
 
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -1,6 +1,10 @@
 // Package request is the entry's reducer for callers' requests, from receipt to end. For each fault in each phase, it
 // sets one result code and reports whether the request ran: not run, did run or unknown. The package is pure: see
 // package step.
+//
+// The package belongs to the first product's path: internal/entry with core/request and core/routing, then internal/agent
+// with core/run, and core/rollout for loading. On the users' platform, gateway with core/forward and hostagent with
+// core/install do the same.
 package request
 
 import (
@@ -15,15 +19,16 @@
 )
 
 const (
-	// MaxExecutedAttempts is the maximum number of attempts of one request that may have run.
+	// MaxExecutedAttempts is the maximum number of attempts of one request that may have run. It bounds how often upstreams
+	// may execute one request.
 	MaxExecutedAttempts = 3
-	// MaxTotalAttempts is the maximum number of attempts of one request, including those that did not run. It does not
-	// count attempts that find an upstream full or reserved after an earlier attempt may have run; the deadline ends
-	// those.
+	// MaxTotalAttempts is the maximum number of attempts of one request, including those that did not run. Attempts that
+	// find an upstream full or reserved after an earlier attempt may have run are not counted; only the deadline ends
+	// them.
 	MaxTotalAttempts = 8
 	// MaxResumes is the maximum number of new connections for the rest of an answer without a byte of progress.
 	MaxResumes = 4
-	// MaxContinuableResumes takes the place of MaxResumes for an answer that another upstream can continue.
+	// MaxContinuableResumes applies instead of MaxResumes to an answer that another upstream can continue.
 	MaxContinuableResumes = 2
 	// InitialResumeDelay is the delay before the second new connection. It doubles with each further one. The first new
 	// connection is made at once.
@@ -55,9 +60,9 @@
 	Sent
 	// Answering means that the answer is being passed on to the caller.
 	Answering
-	// Resuming means that the connection broke during the answer, and the rest is requested from the same run.
+	// Resuming means that the connection broke during the answer and that the rest is requested from the same run.
 	Resuming
-	// Continuing means that the run was lost, and another upstream generates the rest of the answer.
+	// Continuing means that the run was lost and that another upstream generates the rest of the answer.
 	Continuing
 	// Settled means that the request was refused or its answer aborted. Only the event Ended follows.
 	Settled
@@ -69,11 +74,14 @@
 	Team     string
 	Service  string
 	Deadline time.Time
-	// Key is the idempotency key of a call that runs at most once; empty for others.
+	// Key is TEAM/SERVICE/ and the caller's idempotency key. For an at-most-once call without a caller's key, the
+	// request's ID takes its place; any other request without one has just TEAM/SERVICE/. Only at-most-once calls use
+	// the key.
 	Key        string
 	AtMostOnce bool
 	Phase      Phase
-	// Fingerprint identifies the content of the request, independent of its caller.
+	// Fingerprint identifies the content of the request, independent of its caller. On the users' platform, the
+	// fingerprint of package core/forward includes the caller.
 	Fingerprint string
 	// Attempt is the number of the latest attempt, from 1; 0 before the first.
 	Attempt int
@@ -87,17 +95,18 @@
 	declined int
 	// lastCode is the result code of the last failed attempt.
 	lastCode code.Code
-	target   member.Candidate
+	upstream member.Candidate
 	sentAt   time.Time
 	terms    Terms
-	// failed is set when an attempt failed for another reason than a full or reserved upstream.
+	// failed is set once an attempt failed for another reason than a full or reserved upstream.
 	failed bool
 	// sequence is the sequence number of the current attempt at this entry.
 	sequence uint64
-	// queueDeadline is when a request that was requeued because upstreams were full stops waiting.
+	// queueDeadline is when a request that was requeued stops waiting; zero if it was never requeued.
 	queueDeadline time.Time
-	tried         map[string]bool
-	// retryable holds the upstreams among tried that did not cause the failure of their attempt. They are used again when
+	// tried holds the upstreams that were tried, by routing.Key.
+	tried map[string]bool
+	// retryable holds the upstreams among tried that did not cause the failure of their attempt. They are tried again when
 	// no other upstream is left.
 	retryable []string
 	// retryRounds counts how often only retryable upstreams were left. delay is the delay of the next attempt.
@@ -135,16 +144,19 @@
 	}
 }
 
-// Received is the event that the head of a caller's request was read.
+// Received is the event that the entry has read the head of a caller's request and buffered the start of its body. It is
+// the first event of each request that the entry did not refuse by itself.
 type Received struct {
-	ID         string
-	Team       string
-	Service    string
-	Deadline   time.Time
+	ID       string
+	Team     string
+	Service  string
+	Deadline time.Time
+	// Key is as in Request.
 	Key        string
 	AtMostOnce bool
+	// Replayable reports whether the entire body is buffered, so that it can be sent again.
 	Replayable bool
-	// Fingerprint identifies the content of the request, independent of its caller.
+	// Fingerprint is as in Request.
 	Fingerprint string
 	Terms       Terms
 }
@@ -152,7 +164,8 @@
 // ClaimOutcome is the outcome of claiming the idempotency key of an at-most-once call.
 type ClaimOutcome int
 
-// The outcomes of a claim.
+// The outcomes of a claim. ClaimNotMade and ClaimUnknown lead to the same answer, because the call did not run in either
+// case. They differ in what a resend with the same key may find: nothing, or perhaps the key of this call.
 const (
 	// ClaimGranted means that the key was new and is recorded. The call may run once.
 	ClaimGranted ClaimOutcome = iota
@@ -160,7 +173,7 @@
 	ClaimHeld
 	// ClaimNotMade means that certainly nothing was recorded.
 	ClaimNotMade
-	// ClaimUnknown means that this claim may have recorded the key.
+	// ClaimUnknown means that this claim may or may not have recorded the key.
 	ClaimUnknown
 	// ClaimRefused means that the caller is answered with the fields Code, Ran and RetryAfter of ClaimSettled.
 	ClaimRefused
@@ -181,13 +194,15 @@
 	Attempt int
 	Code    code.Code
 	Ran     code.Ran
-	// Unreachable reports whether connecting to the host failed, or the host stopped responding.
+	// Unreachable reports whether connecting to the host failed, or the host stopped responding. Nothing sets or reads it
+	// at present: the entry reports such a host with the event member.CallFailed.
 	Unreachable bool
 	// Report is the agent's load report on the upstream; nil if none was received.
 	Report *routing.Report
 }
 
-// AnswerStarted is the event that the head of the answer was received.
+// AnswerStarted is the event that the head of an answer was received, from the first run or from one that continues the
+// answer. A run that is resumed before any of its body was received sends its head again.
 type AnswerStarted struct {
 	ID      string
 	Attempt int
@@ -201,7 +216,7 @@
 	Report *routing.Report
 }
 
-// AnswerProgressed is the event that more of the answer was passed on after its connection broke.
+// AnswerProgressed is the event that the first data of a resumed answer was received.
 type AnswerProgressed struct {
 	ID      string
 	Attempt int
@@ -213,7 +228,8 @@
 	Attempt int
 }
 
-// AnswerFailed is the event that the run of an answer that has started was lost, or that the answer is invalid.
+// AnswerFailed is the event that an answer has started and can't be completed by its run: the run was lost, or its answer
+// is invalid.
 type AnswerFailed struct {
 	ID      string
 	Attempt int
@@ -278,6 +294,7 @@
 type Attempt struct {
 	ID     string
 	Number int
+	// Target is the upstream that the attempt uses.
 	Target member.Candidate
 	// Sequence is the number of the attempt among all attempts of this instance of the entry.
 	Sequence uint64
@@ -287,7 +304,7 @@
 	AtMostOnce bool
 	// Delay is the delay before the request is sent.
 	Delay time.Duration
-	// Digest is the only version that may generate the answer; empty for any.
+	// Digest identifies the only version that may generate the answer; empty for any.
 	Digest string
 	// Cache identifies the last change of the upstream's prefix cache that this entry has received.
 	Cache routing.CachePosition
@@ -300,8 +317,8 @@
 	Continue bool
 }
 
-// Resume is the effect that, after Delay, requests the rest of the answer from the agent of the current
-// attempt.
+// Resume is the effect that requests the rest of the answer from the agent of the current attempt, after the field Delay
+// of this type. The Delay of Attempt is not used.
 type Resume struct {
 	Attempt
 	Delay time.Duration
@@ -353,7 +370,8 @@
 // RequestID returns the ID of the request that the effect is for.
 func (e Abort) RequestID() string { return e.ID }
 
-// SuspectStatuses returns the status on a request's fingerprint.
+// SuspectStatuses returns the status of a request's fingerprint: whether the request is suspected of crashing upstreams
+// or quarantined for it.
 type SuspectStatuses interface {
 	// Status returns the current status.
 	Status(now time.Time, fingerprint string) suspect.Status
@@ -363,6 +381,7 @@
 
 // Directory returns the upstreams that can take requests of a service.
 type Directory interface {
-	// Candidates returns a new slice after each change; a slice that it has returned does not change.
+	// Candidates returns the upstreams. It returns a new slice after each change; a slice that it has returned does not
+	// change.
 	Candidates(now time.Time, team, service string) []member.Candidate
 }
--- a/internal/core/request/request_test.go
+++ b/internal/core/request/request_test.go
@@ -121,7 +121,7 @@
 func (l *lifecycle) combinedRan() code.Ran {
 	combined := code.NotRun
 	for _, ran := range l.ran {
-		combined = Both(combined, ran)
+		combined = CombineRan(combined, ran)
 	}
 	return combined
 }
--- a/internal/core/routing/outlier.go
+++ b/internal/core/routing/outlier.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	// SlowFactor is how many times the median first-byte time of its peers an upstream must exceed to be ejected.
+	// SlowFactor and SlowMargin define when an upstream is too slow. Its first-byte time must be more than SlowFactor times
+	// its peers' median, and also more than SlowMargin above it.
 	SlowFactor = 2.5
-	// SlowMargin is the minimum difference to the peers' median for an upstream to be ejected.
 	SlowMargin = 10 * time.Millisecond
-	// FailuresToEject is how many consecutive answers must say that an upstream can't serve until it is ejected.
+	// FailuresToEject is the number of consecutive answers reporting that an upstream can't serve after which it is
+	// ejected.
 	FailuresToEject = 3
 	// MinSamples is the minimum number of answers of an upstream, and of each peer, for a comparison.
 	MinSamples = 8
@@ -24,7 +25,8 @@
 	MaxEjectTime     = 30 * time.Second
 	// MinProbeInterval is the minimum time between two probes of an upstream on probation.
 	MinProbeInterval = 250 * time.Millisecond
-	// ProbesToReturn is how many consecutive probes must be answered fast enough until an upstream is back in service.
+	// ProbesToReturn is the number of consecutive probes that must be answered fast enough before an upstream is back in
+	// service.
 	ProbesToReturn = 3
 	// maxEjectDoublings bounds how often InitialEjectTime is doubled.
 	maxEjectDoublings = 10
@@ -65,7 +67,8 @@
 
 func (l *latency) mean() time.Duration { return time.Duration(l.average) }
 
-// peerLatency is the median of the mean first-byte times of the upstreams in service.
+// peerLatency is the median of the mean first-byte times of the upstreams in service. count is the number of upstreams
+// in it.
 type peerLatency struct {
 	median     time.Duration
 	count      int
@@ -88,8 +91,9 @@
 	}
 }
 
-// addFailure counts an answer that says that the upstream can't serve, and ejects the upstream after FailuresToEject of
-// them. Such answers are fast, so an upstream that is down would otherwise attract more requests.
+// addFailure counts an answer with which the upstream reports that it can't serve. It ejects the upstream after
+// FailuresToEject of them, or after the first one on probation. Such answers are fast, so an upstream that is down would
+// otherwise attract more requests.
 func (svc *service) addFailure(now time.Time, u *upstream) {
 	if u.health == ejected {
 		return
--- a/internal/core/routing/prefix.go
+++ b/internal/core/routing/prefix.go
@@ -15,8 +15,8 @@
 	PrefixCharacters = 256
 	// PeekBytes is the size of the beginning of a body that is searched for the prompt's prefix.
 	PeekBytes = 4 << 10
-	// HolderMaxAge is how long an upstream is assumed to have a prefix after the last request or cache event that
-	// confirmed it. It bounds the effect of a lost cache event.
+	// HolderMaxAge is how long an upstream is assumed to have a prefix after the last request with the prefix or cache event
+	// that confirmed it. It bounds the effect of a lost cache event.
 	HolderMaxAge = 60 * time.Second
 	// MaxPrefixes is the maximum number of prefixes in each of the two generations that an entry keeps for a service.
 	MaxPrefixes = 4096
@@ -124,7 +124,8 @@
 // maxEscapeBytes is one more than the length of the longest JSON escape, a surrogate pair, which may be truncated.
 const maxEscapeBytes = 13
 
-// holder is an upstream that probably has a prefix in its cache, as of the time at.
+// holder is an upstream that probably has a prefix in its cache. That was last confirmed at the time at, when epoch was the
+// upstream's cacheEpoch.
 type holder struct {
 	upstream *upstream
 	epoch    int
@@ -173,7 +174,7 @@
 	p.put(prefix, list)
 }
 
-// remove removes u from the holders of a prefix, unless it was recorded after the given time.
+// remove removes u from the holders of a prefix, unless it was recorded after the time before.
 func (p *prefixIndex) remove(prefix uint64, u *upstream, before time.Time) {
 	var list []holder
 	for _, h := range p.get(prefix) {
@@ -199,12 +200,12 @@
 	return best
 }
 
-// MaxEventDelay is the maximum delay of a cache event. An eviction does not remove a holder that was recorded later
-// than that, because the prefix may have been stored again since.
+// MaxEventDelay is the maximum delay of a cache event. An eviction does not remove a holder that was recorded within
+// MaxEventDelay before the event arrived, because the prefix may have been stored again since the eviction.
 const MaxEventDelay = 2 * time.Second
 
-// apply applies an engine's cache changes to the index. It skips prefixes that are not in the index, which would fill
-// the memory with prefixes that this entry never gets requests for.
+// apply applies an engine's cache changes to the index. It skips prefixes that are not in the index. Otherwise the memory
+// would fill with prefixes that this entry never gets requests for.
 func (p *prefixIndex) apply(now time.Time, u *upstream, changes *CacheChanges) {
 	if changes == nil {
 		return
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -1,6 +1,10 @@
 // Package routing is the entry's reducer that chooses an upstream for each request. It keeps track of which upstreams
 // this entry uses, the estimated load of each, which ones probably have a prompt's prefix in their cache, and which are
 // slower than their peers. The package is pure: see package step.
+//
+// The package belongs to the first product's path: internal/entry with core/request and core/routing, then internal/agent
+// with core/run, and core/rollout for loading. On the users' platform, gateway with core/forward and hostagent with
+// core/install do the same.
 package routing
 
 import (
@@ -10,8 +14,8 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// Policy is how an upstream is chosen among those with free capacity. Operators use Affinity; the others are baselines
-// for experiments.
+// Policy names the way in which an upstream is chosen among those with free capacity. Operators use Affinity, the
+// default; the others are baselines for experiments.
 type Policy string
 
 // The policies.
@@ -93,16 +97,16 @@
 	Tried map[string]bool
 }
 
-// Outcome is the result of Pick.
-type Outcome int
+// Availability reports whether a service has an upstream for a request: one with free capacity, only full ones, or none.
+type Availability int
 
-// The outcomes.
+// Values of Availability.
 const (
 	// Found means that an upstream has free capacity.
-	Found Outcome = iota
+	Found Availability = iota
 	// Full means that there are upstreams, but each is at its limit.
 	Full
-	// None means that no upstream can take the request, now or later.
+	// None means that there is no upstream for the request: each was tried before or is shutting down, or none exists.
 	None
 )
 
@@ -111,23 +115,24 @@
 
 // Pick chooses an upstream for q among the candidates. The caller must not modify the slice afterwards. Pick searches
 // four tiers in order: this entry's subset of its own data centre, the rest of the data centre, the rest of the region
-// and the other regions. It uses the first tier with free capacity.
-func (s *State) Pick(in step.Input, q Query, candidates []member.Candidate) (member.Candidate, Outcome) {
+// and the other regions. It uses the first tier with free capacity. Only if no tier has any does it search all tiers again
+// with the ejected upstreams included.
+func (s *State) Pick(in step.Input, q Query, candidates []member.Candidate) (member.Candidate, Availability) {
 	svc := s.updatedService(q.Service, candidates)
-	outcome := None
+	availability := None
 	// A slow upstream is better than none, so ejected upstreams are searched last.
 	for _, includeEjected := range []bool{false, true} {
 		for _, tier := range svc.tiers {
-			usable, exists := svc.usable(in.Now, tier, q, includeEjected)
+			usable, exists := svc.withCapacity(in.Now, tier, q, includeEjected)
 			if exists {
-				outcome = Full
+				availability = Full
 			}
 			if len(usable) > 0 {
 				return s.choose(in, svc, q, usable).candidate, Found
 			}
 		}
 	}
-	return member.Candidate{}, outcome
+	return member.Candidate{}, availability
 }
 
 // How well an upstream fits a request, from worst to best.
@@ -137,16 +142,17 @@
 	// FitCached means that the upstream probably has the prefix in its cache, but does not own it.
 	FitCached
 	// FitOwner means that the upstream owns the prefix: it is the first in the prefix's rendezvous order. It has the
-	// prefix in its cache or should get it.
+	// prefix in its cache or should get it. It also stands for a request without a prefix, which all upstreams fit
+	// equally.
 	FitOwner
 )
 
-// Fit returns how well an upstream fits a request: FitNone, FitCached or FitOwner. When all upstreams are busy, the
-// owner of a prefix is preferred to another upstream that has it, so that each engine's cache only has to hold the
-// prefixes that it owns.
+// Fit returns how well an upstream fits a request: FitNone, FitCached or FitOwner. It is used to choose one of the waiting
+// requests for an upstream with free capacity. A prefix that the upstream owns ranks above one that it merely has in its
+// cache, so that each engine's cache only has to hold the prefixes that it owns.
 func (s *State) Fit(now time.Time, q Query, c member.Candidate) int {
 	if q.Prefix == 0 || s.Self.Policy != Affinity {
-		return FitOwner
+		return FitOwner // All upstreams fit equally.
 	}
 	svc := s.service(q.Service)
 	u := svc.upstream(c)
@@ -159,7 +165,8 @@
 	return FitNone
 }
 
-// choose returns an upstream whose probe is due, or else one according to the policy. usable must not be empty.
+// choose returns an upstream whose probe is due, or else one according to the policy. usable holds the upstreams that can
+// take the request now; it must not be empty.
 func (s *State) choose(in step.Input, svc *service, q Query, usable []*upstream) *upstream {
 	if probe := probeDue(in.Now, usable); probe != nil {
 		return probe
@@ -225,7 +232,7 @@
 	svc.addSample(now, u, took)
 }
 
-// Failed records an answer that says that the upstream can't serve.
+// Failed records an answer with which the upstream reports that it can't serve.
 func (s *State) Failed(now time.Time, service string, c member.Candidate) {
 	svc := s.service(service)
 	svc.addFailure(now, svc.upstream(c))
@@ -248,13 +255,14 @@
 func (s *State) Reported(now time.Time, service string, c member.Candidate, r Report) {
 	svc := s.service(service)
 	u := svc.upstream(c)
+	// A report of an earlier instance of the agent that it is shutting down does not apply to the present one.
 	r.Leaving = r.Leaving && c.Incarnation == u.candidate.Incarnation
 	u.reported(now, r)
 	svc.prefixes.apply(now, u, r.Cache)
 }
 
-// AgentLeaving records that an agent accepts no new requests because it is shutting down. This takes precedence over the host
-// list and the agent's advertisement. A report of an earlier instance of the agent does not apply to the present one.
+// AgentLeaving records that an instance of an agent accepts no new requests because it is shutting down. This takes
+// precedence over the host list and the agent's advertisement.
 func (s *State) AgentLeaving(now time.Time, c member.Candidate) {
 	for _, svc := range s.services {
 		for _, u := range svc.byKey {
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -44,8 +44,8 @@
 }
 
 func (d *driver) pick(prefix uint64) member.Candidate {
-	c, outcome := d.s.Pick(step.Input{Now: d.now, Rand: d.random.Uint64()}, Query{Service: svcKey, Prefix: prefix}, d.all)
-	require.Equal(d.t, Found, outcome)
+	c, availability := d.s.Pick(step.Input{Now: d.now, Rand: d.random.Uint64()}, Query{Service: svcKey, Prefix: prefix}, d.all)
+	require.Equal(d.t, Found, availability)
 	return c
 }
 
@@ -146,20 +146,20 @@
 	s := newTestState(Affinity)
 	q := Query{Service: svcKey}
 	in := step.Input{Now: epoch}
-	_, outcome := s.Pick(in, q, all)
-	require.Equal(t, Found, outcome)
+	_, availability := s.Pick(in, q, all)
+	require.Equal(t, Found, availability)
 	s.Reported(epoch, svcKey, all[0], Report{Running: 10, Limit: 10})
-	_, outcome = s.Pick(in, q, all)
-	require.Equal(t, Full, outcome)
+	_, availability = s.Pick(in, q, all)
+	require.Equal(t, Full, availability)
 	// A request of this entry that ends frees capacity before the next report arrives.
 	s.Sent(epoch, q, all[0])
 	s.Ended(epoch, svcKey, all[0], 0)
 	s.Ended(epoch, svcKey, all[0], 0)
-	_, outcome = s.Pick(in, q, all)
-	require.Equal(t, Found, outcome)
+	_, availability = s.Pick(in, q, all)
+	require.Equal(t, Found, availability)
 	s.Reported(epoch, svcKey, all[0], Report{Running: 10, Limit: 10})
-	_, outcome = s.Pick(step.Input{Now: epoch.Add(ReportMaxAge + time.Millisecond)}, q, all)
-	require.Equal(t, Found, outcome, "a report older than ReportMaxAge is ignored")
+	_, availability = s.Pick(step.Input{Now: epoch.Add(ReportMaxAge + time.Millisecond)}, q, all)
+	require.Equal(t, Found, availability, "a report older than ReportMaxAge is ignored")
 }
 
 // TestNearestUpstreamsAreUsedFirst checks that an upstream of another data centre, or of another region, gets requests
@@ -170,16 +170,16 @@
 	s := newTestState(Affinity)
 	var order []string
 	for range 6 * DefaultLimit {
-		c, outcome := s.Pick(step.Input{Now: epoch}, Query{Service: svcKey}, all)
-		require.Equal(t, Found, outcome)
+		c, availability := s.Pick(step.Input{Now: epoch}, Query{Service: svcKey}, all)
+		require.Equal(t, Found, availability)
 		s.Sent(epoch, Query{Service: svcKey}, c)
 		if len(order) == 0 || order[len(order)-1] != c.Place {
 			order = append(order, c.Place)
 		}
 	}
 	require.Equal(t, []string{"perth-a", "karratha-a", "mackay-b"}, order)
-	_, outcome := s.Pick(step.Input{Now: epoch}, Query{Service: svcKey}, all)
-	require.Equal(t, Full, outcome)
+	_, availability := s.Pick(step.Input{Now: epoch}, Query{Service: svcKey}, all)
+	require.Equal(t, Full, availability)
 }
 
 // TestLeavingUpstreamIsSkippedUntilReloaded guards against requests to an agent that reported its shutdown while the
--- a/internal/core/routing/service.go
+++ b/internal/core/routing/service.go
@@ -13,7 +13,7 @@
 	// MinLoadBound is the load, in requests, below which an upstream may always be chosen by prefix, however idle the
 	// others are.
 	MinLoadBound = 4
-	// maxStaleUpstreams is how many upstreams that no longer exist are kept before they are dropped.
+	// maxStaleUpstreams is the number of upstreams that are no longer candidates at which they are dropped.
 	maxStaleUpstreams = 64
 )
 
@@ -23,12 +23,13 @@
 // service is the state that this entry keeps of one service.
 type service struct {
 	// list is the list of candidates from which the tiers were computed.
-	list     []member.Candidate
-	tiers    [tierCount][]*upstream
+	list  []member.Candidate
+	tiers [tierCount][]*upstream
+	// byKey holds the upstreams by Key, including those that are no longer candidates until they are dropped.
 	byKey    map[string]*upstream
 	prefixes prefixIndex
 	peers    peerLatency
-	// scratch is the buffer that every call of usable reuses.
+	// scratch is the buffer that every call of withCapacity reuses.
 	scratch []*upstream
 }
 
@@ -127,9 +128,10 @@
 	}
 }
 
-// usable returns the upstreams of a tier that can take q now; ejected upstreams are included only if includeEjected is
-// set. exists reports whether the tier has an upstream that can take q now or later.
-func (svc *service) usable(now time.Time, tier []*upstream, q Query, includeEjected bool) (list []*upstream, exists bool) {
+// withCapacity returns the upstreams of a tier that can take q now: those below their load limit or, if q allows more, all
+// of them. Ejected upstreams are included only if includeEjected is set. exists reports whether the tier has an upstream
+// that was not tried and is not shutting down, whatever its load.
+func (svc *service) withCapacity(now time.Time, tier []*upstream, q Query, includeEjected bool) (list []*upstream, exists bool) {
 	list = svc.scratch[:0]
 	for _, u := range tier {
 		if len(q.Tried) > 0 && q.Tried[u.key] || !u.leavingUntil.IsZero() && now.Before(u.leavingUntil) {
@@ -145,15 +147,15 @@
 	return list, exists
 }
 
-// cost returns the cost by which two random upstreams are compared: the load including the new request, multiplied by
-// the slowness if the upstream is slower than its peers.
+// cost returns the cost by which two random upstreams are compared. It is the load including the new request, multiplied
+// by the slowness if the upstream is slower than its peers.
 func (svc *service) cost(now time.Time, u *upstream) float64 {
 	return float64(u.estimate+1) * math.Max(1, svc.slowness(now, u))
 }
 
-// byPrefix returns an upstream for a prefix among those whose load is within the bound; nil if there is none. It
-// prefers the owner, which is the first of them in the prefix's rendezvous order. If the owner is not known to have the
-// prefix, it returns another one that probably has it, if any.
+// byPrefix returns an upstream for a prefix among those whose load is below the bound; nil if there is none. The owner is
+// the first of them in the prefix's rendezvous order. byPrefix returns the owner if it probably has the prefix in its
+// cache. Otherwise it returns another upstream that probably has the prefix or, if there is none, the owner.
 func (svc *service) byPrefix(now time.Time, prefix uint64, usable []*upstream) *upstream {
 	bound := svc.loadBound(usable)
 	within := func(u *upstream) bool { return u.estimate < bound }
--- a/internal/core/routing/subset.go
+++ b/internal/core/routing/subset.go
@@ -17,8 +17,8 @@
 }
 
 // Subset returns the indices of the upstreams that the entry self uses. It orders the upstreams by hash on a ring and
-// takes an arc that starts at the entry's position in the sorted list of entries. The numbers of arcs that cover any
-// two upstreams differ by at most one. Every process computes the same arcs.
+// takes an arc of it. The arc's start is proportional to the entry's position in the sorted list of entries. For any two
+// upstreams, the numbers of arcs that include them differ by at most one. Every process computes the same arcs.
 func Subset(self string, entries []string, n int, hash func(i int) uint64) []int {
 	e := max(1, len(entries))
 	size := SubsetSize(n, e)
--- a/internal/core/routing/upstream.go
+++ b/internal/core/routing/upstream.go
@@ -8,10 +8,11 @@
 )
 
 const (
-	// ReportMaxAge is how long a load report is used. An older one says nothing about the present load.
+	// ReportMaxAge is how long a load report is used. An older one is no evidence of the present load.
 	ReportMaxAge = 3 * time.Second
 	// LeavingMaxAge is how long an upstream gets no requests after its agent reported that it is shutting down. It gets
-	// requests sooner if a new instance at the same address advertises itself.
+	// requests sooner if a new instance of the agent at the same address advertises itself, or if its weights are loaded
+	// again.
 	LeavingMaxAge = 30 * time.Second
 	// DefaultLimit is the concurrency limit of an upstream that has not reported one.
 	DefaultLimit = 16
@@ -23,7 +24,8 @@
 	Running int `json:"running"`
 	// Limit is how many requests the agent currently admits; 0 if unknown.
 	Limit int `json:"limit,omitempty"`
-	// Waiting is how many requests waited at the engine outside its batch, according to its report WaitingAgeMS milliseconds ago.
+	// Waiting is how many requests waited at the engine outside its batch, according to the engine's own report. That
+	// report was made WaitingAgeMS milliseconds ago.
 	Waiting      int   `json:"waiting,omitempty"`
 	WaitingAgeMS int64 `json:"age_ms,omitempty"`
 	// Leaving reports whether the agent is shutting down and accepts no new requests.
@@ -62,7 +64,7 @@
 	lastProbe time.Time
 	// goodProbes counts consecutive probes that were answered fast enough.
 	goodProbes int
-	// failures counts consecutive answers that said that the upstream can't serve.
+	// failures counts consecutive answers with which the upstream reported that it can't serve.
 	failures int
 }
 
@@ -81,8 +83,9 @@
 	}
 }
 
-// load estimates the number of requests in flight at the upstream. It adds what this entry sent and completed since the
-// latest report; the changes by other entries since then are unknown. A report older than ReportMaxAge is not used.
+// load estimates the number of requests in flight at the upstream: the latest report, plus the requests that this entry
+// has sent since then, less those that ended. The changes by other entries since then are unknown. A report older than
+// ReportMaxAge is not used.
 func (u *upstream) load(now time.Time) int {
 	if u.reportAt.IsZero() || now.Sub(u.reportAt) > ReportMaxAge {
 		return u.inFlight
