--- a/internal/core/admission/budget.go
+++ b/internal/core/admission/budget.go
@@ -8,8 +8,8 @@
 )
 
 // Budget limits the retries of one service in proportion to its successful requests. Without it, a failing service
-// would receive a multiple of its callers' load. Callers take nothing from the budget for a retry of an attempt that
-// certainly was not run.
+// would receive a multiple of its callers' load. The caller of Take must not call it for a retry after an attempt that
+// certainly did not run, because such a retry is free.
 type Budget struct{ spent float64 }
 
 // Succeeded adds RetriesPerSuccess to the budget for one successful request.
--- a/internal/core/admission/fleet.go
+++ b/internal/core/admission/fleet.go
@@ -44,21 +44,21 @@
 
 // Cap returns how many requests of a client account this entry may have in flight, given the account's fleet-wide
 // limit.
-func (f *Fleet) Cap(service, name string, limit int) int {
+func (f *Fleet) Cap(service, accountName string, limit int) int {
 	if len(f.entries) <= 1 {
 		return limit
 	}
 	demand := make(map[string]int, len(f.demands))
 	for entry, d := range f.demands {
-		demand[entry] = d.Accounts[service][name]
+		demand[entry] = d.Accounts[service][accountName]
 	}
 	return Share(limit, f.self, f.entries, demand)
 }
 
 // Share returns how many requests of a client account the entry self may have in flight. Half of the account's limit is
 // split evenly and half by demand. The even half lets an entry without demand start requests at any time. The list of
-// entries holds all entries of the fleet, including self. An entry with unknown demand counts with the demand of self.
-// When all entries use the same demands, the shares add up to exactly the limit.
+// entries holds all entries of the fleet, including self. An entry whose demand is unknown is assumed to have the demand
+// of self. If all entries compute with the same demands, the shares add up to exactly the limit.
 func Share(limit int, self string, entries []string, demand map[string]int) int {
 	if limit <= 0 || len(entries) == 0 {
 		return 0
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -9,14 +9,14 @@
 
 const (
 	// MaxWait is the maximum time that a request waits at an entry for capacity. After that time, it is better to refuse
-	// the request so that its caller sends it again.
+	// the request and have its caller send it again.
 	MaxWait = 300 * time.Millisecond
 	// MinQueueCapacity is how many requests of a service may wait at an entry, however slow the service is.
 	MinQueueCapacity = 16
 	// MaxQueueCapacity is the maximum number of requests of a service that wait at an entry.
 	MaxQueueCapacity = 512
-	// NoWaitPriority is the first priority whose requests are refused at once instead of waiting. So are those of all
-	// lower priorities, which have higher numbers.
+	// NoWaitPriority is the lowest priority number whose requests are refused at once instead of waiting. Requests with
+	// higher numbers, which are lower priorities, are refused at once too.
 	NoWaitPriority = 8
 	// DefaultPriority is the priority of a request that sets none. 0 is the highest priority, 9 the lowest.
 	DefaultPriority = 5
@@ -92,8 +92,9 @@
 // NewGate returns a gate without requests.
 func NewGate() *Gate { return &Gate{accounts: map[string]*account{}, admitted: map[string]string{}} }
 
-// Admit decides whether a new request is admitted, waits or is refused. The returned refusals may include another
-// request that waited and was evicted for the new one. hasCapacity reports whether an upstream can take a request now.
+// Admit decides whether a new request is admitted, waits or is refused. hasCapacity reports whether an upstream can take
+// a request now. The refused request, if any, is the new one or a waiting one that was evicted for it. A new
+// request that is neither admitted nor refused waits.
 func (g *Gate) Admit(now time.Time, ask Ask, hasCapacity bool) (admitted bool, refused []Refusal) {
 	g.advanceWindow(now)
 	g.arrivals++
@@ -109,8 +110,8 @@
 	return false, g.enqueue(now, ask, acct)
 }
 
-// enqueue puts a request into the queue. If the request must not wait or the queue is full, it returns the request that
-// is refused instead: the new one or one of the account that uses most for its weight.
+// enqueue puts a request into the queue. It refuses a request that must not wait. If the queue is then over its capacity,
+// it refuses the request that evict chooses, which may be the new one.
 func (g *Gate) enqueue(now time.Time, ask Ask, acct *account) []Refusal {
 	if ask.Priority >= NoWaitPriority {
 		acct.refusals++
@@ -151,21 +152,21 @@
 
 // evict refuses the last waiting request of the account with the highest demand relative to its weight.
 func (g *Gate) evict() Refusal {
-	var victim *account
+	var largest *account
 	var name string
 	for n, acct := range g.accounts {
 		if len(acct.waiting) == 0 {
 			continue
 		}
-		if victim == nil || demandsMore(acct, n, victim, name) {
-			victim, name = acct, n
+		if largest == nil || demandsMore(acct, n, largest, name) {
+			largest, name = acct, n
 		}
 	}
-	last := victim.waiting[len(victim.waiting)-1]
-	victim.waiting = victim.waiting[:len(victim.waiting)-1]
-	victim.refusals++
+	last := largest.waiting[len(largest.waiting)-1]
+	largest.waiting = largest.waiting[:len(largest.waiting)-1]
+	largest.refusals++
 	g.waiting--
-	if g.overShare(victim) {
+	if g.overShare(largest) {
 		return g.refusal(last.ask.ID, code.ClientOverShare)
 	}
 	return g.refusal(last.ask.ID, code.Overloaded)
@@ -181,7 +182,8 @@
 	return name < otherName
 }
 
-// overShare reports whether an account demands more than its share by weight while other accounts have requests too.
+// overShare reports whether an account demands more than its share by weight. It is false while no other account has
+// requests.
 func (g *Gate) overShare(acct *account) bool {
 	total, weights, active := 0, 0, 0
 	for _, other := range g.accounts {
@@ -199,8 +201,8 @@
 
 // Next admits one waiting request and returns its ID; ok is false if none waits. It takes the account with the fewest
 // requests in flight relative to its weight. Among that account's requests of the highest priority, it takes the one
-// for which fits returns the highest value. When all upstreams are busy, a request whose prefix is in the upstream's
-// cache costs a fraction of other work.
+// for which fits returns the highest value. A request whose prefix is in the upstream's cache costs it a fraction of the
+// work, which matters when all upstreams are busy.
 func (g *Gate) Next(fits func(id string) int) (id string, ok bool) {
 	var best *account
 	var name string
@@ -284,8 +286,7 @@
 	}
 }
 
-// Requeue moves a request that was admitted, but found no upstream with free capacity, to the front of its account's
-// queue.
+// Requeue moves a request that was admitted but found no upstream with free capacity to the front of its account's queue.
 func (g *Gate) Requeue(now time.Time, ask Ask) {
 	g.Remove(ask.ID, false)
 	expiresAt := now.Add(MaxWait)
@@ -307,8 +308,8 @@
 	return acct.inFlight + len(acct.waiting) + acct.refusals
 }
 
-// RetryAfter returns the Retry-After delay of a refusal. At the rates of the last window, the arrivals of one window
-// need arrivalRate/completionRate windows to complete.
+// RetryAfter returns the Retry-After delay of a refusal: the time in which the arrivals of one window complete. At the
+// rates of the last window, that is arrivalRate/completionRate windows.
 func (g *Gate) RetryAfter() time.Duration {
 	if g.arrivalRate <= g.completionRate {
 		return MinRetryAfter
--- a/internal/core/admission/limiter.go
+++ b/internal/core/admission/limiter.go
@@ -4,7 +4,9 @@
 //   - fleet-wide limits of client accounts, shared between entries
 //   - the retry budget of a service
 //
-// The package is pure: see package step.
+// The package is pure: see package step. It belongs to the first product's path: internal/entry with core/request and
+// core/routing, then internal/agent with core/run, and core/rollout for loading. On the users' platform, gateway with
+// core/forward and hostagent with core/install do the same.
 package admission
 
 import (
@@ -31,12 +33,13 @@
 	MinQueueDecreaseFactor = 0.5
 	// MinDecreaseInterval is the minimum time between two decreases. It lets the first one take effect.
 	MinDecreaseInterval = 250 * time.Millisecond
-	// IncreaseStep is how much the limit grows, in requests, in the course of one answer per request that it allows.
+	// IncreaseStep is how much the limit grows, in requests, over as many answers as the limit allows requests at once.
 	IncreaseStep = 4
-	// EngineQueueShare is how many requests may wait at an engine, as a share of its batch. The short queue keeps the
-	// engine from being idle.
+	// EngineQueueShare is how many requests may wait at an engine, as a share of its batch. This short queue keeps the
+	// engine busy.
 	EngineQueueShare = 0.25
-	// QueueReportMaxAge is how long the limit follows an engine's report on its batch instead of first-byte times.
+	// QueueReportMaxAge is how long after an engine's report on its batch the limit follows such reports instead of
+	// first-byte times.
 	QueueReportMaxAge = 3 * time.Second
 	// MinEngineQueue is the minimum number of requests that may wait at an engine.
 	MinEngineQueue = 2
@@ -79,9 +82,9 @@
 // Finish counts a request that ends.
 func (l *Limiter) Finish() { l.running = max(0, l.running-1) }
 
-// FirstByte adapts the limit to the time that an upstream took for the first byte of an answer. It changes the limit
-// only of an upstream without a recent queue report. An engine with a full batch answers later than an idle one; its
-// limit must not decrease for that reason.
+// FirstByte adapts the limit to the time that an upstream took for the first byte of an answer. It changes the limit only
+// if the upstream has no recent queue report: an engine with a full batch answers later than an idle one, and its limit
+// must not decrease for that reason.
 func (l *Limiter) FirstByte(now time.Time, took time.Duration) {
 	t := float64(took)
 	l.recent = movingAverage(l.recent, t, recentWeight)
@@ -101,8 +104,8 @@
 	}
 }
 
-// QueueReport adapts the limit to an engine's own report on its batch, which arrives with a delay. It bounds the limit by the
-// number of requests that the engine runs at once plus a short queue.
+// QueueReport adapts the limit to an engine's own report on its batch, which arrives with a delay. It bounds the limit by
+// the number of requests that the engine runs at once, plus a short queue.
 func (l *Limiter) QueueReport(now time.Time, running, waiting int) {
 	l.batch = math.Max(float64(running), l.batch*DecreaseFactor)
 	maxQueue := math.Max(MinEngineQueue, EngineQueueShare*l.batch)
