--- a/internal/core/run/load.go
+++ b/internal/core/run/load.go
@@ -8,10 +8,10 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// FirstByte reports that the first byte of a run's answer arrived from the upstream.
+// FirstByte is the event that the first byte of a run's answer arrived from the upstream.
 type FirstByte struct{ ID ID }
 
-// LoadRead is an engine's report of its batch. The report lags behind the engine's actual state.
+// LoadRead is the event that an engine's report of its batch was read. The report lags behind the engine's actual state.
 type LoadRead struct {
 	Upstream string
 	// Running and Waiting count the requests in the engine's batch and in its queue.
@@ -21,7 +21,8 @@
 	Age time.Duration
 }
 
-// CacheRead carries the changes of its prefix cache that an engine reported. Reports can be late and incomplete.
+// CacheRead is the event that an engine's report of changes of its prefix cache was read. Reports can be late and
+// incomplete.
 type CacheRead struct {
 	Upstream string
 	// BootID identifies the engine's instance.
@@ -43,6 +44,7 @@
 
 // upstreamLoad is the agent's view of the load of one upstream.
 type upstreamLoad struct {
+	// limiter counts the runs on the upstream and holds the concurrency limit, which it adapts.
 	limiter *admission.Limiter
 	// waiting is the engine's queue length as of readAt.
 	waiting int
@@ -54,8 +56,10 @@
 	seq    uint64
 }
 
-// Load limits and reports the load of the agent's upstreams.
+// Load holds the load of each of the agent's upstreams, and the runs that wait for their first byte. From these it limits
+// the runs on an upstream and makes the load reports for entries.
 type Load struct {
+	// upstreams holds the load of each upstream, by name.
 	upstreams map[string]*upstreamLoad
 	// awaitingFirstByte are the runs that wait for their first byte.
 	awaitingFirstByte map[ID]pendingRun
@@ -65,7 +69,7 @@
 	Unlimited bool
 }
 
-// pendingRun is a run that waits for its first byte.
+// pendingRun is a run that waits for its first byte. It started at the time at.
 type pendingRun struct {
 	at       time.Time
 	upstream string
@@ -135,7 +139,7 @@
 	}
 }
 
-// Report returns the load report on an upstream for an entry that has received the cache changes up to seen.
+// Report returns the load report on an upstream, for an entry that has received the cache changes up to the position seen.
 func (l *Load) Report(now time.Time, name string, seen routing.CachePosition) routing.Report {
 	u := l.upstream(name)
 	r := routing.Report{Running: u.limiter.Running(), Limit: u.limiter.Limit(), Leaving: l.leaving}
@@ -152,7 +156,8 @@
 	return r
 }
 
-// cacheChanges returns the cache changes after mark. Incomplete is set if some of them are no longer kept.
+// cacheChanges returns the cache changes after the position mark, at most routing.MaxCacheEvents. Incomplete is set if some
+// of them are no longer kept.
 func (u *upstreamLoad) cacheChanges(mark routing.CachePosition) *routing.CacheChanges {
 	seen := mark.Seq
 	if mark.BootID != u.bootID || seen > u.seq {
--- a/internal/core/run/reduce.go
+++ b/internal/core/run/reduce.go
@@ -34,11 +34,11 @@
 	return []step.Effect{s.start(in, r, upstreams)}
 }
 
-// answerRepeated answers a message that is not the first of its attempt, or that is for another incarnation of the
-// agent. The second result is false for any other message.
+// answerRepeated answers a message that is not the first of its attempt, or that is for another instance of the agent. The
+// second result is false for any other message.
 func (s *State) answerRepeated(ev StartRequested) (step.Effect, bool) {
 	if ev.Incarnation != s.incarnation {
-		// This copy did not run. Only the entry can judge whether another copy reached the previous incarnation.
+		// This copy did not run. Only the entry can judge whether another copy reached the previous instance.
 		return Refuse{Call: ev.Call, ID: ev.ID, Code: code.AgentRestarted, Ran: code.NotRun}, true
 	}
 	if r, running := s.Running[ev.ID]; running {
@@ -71,7 +71,7 @@
 	case !r.Exclusive && s.reserved(ev.Upstream):
 		return code.UpstreamReserved
 	case !r.Exclusive && ev.Digest == "" && !s.Load.hasCapacity(ev.Upstream):
-		// A request with a digest continues an answer that has started. The concurrency limit does not cut it off.
+		// A request with a digest continues an answer that has started. The concurrency limit must not truncate it.
 		return code.Overloaded
 	}
 	return 0
@@ -179,7 +179,7 @@
 func (s *State) handleFenceRequested(in step.Input, ev FenceRequested) []step.Effect {
 	a := FenceAnswer{Call: ev.Call, ID: ev.ID, Ran: code.Unknown}
 	if ev.Incarnation != s.incarnation {
-		return []step.Effect{a} // The previous incarnation may have run it.
+		return []step.Effect{a} // The previous instance of the agent may have run it.
 	}
 	r, known := s.Running[ev.ID]
 	o, done := s.outcomes[ev.ID]
--- a/internal/core/run/run.go
+++ b/internal/core/run/run.go
@@ -1,9 +1,13 @@
 // Package run is the agent's reducer for requests that entries send to it. It decides whether a request may start on
 // an upstream and under which weights. If it may not, the reducer reports whether the request ran.
 //
+// The package belongs to the first product's path: internal/entry with core/request and core/routing, then internal/agent
+// with core/run, and core/rollout for loading. On the users' platform, gateway with core/forward and hostagent with
+// core/install do the same.
+//
 // An attempt is unknown, queued, running, or over. Only suspects are queued: requests that may crash an upstream and
 // therefore wait to run alone on it. The outcome of an attempt that is over is kept for a time. A late copy of its
-// message is then refused, and a late question about it gets the right answer.
+// message is then refused, and a late fence call for it gets the right answer.
 package run
 
 import (
@@ -34,7 +38,8 @@
 // Message holds the fields by which an entry's message identifies an attempt.
 type Message struct {
 	ID ID
-	// Incarnation is the incarnation of the agent that the entry addressed.
+	// Incarnation is the start time of the agent's instance that the entry addressed, in nanoseconds. It is not the
+	// fencing number of package incarnation.
 	Incarnation uint64
 	// Entry identifies the entry's instance, and Sequence counts the attempts that it sent.
 	Entry    string
@@ -46,7 +51,7 @@
 	Message
 	Upstream    string
 	Fingerprint string
-	// Exclusive requests that no other request runs on the upstream at the same time.
+	// Exclusive requires that no other request runs on the upstream at the same time.
 	Exclusive bool
 	// bootID identifies the engine's instance that runs the request.
 	bootID string
@@ -68,7 +73,7 @@
 type State struct {
 	// Running holds the attempts that are queued or running.
 	Running map[ID]*Run
-	// incarnation is this agent's incarnation.
+	// incarnation is the start time of this instance of the agent, in nanoseconds.
 	incarnation uint64
 	// runningOn holds the running attempts by upstream, and queues the suspects that wait to run alone on it.
 	runningOn map[string]map[ID]*Run
@@ -90,7 +95,7 @@
 	Load *Load
 }
 
-// NewState returns the initial state of an agent with the given incarnation.
+// NewState returns the initial state of an agent. incarnation is the start time of its instance, in nanoseconds.
 func NewState(incarnation uint64) *State {
 	return &State{
 		incarnation: incarnation,
@@ -100,7 +105,7 @@
 	}
 }
 
-// StartRequested reports that an entry requests the start of an attempt.
+// StartRequested is the event that an entry requests the start of an attempt.
 type StartRequested struct {
 	// Call identifies the message that the shell answers. Two copies of a message have different calls.
 	Call uint64
@@ -108,13 +113,13 @@
 	Upstream string
 	// Fingerprint identifies the request by its content, independent of its sender.
 	Fingerprint string
-	// Exclusive requests that no other request runs on the upstream at the same time.
+	// Exclusive requires that no other request runs on the upstream at the same time.
 	Exclusive bool
 	// Digest, if set, identifies the only version of the weights that the request may run under.
 	Digest string
 }
 
-// Finished reports that a run is over.
+// Finished is the event that a run is over.
 type Finished struct {
 	ID ID
 	// Ran reports whether the request ran; empty means unknown.
@@ -123,19 +128,20 @@
 	Complete bool
 }
 
-// Crashed reports that the upstream crashed during a run.
+// Crashed is the event that the upstream crashed during a run.
 type Crashed struct{ ID ID }
 
-// FenceRequested reports that an entry abandoned an attempt, which must not start from now on.
+// FenceRequested is the event that an entry abandoned an attempt. The attempt must not start from now on.
 type FenceRequested struct {
 	Call uint64
 	Message
 }
 
-// StopRequested reports that a graceful shutdown started.
+// StopRequested is the event that a graceful shutdown has started.
 type StopRequested struct{}
 
-// Leaving reports whether the host takes no new work although the process keeps running.
+// Leaving is the event that the host stops taking new work although the process keeps running, or, if Active is false,
+// that the host takes new work again.
 type Leaving struct{ Active bool }
 
 // Event marks the type as an event.
@@ -156,7 +162,7 @@
 // Event marks the type as an event.
 func (Leaving) Event() {}
 
-// Start starts the request on the upstream, pinned to the version of the weights that Digest identifies.
+// Start is the effect that starts the request on the upstream, pinned to the version of the weights that Digest identifies.
 type Start struct {
 	Call       uint64
 	ID         ID
@@ -169,13 +175,13 @@
 	BootID string
 }
 
-// Join answers a message with the answer of the run that another copy of the message started.
+// Join is the effect that answers a message with the answer of the run that another copy of the message started.
 type Join struct {
 	Call uint64
 	ID   ID
 }
 
-// Refuse reports to the entry that the attempt does not start, and whether it ran earlier.
+// Refuse is the effect that reports to the entry that the attempt does not start, and whether it ran earlier.
 type Refuse struct {
 	Call uint64
 	ID   ID
@@ -183,8 +189,8 @@
 	Ran  code.Ran
 }
 
-// FenceAnswer reports to the entry whether the attempt that it abandoned ran. If Running is set, the attempt is running and
-// the shell cancels it.
+// FenceAnswer is the effect that reports to the entry whether the attempt that it abandoned ran. If Running is set, the
+// attempt is running and the shell cancels it.
 type FenceAnswer struct {
 	Call    uint64
 	ID      ID
@@ -237,7 +243,8 @@
 	return nil
 }
 
-// serving reports whether an upstream accepts requests. After a crash it accepts none until its state was read again.
+// serving reports whether an upstream accepts requests. After a crash, an engine accepts none until a read of its state has
+// shown a new boot ID.
 func (s *State) serving(upstreams *rollout.State, name string) bool {
 	u := upstreams.Upstreams[name]
 	if u == nil || u.Phase != member.Serving {
