--- a/internal/core/intake/intake.go
+++ b/internal/core/intake/intake.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// MaxTargetBytes bounds a request's path and query together, in bytes.
+	// MaxTargetBytes bounds a request's target in the sense of HTTP, its path and query together, in bytes.
 	MaxTargetBytes = 8 << 10
 	// MaxFieldBytes bounds one header field, name and value, in bytes.
 	MaxFieldBytes = 8 << 10
 	// MaxFields bounds the number of header fields.
 	MaxFields = 100
-	// MaxHeaderBytes bounds all header fields together, in bytes. It is below the limit between the system's own processes,
-	// so that a caller's header plus the system's header fields never exceeds that limit.
+	// MaxHeaderBytes bounds all header fields together, in bytes. It is below the limit that applies between the system's
+	// own processes, so that a caller's header and the system's header fields together never exceed that limit.
 	MaxHeaderBytes = 32 << 10
 )
 
--- a/internal/core/intake/pace.go
+++ b/internal/core/intake/pace.go
@@ -11,8 +11,8 @@
 	MinBytesPerSecond = 256
 )
 
-// BodyRate measures the arrival of one request body. It prevents a caller from holding a request open by sending single bytes
-// at long intervals. It doesn't limit the total duration of a body that keeps arriving, or of an answer. Only the time
+// BodyRate measures the arrival of one request body. It prevents a caller from holding a request open by sending single
+// bytes at long intervals. It doesn't limit the total duration of a body that keeps arriving, or of an answer. Only the time
 // spent waiting for the caller counts, so that the caller isn't penalized for an upstream that reads the body slowly.
 type BodyRate struct {
 	// Waited is the time spent waiting for bytes of the body.
