--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -31,7 +31,7 @@
 // continue it.
 type answer struct {
 	started bool
-	// headMatched is set once the head of the current run's answer was checked against the request.
+	// headMatched is set once the head of the current run's answer was checked against the request and attempt.
 	headMatched bool
 	status      int
 	// isEventStream is set for an event stream, of which only complete events are forwarded.
@@ -42,9 +42,9 @@
 	checksum      *xxhash.Digest
 	// contentLength is the length of the body in bytes according to the head, or -1 if the head has none.
 	contentLength int64
-	// buffered holds the start of an incomplete event, or the last bytes of an answer with a known length. A caller
-	// that has all bytes of such an answer takes it as complete, so they are held back until the checksum was
-	// compared.
+	// buffered holds the start of an incomplete event, or the last bytes of an answer with a known length. A caller that
+	// has all bytes of such an answer takes it as complete. The last bytes are therefore forwarded only after the checksum
+	// was compared.
 	buffered []byte
 	// tokens is the number of forwarded events that carry a token.
 	tokens int
@@ -57,8 +57,7 @@
 	lastWrite time.Time
 }
 
-// startRun discards what was received of the current run and not forwarded. The answer of the next run begins at its
-// start.
+// startRun prepares for the answer of the next run. It discards what was received of the current run and not forwarded.
 func (a *answer) startRun() {
 	a.receivedBytes = 0
 	a.checksum = xxhash.New()
@@ -157,7 +156,8 @@
 	return n
 }
 
-// matchesHead reports whether the head of another run fits the answer that was started.
+// matchesHead reports whether the head of another run equals that of the answer that was started in status, version and
+// content type.
 func (a *answer) matchesHead(h frame.Head) bool {
 	return h.Status == a.status && h.Header.Get(engine.HeaderDigest) == a.header.Get(engine.HeaderDigest) &&
 		h.Header.Get("Content-Type") == a.header.Get("Content-Type")
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -20,7 +20,9 @@
 )
 
 const (
-	// fenceTimeout bounds a call that fences an attempt off and reads whether the attempt started.
+	// fenceTimeout bounds a fence call. It prevents an attempt from starting, or cancels it if it runs, and reads whether
+	// it ran. This has nothing to do with the fencing number of core/incarnation, which an agent sends with its orders to
+	// engines.
 	fenceTimeout = 2 * time.Second
 	// deadlineGrace is how long after the caller's deadline the entry waits for the agent's report on the attempt.
 	deadlineGrace = 300 * time.Millisecond
@@ -41,7 +43,8 @@
 	progressOpen progress = iota
 	// progressReported means that the outcome was reported to the core, which decides what comes next.
 	progressReported
-	// progressDone means that the complete answer was forwarded, or that its caller disconnected.
+	// progressDone means that the complete answer was forwarded, or that its caller disconnected. The request is
+	// finished.
 	progressDone
 	// progressDisconnected means that the connection failed and that this was not reported to the core.
 	progressDisconnected
@@ -63,7 +66,7 @@
 	}
 	header.Set(frame.MethodHeader, c.r.Method)
 	env := e.envelope(c, eff.Attempt)
-	env.Target = c.target
+	env.Target = c.requestTarget
 	env.CachePosition = eff.Cache
 	c.answer.headMatched = false
 	if eff.Continue {
@@ -82,34 +85,34 @@
 
 // receiveAnswer forwards an answer. It reconnects, up to a limit, as long as nothing of the answer was received. It
 // reports whether the request is finished.
-func (e *Entry) receiveAnswer(ctx context.Context, c *call, t request.Attempt, s *stream, err error) bool {
+func (e *Entry) receiveAnswer(ctx context.Context, c *call, attempt request.Attempt, s *stream, err error) bool {
 	for reconnects := 0; ; reconnects++ {
 		if err == nil {
 			var p progress
-			p, err = e.forwardAnswer(c, s, t)
+			p, err = e.forwardAnswer(c, s, attempt)
 			s.close()
 			if p != progressDisconnected {
 				return p == progressDone
 			}
 		}
 		if c.r.Context().Err() != nil {
-			e.cancelAttempt(c, t)
+			e.cancelAttempt(c, attempt)
 			return true
 		}
 		if errors.Is(err, errNotConnected) && reconnects == 0 {
-			e.Loop.Step(member.CallFailed{Address: t.Target.Address})
-			e.reportFailure(c, t, &frame.Fail{Code: code.UpstreamSilent, Ran: code.NotRun})
+			e.Loop.Step(member.CallFailed{Address: attempt.Target.Address})
+			e.reportFailure(c, attempt, &frame.Fail{Code: code.UpstreamSilent, Ran: code.NotRun})
 			return false
 		}
-		logevent.Warn(e.Log, logevent.AttemptFailed).Str("request", c.id).Str("upstream", t.Target.Upstream.Name).Err(err).Msg("attempt failed")
+		logevent.Warn(e.Log, logevent.AttemptFailed).Str("request", c.id).Str("upstream", attempt.Target.Upstream.Name).Err(err).Msg("attempt failed")
 		if ctx.Err() != nil {
-			e.reportFailure(c, t, &frame.Fail{Code: code.DeadlinePassed, Ran: e.fence(c, t)})
+			e.reportFailure(c, attempt, &frame.Fail{Code: code.DeadlinePassed, Ran: e.fence(c, attempt)})
 			return false
 		}
-		if reconnects == maxReconnectsOf(t) {
-			e.cancelAttempt(c, t)
-			e.Loop.Step(member.CallFailed{Address: t.Target.Address})
-			e.reportFailure(c, t, &frame.Fail{Code: code.UpstreamSilent, Ran: code.Unknown})
+		if reconnects == maxReconnectsOf(attempt) {
+			e.cancelAttempt(c, attempt)
+			e.Loop.Step(member.CallFailed{Address: attempt.Target.Address})
+			e.reportFailure(c, attempt, &frame.Fail{Code: code.UpstreamSilent, Ran: code.Unknown})
 			return false
 		}
 		if reconnects == 0 {
@@ -117,36 +120,36 @@
 		} else {
 			periodic.Sleep(ctx, initialReconnectDelay<<(reconnects-1))
 		}
-		s, err = e.reconnect(ctx, c, t)
+		s, err = e.reconnect(ctx, c, attempt)
 	}
 }
 
 // maxReconnectsOf returns the maximum number of reconnects for an attempt.
-func maxReconnectsOf(t request.Attempt) int {
-	if t.AtMostOnce {
+func maxReconnectsOf(attempt request.Attempt) int {
+	if attempt.AtMostOnce {
 		return maxReconnectsAtMostOnce
 	}
 	return maxReconnects
 }
 
-// reconnect requests the answer of the same attempt over a new connection. An agent that does not know the attempt
-// fences it off.
-func (e *Entry) reconnect(ctx context.Context, c *call, t request.Attempt) (*stream, error) {
-	env := e.envelope(c, t)
+// reconnect requests the answer of the same attempt over a new connection. An agent that does not know the attempt prevents
+// it from starting.
+func (e *Entry) reconnect(ctx context.Context, c *call, attempt request.Attempt) (*stream, error) {
+	env := e.envelope(c, attempt)
 	env.Offset = c.answer.receivedBytes
-	return e.openStream(ctx, agentCall{address: t.Target.Address, path: frame.ResumePath, env: env, header: http.Header{}, unpooled: true})
+	return e.openStream(ctx, agentCall{address: attempt.Target.Address, path: frame.ResumePath, env: env, header: http.Header{}, unpooled: true})
 }
 
 // envelope returns the envelope that describes an attempt to its agent.
-func (e *Entry) envelope(c *call, t request.Attempt) frame.Envelope {
+func (e *Entry) envelope(c *call, attempt request.Attempt) frame.Envelope {
 	env := frame.Envelope{
-		Request: c.id, Attempt: t.Number, Upstream: t.Target.Upstream.Name,
-		Incarnation: t.Target.Incarnation, Entry: e.instance, Sequence: t.Sequence,
-		Fingerprint: c.fingerprint, Exclusive: t.Exclusive, Digest: t.Digest, AtMostOnce: t.AtMostOnce,
+		Request: c.id, Attempt: attempt.Number, Upstream: attempt.Target.Upstream.Name,
+		Incarnation: attempt.Target.Incarnation, Entry: e.instance, Sequence: attempt.Sequence,
+		Fingerprint: c.fingerprint, Exclusive: attempt.Exclusive, Digest: attempt.Digest, AtMostOnce: attempt.AtMostOnce,
 		DeadlineMS: max(1, time.Until(c.deadline).Milliseconds()),
-		Revision:   e.Revision(setting.Key(t.Target.Upstream.Team, t.Target.Upstream.Service)), From: e.Address(),
+		Revision:   e.Revision(setting.Key(attempt.Target.Upstream.Team, attempt.Target.Upstream.Service)), From: e.Address(),
 	}
-	if t.Exclusive {
+	if attempt.Exclusive {
 		e.Loop.View(func(s *core.State) {
 			if mark, ok := s.Mark(c.fingerprint); ok {
 				env.CrashRecord = &mark
@@ -156,17 +159,17 @@
 	return env
 }
 
-// cancelAttempt fences an attempt off in the background, after its caller disconnected or its agent did not answer.
-func (e *Entry) cancelAttempt(c *call, t request.Attempt) {
-	go e.fence(c, t)
+// cancelAttempt calls fence in the background, after the caller disconnected or the agent did not answer.
+func (e *Entry) cancelAttempt(c *call, attempt request.Attempt) {
+	go e.fence(c, attempt)
 }
 
-// fence asks the agent to fence an attempt off and returns whether the attempt ran.
-func (e *Entry) fence(c *call, t request.Attempt) code.Ran {
+// fence has the agent prevent an attempt from starting, or cancel it if it runs. It returns whether the attempt ran.
+func (e *Entry) fence(c *call, attempt request.Attempt) code.Ran {
 	ctx, cancel := context.WithTimeout(context.Background(), fenceTimeout)
 	defer cancel()
 	s, err := e.openStream(ctx, agentCall{
-		address: t.Target.Address, path: frame.FencePath, env: e.envelope(c, t), header: http.Header{}, unpooled: true,
+		address: attempt.Target.Address, path: frame.FencePath, env: e.envelope(c, attempt), header: http.Header{}, unpooled: true,
 	})
 	if err != nil {
 		return code.Unknown
@@ -180,7 +183,7 @@
 		if kind == frame.TypeHeartbeat {
 			continue
 		}
-		f, ok := c.parseFailure(t, kind, payload)
+		f, ok := c.parseFailure(attempt, kind, payload)
 		if !ok {
 			return code.Unknown
 		}
@@ -189,31 +192,32 @@
 }
 
 // parseFailure decodes a failure frame. ok is false if it is malformed or belongs to another request or attempt.
-func (c *call) parseFailure(t request.Attempt, kind frame.Type, payload []byte) (*frame.Fail, bool) {
+func (c *call) parseFailure(attempt request.Attempt, kind frame.Type, payload []byte) (*frame.Fail, bool) {
 	f := &frame.Fail{}
 	if kind != frame.TypeFail || json.Unmarshal(payload, f) != nil {
 		return nil, false
 	}
-	return f, f.Request == c.id && f.Attempt == t.Number
+	return f, f.Request == c.id && f.Attempt == attempt.Number
 }
 
 // reportFailure reports a failed attempt to the core, with what the agent sent about it.
-func (e *Entry) reportFailure(c *call, t request.Attempt, f *frame.Fail) {
+func (e *Entry) reportFailure(c *call, attempt request.Attempt, f *frame.Fail) {
 	if f.CrashRecord != nil {
-		e.Loop.Step(record.Received{From: t.Target.Address, Records: []record.Record{*f.CrashRecord}})
+		e.Loop.Step(record.Received{From: attempt.Target.Address, Records: []record.Record{*f.CrashRecord}})
 	}
 	if f.Code == code.AgentRestarted {
 		// Send nothing to the former instance's address until the new instance is known.
-		e.Loop.Step(member.CallFailed{Address: t.Target.Address})
+		e.Loop.Step(member.CallFailed{Address: attempt.Target.Address})
 	}
 	if c.answer.started {
-		e.Loop.Step(request.AnswerFailed{ID: c.id, Attempt: t.Number, Code: f.Code, Ran: f.Ran, Final: c.answer.partialEventForwarded})
+		e.Loop.Step(request.AnswerFailed{ID: c.id, Attempt: attempt.Number, Code: f.Code, Ran: f.Ran, Final: c.answer.partialEventForwarded})
 		return
 	}
-	e.Loop.Step(request.AttemptFailed{ID: c.id, Attempt: t.Number, Code: f.Code, Ran: f.Ran, Report: f.Load})
+	e.Loop.Step(request.AttemptFailed{ID: c.id, Attempt: attempt.Number, Code: f.Code, Ran: f.Ran, Report: f.Load})
 }
 
-// resumeAnswer continues an answer over a new connection, from the byte at which it was interrupted.
+// resumeAnswer resumes an answer over a new connection to the same run, from the byte at which it was interrupted. It
+// reports whether the request is finished.
 func (e *Entry) resumeAnswer(c *call, eff request.Resume) bool {
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline.Add(deadlineGrace))
 	defer cancel()
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -37,8 +37,7 @@
 	restConsumed bool
 }
 
-// readBody buffers the start of the body. It sets the request's fingerprint and whether the request can be sent
-// again.
+// readBody buffers the start of the body. It sets the request's fingerprint, and Replayable if the entire body is buffered.
 func (e *Entry) readBody(c *call, ev *request.Received) *code.Error {
 	source := &callerReader{call: c, remaining: e.config.MaxBodyBytes}
 	defer source.clearDeadline()
@@ -54,18 +53,18 @@
 		return code.Errorf(code.CallerGone, "body", "it did not come whole: %v", err)
 	}
 	c.body = &body{buffered: buffered, complete: len(buffered) <= maxReplayBytes, rest: source}
-	c.fingerprint = fingerprint(c.r, ev.Team+"/"+ev.Service, c.target, c.body)
+	c.fingerprint = fingerprint(c.r, ev.Team+"/"+ev.Service, c.requestTarget, c.body)
 	ev.Fingerprint = c.fingerprint
 	ev.Replayable = c.body.complete
 	return nil
 }
 
-// fingerprint returns an identifier of the request's content. Requests with equal fingerprints are assumed to have
-// the same effect on an upstream. Of a body beyond maxReplayBytes it covers only the buffered part and the
-// Content-Length.
-func fingerprint(r *http.Request, service, target string, b *body) string {
+// fingerprint returns an identifier of the request's content, independent of its caller. Requests with equal fingerprints
+// are assumed to have the same effect on an upstream. Of a body beyond maxReplayBytes it covers only the buffered part and
+// the Content-Length. On the users' platform, the fingerprint of package gateway includes the caller.
+func fingerprint(r *http.Request, service, requestTarget string, b *body) string {
 	h := sha256.New()
-	_, _ = fmt.Fprintf(h, "%s\n%s\n%s\n%d\n", service, r.Method, target, r.ContentLength)
+	_, _ = fmt.Fprintf(h, "%s\n%s\n%s\n%d\n", service, r.Method, requestTarget, r.ContentLength)
 	_, _ = h.Write(b.buffered)
 	return hex.EncodeToString(h.Sum(nil)[:fingerprintBytes])
 }
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -78,7 +78,7 @@
 	return claim.Claim{
 		Key:          claim.HashKey(team, service, key),
 		RequestID:    c.id,
-		Fingerprint:  claim.Fingerprint(c.r.Method, c.target, c.r.ContentLength, c.body.buffered),
+		Fingerprint:  claim.Fingerprint(c.r.Method, c.requestTarget, c.r.ContentLength, c.body.buffered),
 		KeyTime:      claim.KeyTimestamp(key),
 		RunTimeoutMS: time.Until(c.deadline).Milliseconds(),
 	}
--- a/internal/entry/claim_peers.go
+++ b/internal/entry/claim_peers.go
@@ -44,7 +44,8 @@
 	return p.entries
 }
 
-// Call calls a method of an entry. An entry whose call fails is suspected for a while.
+// Call calls a method of an entry. It reports a failed call to the core, which treats the entry as unreachable for a
+// while.
 func (p *claimPeers) Call(ctx context.Context, address, method string, params, answer any) error {
 	err := p.entry.Pool.Call(ctx, address, method, params, answer)
 	if err != nil {
--- a/internal/entry/config.go
+++ b/internal/entry/config.go
@@ -1,5 +1,9 @@
-// Package entry implements the process that accepts callers' requests behind the platform's balancer. It reads a
-// request's head, has the core decide where the request goes, and streams the answer to the caller.
+// Package entry implements the process that accepts callers' requests behind the platform's balancer. It reads a request's
+// head and the start of its body, has the core decide where the request goes, and streams the answer to the caller.
+//
+// The package belongs to the first product's path: internal/entry with core/request and core/routing, then internal/agent
+// with core/run, and core/rollout for loading. On the users' platform, gateway with core/forward and hostagent with
+// core/install do the same.
 package entry
 
 import (
@@ -31,8 +35,8 @@
 	MaxBodyBytes int64
 	// Routing is the policy for choosing upstreams. Policies other than the default are for experiments.
 	Routing string
-	// ReadinessDelay is how long an entry that shuts down keeps accepting requests after it reports itself as not ready. It
-	// must exceed the interval of the balancer's readiness check.
+	// ReadinessDelay is how long an entry that shuts down keeps accepting requests after it reports itself as not ready.
+	// It must exceed the interval of the balancer's readiness check.
 	ReadinessDelay time.Duration
 	// Claims holds the settings of at-most-once calls.
 	Claims claim.Config
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -35,7 +35,8 @@
 	// agentClient and unpooledAgentClient call agents. The latter opens a new connection for each call.
 	agentClient         *http.Client
 	unpooledAgentClient *http.Client
-	// instance identifies this instance of the entry in calls to agents: its address and its incarnation.
+	// instance identifies this instance of the entry in calls to agents: its address and its incarnation, which is its
+	// start time.
 	instance string
 }
 
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -38,8 +38,8 @@
 const (
 	// engineStep is the time that an engine takes for a token, and the interval at which a frozen proxy checks its state.
 	engineStep = 5 * time.Millisecond
-	// testStalledAfter is the agents' default StalledAfter. It is short to keep the tests fast; of the faults that
-	// they apply, only a silent connection takes this long.
+	// testStalledAfter is the StalledAfter of the agents unless a test sets another. It is short to keep the tests fast.
+	// Of the faults that the tests apply, only a silent connection takes this long to be detected.
 	testStalledAfter = 6 * time.Second
 	// eventuallyTimeout bounds the wait for a condition.
 	eventuallyTimeout = 30 * time.Second
--- a/internal/entry/handle.go
+++ b/internal/entry/handle.go
@@ -42,16 +42,17 @@
 
 // call is one caller's request at this entry.
 type call struct {
-	id       string
-	w        http.ResponseWriter
-	r        *http.Request
-	target   string
-	body     *body
-	effects  chan step.Effect
-	deadline time.Time
-	answer   answer
-	setting  *setting.Setting
-	// fingerprint identifies the request by its content, independent of the caller.
+	id string
+	w  http.ResponseWriter
+	r  *http.Request
+	// requestTarget is the path at the upstream and the query. It does not identify the upstream.
+	requestTarget string
+	body          *body
+	effects       chan step.Effect
+	deadline      time.Time
+	answer        answer
+	setting       *setting.Setting
+	// fingerprint identifies the request by its content, independent of the caller; see the function fingerprint.
 	fingerprint string
 	// loadReport is the upstream's load report from the end of the answer.
 	loadReport *routing.Report
@@ -60,7 +61,7 @@
 	claim *grantedClaim
 }
 
-// handle serves one request from its head to the end of its answer.
+// handle serves one request, from reading its head to the end of its answer.
 func (e *Entry) handle(w http.ResponseWriter, r *http.Request) {
 	c := &call{id: uuid.NewString(), w: w, r: r, effects: make(chan step.Effect, effectBuffer)}
 	w.Header().Set(HeaderRequestID, c.id)
@@ -100,9 +101,9 @@
 		return ev, code.Errorf(code.BadPath, "path", "want /TEAM/SERVICE/...")
 	}
 	ev.Team, ev.Service = team, service
-	_, _, c.target, _ = splitPath(c.r.URL.EscapedPath())
+	_, _, c.requestTarget, _ = splitPath(c.r.URL.EscapedPath())
 	if c.r.URL.RawQuery != "" {
-		c.target += "?" + c.r.URL.RawQuery
+		c.requestTarget += "?" + c.r.URL.RawQuery
 	}
 	timeout, refusal := e.requestTimeout(c.r)
 	if refusal != nil {
@@ -143,7 +144,7 @@
 	return ev, nil
 }
 
-// requestTimeout returns how long the caller waits: its Deadline-Ms, or the configured default.
+// requestTimeout returns how long the caller waits: the value of its Deadline-Ms header, or the configured default.
 func (e *Entry) requestTimeout(r *http.Request) (time.Duration, *code.Error) {
 	text := r.Header.Get(HeaderDeadline)
 	if text == "" {
--- a/internal/entry/intake.go
+++ b/internal/entry/intake.go
@@ -12,7 +12,7 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// intakeMiddleware refuses requests that callers must not send and removes headers that only this system may set.
+// intakeMiddleware refuses requests that callers must not send. It removes headers that only this system may set.
 func (e *Entry) intakeMiddleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		refusal := intake.Check(r.URL, r.Header)
--- a/internal/entry/latency_test.go
+++ b/internal/entry/latency_test.go
@@ -21,9 +21,9 @@
 	took time.Duration
 }
 
-// latencyMonitor measures how long a trivial call over a new connection takes in this process. Entries take an agent
-// as silent if its first byte takes longer than 1 s, and agents take an engine as silent if it does not answer within
-// 2 s. If a trivial call takes as long, tests that expect no lost requests fail. The measurements are printed for
+// latencyMonitor measures how long a trivial call over a new connection takes in this process. Entries treat an agent as
+// silent if its first byte takes longer than 1 s, and agents treat an engine as silent if it does not answer within 2 s.
+// If a trivial call takes as long, tests that expect no lost requests fail. The measurements are printed for
 // each failed test. The scheduling delay of a single goroutine is no substitute: it was at most 0.26 s while calls
 // failed after 1 s, because a call waits for about a dozen goroutines in turn.
 type latencyMonitor struct {
--- a/internal/entry/network_test.go
+++ b/internal/entry/network_test.go
@@ -212,9 +212,9 @@
 	fleet.checkOutcomes(map[string]outcome{"": o}, map[string]testRequest{"": q})
 }
 
-// TestSlowEngineConnectionIsNotTakenAsFrozen guards against taking an engine as frozen because its health checks take
+// TestSlowEngineConnectionIsNotTakenAsFrozen guards against treating an engine as frozen because its health checks take
 // longer than their timeout. The engine generates its first token after 5 s, and answers health checks after 0.7 s.
-// When each check was given up after 0.5 s, two in a row counted as a frozen engine, and the caller was refused after
+// When each check timed out after 0.5 s, two in a row counted as a frozen engine, and the caller was refused after
 // 3 s (504, code 4002). TestIdleEventStreamGetsKeepaliveComments fails in the same way on a heavily loaded machine.
 func TestSlowEngineConnectionIsNotTakenAsFrozen(t *testing.T) {
 	t.Parallel()
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -105,7 +105,7 @@
 	client := e.agentClient
 	mayBeRepeated := req.Body == nil && c.header.Get(HeaderIdempotencyKey) != ""
 	if c.unpooled || mayBeRepeated {
-		// On a new connection the transport never repeats a call.
+		// net/http repeats a call without a body that has an Idempotency-Key header, but never on a new connection.
 		client = e.unpooledAgentClient
 	}
 	silenceTimer := time.AfterFunc(frame.HeadTimeout, cancel)
