--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -24,7 +24,7 @@
 // cancelReportTimeout is how long runs that are cancelled at shutdown have to report their failure to their entries.
 const cancelReportTimeout = time.Second
 
-// Agent runs beside a host's upstreams. It executes requests for entries, shares weights with its peers, and sends
+// Agent runs on the same host as its upstreams. It executes requests for entries, shares weights with its peers, and sends
 // load and role orders to its engines.
 type Agent struct {
 	*node.Process
@@ -47,7 +47,8 @@
 	newOrderTransport func(permit func() error) http.RoundTripper
 	// stateClient reads the state of engines.
 	stateClient *http.Client
-	// selfIncarnation is this process's incarnation, as its advertisement states it.
+	// selfIncarnation is this process's incarnation, as its advertisement states it: its start time in nanoseconds. It is
+	// not the incarnation of core/incarnation, the fencing number of orders.
 	selfIncarnation uint64
 	// executions holds the runs whose responses can be resumed: *execution by run.ID.
 	executions sync.Map
@@ -133,8 +134,8 @@
 	}
 }
 
-// cancelRemainingRuns cancels the runs that outlast the grace period. Their entries resume them on other upstreams of
-// the same version, at the position that the response had reached.
+// cancelRemainingRuns cancels the runs that outlast the grace period. Their entries continue the answers that are
+// continuable on other upstreams of the same version, from the position that was reached.
 func (a *Agent) cancelRemainingRuns() {
 	a.executions.Range(func(_, x any) bool {
 		x.(*execution).cancel(errShuttingDown)
--- a/internal/agent/body.go
+++ b/internal/agent/body.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// maxBufferedBody is how many bytes of a request body are read before the request starts. If an entry crashes while it
-// sends a smaller body, the request has not started.
+// maxBufferedBody is how many bytes of a request body are read before the request starts. A request with a smaller body
+// therefore does not start if its entry crashes while it sends the body.
 const maxBufferedBody = 256 << 10
 
 // errBodyReleased is returned by reads of a body after its connection's handler returned.
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -1,5 +1,9 @@
-// Package agent implements the process that runs beside a host's upstreams. It receives requests from entries and
+// Package agent implements the process that runs on the same host as its upstreams. It receives requests from entries and
 // executes them on the upstreams, shares weights with its peers, and sends load and role orders to its engines.
+//
+// The package belongs to the first product's path: internal/entry with core/request and core/routing, then internal/agent
+// with core/run, and core/rollout for loading. On the users' platform, gateway with core/forward and hostagent with
+// core/install do the same.
 package agent
 
 import (
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -32,7 +32,8 @@
 // errOrderNotAllowed aborts an order that the agent is no longer allowed to send.
 var errOrderNotAllowed = errors.New("sending order: agent is not allowed to send orders now")
 
-// enableOrders has the core acquire the incarnation and start sending orders to engines.
+// enableOrders has the core acquire the incarnation, which is the fencing number of package core/incarnation, and start
+// sending orders to engines.
 func (a *Agent) enableOrders() {
 	a.Loop.Step(rollout.OrdersEnabled{Host: a.Config.Name, Holder: uuid.NewString(), Timing: a.config.Orders})
 }
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -17,10 +17,10 @@
 const (
 	// probeInterval is how long an upstream may be silent before it is probed, and the time between two probes.
 	probeInterval = time.Second
-	// minProbeTimeout is how long a probe of a silent upstream waits for a response at least; a late response is a sign
-	// of life as well. An upstream counts as frozen when a probe was not answered and neither a later probe, which uses
-	// a connection of its own, nor a byte of the response showed a sign of life since. With a timeout of 0.5 s, an
-	// engine that took 0.7 s to respond was taken for frozen and the caller's request failed. A frozen upstream is
+	// minProbeTimeout is the minimum time that a probe of a silent upstream waits for a response. A late response also
+	// shows that the upstream is alive. An upstream counts as frozen when a probe was not answered, no later probe, each on
+	// its own connection, was answered either, and no byte of the response has arrived since. With a timeout of 0.5 s, an
+	// engine that took 0.7 s to respond was taken for frozen, and the caller's request failed. A frozen upstream is
 	// detected probeInterval plus minProbeTimeout after its last byte.
 	minProbeTimeout = 2 * time.Second
 	// defaultStalledAfter is how long a response that has started may deliver no byte although its upstream answers
@@ -34,8 +34,8 @@
 	health run.Health
 }
 
-// monitor probes the upstream of a run while it sends nothing, to distinguish a slow upstream from a dead one. It returns when
-// the run ends.
+// monitor probes the upstream of a run while the upstream sends nothing, to distinguish a slow upstream from a dead one. It
+// returns when the run ends.
 func (a *Agent) monitor(x *execution) {
 	startedAt := time.Now()
 	results := make(chan probeResult, int(maxProbeTimeout/probeInterval)+1) // The maximum number of concurrent probes.
@@ -90,8 +90,8 @@
 	}
 }
 
-// applyProbe cancels a run whose upstream has crashed or is frozen. lastAlive is when the upstream last showed a sign of
-// life, and silent is how long it has sent nothing to the run. applyProbe returns the new value of lastAlive.
+// applyProbe cancels a run whose upstream has crashed or is frozen. lastAlive is when the upstream was last known to be
+// alive, and silent is how long it has sent nothing to the run. applyProbe returns the new value of lastAlive.
 func (x *execution) applyProbe(result probeResult, lastAlive time.Time, silent time.Duration) time.Time {
 	switch result.health {
 	case run.Crashing:
--- a/internal/agent/response.go
+++ b/internal/agent/response.go
@@ -68,7 +68,8 @@
 	return checkDelimited(method, resp)
 }
 
-// checkDelimited rejects a response whose body ends when the connection closes: a truncated one would look complete.
+// checkDelimited rejects a response whose body ends only when the connection closes, because a truncated one would look
+// complete.
 func checkDelimited(method string, resp *http.Response) *failure {
 	chunked := len(resp.TransferEncoding) > 0
 	noBody := method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -41,7 +41,7 @@
 	lastActivity atomic.Int64
 
 	mu sync.Mutex
-	// resumeTimer cancels the run when its connection broke and no other replaced it within resumeWindow.
+	// resumeTimer cancels the run if its connection broke and no other has replaced it within resumeWindow.
 	resumeTimer *time.Timer
 	// weightsChanged is set when the engine's weights changed during the run.
 	weightsChanged atomic.Bool
@@ -116,9 +116,9 @@
 	return mark
 }
 
-// awaitDecision asks the core whether the request may start and returns its decision. It sends heartbeats while a
-// suspect request waits until it can run alone on its upstream. If the connection from the entry ends meanwhile, the
-// attempt is fenced and awaitDecision returns nil.
+// awaitDecision asks the core whether the request may start and returns its decision. It sends heartbeats while a suspect
+// request waits until it can run alone on its upstream. If the connection from the entry ends meanwhile, awaitDecision
+// fences the attempt and returns nil.
 func (a *Agent) awaitDecision(w http.ResponseWriter, r *http.Request, env frame.Envelope) step.Effect {
 	call, ch, done := a.Calls.Open()
 	defer done()
@@ -159,7 +159,8 @@
 	}
 }
 
-// join relays the response of a run that has started already: to a duplicate of its message, or to an entry that resumes.
+// join relays the response of a run that has already started. The call is a second copy of the run's message, or an entry
+// resumes the response.
 func (a *Agent) join(w http.ResponseWriter, r *http.Request, env frame.Envelope, id run.ID) {
 	found, known := a.executions.Load(id)
 	if !known {
@@ -175,8 +176,8 @@
 	a.relay(w, r, x, reader, env.Offset == 0)
 }
 
-// handleResume continues a response over a new connection. It fences an attempt that is not known here, so that the
-// entry learns with one call whether to wait or to send the request to another upstream.
+// handleResume resumes a response over a new connection. It fences an attempt that is not known here, so that the entry
+// learns with one call whether to wait or to send the request to another upstream.
 func (a *Agent) handleResume(w http.ResponseWriter, r *http.Request) {
 	env, ok := acceptCall(w, r)
 	if !ok {
--- a/internal/agent/upstream.go
+++ b/internal/agent/upstream.go
@@ -45,9 +45,9 @@
 	errWeightsChanged = errors.New("weights of the engine changed during the run")
 )
 
-// newUpstreamClient returns a client that returns every response unchanged, redirects included. If pooled is set, it
-// reuses connections. Else it opens one for each request; requests that must not run twice are sent that way, since
-// net/http may retry a request on a reused connection.
+// newUpstreamClient returns a client that returns every response unchanged, redirects included. If pooled is set, the
+// client reuses connections. Otherwise it opens one for each request. Requests that must not run twice are sent that way,
+// because net/http may retry a request on a reused connection.
 func newUpstreamClient(pooled bool) *http.Client {
 	d := &net.Dialer{Timeout: control.DialTimeout}
 	return &http.Client{
