--- a/internal/node/bursts_test.go
+++ b/internal/node/bursts_test.go
@@ -17,7 +17,7 @@
 )
 
 // TestBurstViewQueriesHosts guards the burst view of an entry: the progress of agents that answer is shown, and an
-// agent that does not answer is counted as silent instead of being left out.
+// agent that does not answer is counted as unanswered instead of being left out.
 func TestBurstViewQueriesHosts(t *testing.T) {
 	s := newSite(t, 5)
 	s.awaitReady(s.procs...)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// CallCore steps the event that newEvent returns for a new call, and returns the core's answer to it.
+// CallCore opens a call, steps the event that newEvent returns for its number, and returns the core's answer.
 func (p *Process) CallCore(newEvent func(call uint64) step.Event) step.Effect {
 	call, answer, done := p.Calls.Open()
 	defer done()
--- a/internal/node/catchup.go
+++ b/internal/node/catchup.go
@@ -21,7 +21,7 @@
 	Records []record.Record `json:"records,omitempty"`
 }
 
-// Revision returns the revision of a setting that is in force in this process. Entries attach it to requests to agents.
+// Revision returns the revision of a setting that this process uses. Entries attach it to requests to agents.
 func (p *Process) Revision(key string) uint64 {
 	var revision uint64
 	p.Loop.View(func(s *core.State) { revision = s.Settings[key].Revision })
--- a/internal/node/count.go
+++ b/internal/node/count.go
@@ -20,9 +20,10 @@
 	maxDirectCount = 48
 	// maxCountCalls bounds the concurrent calls of one count.
 	maxCountCalls = 12
-	// countCallTimeout bounds the call to one process, so that one that does not answer does not delay its delegate.
+	// countCallTimeout bounds the call to a process that counts only itself, so that one that does not answer does not delay
+	// the delegate that calls it.
 	countCallTimeout = time.Second
-	// maxDelegateTries is how many processes of a partition are tried as its delegate.
+	// maxDelegateTries is the maximum number of processes of a partition that are tried as its delegate.
 	maxDelegateTries = 3
 )
 
@@ -81,29 +82,31 @@
 }
 
 // countPartition delegates the count of a partition to the first of its processes that answers. It tries at most
-// maxDelegateTries of them, and counts those that don't answer as silent.
+// maxDelegateTries of them, and counts those that don't answer as unresponsive. If none answers, it counts the whole
+// partition as unresponsive.
 func (p *Process) countPartition(ctx context.Context, m countMessage, partition []string) fleet.InForce {
-	var silent fleet.InForce
+	var unresponsive fleet.InForce
 	for i, delegate := range partition {
 		if i == maxDelegateTries {
 			break
 		}
 		request := countMessage{Key: m.Key, Revision: m.Revision, Addresses: partition[i+1:]}
 		var found fleet.InForce
-		if p.request(ctx, delegate, request, &found) == nil {
-			found.Add(silent)
+		if p.requestCount(ctx, delegate, request, &found) == nil {
+			found.Add(unresponsive)
 			return found
 		}
 		p.Loop.Step(member.CallFailed{Address: delegate})
-		silent.Add(fleet.InForce{Processes: 1, UnresponsiveCount: 1, Unresponsive: []string{delegate}})
+		unresponsive.Add(fleet.InForce{Processes: 1, UnresponsiveCount: 1, Unresponsive: []string{delegate}})
 	}
 	rest := partition[min(len(partition), maxDelegateTries):]
-	silent.Add(fleet.InForce{Processes: len(rest), UnresponsiveCount: len(rest), Unresponsive: rest})
-	return silent
+	unresponsive.Add(fleet.InForce{Processes: len(rest), UnresponsiveCount: len(rest), Unresponsive: rest})
+	return unresponsive
 }
 
-// request asks the process at address to for a count. A message without further addresses to count has the shorter timeout countCallTimeout.
-func (p *Process) request(ctx context.Context, to string, m countMessage, found *fleet.InForce) error {
+// requestCount requests a count from one process. If the process is to count only itself, the call has the shorter timeout
+// countCallTimeout.
+func (p *Process) requestCount(ctx context.Context, to string, m countMessage, found *fleet.InForce) error {
 	if len(m.Addresses) == 0 {
 		callCtx, cancel := context.WithTimeout(ctx, countCallTimeout)
 		defer cancel()
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -144,8 +144,8 @@
 	require.NoError(s.t, err)
 }
 
-// TestChangeIsInForceAndCountedOnRealProcesses guards against a wrong count of the processes that have a change in force.
-// An unreachable process on the host list is counted as silent.
+// TestChangeIsInForceAndCountedOnRealProcesses guards against a wrong count of the processes that use a change of a
+// setting. An unreachable process on the host list is counted as unresponsive.
 func TestChangeIsInForceAndCountedOnRealProcesses(t *testing.T) {
 	s := newSite(t, 8)
 	s.awaitReady(s.procs...)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -39,7 +39,7 @@
 func (l *Loop) SetObserver(o Observer) { l.observer = o }
 
 // SetExecutor sets the function that carries out effects. It must be called before the first Step.
-func (l *Loop) SetExecutor(c Executor) { l.execute = c }
+func (l *Loop) SetExecutor(execute Executor) { l.execute = execute }
 
 // Step reduces one event and carries out its effects.
 func (l *Loop) Step(ev step.Event) {
--- a/internal/node/process.go
+++ b/internal/node/process.go
@@ -65,7 +65,7 @@
 	objectAPILost atomic.Bool
 	// hostListLost is set while the list of hosts does not answer.
 	hostListLost atomic.Bool
-	// stopping is set when the process shows itself as not ready because it is about to stop.
+	// stopping is set once the process reports itself as not ready because it is about to stop.
 	stopping atomic.Bool
 	servers  []*http.Server
 }
@@ -86,6 +86,8 @@
 	p.ExternalClient = NewHTTPClient()
 	p.Objects = objectapi.NewClient(c.ObjectAPI, p.ExternalClient)
 	p.Hosts = hostlist.NewClient(c.HostList, p.ExternalClient)
+	// This incarnation identifies an instance of a process by its start time in nanoseconds. The fencing number of an
+	// agent's orders, which package core/incarnation acquires, is something else.
 	self := core.Self{
 		Host: c.Name, Address: p.Address(), Place: c.Place, Region: c.Region, Role: c.Role,
 		Incarnation: uint64(time.Now().UnixNano()),
@@ -174,8 +176,8 @@
 // ShuttingDown reports whether the readiness check fails because the process is about to stop.
 func (p *Process) ShuttingDown() bool { return p.stopping.Load() }
 
-// StartShutdown makes the readiness check fail, so that the load balancer sends no more requests, and informs the core that a
-// shutdown was requested.
+// StartShutdown makes the readiness check fail, so that the load balancer sends no more requests. It informs the core that
+// a shutdown was requested.
 func (p *Process) StartShutdown() {
 	p.stopping.Store(true)
 	p.Loop.Step(core.StopRequested{})
@@ -220,7 +222,7 @@
 		record.Offer, record.OfferAnswer:
 		p.relay(e)
 	case core.QueryServed:
-		go p.askServed(e)
+		go p.queryServed(e)
 	case watch.List, watch.Watch, watch.ReadHosts:
 		p.readPlatform(e)
 	case core.SettingChanged:
--- a/internal/node/refusals.go
+++ b/internal/node/refusals.go
@@ -13,8 +13,9 @@
 // No response of a handler has just these two fields, because each also has a Date.
 const serverErrorHeader = "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n"
 
-// WithCodedRejections wraps l so that the error responses that net/http itself writes, to requests that are malformed or too
-// large, have the form of all other rejections: with a result code and the statement that the request was not run.
+// WithCodedRejections wraps l and replaces the error responses that net/http itself writes, to requests that are malformed
+// or too large. They then have the form of all other rejections: a result code and the statement that the request was not
+// run.
 func WithCodedRejections(l net.Listener) net.Listener { return rejectionListener{l} }
 
 type rejectionListener struct{ net.Listener }
@@ -56,11 +57,11 @@
 }
 
 func codedRejection(status string) []byte {
-	entry := code.MalformedRequest.Describe()
-	statusCode := entry.Status
+	description := code.MalformedRequest.Describe()
+	statusCode := description.Status
 	_, _ = fmt.Sscanf(status, "%d", &statusCode)
 	body, err := json.Marshal(map[string]any{
-		"title": entry.Name, "status": statusCode, "code": entry.Code, "detail": status + "; " + entry.Help, "ran": code.NotRun,
+		"title": description.Name, "status": statusCode, "code": description.Code, "detail": status + "; " + description.Help, "ran": code.NotRun,
 	})
 	if err != nil {
 		return nil
--- a/internal/node/served.go
+++ b/internal/node/served.go
@@ -19,7 +19,7 @@
 	Digests []string `json:"digests,omitempty"`
 }
 
-func (p *Process) askServed(e core.QueryServed) {
+func (p *Process) queryServed(e core.QueryServed) {
 	var a servedAnswer
 	if p.callPeer(e.To, servedMethod, servedMessage{Key: e.Key}, &a) == nil {
 		p.Loop.Step(core.ServedReceived{Key: e.Key, Digests: a.Digests})
