--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -57,7 +57,7 @@
 	ID         string
 	Digest     string
 	Generation uint64
-	// Fencing is the incarnation of the agent that gives the order.
+	// Fencing is the agent's fencing number from package core/incarnation.
 	Fencing uint64
 	// Content is the complete weights.
 	Content io.Reader
@@ -65,7 +65,8 @@
 	Size int64
 }
 
-// ErrSupersededFencing means that the engine has already accepted an order of a newer instance of the agent.
+// ErrSupersededFencing means that the engine has already accepted an order with a newer fencing number, from a newer
+// instance of the agent.
 var ErrSupersededFencing = errors.New("engine rejected an old fencing number")
 
 // Client calls the HTTP API of engines.
@@ -147,7 +148,7 @@
 // RoleOrder is an order to take a role: prefill, decode or both.
 type RoleOrder struct {
 	Role string `json:"role"`
-	// Fencing is the incarnation of the agent that gives the order.
+	// Fencing is the agent's fencing number from package core/incarnation.
 	Fencing uint64 `json:"fencing_number"`
 	// ID identifies the order.
 	ID string `json:"order_id"`
--- a/internal/frame/envelope.go
+++ b/internal/frame/envelope.go
@@ -15,9 +15,10 @@
 	EnvelopeHeader = "Samphireweir-Run"
 	// RunPath is the agent's path for running a request.
 	RunPath = "/run"
-	// ResumePath is the agent's path for continuing an answer whose connection broke.
+	// ResumePath is the agent's path for resuming an answer whose connection broke.
 	ResumePath = "/resume"
-	// FencePath is the agent's path for a report that the entry has given up an attempt.
+	// FencePath is the agent's path for a report that the entry has abandoned an attempt. The agent then prevents the
+	// attempt from starting, or cancels it.
 	FencePath = "/fence"
 	// HeartbeatInterval is the time between heartbeats on a connection without data.
 	HeartbeatInterval = time.Second
@@ -38,13 +39,14 @@
 	Attempt int `json:"attempt"`
 	// Upstream is the name of the upstream on the agent's host.
 	Upstream string `json:"upstream"`
-	// Target is the path and query at the upstream.
+	// Target is the path and query of the request at the upstream. It does not identify the upstream.
 	Target string `json:"target,omitempty"`
-	// Offset is the first byte of the answer that a resume asks for.
+	// Offset is the position of the first byte of the answer that a resume requests.
 	Offset int64 `json:"offset,omitempty"`
 	// DeadlineMS is the time left until the caller's deadline, in milliseconds.
 	DeadlineMS int64 `json:"deadline_ms,omitempty"`
-	// Incarnation identifies the instance of the agent that the entry addresses, as the agent advertised it.
+	// Incarnation is the start time of the agent's instance that the entry addresses, as the agent advertised it. It is not
+	// the fencing number of core/incarnation.
 	Incarnation uint64 `json:"incarnation"`
 	// Entry identifies the instance of the entry.
 	Entry string `json:"entry"`
@@ -52,14 +54,14 @@
 	Sequence uint64 `json:"sequence"`
 	// Fingerprint identifies the content of the request, independently of the caller.
 	Fingerprint string `json:"fingerprint,omitempty"`
-	// Exclusive asks that no other request runs on the upstream at the same time.
+	// Exclusive requires that no other request runs on the upstream at the same time.
 	Exclusive bool `json:"alone,omitempty"`
 	// CrashRecord is the entry's record of crashes for the fingerprint, which the agent may not have received yet.
 	CrashRecord *record.Record `json:"mark,omitempty"`
 	// Digest, when set, is the digest of the only version of weights on which the request may run.
 	Digest string `json:"digest,omitempty"`
-	// ResumeTokens, when set, is the index of the first token that the engine must generate: the answer continues
-	// from there.
+	// ResumeTokens, when set, is the index of the first token that the engine must generate. It is set for an attempt that
+	// continues the answer of a lost run.
 	ResumeTokens int `json:"resume_tokens,omitempty"`
 	// Revision is the entry's revision of the service's setting. An agent with an older revision fetches the setting
 	// from the entry before it serves the request.
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -25,7 +25,9 @@
 	TypeHead Type = 1
 	// TypeData carries bytes of the answer's body.
 	TypeData Type = 2
-	// TypeHeartbeat is a heartbeat without payload: the agent is alive and the upstream has sent nothing.
+	// TypeHeartbeat is a heartbeat without payload: the agent is alive and the upstream has sent nothing. In this package
+	// and in internal/entry, a heartbeat is such a frame. On the users' platform, a heartbeat is a datagram that an entry
+	// sends to an agent.
 	TypeHeartbeat Type = 3
 	// TypeEnd carries an End: the answer is complete.
 	TypeEnd Type = 4
--- a/internal/frame/fuzz_test.go
+++ b/internal/frame/fuzz_test.go
@@ -10,8 +10,8 @@
 	"samphireweir.example/samphireweir/internal/frame"
 )
 
-// FuzzReader checks that Reader accepts no payload over MaxPayloadBytes, and that the accepted frames are encoded to the same
-// bytes encoded.
+// FuzzReader checks that Reader accepts no payload over MaxPayloadBytes, and that the accepted frames, written again, yield
+// the bytes that were read.
 func FuzzReader(f *testing.F) {
 	var good bytes.Buffer
 	_ = frame.WriteJSON(&good, frame.TypeHead, frame.Head{Request: "r", Attempt: 1, Status: 200})
--- a/internal/frame/header.go
+++ b/internal/frame/header.go
@@ -15,7 +15,7 @@
 // themselves.
 const AuthorizationHeader = "Samphireweir-Authorization"
 
-// EndToEnd returns a copy of h without hop-by-hop headers and without the system's callerAuthorization Authorization. The caller's
+// EndToEnd returns a copy of h without hop-by-hop headers and without the system's own Authorization. The caller's
 // Authorization, if AuthorizationHeader carries one, is put in its place.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
