--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -165,7 +165,8 @@
 type ClaimOutcome int
 
 // The outcomes of a claim. ClaimNotMade and ClaimUnknown lead to the same answer, because the call did not run in either
-// case. They differ in what a resend with the same key may find: nothing, or perhaps the key of this call.
+// case. They differ in what a resend with the same key may find: nothing, or perhaps the key of this call. At present, the
+// entry reports only ClaimGranted and ClaimRefused, and ClaimRefused carries the reason.
 const (
 	// ClaimGranted means that the key was new and is recorded. The call may run once.
 	ClaimGranted ClaimOutcome = iota
