--- a/internal/agent/response.go
+++ b/internal/agent/response.go
@@ -86,9 +86,9 @@
 	}
 	err := json.NewDecoder(io.LimitReader(resp.Body, maxBufferedResponse)).Decode(&body)
 	if err == nil && notRunErrors[body.Error] {
-		return &failure{code: code.UpstreamLoading, ran: code.NotRun}
+		return &failure{code: code.UpstreamNotServing, ran: code.NotRun}
 	}
-	return &failure{code: code.UpstreamLoading, ran: code.Unknown}
+	return &failure{code: code.UpstreamNotServing, ran: code.Unknown}
 }
 
 // weightsChanged logs and returns the failure of a run whose response names other weights than those of the run.
--- a/internal/code/code.go
+++ b/internal/code/code.go
@@ -16,12 +16,26 @@
 
 // The values of Ran.
 const (
-	NotRun  Ran = "not run"
-	DidRun  Ran = "ran"
+	// NotRun: the request was certainly not executed.
+	NotRun Ran = "not run"
+	// DidRun: the request was executed.
+	DidRun Ran = "ran"
+	// Unknown: the request may have been executed.
 	Unknown Ran = "unknown"
 )
 
-// The result codes.
+// The result codes. Catalogue says what each of them means. Four need more than that:
+//
+// Quarantined and RequestQuarantined both refuse a request that crashes upstreams. Quarantined is the code of the first
+// product's path (package suspect), RequestQuarantined that of the users' platform (package quarantine).
+//
+// UpstreamNotServing has the title "upstream loading", but is returned for any upstream that doesn't serve: one that is idle, loads,
+// drains, is down or has crashed. An agent also returns it for an engine's answer with status 503, with Ran unknown unless
+// the engine's error says that the request was not executed.
+//
+// AttemptFenced answers a message that fences an attempt, and a late or repeated message for an attempt that it can neither
+// start nor join. Its detail says that the attempt was not run, but it is also sent with Ran unknown, and with the recorded
+// outcome of an attempt that is over.
 const (
 	BadPath             Code = 1001
 	BodyTooLarge        Code = 1002
@@ -55,7 +69,7 @@
 	KeyInFuture         Code = 3007
 	UpstreamDied        Code = 4001
 	UpstreamSilent      Code = 4002
-	UpstreamLoading     Code = 4003
+	UpstreamNotServing  Code = 4003
 	WeightsChanged      Code = 4004
 	AttemptFenced       Code = 4005
 	StreamBroken        Code = 4006
@@ -127,7 +141,7 @@
 	{KeyInFuture, "key ahead of time", http.StatusBadRequest, "The key carries a time that is more than ten minutes ahead, so it was not run; set the clock that makes the keys."},
 	{UpstreamDied, "upstream died", http.StatusBadGateway, "The upstream ended while the request was with it."},
 	{UpstreamSilent, "upstream silent", http.StatusGatewayTimeout, "Nothing came from the upstream within the time limit."},
-	{UpstreamLoading, "upstream loading", http.StatusServiceUnavailable, "The upstream has no weights or is loading."},
+	{UpstreamNotServing, "upstream loading", http.StatusServiceUnavailable, "The upstream has no weights or is loading."},
 	{WeightsChanged, "weights changed", http.StatusBadGateway, "The weights changed under the request; its answer was withheld."},
 	{AttemptFenced, "attempt fenced", http.StatusConflict, "This attempt was given up on before it started, so it was not run."},
 	{StreamBroken, "stream broken", http.StatusBadGateway, "The answer could not be continued; what came before is not whole."},
--- a/internal/core/crashing_test.go
+++ b/internal/core/crashing_test.go
@@ -43,7 +43,7 @@
 	entries []string
 	// crashed holds the addresses of the agents whose engine crashed.
 	crashed map[string]bool
-	// attempts holds the attempts by call number. copiesLeft counts the copies that each entry's caller has yet to
+	// attempts holds the attempts by call number. copiesLeft counts the copies that each entry's caller still has to
 	// send.
 	attempts   map[uint64]attempt
 	call       uint64
@@ -203,7 +203,7 @@
 func (c *crashSimulation) runOnEngine(agent string, start run.Start) {
 	a := c.attempts[start.Call]
 	if c.crashed[agent] {
-		c.fail(agent, a, code.UpstreamLoading, code.Unknown, nil)
+		c.fail(agent, a, code.UpstreamNotServing, code.Unknown, nil)
 		c.step(agent, run.Finished{ID: start.ID, Ran: code.Unknown})
 		return
 	}
--- a/internal/core/request/reduce.go
+++ b/internal/core/request/reduce.go
@@ -65,7 +65,7 @@
 		return s.refuse(r, ev.Code, ev.Ran, ev.RetryAfter)
 	case ClaimHeld:
 		return s.refuse(r, code.OutcomeUnknown, code.Unknown, 0)
-	case ClaimUnknown:
+	case ClaimMaybeRecorded:
 		// The call did not run, but the key may be recorded. A resend with the same key may then be refused.
 		return s.refuse(r, code.ClaimUnavailable, code.NotRun, DefaultRetryAfter)
 	default:
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -158,10 +158,10 @@
 	ClaimGranted ClaimOutcome = iota
 	// ClaimHeld means that the key was claimed before.
 	ClaimHeld
-	// ClaimNotMade means that certainly nothing was recorded.
-	ClaimNotMade
-	// ClaimUnknown means that this claim may have recorded the key.
-	ClaimUnknown
+	// ClaimNotRecorded means that certainly nothing was recorded.
+	ClaimNotRecorded
+	// ClaimMaybeRecorded means that this claim may have recorded the key.
+	ClaimMaybeRecorded
 	// ClaimRefused means that the caller is answered with the fields Code, Ran and RetryAfter of ClaimSettled.
 	ClaimRefused
 )
--- a/internal/core/request/request_test.go
+++ b/internal/core/request/request_test.go
@@ -151,7 +151,7 @@
 // duplicate ones. It guards against a second final effect, a run status that is false for some attempt, a second run of
 // an at-most-once call, and unbounded attempts or resumes.
 func TestEachRequestSettlesOnceWithTrueRunStatus(t *testing.T) {
-	codes := []code.Code{code.UpstreamDied, code.UpstreamSilent, code.AgentRestarted, code.UpstreamLoading, code.UpstreamReserved}
+	codes := []code.Code{code.UpstreamDied, code.UpstreamSilent, code.AgentRestarted, code.UpstreamNotServing, code.UpstreamReserved}
 	rapid.Check(t, func(t *rapid.T) {
 		env := newEnvironment(rapid.IntRange(1, 6).Draw(t, "upstreams"))
 		env.status = rapid.SampledFrom([]suspect.Status{suspect.Clear, suspect.Clear, suspect.Suspect}).Draw(t, "verdict")
@@ -209,8 +209,8 @@
 func TestUnknownOutcomeIsKeptInLaterRefusals(t *testing.T) {
 	l := receive(t, newEnvironment(2), false)
 	l.fail(code.UpstreamDied, code.Unknown)
-	l.fail(code.UpstreamLoading, code.NotRun)
-	assert.Equal(t, Refuse{ID: "r", Code: code.UpstreamLoading, Ran: code.Unknown}, l.last)
+	l.fail(code.UpstreamNotServing, code.NotRun)
+	assert.Equal(t, Refuse{ID: "r", Code: code.UpstreamNotServing, Ran: code.Unknown}, l.last)
 }
 
 // TestResumeDelayDoubles checks the delays between resumes, and that the answer is aborted after MaxResumes of them.
--- a/internal/core/run/reduce.go
+++ b/internal/core/run/reduce.go
@@ -65,7 +65,7 @@
 	case status == suspect.Quarantined:
 		return code.Quarantined
 	case !s.serving(upstreams, ev.Upstream):
-		return code.UpstreamLoading
+		return code.UpstreamNotServing
 	case ev.Digest != "" && u.Digest != ev.Digest:
 		return code.WeightsChanged
 	case !r.Exclusive && s.reserved(ev.Upstream):
@@ -138,7 +138,7 @@
 		return nil
 	}
 	if !s.serving(upstreams, upstream) {
-		return s.refuseQueue(in, upstream, code.UpstreamLoading)
+		return s.refuseQueue(in, upstream, code.UpstreamNotServing)
 	}
 	s.queues[upstream] = queue[1:]
 	return []step.Effect{s.start(in, s.Running[queue[0]], upstreams)}
@@ -157,7 +157,7 @@
 		case s.stopping:
 			effects = append(effects, s.refuseQueue(in, name, code.Stopping)...)
 		case !s.serving(upstreams, name):
-			effects = append(effects, s.refuseQueue(in, name, code.UpstreamLoading)...)
+			effects = append(effects, s.refuseQueue(in, name, code.UpstreamNotServing)...)
 		}
 	}
 	return effects
--- a/internal/entry/upstream_test.go
+++ b/internal/entry/upstream_test.go
@@ -183,7 +183,7 @@
 				return nil
 			})
 			o := fleet.send(context.Background(), 0, generateRequest("x", 1, false))
-			assert.True(t, o.isRefusal(code.UpstreamLoading, ran), "%v", o)
+			assert.True(t, o.isRefusal(code.UpstreamNotServing, ran), "%v", o)
 		})
 	}
 }
