--- a/internal/core/entries.go
+++ b/internal/core/entries.go
@@ -6,7 +6,7 @@
 	"samphireweir.example/samphireweir/internal/core/member"
 )
 
-// Entries returns the addresses of this process and of the listed entries that are neither shutting down nor suspect.
+// Entries returns the addresses of this process and of the listed entries that are neither shutting down nor unreachable.
 func (s *State) Entries(now time.Time) []string {
 	found := []string{s.Self.Address}
 	for _, address := range s.Members.Peers() {
--- a/internal/core/member/index.go
+++ b/internal/core/member/index.go
@@ -16,16 +16,18 @@
 	lists map[serviceName][]Candidate
 	// byHost holds the candidates of each host, by its address.
 	byHost map[string][]Candidate
-	// suspects are the hosts that local evidence marks as unreachable, with the time at which that expires.
-	suspects map[string]time.Time
-	// filtered caches the lists without suspects. It is valid until filteredUntil, when the first suspect expires.
+	// unreachable maps each unreachable host, to which a call of this process failed, to the time until which it counts as
+	// unreachable.
+	unreachable map[string]time.Time
+	// filtered caches the lists without the unreachable hosts. It is valid until filteredUntil, when the first of these hosts
+	// no longer counts as unreachable.
 	filtered      map[serviceName][]Candidate
 	filteredUntil time.Time
 }
 
 func newIndex() index {
 	return index{
-		lists: map[serviceName][]Candidate{}, byHost: map[string][]Candidate{}, suspects: map[string]time.Time{},
+		lists: map[serviceName][]Candidate{}, byHost: map[string][]Candidate{}, unreachable: map[string]time.Time{},
 		filtered: map[serviceName][]Candidate{},
 	}
 }
@@ -93,15 +95,15 @@
 	return append(out, list[to:]...)
 }
 
-// setSuspect marks a host as suspect until the given time. A zero time removes the mark.
-func (x *index) setSuspect(address string, until time.Time) {
+// setUnreachable marks a host as unreachable until the given time. A zero time removes the mark.
+func (x *index) setUnreachable(address string, until time.Time) {
 	if until.IsZero() {
-		if _, known := x.suspects[address]; !known {
+		if _, known := x.unreachable[address]; !known {
 			return
 		}
-		delete(x.suspects, address)
+		delete(x.unreachable, address)
 	} else {
-		x.suspects[address] = until
+		x.unreachable[address] = until
 	}
 	x.resetFiltered()
 }
@@ -111,22 +113,22 @@
 	x.filteredUntil = time.Time{}
 }
 
-// candidates returns the candidates of a service without the suspect hosts. If every host is suspect, it returns all
-// of them: the fault is then probably in this process or its network. Trying an unreachable host costs a request one
+// candidates returns the candidates of a service without the unreachable hosts. If every host is unreachable, it returns
+// all of them: the fault is then probably in this process or its network. Trying an unreachable host costs a request one
 // attempt, but an empty list would reject the request.
 func (x *index) candidates(now time.Time, name serviceName) []Candidate {
-	if len(x.suspects) == 0 {
+	if len(x.unreachable) == 0 {
 		return x.lists[name]
 	}
 	if !now.Before(x.filteredUntil) {
-		x.expireSuspects(now)
+		x.expireUnreachable(now)
 	}
 	list, known := x.filtered[name]
 	if known {
 		return list
 	}
 	for _, c := range x.lists[name] {
-		if _, suspect := x.suspects[c.Address]; !suspect {
+		if _, unreachable := x.unreachable[c.Address]; !unreachable {
 			list = append(list, c)
 		}
 	}
@@ -137,11 +139,11 @@
 	return list
 }
 
-func (x *index) expireSuspects(now time.Time) {
+func (x *index) expireUnreachable(now time.Time) {
 	x.resetFiltered()
-	for address, until := range x.suspects {
+	for address, until := range x.unreachable {
 		if !now.Before(until) {
-			delete(x.suspects, address)
+			delete(x.unreachable, address)
 			continue
 		}
 		if x.filteredUntil.IsZero() || until.Before(x.filteredUntil) {
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -21,10 +21,11 @@
 	ListPrefix = "host/"
 )
 
-// SuspectDuration is how long a failed call keeps a host out of use before it is tried again.
-const SuspectDuration = 2 * time.Second
+// UnreachableDuration is how long a host counts as unreachable after a failed call. It then gets no requests, unless all hosts of the
+// service are unreachable. It is also the initial backoff of the exchanges with the host.
+const UnreachableDuration = 2 * time.Second
 
-// Role is the kind of a process.
+// Role is the kind of a process: entry or agent. It is not the role of an engine, which is a setting.Role: prefill, decode or both.
 type Role string
 
 // The roles of processes.
@@ -35,11 +36,14 @@
 
 // Listed is one line of the platform's list of hosts.
 type Listed struct {
+	// Address is the address of the host's process.
 	Address string `json:"address"`
 	Role    Role   `json:"role"`
-	Place   string `json:"place"`
-	Region  string `json:"region"`
-	State   string `json:"state"`
+	// Place is the data centre of the host.
+	Place  string `json:"place"`
+	Region string `json:"region"`
+	// State is Leaving for a host that is shutting down.
+	State string `json:"state"`
 }
 
 // Leaving is the listed state of a host that is shutting down and accepts no new requests.
@@ -48,24 +52,32 @@
 // Phase is the current state of an upstream.
 type Phase string
 
-// The phases of an upstream.
+// The phases of an upstream. A plain service is always Serving. An engine is in the phase that its agent decided on (see package
+// rollout).
 const (
-	Idle    Phase = "idle"
+	// Idle: the engine accepts no requests, and no order changes it. It has not been taken into service yet, or went out of
+	// service, or drains: a draining engine still runs the requests that it accepted before.
+	Idle Phase = "idle"
+	// Loading: an order of the agent changes the engine's version or role. No requests run.
 	Loading Phase = "loading"
+	// Serving: the upstream accepts requests.
 	Serving Phase = "serving"
-	Down    Phase = "down"
+	// Down: the engine does not answer, or its agent was superseded (see package incarnation).
+	Down Phase = "down"
 )
 
 // Upstream is an engine or a plain service on the host of an agent.
 type Upstream struct {
-	Name       string       `json:"name"`
-	Team       string       `json:"team"`
-	Service    string       `json:"service"`
-	Kind       setting.Kind `json:"kind"`
-	Phase      Phase        `json:"phase"`
-	Digest     string       `json:"digest,omitempty"`
-	Generation uint64       `json:"generation,omitempty"`
-	// Role says whether an engine does the prefill or the decoding of a request, or both.
+	Name    string       `json:"name"`
+	Team    string       `json:"team"`
+	Service string       `json:"service"`
+	Kind    setting.Kind `json:"kind"`
+	Phase   Phase        `json:"phase"`
+	// Digest identifies the version of weights under which the requests of an engine run. Generation is the number of the
+	// engine's load of that version.
+	Digest     string `json:"digest,omitempty"`
+	Generation uint64 `json:"generation,omitempty"`
+	// Role is the role of an engine, not of a process: whether it does the prefill or the decoding of a request, or both.
 	Role setting.Role `json:"role,omitempty"`
 }
 
@@ -77,7 +89,8 @@
 	Region  string `json:"region"`
 	Role    Role   `json:"role"`
 	Leaving bool   `json:"leaving,omitempty"`
-	// Incarnation identifies the agent's instance. A message for another instance is rejected.
+	// Incarnation is the start time of the agent's process in nanoseconds (see core.Self), which identifies its instance. A
+	// message for another instance is rejected.
 	Incarnation uint64     `json:"incarnation,omitempty"`
 	Upstreams   []Upstream `json:"upstreams,omitempty"`
 	// Weights lists the versions that the host fails to fetch. The progress of the others is reported on request only.
@@ -89,13 +102,14 @@
 	Listed
 	// Advert is the host's advertisement, nil until its fixed part is received.
 	Advert *Advert
-	// SuspectUntil is when the host stops being suspect after a failed call. A successful call resets it to zero.
+	// SuspectUntil is the time until which the host counts as unreachable after a failed call. A successful call resets it to
+	// zero. It has nothing to do with suspect requests (see package suspect).
 	SuspectUntil time.Time
-	// skipUntil is the end of the backoff in which this process does not choose the host for exchanges. failures
-	// counts the consecutive failed calls.
+	// skipUntil is the end of the backoff in which this process does not choose the host for exchanges. It starts with
+	// UnreachableDuration and doubles with each failure. failures counts the consecutive failed calls.
 	skipUntil time.Time
 	failures  int
-	// fixed and phases are the two parts of the advertisement, as received. Advert combines them.
+	// fixed and phases are the two parts of the advertisement, as received; nil until then. Advert combines them.
 	fixed  *Advert
 	phases *Phases
 	// unlistedSince is set while the host is known from its advertisement but not listed.
@@ -116,7 +130,8 @@
 	index     index
 	// peers are the exchange peers, see rankedPeers.
 	peers record.Peers
-	rank  int
+	// rank is the position of this process in the rendezvous order of its data centre, see Rank.
+	rank int
 }
 
 // NewState returns a state without hosts.
@@ -148,12 +163,12 @@
 	case CallFailed:
 		if h := s.Hosts[ev.Address]; h != nil {
 			h.recordFailure(in.Now)
-			s.index.setSuspect(ev.Address, h.SuspectUntil)
+			s.index.setUnreachable(ev.Address, h.SuspectUntil)
 		}
 	case CallSucceeded:
 		if h := s.Hosts[ev.Address]; h != nil {
 			h.recordSuccess()
-			s.index.setSuspect(ev.Address, h.SuspectUntil)
+			s.index.setUnreachable(ev.Address, h.SuspectUntil)
 		}
 	}
 }
--- a/internal/core/member/peers.go
+++ b/internal/core/member/peers.go
@@ -16,15 +16,15 @@
 	PeersElsewhere = 4
 	// EntryPeers is the number of entries that a process sends dynamic records to.
 	EntryPeers = 6
-	// maxSkip is the maximum backoff in which a host that does not answer is left out of the exchanges.
+	// maxSkip is the maximum backoff. A host that does not answer is left out of the exchanges during its backoff.
 	maxSkip = 30 * time.Second
 )
 
-// recordFailure makes the host suspect after a failed call and doubles its backoff.
+// recordFailure marks the host as unreachable after a failed call and doubles its backoff.
 func (h *Host) recordFailure(now time.Time) {
-	h.SuspectUntil = now.Add(SuspectDuration)
+	h.SuspectUntil = now.Add(UnreachableDuration)
 	h.failures++
-	h.skipUntil = now.Add(min(SuspectDuration<<min(h.failures-1, 8), maxSkip))
+	h.skipUntil = now.Add(min(UnreachableDuration<<min(h.failures-1, 8), maxSkip))
 }
 
 // recordSuccess resets the failure state of a host that answered.
@@ -110,7 +110,8 @@
 	return step.Position("watch/"+s.Place, s.Self, members)
 }
 
-// Unreachable lists the peers that did not answer this process and are in backoff, sorted.
+// Unreachable lists the peers that did not answer this process and are in backoff, sorted. The backoff grows with each failure, so
+// they may be listed for longer than they count as unreachable for requests.
 func (s *State) Unreachable(now time.Time) []string {
 	var list []string
 	for _, address := range s.addresses {
--- a/internal/core/member/suspect_test.go
+++ b/internal/core/member/unreachable_test.go
@@ -34,10 +34,10 @@
 	return s, addresses
 }
 
-// TestSuspectHostsAreUsedOnlyIfAllAreSuspect checks that an unreachable host gets no requests while other hosts are
-// reachable, but that all hosts are used when all are suspect. A process that was stalled for a while finds every other
+// TestUnreachableHostsAreUsedOnlyIfAllAreUnreachable checks that an unreachable host gets no requests while other hosts are
+// reachable, but that all hosts are used when all are unreachable. A process that was stalled for a while finds every other
 // host silent; it must not reject all requests because of that.
-func TestSuspectHostsAreUsedOnlyIfAllAreSuspect(t *testing.T) {
+func TestUnreachableHostsAreUsedOnlyIfAllAreUnreachable(t *testing.T) {
 	s, addresses := newServingState(t, 3)
 	now := time.Unix(1000, 0)
 	candidateAddresses := func(now time.Time) []string {
@@ -53,8 +53,8 @@
 		require.Equal(t, addresses[i+1:], candidateAddresses(now))
 	}
 	s.Reduce(step.Input{Now: now, Event: member.CallFailed{Address: addresses[2]}})
-	require.Equal(t, addresses, candidateAddresses(now), "all are suspect")
+	require.Equal(t, addresses, candidateAddresses(now), "all are unreachable")
 	s.Reduce(step.Input{Now: now, Event: member.CallSucceeded{Address: addresses[0]}})
 	require.Equal(t, addresses[:1], candidateAddresses(now), "one is known to answer")
-	require.Equal(t, addresses, candidateAddresses(now.Add(member.SuspectDuration)))
+	require.Equal(t, addresses, candidateAddresses(now.Add(member.UnreachableDuration)))
 }
