--- a/internal/core/rollout/decide.go
+++ b/internal/core/rollout/decide.go
@@ -5,7 +5,8 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// decide returns the effects that an engine needs now: an order, the cancellation of one, or a change of service.
+// decide returns the effects that an engine needs now: an order, the cancellation of one, or the report that the engine went into
+// or out of service.
 func (s *State) decide(in step.Input, u *Upstream, complete func(string) bool) []step.Effect {
 	if s.Incarnation.Superseded {
 		return s.stopSuperseded(u)
@@ -14,7 +15,7 @@
 		return s.checkOrder(in, u)
 	}
 	if u.Phase == member.Idle && !u.draining {
-		if effects := s.adopt(in, u); effects != nil {
+		if effects := s.takeIn(in, u); effects != nil {
 			return effects
 		}
 	}
@@ -55,12 +56,12 @@
 	return nil
 }
 
-// atTarget reports whether the pinned weights and the role are those of the target.
+// atTarget reports whether the engine's pin and role are those of the target.
 func (u *Upstream) atTarget() bool {
 	return u.Digest == u.target.Digest && u.inRole(u.Role)
 }
 
-// resume returns a draining engine, which still holds its pinned weights, to service.
+// resume returns a draining engine to service, under the pin that it still has. It does nothing for other engines.
 func (u *Upstream) resume() {
 	if !u.draining {
 		return
@@ -70,8 +71,8 @@
 	u.Phase = member.Serving
 }
 
-// announceNumber sends an engine that checks fencing numbers the number of the present incarnation, with an order that changes
-// nothing else. From then on the engine refuses the orders of former agents.
+// announceNumber sends an engine that checks fencing numbers the number of the present incarnation. The order sets the role that
+// the engine already has, so that it changes nothing else. Once the engine has obeyed it, it refuses the orders of former agents.
 func (s *State) announceNumber(in step.Input, u *Upstream) []step.Effect {
 	if !s.needsAnnounce(u) || in.Now.Before(u.nextOrderAt) {
 		return nil
@@ -94,7 +95,10 @@
 		return nil
 	}
 	if u.Phase == member.Idle && !u.draining && u.observed.loaded() && u.target.accepts(u.observed.Digest) {
-		return s.announceNumber(in, u) // The engine is adopted once it has obeyed this order.
+		// The engine already holds a version that its service may serve, but must not serve it yet (see mayServe). If it checks
+		// fencing numbers, it is sent the present one first. Once it has obeyed that order, takeIn takes it into service with
+		// the version that it holds.
+		return s.announceNumber(in, u)
 	}
 	needsLoad := u.observed.Digest != u.target.Digest || u.observed.Loading
 	if needsLoad && !complete(u.target.Digest) {
@@ -116,10 +120,11 @@
 	return nil
 }
 
-// keepServing keeps an engine in service that can't be brought to its target yet, and gives back its slot meanwhile.
+// keepServing keeps an engine in service that can't be brought to its target yet. The engine needs no slot meanwhile and
+// releases the one that it has.
 func (s *State) keepServing(u *Upstream) {
 	u.resume()
-	if u.pinned() {
+	if u.servesOrDrains() {
 		s.slotsOf(u).Release(u.Name)
 	}
 }
@@ -128,7 +133,7 @@
 // out of service already needs none, and keeps the slot under which it was taken out.
 func (s *State) mayTakeOut(in step.Input, u *Upstream) bool {
 	slots := s.slotsOf(u)
-	if !u.pinned() {
+	if !u.servesOrDrains() {
 		slots.Keep(u.Name, in.Now)
 		return true
 	}
@@ -137,7 +142,8 @@
 }
 
 // drain stops new requests to an engine and waits for the requests in flight, so that they end under the weights with which
-// they started. It never aborts a request; the wait is bounded by the requests' own deadlines.
+// they started. It never aborts a request; the wait is bounded by the requests' own deadlines. A draining engine has the phase
+// Idle, so that it accepts no new requests, although it still runs earlier ones. Unlike other idle engines it keeps its pin.
 func (s *State) drain(in step.Input, u *Upstream) (effects []step.Effect, drained bool) {
 	if u.Phase == member.Serving {
 		u.Phase = member.Idle
@@ -161,8 +167,8 @@
 	return u.order
 }
 
-// voidPin marks an engine as loading and removes its pin, since an order changes the engine from now on.
-func (u *Upstream) voidPin() {
+// clearPin marks an engine as loading and clears its pin (see Upstream), because an order changes the engine from now on.
+func (u *Upstream) clearPin() {
 	u.Phase = member.Loading
 	u.draining = false
 	u.DrainOverdue = false
@@ -173,7 +179,7 @@
 func (s *State) orderRole(in step.Input, u *Upstream) []step.Effect {
 	o := s.newOrder(in, u)
 	o.role = u.target.Role
-	u.voidPin()
+	u.clearPin()
 	return []step.Effect{SetRole{Upstream: u.Name, URL: u.URL, Order: o.serial, Role: o.role, Fencing: o.fencing}}
 }
 
@@ -182,7 +188,7 @@
 	s.loadCount++
 	o.digest = u.target.Digest
 	o.generation = o.fencing<<generationBits + s.loadCount
-	u.voidPin()
+	u.clearPin()
 	return []step.Effect{Load{
 		Upstream: u.Name, URL: u.URL, Order: o.serial, Digest: o.digest, Generation: o.generation, Fencing: o.fencing,
 	}}
--- a/internal/core/rollout/messages.go
+++ b/internal/core/rollout/messages.go
@@ -8,6 +8,7 @@
 // Event is an event of this package.
 type Event interface {
 	step.Event
+	// rollout marks the events of this package.
 	rollout()
 }
 
@@ -35,10 +36,11 @@
 	Serial   uint64
 }
 
-// Outcome is the result of an order's call, as far as it is known when the call ends.
+// Outcome is the result of the call of an order, as far as it is known when the call ends. It has nothing to do with the outcomes
+// of attempts and choices of upstreams in packages forward, run and routing.
 type Outcome int
 
-// The outcomes. None of them is relied on: the engine's state is read again after each.
+// The outcomes of an order's call. None of them shows whether the order took effect: the engine's state is read again after each.
 const (
 	// OrderDone means that the engine answered that it obeyed the order.
 	OrderDone Outcome = iota
@@ -120,8 +122,8 @@
 	Order    uint64
 }
 
-// OutOfService is the effect that reports an engine that no longer shows the weights under which its requests run. With
-// ReasonChanged the shell withholds their answers.
+// OutOfService is the effect that reports that an engine went out of service at once, without a drain, and why. With ReasonChanged
+// its state no longer shows the pin under which its requests run, and the shell withholds their answers.
 type OutOfService struct {
 	Upstream string
 	Reason   Reason
@@ -142,7 +144,8 @@
 	Upstream   string
 	Digest     string
 	Generation uint64
-	// Adopted is set when the engine held the version before this agent gave any order.
+	// Adopted is set when the engine did not load the version on an order under this agent's present incarnation: it already
+	// held the version, for example from an order of the previous agent.
 	Adopted bool
 }
 
--- a/internal/core/rollout/model_test.go
+++ b/internal/core/rollout/model_test.go
@@ -59,7 +59,7 @@
 	answer    step.Event
 }
 
-// agent is an agent process of a host. An agent that was replaced keeps running, as a zombie that doesn't know of its successor.
+// agent is an agent process of a host. An agent that was replaced keeps running, and doesn't know of its successor at first.
 type agent struct {
 	host     int
 	state    *State
--- a/internal/core/rollout/observe.go
+++ b/internal/core/rollout/observe.go
@@ -54,42 +54,45 @@
 	if u.Phase == member.Down {
 		u.Phase = member.Idle
 	}
-	if u.pinned() {
+	if u.servesOrDrains() {
 		if u.matchesPin() {
 			u.Role = u.observed.Role
 			return nil
 		}
-		return append(u.takeOut(ReasonChanged), s.adopt(in, u)...)
+		return append(u.takeOut(ReasonChanged), s.takeIn(in, u)...)
 	}
-	return s.adopt(in, u)
+	return s.takeIn(in, u)
 }
 
-// pinned reports whether requests run, or may still run, under the engine's present weights.
-func (u *Upstream) pinned() bool { return u.Phase == member.Serving || u.draining }
+// servesOrDrains reports whether the engine has a pin under which requests may run: it serves, or it drains and may still run earlier
+// requests.
+func (u *Upstream) servesOrDrains() bool { return u.Phase == member.Serving || u.draining }
 
-// matchesPin reports whether the last reading shows the weights that requests are pinned to.
+// matchesPin reports whether the last reading shows the engine's pin: that the engine still holds the weights under which its
+// requests run, and did not restart or load them again.
 func (u *Upstream) matchesPin() bool {
 	r := u.observed
 	return r.loaded() && r.Digest == u.Digest && r.Generation == u.Generation && r.BootID == u.BootID
 }
 
-// takeOut takes an engine out of service at once.
+// takeOut takes an engine out of service at once and clears its pin.
 func (u *Upstream) takeOut(why Reason) []step.Effect {
-	wasPinned := u.pinned()
+	servedOrDrained := u.servesOrDrains()
 	u.Phase = member.Idle
 	u.Digest = ""
 	u.BootID = ""
 	u.draining = false
-	if !wasPinned {
+	if !servedOrDrained {
 		return nil
 	}
 	return []step.Effect{OutOfService{Upstream: u.Name, Reason: why}}
 }
 
-// adopt takes an engine into service that holds a complete and accepted version of its service.
-func (s *State) adopt(in step.Input, u *Upstream) []step.Effect {
+// takeIn takes an engine into service if it already holds a version that its service may serve. What it holds becomes its pin. It makes
+// no difference whether an order of this agent loaded that version.
+func (s *State) takeIn(in step.Input, u *Upstream) []step.Effect {
 	r := u.observed
-	if !u.fresh || !r.loaded() || u.Phase != member.Idle || !u.target.accepts(r.Digest) || !s.mayAdopt(in.Now, u) {
+	if !u.fresh || !r.loaded() || u.Phase != member.Idle || !u.target.accepts(r.Digest) || !s.mayServe(in.Now, u) {
 		return nil
 	}
 	u.Phase = member.Serving
@@ -102,11 +105,11 @@
 	return []step.Effect{InService{Upstream: u.Name, Digest: r.Digest, Generation: r.Generation, Adopted: adopted}}
 }
 
-// mayAdopt reports whether an engine may serve the version that it holds. An engine that checks fencing numbers is first sent
+// mayServe reports whether an engine may serve the version that it holds. An engine that checks fencing numbers is first sent
 // this agent's number, so that it refuses later orders of a former agent. If the agent has no number, as in an outage of the
 // platform, the engine serves nevertheless, because each request is checked against the engine's state when it ends. An
 // engine that ignores fencing numbers serves only once no order of a former agent can be in flight.
-func (s *State) mayAdopt(now time.Time, u *Upstream) bool {
+func (s *State) mayServe(now time.Time, u *Upstream) bool {
 	if s.Incarnation.Superseded {
 		return false
 	}
@@ -116,8 +119,8 @@
 	return !s.Incarnation.Held() || u.announcedNumber == s.Incarnation.Number
 }
 
-// observeOrder ends an order by the state that the engine shows, without waiting for the order's answer: when it took effect,
-// when the engine restarted, or when the engine doesn't load and shows no effect within Timing.OrderTimeout.
+// observeOrder cancels the call of an order whose answer need not be awaited any more. The reading shows that the order took effect,
+// or that the engine restarted, or that Timing.OrderTimeout has passed and the engine is not loading.
 func (s *State) observeOrder(in step.Input, u *Upstream) []step.Effect {
 	o := u.order
 	r := u.observed
@@ -133,7 +136,7 @@
 	return nil
 }
 
-// cancelOrder aborts the call of the order in flight; it has no effect the second time.
+// cancelOrder aborts the call of the order in flight. If the order is cancelled already, it does nothing.
 func (u *Upstream) cancelOrder() []step.Effect {
 	if u.order.cancelled {
 		return nil
@@ -190,7 +193,7 @@
 
 // delayNextOrder delays the next order after a failed one, with exponential backoff.
 func (s *State) delayNextOrder(in step.Input, u *Upstream) {
-	u.nextOrderAt = in.Now.Add(backoff(s.timing.Retry, u.failedOrders, s.timing.MaxRetry))
+	u.nextOrderAt = in.Now.Add(backoff(s.timing.RetryDelay, u.failedOrders, s.timing.MaxRetryDelay))
 	u.failedOrders++
 }
 
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -1,6 +1,7 @@
 // Package rollout is the reducer that brings this host's engines to the version and role that the settings require. It reads
-// each engine's state, adopts a version that the engine holds already, drains an engine before an order, orders it to load a
-// version whose chunks are complete and verified on this host, and lets it serve once a reading shows that the order took effect.
+// each engine's state, and lets an engine serve an accepted version that it already holds. Before an order that changes an
+// engine, it drains the engine. It orders the engine to load a version whose chunks are complete and verified on this host, and
+// lets it serve once a reading shows that the order took effect.
 //
 // No decision depends on the answer to an order. A lost, repeated or late answer has no effect, because the engine's state is
 // read after each order.
@@ -22,10 +23,10 @@
 	Poll time.Duration
 	// MaxPoll is the maximum time between two readings of an engine that does not answer.
 	MaxPoll time.Duration
-	// Retry is the wait after a failed order; it doubles with each failure up to MaxRetry.
-	Retry    time.Duration
-	MaxRetry time.Duration
-	// OrderTimeout is the time after which an order counts as lost if the engine's state shows no effect of it.
+	// RetryDelay is the delay after a failed order; it doubles with each failure up to MaxRetryDelay.
+	RetryDelay    time.Duration
+	MaxRetryDelay time.Duration
+	// OrderTimeout is the time after which an order counts as lost if the engine is not loading.
 	OrderTimeout time.Duration
 	// DrainWarning is how long a drain may take before it is reported as overdue.
 	DrainWarning time.Duration
@@ -37,12 +38,12 @@
 
 // The defaults of Timing.
 const (
-	DefaultPoll         = 500 * time.Millisecond
-	DefaultMaxPoll      = 8 * time.Second
-	DefaultRetry        = time.Second
-	DefaultMaxRetry     = 30 * time.Second
-	DefaultOrderTimeout = 5 * time.Second
-	DefaultDrainWarning = 30 * time.Second
+	DefaultPoll          = 500 * time.Millisecond
+	DefaultMaxPoll       = 8 * time.Second
+	DefaultRetryDelay    = time.Second
+	DefaultMaxRetryDelay = 30 * time.Second
+	DefaultOrderTimeout  = 5 * time.Second
+	DefaultDrainWarning  = 30 * time.Second
 )
 
 // downAfter is the number of consecutive failed readings after which an engine counts as down.
@@ -57,7 +58,7 @@
 		field *time.Duration
 		value time.Duration
 	}{
-		{&t.Poll, DefaultPoll}, {&t.MaxPoll, DefaultMaxPoll}, {&t.Retry, DefaultRetry}, {&t.MaxRetry, DefaultMaxRetry},
+		{&t.Poll, DefaultPoll}, {&t.MaxPoll, DefaultMaxPoll}, {&t.RetryDelay, DefaultRetryDelay}, {&t.MaxRetryDelay, DefaultMaxRetryDelay},
 		{&t.OrderTimeout, DefaultOrderTimeout}, {&t.DrainWarning, DefaultDrainWarning},
 	}
 	for _, d := range defaults {
@@ -78,9 +79,11 @@
 	IgnoresFencing bool
 	// MaxUnavailable bounds the engines of the service that a rollout takes out of service at the same time.
 	MaxUnavailable int
-	// Rank is the engine's position, from 0, in the rollout order of the engines of its service that serve another version.
+	// Rank is the engine's position, from 0, in the rollout order of the engines of its service that serve another version
+	// or role.
 	Rank int
-	// Accepted holds the versions besides Digest that engines of the service serve now, during a rollout.
+	// Accepted holds the versions that engines of the service serve now. During a rollout requests may be served from them
+	// too, besides Digest.
 	Accepted map[string]bool
 }
 
@@ -108,8 +111,12 @@
 // loaded reports whether the engine holds a complete version.
 func (r EngineState) loaded() bool { return r.Digest != "" && !r.Loading }
 
-// Upstream is an engine or plain service on this agent's host. Digest, Generation and BootID are the pin: a request runs only
-// while the engine's state shows all three.
+// Upstream is an engine or plain service on this agent's host. It embeds member.Upstream, the part of its state that the agent
+// advertises. The other fields are known only to the agent: the upstream's URL, the last reading, the target and the order.
+//
+// Digest, Generation and BootID are the pin of an engine that serves or drains: the weights, their load and the engine
+// instance that it was taken into service with. Each request runs under the pin that the engine had when the request started. Its
+// answer counts only if the engine's state still shows all three.
 type Upstream struct {
 	member.Upstream
 	// URL is the upstream's base address.
@@ -119,6 +126,7 @@
 	// DrainOverdue is set when a drain takes longer than Timing.DrainWarning.
 	DrainOverdue bool
 
+	// target is the desired state of the engine.
 	target Target
 	// running counts the requests in flight on the upstream.
 	running int
@@ -133,10 +141,10 @@
 	failedReads int
 	// order is the order in flight; nil for none.
 	order *order
-	// draining is set while requests end before an order. The engine still holds its pinned weights then.
+	// draining is set while requests end before an order. The phase is Idle then, but the engine still has its pin.
 	draining       bool
 	drainStartedAt time.Time
-	// announcedNumber is the number of the incarnation that the engine is known to have obeyed.
+	// announcedNumber is the fencing number of the last order that the engine answered as obeyed.
 	announcedNumber uint64
 	nextOrderAt     time.Time
 	// failedOrders counts the consecutive failed orders.
@@ -175,13 +183,13 @@
 	loadCount uint64
 	// raiseNumber is set when an engine refused an order because of its fencing number; a higher number is needed.
 	raiseNumber bool
-	// renewLease is set when orders to engines that ignore fencing numbers are needed or in flight.
+	// renewLease is set while orders to engines that ignore fencing numbers are needed or in flight. They need a valid lease.
 	renewLease bool
 	releasing  bool
 }
 
-// NewState returns the initial state of an agent. It knows nothing of its engines, so none of them serves; plain services serve
-// from the start.
+// NewState returns the initial state of an agent. The agent has not read the state of its engines, so none of them serves. Plain
+// services serve from the start.
 func NewState(upstreams []Upstream) *State {
 	s := &State{Upstreams: map[string]*Upstream{}, timing: Timing{}.withDefaults()}
 	for _, u := range upstreams {
@@ -222,7 +230,8 @@
 	}
 }
 
-// OrderAllowed reports whether an order to the upstream may start or continue now. The shell checks it between the chunks of an order.
+// OrderAllowed reports whether an order to the upstream may start or continue now. The shell checks it again before each part of an
+// order that it sends.
 func (s *State) OrderAllowed(name string, now time.Time) bool {
 	u := s.Upstreams[name]
 	return u != nil && s.Incarnation != nil && s.Incarnation.OrdersAllowed(now, u.target.IgnoresFencing)
--- a/internal/core/rollout/slots.go
+++ b/internal/core/rollout/slots.go
@@ -33,7 +33,7 @@
 	return s.slotsOf(u).HoldsValidSlot(u.Name, s.Incarnation.Number, now)
 }
 
-// advanceSlots makes the calls for slots that are due. A superseded agent makes none, because its successor keeps or releases
+// advanceSlots returns the calls for slots that are due. A superseded agent makes none, because its successor keeps or releases
 // the slots that it held.
 func (s *State) advanceSlots(in step.Input) []step.Effect {
 	if !s.Incarnation.Held() {
