--- a/internal/core/suspect/suspect.go
+++ b/internal/core/suspect/suspect.go
@@ -2,17 +2,31 @@
 // crashed becomes a suspect; it is identified by its fingerprint. A suspect runs alone on an upstream. If that upstream
 // crashes too, the fingerprint is quarantined everywhere. A suspect that completes while it runs alone is cleared.
 //
-// The status of a fingerprint is published as a mark, a record that is distributed with the settings; of two versions the
-// higher one wins. The version of a mark is the number of its episode and a rank within the episode: suspect < cleared <
-// quarantined < forgotten. Within an episode the order of the marks therefore depends on no clock.
+// This package is used on the first product's path. Agents judge a crash, and a quarantine lasts 30 minutes. Package quarantine
+// does the same task on the users' platform by another rule: entries count the crashes, the third crash quarantines the
+// request, and a quarantine lasts 30 seconds.
 //
-// The number of an episode is higher than that of the episode before, and at least the time of its first crash in
-// milliseconds, so that it is also higher than that of an episode that this process has forgotten. Agents that have not
-// received each other's marks may start separate episodes. A quarantine wins over all of these, because its number is at
-// least the time at which it ends. If clocks differ by more than that, a new episode may have a higher number than a
-// quarantine. A process that holds the quarantine then keeps it and publishes it again as part of the new episode.
+// The status of a fingerprint is published as a mark, a record that is distributed with the settings. Of two marks the one
+// with the higher version wins. A version consists of the number of an episode and of a rank within that episode. An episode
+// begins with a crash under a request that is not suspect. The ranks are suspect < cleared < quarantined < forgotten, so that
+// the order of the marks of one episode depends on no clock.
 //
-// A mark contains its duration, and each process counts it from when it received the mark, by its own clock.
+// The number of an episode is a time in milliseconds. A new episode is numbered by the time of its first crash, or by the number
+// of the last known episode plus 1 if that is higher. A quarantine raises the number to the time at which it ends. An example,
+// with times in seconds:
+//
+//   - At 1000 an upstream crashes under the request. Its agent publishes the mark 1000 suspect.
+//   - At 1060 a copy of the request runs alone, and its upstream crashes too. The mark is 2860 quarantined, because the
+//     quarantine ends 1800 seconds later. If the copy had completed instead, the mark would be 1000 cleared.
+//   - At 1061 a third upstream crashes. Its agent has received neither mark, so it starts an episode: 1061 suspect. The
+//     quarantine wins at every process, because 2860 is higher than 1061.
+//   - At 3000, after the quarantine, another crash starts the episode 3000 suspect. It wins over 2860 quarantined.
+//
+// If the clock of the third agent is an hour ahead, its mark is 4661 suspect, which is higher than 2860 quarantined. A process
+// that holds the quarantine then keeps it, and publishes it again as part of the new episode: 4661 quarantined.
+//
+// A mark contains its duration, not the time at which it expires. Each process counts the duration from when it received the
+// mark, by its own clock.
 package suspect
 
 import (
@@ -33,15 +47,16 @@
 	SuspectDuration = 10 * time.Minute
 	// QuarantineDuration is the duration of a quarantine.
 	QuarantineDuration = 30 * time.Minute
-	// ExpiredRetention is how long an expired mark is kept. It is longer than the difference between the times at which processes
-	// receive a mark, so that no process deletes a mark that is still in force at another one.
+	// ExpiredRetention is how long an expired mark is kept. Processes receive a mark at different times, and it expires at
+	// different times at them. ExpiredRetention is longer than the difference, so that no process deletes a mark that is still
+	// in force at another one.
 	ExpiredRetention = time.Hour
-	// isolationShare limits the upstreams of a service that are preferred for suspects: one in isolationShare.
+	// isolationShare limits how many upstreams of a service are preferred for suspects: at most one in isolationShare.
 	isolationShare = 4
-	// minSpreadUpstreams is the number of upstreams of a service from which suspects are spread over several upstreams.
-	// With fewer, all suspects prefer the same one.
+	// minSpreadUpstreams is the minimum number of upstreams of a service at which suspects are spread over several
+	// upstreams. With fewer, all suspects prefer the same one.
 	minSpreadUpstreams = 16
-	// minSpreadScore is the minimum rendezvous score of an upstream that suspects are spread over: one in eight has it.
+	// minSpreadScore is the minimum rendezvous score of an upstream that suspects are spread over. One upstream in eight has it.
 	minSpreadScore = math.MaxUint64 / 8 * 7
 )
 
@@ -55,7 +70,7 @@
 	Quarantined
 )
 
-// The ranks of marks within an episode.
+// The ranks of marks within an episode. The mark of rankForgotten is a deletion.
 const (
 	rankSuspect     = 1
 	rankCleared     = 2
@@ -84,8 +99,8 @@
 // NewState returns a state without marks.
 func NewState() *State { return &State{marks: map[string]mark{}} }
 
-// Apply applies the marks among changed records. It returns the quarantines to publish again: those in force here whose
-// number is lower than that of an episode that another process started without knowing of the quarantine.
+// Apply applies the marks among changed records. It returns the quarantines to publish again: those in force here for which
+// another process, which did not know of the quarantine, started an episode with a higher number.
 func (s *State) Apply(now time.Time, records []record.Record) []record.Record {
 	var renewed []record.Record
 	for _, r := range records {
@@ -116,7 +131,7 @@
 	s.marks[fingerprint] = mark{version: version, expiry: expiry}
 }
 
-// renewedQuarantine returns the quarantine in force as part of a later episode. It lasts for the time that remains here.
+// renewedQuarantine returns the quarantine in force as part of a later episode. Its duration is the time that remains here.
 func (s *State) renewedQuarantine(now time.Time, fingerprint string, episode uint64) record.Record {
 	version := record.Version{Major: episode, Minor: rankQuarantined}
 	return newRecord(fingerprint, version, s.Remaining(now, fingerprint))
@@ -143,8 +158,8 @@
 }
 
 // Crashed returns the mark to publish after an upstream crashed with the request in flight; false when there is none. A
-// request that is no suspect yet becomes one. A suspect is quarantined only if it was the only request on the upstream
-// (alone), because a crash with other requests in flight does not show which of them caused it.
+// request that is no suspect yet becomes one. A suspect is quarantined only if alone is set: it was the only request on the
+// upstream. A crash with other requests in flight does not show which of them caused it.
 func (s *State) Crashed(now time.Time, fingerprint string, alone bool) (record.Record, bool) {
 	if fingerprint == "" {
 		return record.Record{}, false
@@ -164,8 +179,8 @@
 }
 
 // quarantine returns the mark of a quarantine. Copies of the request that started before their agents received the suspect
-// mark may still crash upstreams, and these agents then start later episodes. The quarantine is numbered by the time at
-// which it ends, so that it wins over them.
+// mark may still crash upstreams, and these agents then start later episodes. The number of the quarantine is the time at
+// which it ends, so that it wins over those episodes.
 func (s *State) quarantine(now time.Time, fingerprint string) record.Record {
 	number := max(s.marks[fingerprint].version.Major, uint64(now.Add(QuarantineDuration).UnixMilli()))
 	return newRecord(fingerprint, record.Version{Major: number, Minor: rankQuarantined}, QuarantineDuration)
@@ -204,10 +219,10 @@
 }
 
 // Isolation orders a service's upstreams for a suspect, the preferred one first. All entries compute the same order, so
-// that two entries send copies of one suspect to the same agent, which runs one copy at a time and refuses the second one
-// if the first one leads to a quarantine. An upstream that is missing from the list does not change the order of the
+// that two entries send copies of one suspect to the same agent. That agent runs one copy at a time, and refuses the second
+// one if the first one leads to a quarantine. An upstream that is missing from the list does not change the order of the
 // others, so entries that have not learned of a crash yet agree as well. Suspects prefer a fixed part of the service's
-// upstreams, so that they crash only these while some of them remain.
+// upstreams, and crash no others as long as some of these remain.
 func Isolation(service, fingerprint string, upstreams []string) []string {
 	key := "isolation/" + service
 	ranked := step.Rank(key, upstreams)
