--- a/internal/core/incarnation/incarnation.go
+++ b/internal/core/incarnation/incarnation.go
@@ -1,7 +1,7 @@
 // Package incarnation is the reducer that acquires an agent's incarnation: the fencing number that the agent sends
 // with its load orders to engines. The number is the revision of the conditional write by which the agent took over
 // its host's object on the platform. Revisions only increase, so a later incarnation is always higher, even if the
-// object was deleted in between.
+// object was deleted in between. It is not the Incarnation of core.Self, which is the start time of a process.
 //
 // For engines that ignore fencing numbers, the same object serves as a lease. The holder renews it by writing it. A
 // new holder waits until no order of the previous one can still be in flight.
@@ -31,7 +31,7 @@
 // differ by far less than that.
 const leaseMarginDivisor = 10
 
-// renewalsPerLease is the number of renewals per lease while orders are in flight or wanted.
+// renewalsPerLease is the number of renewals in the duration of a lease, while orders are in flight or wanted.
 const renewalsPerLease = 3
 
 // Timing configures the lease; zero fields take the defaults.
@@ -69,9 +69,10 @@
 
 // State is an agent's view of its incarnation.
 type State struct {
-	// Number is the incarnation, or 0 while none is held.
+	// Number is the incarnation, which is the fencing number, or 0 while none is held.
 	Number uint64
-	// Superseded is set when another process took over the host's object or this one released it. It is never reset.
+	// Superseded is set when this agent's incarnation is superseded: another process took over the host's object, or this
+	// one released it. It is never reset.
 	Superseded bool
 
 	key    string
@@ -86,7 +87,8 @@
 	leaseStart time.Time
 	// acquiredAt is when this process learned that it holds the incarnation.
 	acquiredAt time.Time
-	// noFormerOrders is set when no order of a previous holder can be in flight.
+	// noFormerOrders is set when no order of a previous holder can be in flight: there was none, or it released the
+	// incarnation, or it was this process itself.
 	noFormerOrders bool
 	// inFlight is set while a call awaits its answer.
 	inFlight bool
@@ -169,7 +171,9 @@
 // Held reports whether this process holds the incarnation, as far as it knows.
 func (s *State) Held() bool { return s.Number != 0 && !s.Superseded }
 
-// FormerOrdersExpired reports whether orders of a previous agent can no longer reach an engine that ignores fencing numbers.
+// FormerOrdersExpired reports whether no order of a previous agent can reach an engine that ignores fencing numbers any more.
+// That is so if the previous holder can have had none in flight (see noFormerOrders), or once Lease and OrderDrain have passed
+// since this process acquired the incarnation.
 func (s *State) FormerOrdersExpired(now time.Time) bool {
 	if !s.Held() {
 		return false
@@ -177,8 +181,8 @@
 	return s.noFormerOrders || now.Sub(s.acquiredAt) >= s.timing.Lease+s.timing.OrderDrain
 }
 
-// OrdersAllowed reports whether an order may be sent at now. ignored is set when the engine ignores fencing numbers; then
-// the lease must be valid as well.
+// OrdersAllowed reports whether an order may be sent at now. ignored is set when the engine ignores fencing numbers. Then the
+// lease must be valid too, and the orders of previous agents must have expired.
 func (s *State) OrdersAllowed(now time.Time, ignored bool) bool {
 	if !s.Held() || s.releasing {
 		return false
--- a/internal/core/incarnation/incarnation_test.go
+++ b/internal/core/incarnation/incarnation_test.go
@@ -201,7 +201,7 @@
 }
 
 // TestNewHolderWaitsForFormerOrders guards against overlap with the previous holder's orders on engines that ignore
-// numbers. A new holder waits for the lease and the settle time, unless the previous holder released the incarnation.
+// numbers. A new holder waits for Lease and OrderDrain, unless the previous holder released the incarnation.
 func TestNewHolderWaitsForFormerOrders(t *testing.T) {
 	for _, released := range []bool{false, true} {
 		m := &model{now: time.Unix(1000, 0), numbers: map[uint64]int{}}
