--- a/internal/core/slot/slot.go
+++ b/internal/core/slot/slot.go
@@ -33,14 +33,16 @@
 	// heartbeatCount is the number of heartbeats per expiry. An observation has a gap when no answer arrived for longer
 	// than one such interval.
 	heartbeatCount = 3
-	// requestersPerSlot is the number of engines that request each slot. More requesters would only cause conflicts.
+	// requestersPerSlot is the number of engines per slot of a service whose turn it is to request one. More requesters would only
+	// cause conflicts.
 	requestersPerSlot = 2
-	// maxTableAge is the maximum age of the table that a write is based on. Other agents write too, and a read is
-	// cheaper than a conflict.
+	// maxTableAge is the maximum age of the table that a write is based on. An older one is read again first: other agents
+	// write too, and a read is cheaper than a conflict.
 	maxTableAge = 20 * time.Millisecond
 	// conflictJitterDivisor sets the jitter after a conflict: retries are spread over 1/4 of the poll interval.
 	conflictJitterDivisor = 4
-	// maxSentTimes is how many writes have their send time kept. It gives the send time of a write that arrives late.
+	// maxSentTimes is the number of latest writes whose send times are kept. A write that arrives late then still has a known
+	// send time.
 	maxSentTimes = 8
 )
 
@@ -107,7 +109,7 @@
 type request struct {
 	// since is when the request was made.
 	since time.Time
-	// rank is the engine's position among those that wait to become unavailable, from 0.
+	// rank is the engine's turn, from 0, among the engines of the service that wait to become unavailable.
 	rank int
 	// keepOnly is set for an engine that is unavailable already. It gets no new slot but keeps the one that it has.
 	keepOnly bool
@@ -182,8 +184,8 @@
 // Release releases the slot of an engine that serves again.
 func (s *Service) Release(engine string) { delete(s.requests, s.engineID(engine)) }
 
-// HoldsValidSlot reports whether an engine of this host holds a valid slot at now. After a pause of the process the slot is
-// invalid until it was written again, because other agents may have removed it.
+// HoldsValidSlot reports whether an engine of this host holds a valid slot at now. fencing is this agent's fencing number. After
+// a pause of the process the slot is invalid until it was written again, because other agents may have removed it.
 func (s *Service) HoldsValidSlot(engine string, fencing uint64, now time.Time) bool {
 	h, held := s.table.holderOf(s.engineID(engine))
 	if !held || h.Fencing != fencing {
@@ -193,7 +195,7 @@
 	return known && now.Sub(sentAt) < s.timing.Expiry-s.timing.Expiry/expiryMarginDivisor
 }
 
-// Reduce handles one event of this service's object.
+// Reduce handles the answer to a call for this service's object, or its failure.
 func (s *Service) Reduce(in step.Input) {
 	s.inFlight = false
 	switch ev := in.Event.(type) {
@@ -237,7 +239,7 @@
 }
 
 // Advance returns the call to make now, if any. maxUnavailable is the service's max_unavailable setting, and fencing
-// is this agent's incarnation.
+// is this agent's fencing number.
 func (s *Service) Advance(in step.Input, maxUnavailable int, fencing uint64) []step.Effect {
 	if s.inFlight || in.Now.Before(s.nextCallAt) {
 		return nil
--- a/internal/core/slot/table.go
+++ b/internal/core/slot/table.go
@@ -1,8 +1,9 @@
-// Package slot is the reducer by which agents limit how many engines of a service are unavailable at once. An engine
-// may be taken out of service only while it holds a slot, and a service has max_unavailable slots.
+// Package slot is the reducer by which agents limit how many engines of a service are unavailable (out of service) at
+// once. A slot is the permission for one engine to be unavailable: an engine may be taken out of service only while it
+// holds a slot, and a service has max_unavailable slots.
 //
-// The slots of a service are stored in one platform object that is written conditionally on its version. A holder
-// sends heartbeats by writing the object. An agent that needs a slot may remove one whose heartbeat did not change
+// The slots of a service are stored in one platform object that is written conditionally on its version. The agent of a
+// holder sends heartbeats by writing the object. An agent that needs a slot may remove one whose heartbeat did not change
 // for the whole expiry, provided that the agent observed the object without a gap during that time.
 package slot
 
@@ -21,7 +22,7 @@
 type Holder struct {
 	// Engine identifies the engine as HOST/NAME.
 	Engine string `json:"engine"`
-	// Fencing is the incarnation of the agent that holds the slot.
+	// Fencing is the fencing number of the holder's agent (see package incarnation).
 	Fencing uint64 `json:"fencing"`
 	// Heartbeat counts the writes of the holder's agent.
 	Heartbeat uint64 `json:"beat"`
