--- a/internal/core/record/exchange.go
+++ b/internal/core/record/antientropy.go
@@ -7,11 +7,18 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
+// An anti-entropy exchange of two processes transfers the records in which their states differ. It repairs what pushes and offers
+// missed. The asking process sends two hashes of its state (Exchange). If those of its peer differ, the peer answers with
+// the hashes of its buckets (ExchangeAnswer). The asking process then sends the versions of its records in the buckets
+// that differ (Compare), and the peer answers with its newer records and with the keys of those that it wants
+// (CompareAnswer). The asking process pushes the latter.
+
 const (
 	// ExchangeInterval is the interval between two anti-entropy exchanges of one process.
 	ExchangeInterval = time.Second
-	// DynamicInterval is the interval between comparisons of the dynamic records while they keep changing. Offers
-	// deliver the changes, and in a burst two entries always differ by the records in flight.
+	// DynamicInterval is the interval between comparisons of the dynamic records while they keep changing. A comparison in each
+	// exchange would be useless then: offers deliver the changes, and in a burst two entries always differ by the records
+	// in flight.
 	DynamicInterval = 5 * time.Second
 	// dynamicBusyTime is how long after a change the dynamic records count as changing.
 	dynamicBusyTime = time.Second
@@ -64,8 +71,8 @@
 func (k KeyVersion) version() Version { return Version{Major: k.Major, Minor: k.Minor} }
 
 // CompareAsked reports that a peer sent the versions of its records in some buckets and waits for the differences.
-// Fingerprints contains the fingerprints of its dynamic records in these buckets; a key with its version takes five times as
-// much space.
+// Of its dynamic records in these buckets it sends only the fingerprints, because a key with its version takes five times as much
+// space.
 type CompareAsked struct {
 	Call         uint64
 	Buckets      []int
@@ -157,7 +164,8 @@
 	return Coverage{Dynamic: s.holdDynamic, SettingsKnown: true, Floor: s.Floor, AgeMS: now.Sub(s.FloorCurrentAt).Milliseconds()}
 }
 
-// adoptCoverage raises Floor and FloorCurrentAt to those of a peer whose complete state was merged.
+// adoptCoverage takes over what a peer reports about its state, once that complete state was merged: it raises Floor and
+// FloorCurrentAt to the peer's.
 func (s *State) adoptCoverage(now time.Time, from string, st Coverage) {
 	if !st.SettingsKnown {
 		return
--- a/internal/core/record/digest.go
+++ b/internal/core/record/digest.go
@@ -14,8 +14,8 @@
 // bucketHashBytes is the encoded size of one bucket's hash.
 const bucketHashBytes = 8
 
-// Sums holds one hash per bucket over the records that are not deleted: first the common buckets, then the dynamic
-// ones. Except for hash collisions, equal sums mean equal states.
+// Sums holds one hash per bucket over the records in it that are not deleted: first the hashes of the common buckets,
+// then those of the dynamic ones. Except for hash collisions, equal sums mean equal states.
 type Sums [2 * Buckets]uint64
 
 // Common returns one hash over the common buckets.
@@ -35,8 +35,8 @@
 	return raw
 }
 
-// packFrom encodes a digest: the half in which it starts (0 for common, 1 for dynamic) and the hashes of the common
-// buckets, of the dynamic buckets or of all.
+// packFrom encodes a digest of a state (not of a version of weights): the half of Sums in which it starts, 0 for common
+// and 1 for dynamic, and the hashes of the common buckets, of the dynamic buckets or of all.
 func packFrom(from int, sums []uint64) []byte {
 	return append([]byte{byte(from / Buckets)}, pack(sums)...)
 }
--- a/internal/core/record/offer.go
+++ b/internal/core/record/offer.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// OfferFanout is the number of entries to which an entry offers changed records. Offers are small, so that it
-	// covers all of an entry's peers that are entries.
+	// OfferFanout is the number of entries to which an entry offers changed records. Offers are small, so they are sent
+	// to all entries that are peers of this one.
 	OfferFanout = 6
 	// OfferInterval is the minimum time between two offers of an entry. The first change is offered at the next tick.
-	// While changes continue, those of three ticks are offered together. Ticks are not exact, so that the interval is
-	// half a tick shorter.
+	// While changes continue, those of three ticks are offered together. The interval is half a tick shorter than three
+	// ticks, because ticks are not exact.
 	OfferInterval = 3*step.TickInterval - step.TickInterval/2
 	// OwnFanout is the number of entries to which an agent pushes its own dynamic record. The entries distribute it.
 	OwnFanout = 2
@@ -28,8 +28,8 @@
 )
 
 // Offer offers the dynamic records that changed here to another entry, by the fingerprints of their keys and versions.
-// The other entry answers with those that it lacks, and only these are sent. A record therefore passes each entry's
-// link about once.
+// The other entry answers with those that it lacks, and only these are sent. Each entry therefore receives a record about
+// once.
 type Offer struct {
 	To           string
 	Fingerprints []byte
@@ -109,7 +109,8 @@
 	return a
 }
 
-// handleOfferAnswered sends the requested records. Those that changed since the offer are offered again anyway.
+// handleOfferAnswered sends the requested records. It skips those that changed since the offer, because a changed record is
+// offered again.
 func (s *State) handleOfferAnswered(ev OfferAnswered) []step.Effect {
 	var records []Record
 	for _, fp := range decodeFingerprints(ev.Fingerprints) {
--- a/internal/core/record/push.go
+++ b/internal/core/record/push.go
@@ -14,8 +14,8 @@
 	// one push or answer. A connection allows messages of up to four times that size.
 	MaxPushRecords  = 256
 	MaxMessageBytes = 1 << 20
-	// OwnPushInterval is the interval at which an agent pushes its own dynamic record to an entry again, in case that
-	// an earlier push was lost. Agents take no part in the exchanges of dynamic records.
+	// OwnPushInterval is the interval at which an agent pushes its own dynamic record to an entry again, in case
+	// an earlier push was lost. The anti-entropy exchanges can't repair that, since agents compare no dynamic records.
 	OwnPushInterval = 10 * time.Second
 )
 
--- a/internal/core/record/record.go
+++ b/internal/core/record/record.go
@@ -3,13 +3,13 @@
 // record are merged by keeping the higher one. Merging is commutative, associative and idempotent, so that reordered
 // or repeated messages and peers with old state cannot revert a record.
 //
-// Processes push changed records to peers, offer dynamic records by fingerprint, and repair missed messages with
-// periodic anti-entropy exchanges.
+// Processes push changed records to peers, and entries offer dynamic records to each other by fingerprint. Anti-entropy
+// exchanges, in which two processes compare their states, repair missed messages (see antientropy.go).
 //
-// A deletion is stored as a record, too (a tombstone). Tombstones are not part of the digest, so that each process
-// can drop its own at any time without getting them back from its peers. Settings are also protected without them:
-// the Floor is the object API's revision up to which this process knows every setting. A setting that it does not
-// know, at or below the Floor, was therefore deleted.
+// A deletion is stored as a record, too (a tombstone). Tombstones are not part of the hashes that two processes compare,
+// so that each process can drop its own at any time without getting them back from its peers. A deleted setting does not
+// return even without a tombstone: the Floor is the object API's revision up to which this process knows every setting.
+// A setting with a revision at or below the Floor that it does not know was therefore deleted.
 package record
 
 import (
@@ -48,11 +48,11 @@
 	// SettingsPrefix begins the keys of settings, to which the Floor applies.
 	SettingsPrefix = "settings/"
 	// PhasePrefix and DemandPrefix begin the keys of the dynamic records. These change often and only entries need
-	// them, so that an agent holds none but its own.
+	// them, so an agent holds none but its own. All other records are the common records, which every process holds.
 	PhasePrefix  = "phase/"
 	DemandPrefix = "demand/"
 	// TombstoneRetention is how long a tombstone is kept. A process that was disconnected for longer may restore a
-	// deleted host until the list is next read. It cannot restore a setting, because of the Floor.
+	// deleted host until the host list is next read. It cannot restore a setting, because of the Floor.
 	TombstoneRetention = 24 * time.Hour
 	// sweepInterval is the interval between two sweeps of tombstones.
 	sweepInterval = time.Minute
@@ -70,14 +70,15 @@
 	FloorCurrentAt time.Time
 	// MergedPeers contains the peers whose complete state was merged since the start.
 	MergedPeers map[string]bool
-	// DynamicMerged is set once all dynamic records of a peer that holds them were merged.
+	// DynamicMerged is set once an entry has merged all dynamic records of another entry.
 	DynamicMerged bool
 
 	// ownKey is the key of the own dynamic record.
 	ownKey string
 	// holdDynamic is set when this process holds the dynamic records of others. Only entries do.
 	holdDynamic bool
-	sums        Sums
+	// sums holds the hashes of the buckets of Records.
+	sums Sums
 	// pending maps the keys of the records to push at the next tick to the peer that they came from.
 	pending map[string]string
 	// keyByFingerprint maps the fingerprints of the dynamic records to their keys, to answer offers.
@@ -85,7 +86,9 @@
 	// requestedAt maps the fingerprints of requested records to the time of the request.
 	requestedAt map[uint64]time.Time
 	// tombstones maps the keys of the tombstones to when they were received.
-	tombstones   map[string]time.Time
+	tombstones map[string]time.Time
+	// nextExchange, nextSweep and nextOwnPush are the earliest times of the next anti-entropy exchange, sweep of tombstones
+	// and push of the own dynamic record to an entry.
 	nextExchange time.Time
 	nextSweep    time.Time
 	nextOwnPush  time.Time
@@ -194,8 +197,8 @@
 	}
 }
 
-// merge stores the records that are newer than the known ones. newer are the records of this process of which the
-// sender has an older version.
+// merge stores the records that are newer than the known ones, and returns them as changed. newer are the records of this
+// process of which the sender has an older version.
 func (s *State) merge(now time.Time, from string, records []Record) (changed, newer []Record) {
 	for _, r := range records {
 		if !s.holds(r.Key) {
@@ -220,7 +223,7 @@
 	return changed, newer
 }
 
-// deletedBelowFloor reports whether a setting is unknown here because it was deleted.
+// deletedBelowFloor reports whether v is a version of a setting that is unknown here because the setting was deleted.
 func (s *State) deletedBelowFloor(key string, v Version, known bool) bool {
 	return !known && isSetting(key) && v.Major <= s.Floor
 }
