--- a/internal/claims/faults_test.go
+++ b/internal/claims/faults_test.go
@@ -209,8 +209,8 @@
 	require.LessOrEqual(t, granted, 1)
 }
 
-// TestOutageRejectsClaimsImmediately guards against claims that wait in vain during an outage of the platform, and
-// against keys that stay claimed by them. A claim is rejected with a Retry-After delay, and its key can be used
+// TestOutageRejectsClaimsImmediately guards against claims that wait during an outage of the platform although they can't be
+// recorded, and against keys that stay claimed by them. A claim is rejected with a Retry-After delay, and its key can be used
 // afterwards.
 func TestOutageRejectsClaimsImmediately(t *testing.T) {
 	cl := newCluster(t, 3)
--- a/internal/claims/load.go
+++ b/internal/claims/load.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// loadTimeout limits reading a complete partition, as a new owner does.
+	// loadTimeout limits the time in which a complete partition is read, as by a new owner.
 	loadTimeout = 30 * time.Second
 	// maxParallelReads is the max number of segments that are read concurrently.
 	maxParallelReads = 8
--- a/internal/claims/partition.go
+++ b/internal/claims/partition.go
@@ -19,7 +19,7 @@
 // event is an event of the claims reducer.
 type event = corestep.Event
 
-// partition is the shell of one partition's reducer: it carries out the reducer's effects.
+// partition is the shell of one partition's reducer, a claim.State: it carries out the reducer's effects.
 type partition struct {
 	number  int
 	objects *objectapi.Client
@@ -27,12 +27,14 @@
 	// callTimeout limits one call to the platform.
 	callTimeout time.Duration
 
-	mu     sync.Mutex
-	state  *claim.State
+	mu    sync.Mutex
+	state *claim.State
+	// lastOp is the number of the latest claim or settlement that was passed to the reducer.
 	lastOp uint64
-	// replies maps an operation to the channel that receives its reply.
+	// replies maps the number of a claim or settlement to the channel that receives its reply.
 	replies map[uint64]chan claim.Reply
-	timer   *time.Timer
+	// timer is the timer of the scheduled claim.Woken event; nil before the first one.
+	timer *time.Timer
 }
 
 func newPartition(number int, writer string, c Config) *partition {
@@ -105,7 +107,7 @@
 	p.timer = time.AfterFunc(time.Until(at), func() { p.handle(claim.Woken{}) })
 }
 
-// commit carries out a claim.Commit effect and reports its result to the reducer.
+// commit carries out a claim.Commit effect and reports its result to the reducer. All its writes share one timeout.
 func (p *partition) commit(e claim.Commit) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.callTimeout)
 	defer cancel()
@@ -169,7 +171,7 @@
 	return 0
 }
 
-// writeSegment writes an object whose name is unique to this process. A conflict therefore means that an earlier
+// writeSegment writes an object whose name is unique to this process. A version conflict therefore means that an earlier
 // attempt has written it.
 func (p *partition) writeSegment(ctx context.Context, s claim.NewSegment) error {
 	value, err := json.Marshal(s.Value)
--- a/internal/claims/service.go
+++ b/internal/claims/service.go
@@ -1,5 +1,6 @@
-// Package claims is the shell of the reducer of package claim: it calls the platform for the partitions that this
-// process owns, and forwards claims of other partitions to their owners over the control channel.
+// Package claims is the shell of the reducer in package claim (internal/core/claim), which decides the claims of
+// idempotency keys. It calls the platform for the partitions that this process owns, and forwards claims of other
+// partitions to their owners over the control channel.
 package claims
 
 import (
@@ -71,7 +72,7 @@
 
 // Claim claims a key. Unless the verdict is Granted, the call must not be sent, neither then nor later.
 func (s *Service) Claim(ctx context.Context, c claim.Claim) Result {
-	// A caller that disconnects must not close the connection to an owner, which other claims share.
+	// A caller that disconnects must not cancel the call to an owner: that would close the connection, which other claims share.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.config.Timing.ClaimTimeout)
 	defer cancel()
 	a := s.claimFromOwners(ctx, c)
@@ -85,7 +86,7 @@
 }
 
 // claimFromOwners sends the claim to the partition's owner and, if that does not answer, to the owners after it. An
-// owner that did not answer may have recorded the claim; the next one finds it in the record by its request id.
+// owner that did not answer may have recorded the claim. The next owner then finds the request's own id in the key's record.
 func (s *Service) claimFromOwners(ctx context.Context, c claim.Claim) Result {
 	maybeRecorded := false
 	for _, address := range s.ownersToCall(c.Key) {
--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -1,6 +1,6 @@
 // Package claim is the reducer for calls that must run at most once. A caller's idempotency key is claimed before
-// the call is sent: its record is written to the platform's object API, on condition of the object's version. The
-// call may be sent only after that write is known to have taken effect.
+// the call is sent: its record is written to the platform's object API, on condition that the object's version has not
+// changed. The call may be sent only after that write is known to have taken effect.
 //
 // Keys are hashed to a fixed number of partitions. A partition consists of one mutable object, the head, which holds
 // the newest records, and of immutable objects, the segments, which hold the older ones. Every decision is one
@@ -8,8 +8,8 @@
 // succeeds; the other process reads the head again and decides its claims again. Ownership therefore affects
 // latency, not correctness.
 //
-// A State handles one partition. Like every reducer of the core it is pure: see package step. A shell, such as
-// package claims, carries out its effects.
+// A State handles one partition. Like every reducer of the core it is pure: see package step. Its shell is package claims
+// (internal/claims), which carries out the effects: it calls the platform and forwards claims between processes.
 package claim
 
 import (
@@ -35,11 +35,11 @@
 // Record is the stored state of one key.
 type Record struct {
 	Key Key `json:"k"`
-	// RequestID is the id of the request that holds the key. It is empty in memory once the call ran.
+	// RequestID is the id of the request that holds the key. It is dropped from memory once the call ran, to save memory.
 	RequestID string `json:"r"`
 	Status    Status `json:"s"`
 	// Fingerprint identifies the request's content, see the function Fingerprint. It is 0 if the record was written
-	// by a settlement whose claim this process had not read.
+	// for a settlement by a process that had not read the claim.
 	Fingerprint uint64 `json:"f,omitempty"`
 	// KeyTime is the timestamp in the key, in Unix milliseconds; 0 for an untimed key, which contains none.
 	KeyTime int64 `json:"t,omitempty"`
@@ -103,9 +103,14 @@
 	KeyAhead
 	// KeyReused: the key was used before with another request.
 	KeyReused
-	// NotRecorded: the claim or settlement is certainly not recorded.
+	// NotRecorded and MaybeRecorded: the claim is not granted, because it could not be recorded in time, for example while the
+	// platform is unavailable, or because its request has already ended. The call must not be sent. The two differ in what the
+	// platform holds. With NotRecorded, certainly no open claim of this request is recorded, so there is nothing to undo.
+	// With MaybeRecorded, a write of the claim took effect or may still do so. The asking process must then release the
+	// claim; otherwise repeats of the key would be refused. For a settlement both mean that it is not known to be recorded,
+	// so it is sent again.
 	NotRecorded
-	// MaybeRecorded: the claim is not granted but may have been recorded; the asking process must release it.
+	// MaybeRecorded: see NotRecorded.
 	MaybeRecorded
 )
 
--- a/internal/core/claim/commit.go
+++ b/internal/core/claim/commit.go
@@ -73,7 +73,7 @@
 	})
 }
 
-// committed takes the changes of the commit over into the durable records and replies to its operations.
+// committed adds the changes of the commit to the durable records and replies to its operations.
 func (r *reduction) committed(ev Committed) {
 	s := r.s
 	if s.phase != committing {
@@ -205,7 +205,7 @@
 	r.finishOps(func(o *op) (Verdict, bool) { return o.failureVerdict(), o.claim != nil })
 }
 
-// loaded takes over the head and the segments that the platform returned.
+// loaded adds the records of the head and the segments that the platform returned to the durable records.
 func (r *reduction) loaded(ev Loaded) {
 	s := r.s
 	if s.phase != loading {
--- a/internal/core/claim/head.go
+++ b/internal/core/claim/head.go
@@ -2,7 +2,7 @@
 
 // Head is the mutable object of a partition. Every decision is a conditional write of it.
 type Head struct {
-	// Writer identifies the run of a process that wrote this version.
+	// Writer identifies the instance of a process that wrote this version.
 	Writer string `json:"writer"`
 	// Horizon is a time in Unix milliseconds. Records of keys with an earlier timestamp may have been swept, so claims
 	// of such keys are refused.
--- a/internal/core/claim/key.go
+++ b/internal/core/claim/key.go
@@ -54,8 +54,8 @@
 // KeyTimestamp returns the timestamp in an idempotency key, in Unix milliseconds, or 0 if the key contains none. Only a UUID
 // of version 7 in its canonical form of 36 characters contains one.
 func KeyTimestamp(key string) int64 {
-	const customaryLength = 36
-	if len(key) != customaryLength {
+	const canonicalLength = 36
+	if len(key) != canonicalLength {
 		return 0
 	}
 	id, err := uuid.Parse(key)
--- a/internal/core/claim/ownerbackoff.go
+++ b/internal/core/claim/ownerbackoff.go
@@ -37,8 +37,8 @@
 // RecordSuccess records that the owner at address answered, and ends its backoff.
 func (s *OwnerBackoff) RecordSuccess(address string) { delete(s.owners, address) }
 
-// MayCall reports whether the owner at address may be called. After an owner's backoff, only one caller gets true,
-// until it has recorded the result of its call or the time probe has passed.
+// MayCall reports whether the owner at address may be called. After an owner's backoff, only one caller gets true. The others
+// get false until that caller has recorded the result of its call, or until the time probe has passed.
 func (s *OwnerBackoff) MayCall(now time.Time, address string, probe time.Duration) bool {
 	o := s.owners[address]
 	if o == nil {
--- a/internal/core/claim/partition.go
+++ b/internal/core/claim/partition.go
@@ -54,11 +54,13 @@
 	// callStartedAt is when the latest call to the platform started.
 	callStartedAt time.Time
 	// version is the version of head. head and durable are what the platform was known to hold at syncedAt.
-	version      uint64
-	head         Head
-	durable      map[Key]Record
+	version uint64
+	head    Head
+	durable map[Key]Record
+	// untimedCount is the number of records of untimed keys in durable.
 	untimedCount int
-	// sentChanges are the changes in the commit in flight, nextChanges those of the commit after it.
+	// sentChanges are the changes in the commit in flight, nextChanges those of the commit after it. nextChangeBytes is the
+	// estimated size of nextChanges.
 	sentChanges     map[Key]Record
 	nextChanges     map[Key]Record
 	nextChangeBytes int
@@ -68,6 +70,7 @@
 	sealedRecords []Record
 	sweptObjects  []string
 
+	// ops are the claims and settlements that have no reply yet, in the order in which they arrived.
 	ops []*op
 	// syncedAt is the start of the latest call to the platform that confirmed head and durable.
 	syncedAt     time.Time
@@ -80,7 +83,7 @@
 	segmentCount uint64
 }
 
-// NewState returns the state of a process that has not read the partition yet. writer is unique to this run of the
+// NewState returns the state of a process that has not read the partition yet. writer is unique to this instance of the
 // process.
 func NewState(partition int, writer string, c Config) *State {
 	return &State{
@@ -263,8 +266,8 @@
 	return decideClaim(*o.claim, f)
 }
 
-// horizon returns the time before which keys are refused, in Unix milliseconds: the head's horizon, or one by this
-// process's clock if nothing was swept for longer than a sweep period.
+// horizon returns the time before which keys are refused, in Unix milliseconds. It is the head's horizon. If nothing was
+// swept for longer than a sweep period, it is one by this process's clock instead: the retention and a sweep period ago.
 func (r *reduction) horizon() int64 {
 	c := r.s.config
 	own := r.now.Add(-c.Retention - c.Retention/sweepsPerRetention).UnixMilli()
@@ -329,7 +332,7 @@
 	}
 }
 
-// wake requests a wake-up at the given time, unless an earlier one is pending.
+// wake requests a wake-up at the given time, unless one at that time or earlier is pending.
 func (r *reduction) wake(at time.Time) {
 	s := r.s
 	if !s.wakeAt.IsZero() && !at.Before(s.wakeAt) {
--- a/internal/core/claim/partition_test.go
+++ b/internal/core/claim/partition_test.go
@@ -194,7 +194,7 @@
 	require.Equal(t, claim.Granted, d.verdicts[fresh])
 }
 
-// TestRefusedWriteRejectsClaimsImmediately guards against claims that wait in vain after the platform refused a write.
+// TestRefusedWriteRejectsClaimsImmediately guards against claims that wait until their deadline after the platform refused a write.
 // They are rejected until the platform may be called again, while settlements wait and are not lost.
 func TestRefusedWriteRejectsClaimsImmediately(t *testing.T) {
 	d := newPartitionDriver(t, claim.Config{}).load()
--- a/internal/core/claim/seal.go
+++ b/internal/core/claim/seal.go
@@ -98,7 +98,7 @@
 	return r.ClaimedAt
 }
 
-// sweep raises the next head's horizon when a part of the retention has passed since it was last raised, and removes
+// sweep raises the next head's horizon once per sweep period (the retention divided by sweepsPerRetention), and removes
 // the expired segments from the next head. Their objects are deleted only after that head is written: from then on
 // no claim of a key below the horizon is granted, so the deleted records are not needed.
 func (r *reduction) sweep() {
--- a/internal/core/claim/verdict.go
+++ b/internal/core/claim/verdict.go
@@ -9,8 +9,8 @@
 	Ran code.Ran
 }
 
-// refusals maps every verdict that refuses a call to its refusal. The one of Replayed is used if the stored response
-// can't be replayed.
+// refusals maps every verdict that refuses a call to its refusal. The refusal of Replayed is used only if the stored
+// response can't be replayed.
 var refusals = map[Verdict]Refusal{
 	Replayed:       {code.AlreadyRun, code.DidRun},
 	AlreadyRan:     {code.AlreadyRun, code.DidRun},
@@ -30,7 +30,7 @@
 }
 
 // SettlementStatus returns the status to settle a granted claim with. sent reports whether the call was ever sent, and complete
-// whether its complete response arrived. ran is the statement of the refusal; it is empty if there was none.
+// whether its complete response arrived. ran is what a refusal of the call says; it is empty if there was none.
 func SettlementStatus(sent, complete bool, ran code.Ran) Status {
 	switch {
 	case complete || ran == code.DidRun:
