--- a/internal/core/watch/watch.go
+++ b/internal/core/watch/watch.go
@@ -2,9 +2,9 @@
 //
 // In each data centre the first processes in rendezvous order are the watchers: they watch the settings and read the host
 // list. All others receive both from their peers. Each exchange between processes carries the age of the last successful
-// reading of the platform. If that age grows too high, the watchers have failed, and the next process in rank takes over.
-// The rank also spaces the attempts while the platform is down, so that their rate grows only with the logarithm of the
-// number of processes.
+// reading of the platform. If that age exceeds MaxAge, the watchers have probably failed, and the next process in rank reads too.
+// While the platform is down, a process with a higher rank waits longer between its attempts. The rate of all attempts
+// therefore grows only with the logarithm of the number of processes.
 package watch
 
 import (
@@ -18,12 +18,13 @@
 	WatchersPerDataCentre = 2
 	// WatchTimeout is how long one watch call waits for changes.
 	WatchTimeout = 3 * time.Second
-	// MaxAge is the age of the last reading from which the watchers count as failed and the next process in rank takes over.
+	// MaxAge is the age of the last reading above which the watchers count as failed. The next processes in rank then take over, one
+	// more for each RankDelay/2.
 	MaxAge = 9 * time.Second
-	// RankDelay is the additional wait per rank after a failed reading. Half of it per rank is added to MaxAge.
+	// RankDelay is the wait per rank after a failed reading. Half of it is added to MaxAge for each rank after the watchers.
 	RankDelay = time.Second
-	// InitialRetry and MaxRetry are the minimum and maximum wait after a failed reading, for ranks whose wait by RankDelay is
-	// shorter.
+	// InitialRetry and MaxRetry are the minimum and maximum wait after a failed reading. A process whose wait by RankDelay is
+	// longer waits that long instead.
 	InitialRetry = 500 * time.Millisecond
 	MaxRetry     = 4 * time.Second
 	// MaxRankWait bounds the wait by rank of a process that has no settings yet.
@@ -36,7 +37,7 @@
 	HostsBytesPerSecond = 2500
 	// listedBytes is the approximate size of one host in the host list, in bytes.
 	listedBytes = 90
-	// MinPeers is the number of peers whose whole state a process must have merged to become ready without the platform.
+	// MinPeers is the number of peers whose complete state a process must have merged to become ready without the platform.
 	MinPeers = 3
 	// PeersTimeout is how long a process waits for that many peers once it has merged the state of one.
 	PeersTimeout = 5 * time.Second
@@ -46,8 +47,8 @@
 	PlatformTimeout = 2 * time.Second
 )
 
-// ReadFailed is the event of a failed reading of the settings. Compacted is set when the platform no longer keeps the changes since
-// the requested revision.
+// ReadFailed is the event of a failed reading of the settings. Compacted is set when the reading failed because the platform no
+// longer keeps the changes since the requested revision.
 type ReadFailed struct{ Compacted bool }
 
 // HostsFailed is the event of a failed reading of the host list.
@@ -84,16 +85,17 @@
 
 // View is the part of the process's other state that the decisions depend on.
 type View struct {
-	// Rank is this process's position in the rendezvous order of its data centre, from 0.
+	// Rank is this process's position in the rendezvous order of the processes in its data centre, from 0.
 	Rank int
 	// Hosts is the number of listed processes without this one. Listed is set when this process is listed.
 	Hosts  int
 	Listed bool
-	// SettingsKnown is set once every setting up to revision Floor is known. FloorCurrentAt is when the platform was last at Floor.
+	// SettingsKnown is set once every setting up to revision Floor is known. FloorCurrentAt is the last time at which Floor was known
+	// to be the platform's current revision.
 	SettingsKnown  bool
 	Floor          uint64
 	FloorCurrentAt time.Time
-	// MergedPeers is the number of peers whose whole state was merged.
+	// MergedPeers is the number of peers whose complete state was merged.
 	MergedPeers int
 	// EnginesUnknown is set while an entry has not received the state of the engines yet.
 	EnginesUnknown bool
@@ -106,17 +108,21 @@
 	// HasRead is set once this process itself has read the settings from the platform.
 	HasRead bool
 
-	started   time.Time
+	// started is the time of the first tick.
+	started time.Time
+	// firstPeer is when the complete state of a peer was first known to be merged.
 	firstPeer time.Time
 	// settingsAt is when the settings were first known.
 	settingsAt time.Time
 	// reading is set while a reading of the settings is in flight.
 	reading bool
-	// compacted is set when the platform no longer keeps the changes since the requested revision.
+	// compacted is set when the platform no longer keeps the changes since the requested revision. All settings are listed then.
 	compacted bool
-	failed    bool
-	failures  int
-	nextRead  time.Time
+	// failures counts the failed readings of the settings since the last successful one, except those that failed because of
+	// compacted. failed is set when there are any.
+	failed   bool
+	failures int
+	nextRead time.Time
 	// readingHosts is set while a reading of the host list is in flight, hostsKnown after the first success.
 	readingHosts  bool
 	hostsKnown    bool
@@ -183,7 +189,7 @@
 	return append(effects, s.read(v))
 }
 
-// read returns the cheapest reading that returns all changes.
+// read returns the reading that costs the platform least and still returns all changes that this process lacks.
 func (s *State) read(v View) step.Effect {
 	if !v.SettingsKnown || s.compacted {
 		return List{}
@@ -207,8 +213,8 @@
 // ListDelay is how long a new process waits for its peers' state before it lists the settings itself.
 const ListDelay = 300 * time.Millisecond
 
-// isWatcher reports whether this process is a watcher: one of the first in rank, or the next in rank after the watchers
-// failed.
+// isWatcher reports whether this process is a watcher: one of the first in rank, or one of the next in rank if the watchers
+// count as failed.
 func (s *State) isWatcher(now time.Time, v View) bool {
 	if v.Rank < WatchersPerDataCentre {
 		return true
