--- a/internal/core/bursts.go
+++ b/internal/core/bursts.go
@@ -10,14 +10,15 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// BurstView is a process's view of all bursts in the fleet, for operators.
+// BurstView is a process's view of all bursts in the fleet, for operators. A burst is the distribution of one version of weights to
+// many hosts at once.
 type BurstView struct {
 	Bursts []FleetBurst `json:"bursts"`
 	// Local is the progress of this host; empty on an entry.
 	Local []weights.Progress `json:"here,omitempty"`
 	// Share is the fraction of this host's link that transfers may use now.
 	Share float64 `json:"share"`
-	// Sent counts the bytes sent to hosts in this data centre, elsewhere in the region and in other regions.
+	// Sent counts the bytes that this host sent to hosts in this data centre, elsewhere in the region and in other regions.
 	Sent []int64 `json:"sent"`
 	// Unanswered counts the hosts that did not report their progress.
 	Unanswered int `json:"silent,omitempty"`
@@ -25,6 +26,7 @@
 
 // FleetBurst is the distribution of one version to all hosts that the settings choose to run it.
 type FleetBurst struct {
+	// Services holds the services whose settings require the version.
 	Services []string       `json:"services"`
 	Model    string         `json:"model"`
 	Adapter  string         `json:"adapter"`
@@ -47,8 +49,8 @@
 	Serving int `json:"serving"`
 	// Percent is the mean progress of the hosts.
 	Percent int `json:"percent"`
-	// Rate is the sum over the hosts in bytes per second. LeftMS is the estimated time left of the slowest host in
-	// milliseconds.
+	// Rate is the sum over the hosts that lack chunks, in bytes per second. LeftMS is the estimated time until the slowest
+	// of them has every chunk, in milliseconds.
 	Rate   int64 `json:"rate"`
 	LeftMS int64 `json:"left_ms"`
 	// From counts the received bytes by source: the data centre, elsewhere in the region, other regions, the origin.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -22,13 +22,16 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// Self identifies a process, from its own configuration.
+// Self identifies a process. Its configuration gives all fields except Incarnation.
 type Self struct {
-	Host        string
-	Address     string
-	Place       string
-	Region      string
-	Role        member.Role
+	Host    string
+	Address string
+	// Place is the data centre of the process.
+	Place  string
+	Region string
+	Role   member.Role
+	// Incarnation is the start time of the process in nanoseconds. It identifies the instance of the process. It is not the
+	// fencing number of an agent, which package incarnation acquires.
 	Incarnation uint64
 }
 
@@ -38,7 +41,7 @@
 	Revision uint64
 }
 
-// State is the whole state of a process.
+// State is the complete state of a process.
 type State struct {
 	Self     Self
 	Records  *record.State
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -15,9 +15,11 @@
 // MinDemandInterval is the minimum time between two publications of an entry's demand.
 const MinDemandInterval = time.Second
 
-// demandState holds the demand of client accounts that an entry last published, and when it may publish again.
+// demandState holds what an entry last published about the demand of client accounts.
 type demandState struct {
+	// next is the earliest time of the next publication.
 	next time.Time
+	// last is the published value as JSON; empty before the first publication.
 	last string
 }
 
--- a/internal/core/leaving.go
+++ b/internal/core/leaving.go
@@ -12,9 +12,9 @@
 // the wait for agents that are down.
 const AdvertTimeout = 5 * time.Second
 
-// updateReadyForCallers sets ReadyForCallers, which is never reset. An entry needs the advertisements of nearly all
-// agents besides the settings: an entry that has just started and knows no agents would reject requests that other
-// entries could serve. An agent that is listed later does not make the entry unready.
+// updateReadyForCallers sets ReadyForCallers, which is never reset. An entry needs the settings and the advertisements of
+// nearly all agents: an entry that has just started and knows no agents would reject requests that other entries could
+// serve. An agent that is listed later does not make the entry unready.
 func (s *State) updateReadyForCallers(now time.Time) {
 	if s.Ready && !s.ReadyForCallers {
 		s.ReadyForCallers = s.Self.Role != member.Entry || now.Sub(s.readyAt) >= AdvertTimeout || s.agentsKnown()
@@ -40,8 +40,8 @@
 const unknownAgentsDivisor = 10
 
 // applyOwnListedState follows the state of this agent's host in the platform's list. When the list says that the host is
-// leaving, the agent rejects new requests as not run and reports that in its advertisement and its reports, before its
-// process is stopped. When the list says that the host is live again, the agent accepts requests again.
+// leaving, the agent rejects new requests as not run, before its process is stopped. It reports in its advertisement and
+// its load reports that it does so. When the host is no longer listed as leaving, the agent accepts requests again.
 func (s *State) applyOwnListedState(in step.Input) []step.Effect {
 	own := s.Members.Hosts[s.Self.Address]
 	if s.Self.Role != member.Agent || s.stopping || own == nil || own.Listed.Address == "" {
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -9,8 +9,8 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// plan computes which version each upstream of this host should run, and which other hosts exchange its chunks with this
-// one.
+// plan computes which version each upstream of this host should serve, and which other hosts exchange the chunks of that version
+// with this one.
 func (s *State) plan(in step.Input) []step.Effect {
 	if !s.replan || s.Self.Role != member.Agent {
 		return nil
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -64,8 +64,8 @@
 	return effects
 }
 
-// cleanUp deletes the records of hosts that are not listed any more, and marks of requests that expired longer than
-// suspect.ExpiredRetention ago.
+// cleanUp deletes the records of hosts that are not listed any more, and the marks of requests (see package suspect) that expired
+// at least suspect.ExpiredRetention ago.
 func (s *State) cleanUp(in step.Input) []step.Effect {
 	if in.Now.Before(s.nextCleanup) {
 		return nil
@@ -149,15 +149,15 @@
 	return effects
 }
 
-// IsBehind reports whether this process has an older state of a setting than the given revision.
+// IsBehind reports whether this process does not know a setting as of the given revision yet.
 func (s *State) IsBehind(key string, revision uint64) bool {
 	return revision > s.Records.Records[key].Version.Major && revision > s.Records.Floor
 }
 
 // republishContested publishes this process's own records again under a higher version when other processes hold
 // different values under its keys: values of an earlier instance with a higher incarnation, or tombstones from a time
-// when the host was not listed. The current values therefore win even if the clock that the incarnation is taken from
-// was set back.
+// when the host was not listed. The incarnation is the start time of the process, so an earlier instance can have a higher
+// one if the clock was set back. The current values win even then.
 func (s *State) republishContested(in step.Input, changed []record.Record) []step.Effect {
 	contested := false
 	for _, r := range changed {
--- a/internal/core/replicas.go
+++ b/internal/core/replicas.go
@@ -60,7 +60,8 @@
 }
 
 // newestAdverts returns the advertisements of the hosts by host name. A previous instance of a host's process may still
-// be listed under another address. The higher incarnation is used then, and for this host always this process.
+// be listed under another address. Of the two advertisements the one with the higher incarnation is used. For this host it is
+// always that of this process.
 func (s *State) newestAdverts() map[string]*member.Advert {
 	newest := map[string]*member.Advert{}
 	for _, address := range s.Members.Peers() {
--- a/internal/core/step/rendezvous.go
+++ b/internal/core/step/rendezvous.go
@@ -6,8 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score returns the weight of a member for a key in rendezvous hashing. Each key yields its own order of the members. A
-// member that is added or removed changes the first member only for those keys for which it has the highest weight.
+// Score returns the weight of a member for a key in rendezvous hashing: the members of a key are ordered by their weights, and
+// each key has its own order. When a member is added or removed, the first member changes only for those keys for which it
+// has the highest weight.
 func Score(key, member string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/internal/core/step/step.go
+++ b/internal/core/step/step.go
@@ -15,7 +15,8 @@
 
 // Input is one event together with the time and the random number that the reducer may use.
 type Input struct {
-	// Now is the shell's clock with its monotonic reading, so that differences are not affected by clock steps.
+	// Now is the time of the shell's clock, with its monotonic reading: the difference between two such times is right even if
+	// the clock was set in between.
 	Now time.Time
 	// Rand is a random number that the shell drew for this input alone.
 	Rand uint64
@@ -23,11 +24,13 @@
 	Event Event
 }
 
-// Tick is the event that the shell sends every TickInterval.
+// Tick is the event that a shell sends at a fixed interval. Entries and agents of the first product's path (package node) and
+// host agents of the users' platform (package hostagent) send it every TickInterval. The entry of the users' platform
+// (package gateway) sends it every 20 ms.
 type Tick struct{}
 
 // Event marks Tick as an event.
 func (Tick) Event() {}
 
-// TickInterval is the time between two Ticks.
+// TickInterval is the time between two Ticks, except in package gateway, which has a shorter interval of its own.
 const TickInterval = 100 * time.Millisecond
--- a/internal/core/suspects.go
+++ b/internal/core/suspects.go
@@ -13,7 +13,8 @@
 // exchange of records.
 const maxMarkPushes = 16
 
-// crashed ends a run whose upstream crashed and marks its request as suspect.
+// crashed ends a run whose upstream crashed, and publishes the mark that follows: the request becomes suspect or is quarantined
+// (see package suspect).
 func (s *State) crashed(in step.Input, ev run.Crashed) []step.Effect {
 	r := s.Runs.Running[ev.ID]
 	if r == nil {
--- a/internal/core/target.go
+++ b/internal/core/target.go
@@ -7,7 +7,7 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// target returns the target state of an upstream. digest is empty if the upstream is not among the replicas of its
+// target returns the desired state of an upstream. digest is empty if the upstream is not among the replicas of its
 // service.
 func (s *State) target(u member.Upstream, digest string) rollout.Target {
 	in, ok := s.Settings[setting.Key(u.Team, u.Service)]
