--- a/internal/telemetry/calls.go
+++ b/internal/telemetry/calls.go
@@ -82,8 +82,8 @@
 	return outcomeOK
 }
 
-// CountChunks wraps the transport of c so that the chunks that it reads from the weight store and the origin are counted. Both are given
-// by URL; weightStore may be empty.
+// CountChunks wraps the transport of c so that the chunks that it reads from the weight store and the origin are counted. weightStore
+// and origin are their URLs; weightStore may be empty.
 func (t *Telemetry) CountChunks(c *http.Client, weightStore, origin string) {
 	next := baseTransport(c)
 	names := map[string]string{hostOf(origin): sourceOrigin}
@@ -158,7 +158,8 @@
 // isCallerRequest reports whether r carries a caller's request, as opposed to a call of the agent itself.
 func isCallerRequest(r *http.Request) bool { return r.Header.Get(requestIDHeader) != "" }
 
-// upstreamOf returns the upstream whose base URL is a prefix of u: scheme and host, with or without the first path segment.
+// upstreamOf returns the upstream whose base URL is a prefix of u. A base URL consists of scheme and host, with or without the first
+// path segment.
 func upstreamOf(u *url.URL, byURL map[string]Upstream) (Upstream, bool) {
 	first, _, _ := strings.Cut(strings.TrimPrefix(u.Path, "/"), "/")
 	for _, prefix := range []string{u.Scheme + "://" + u.Host + "/" + first, u.Scheme + "://" + u.Host} {
--- a/internal/telemetry/exchange.go
+++ b/internal/telemetry/exchange.go
@@ -78,7 +78,8 @@
 	m.Total.Observe(took, x.team, x.service)
 }
 
-// exchange is an http.ResponseWriter that forwards an answer and records what the caller can see of it.
+// exchange is an http.ResponseWriter that forwards the answer to one request and records what the caller can see of it. It has
+// nothing to do with the exchanges of records between processes.
 type exchange struct {
 	http.ResponseWriter
 	team, service string
--- a/internal/telemetry/series.go
+++ b/internal/telemetry/series.go
@@ -14,7 +14,7 @@
 const (
 	// maxLabels is the maximum number of labels of a metric.
 	maxLabels = 4
-	// MaxSeries is the maximum number of label combinations of one metric; further ones are counted under Other.
+	// MaxSeries is the maximum number of label combinations of one metric. Further ones are counted under OtherLabel.
 	MaxSeries = 512
 	// OtherLabel is the value of every label for combinations beyond MaxSeries.
 	OtherLabel = "other"
@@ -53,7 +53,7 @@
 	return f.add(l)
 }
 
-// add creates the series with these labels, or returns the one labelled Other if there are MaxSeries already.
+// add creates the series with these labels, or returns the one labelled OtherLabel if there are MaxSeries already.
 func (f *family[T]) add(l labelValues) T {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,7 +116,8 @@
 // Value returns the value of the series with these labels.
 func (c Counter) Value(values ...string) int64 { return c.get(labelsOf(values)).Count() }
 
-// buckets are the upper bounds of the buckets of histograms: from the overhead of one hop to the duration of a long answer.
+// buckets are the upper bounds of the buckets of histograms. They range from the overhead of one hop (1 ms) to the duration of a
+// long answer (5 minutes).
 var buckets = []time.Duration{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond, 820 * time.Millisecond,
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
 // Package telemetry provides the metrics and traces of a process. It observes the events and effects that pass through the
-// reducer, and wraps HTTP servers and clients, so that the measured code does not depend on it.
+// reducer, and wraps HTTP servers and clients. The code that it measures therefore does not depend on it.
 package telemetry
 
 import (
--- a/internal/telemetry/watcher.go
+++ b/internal/telemetry/watcher.go
@@ -21,8 +21,8 @@
 	sourceOrigin = "origin"
 )
 
-// watcher counts the events and effects that pass through the reducer. It is called while the event loop's lock is held, so it must
-// return quickly.
+// watcher counts the events and effects that pass through the reducer, and creates the spans of settings that come into force. It is
+// called while the event loop's lock is held, so it must return quickly.
 type watcher struct {
 	metrics *Metrics
 	traces  *Traces
