--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -156,7 +156,8 @@
 	// SlowCallThreshold is how long a call to the platform may take before further claims are refused immediately.
 	SlowCallThreshold = time.Second
 	// MaxStaleness is how long after the last read or write of the head a record's status counts as current. After
-	// that, a verdict that another process's write could change for the better requires a new read of the head.
+	// that, the head must be read again before a verdict that is not final: another process may have written the head since,
+	// and the verdict on what it wrote may be a better one, such as a grant.
 	MaxStaleness = time.Second
 	// sweepsPerRetention is the number of sweeps in one retention period.
 	sweepsPerRetention = 8
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -61,7 +61,8 @@
 	// Watch decides what to read from the platform and when the process is ready.
 	Watch *watch.State
 
-	// major and sequence form the version of the records that this process publishes about itself, see ownRecord.
+	// major and sequence form the version of the records that this process publishes about itself, see ownRecord. major starts
+	// as Self.Incarnation and is raised by republishContested.
 	major    uint64
 	sequence uint64
 	// published holds the values that this process last published about itself, by key.
@@ -75,7 +76,8 @@
 	// reportedServed holds the versions that an entry reported as served, by setting key, see QueryServed.
 	reportedServed map[string][]string
 	nextServed     time.Time
-	// leaving is set while this process accepts no new requests, stopping once a graceful shutdown has begun.
+	// leaving is set while this process accepts no new requests: during a graceful shutdown, and on an agent while its host is
+	// listed as leaving. stopping is set once a graceful shutdown has begun. It is never reset.
 	leaving  bool
 	stopping bool
 	// replan is set when settings or members have changed since the last plan.
--- a/internal/core/member/unreachable_test.go
+++ b/internal/core/member/unreachable_test.go
@@ -35,8 +35,8 @@
 }
 
 // TestUnreachableHostsAreUsedOnlyIfAllAreUnreachable checks that an unreachable host gets no requests while other hosts are
-// reachable, but that all hosts are used when all are unreachable. A process that was stalled for a while finds every other
-// host silent; it must not reject all requests because of that.
+// reachable, but that all hosts are used when all are unreachable. To a process that was stalled for a while, every other
+// host seems to be unreachable. It must not reject all requests because of that.
 func TestUnreachableHostsAreUsedOnlyIfAllAreUnreachable(t *testing.T) {
 	s, addresses := newServingState(t, 3)
 	now := time.Unix(1000, 0)
