--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -22,13 +22,16 @@
 	"samphireweir.example/samphireweir/internal/setting"
 )
 
-// Self identifies a process, from its own configuration.
+// Self identifies a process. Its configuration gives all fields except Incarnation.
 type Self struct {
-	Host        string
-	Address     string
-	Place       string
-	Region      string
-	Role        member.Role
+	Host    string
+	Address string
+	// Place is the data centre of the process.
+	Place  string
+	Region string
+	Role   member.Role
+	// Incarnation is the start time of the process in nanoseconds. It identifies the instance of the process. It is not the
+	// fencing number of an agent, which package incarnation acquires.
 	Incarnation uint64
 }
 
@@ -38,7 +41,7 @@
 	Revision uint64
 }
 
-// State is the whole state of a process.
+// State is the complete state of a process.
 type State struct {
 	Self     Self
 	Records  *record.State
@@ -58,7 +61,8 @@
 	// Watch decides what to read from the platform and when the process is ready.
 	Watch *watch.State
 
-	// major and sequence form the version of the records that this process publishes about itself, see ownRecord.
+	// major and sequence form the version of the records that this process publishes about itself, see ownRecord. major starts
+	// as Self.Incarnation and is raised by republishContested.
 	major    uint64
 	sequence uint64
 	// published holds the values that this process last published about itself, by key.
@@ -72,7 +76,8 @@
 	// reportedServed holds the versions that an entry reported as served, by setting key, see QueryServed.
 	reportedServed map[string][]string
 	nextServed     time.Time
-	// leaving is set while this process accepts no new requests, stopping once a graceful shutdown has begun.
+	// leaving is set while this process accepts no new requests: during a graceful shutdown, and on an agent while its host is
+	// listed as leaving. stopping is set once a graceful shutdown has begun. It is never reset.
 	leaving  bool
 	stopping bool
 	// replan is set when settings or members have changed since the last plan.
--- a/internal/core/request/reduce.go
+++ b/internal/core/request/reduce.go
@@ -65,9 +65,8 @@
 		return s.refuse(r, ev.Code, ev.Ran, ev.RetryAfter)
 	case ClaimHeld:
 		return s.refuse(r, code.OutcomeUnknown, code.Unknown, 0)
-	case ClaimUnknown:
-		// The answer is the same as for ClaimNotMade, because this call did not run in either case. But here the key may
-		// be recorded, and a resend with the same key may then be refused.
+	case ClaimMaybeRecorded:
+		// The call did not run, but the key may be recorded. A resend with the same key may then be refused.
 		return s.refuse(r, code.ClaimUnavailable, code.NotRun, DefaultRetryAfter)
 	default:
 		return s.refuse(r, code.ClaimUnavailable, code.NotRun, DefaultRetryAfter)
