--- a/internal/core/forward/backoff.go
+++ b/internal/core/forward/backoff.go
@@ -6,8 +6,8 @@
 // requests now and then, so that an upstream that asks for an absurd time does not stay out of use forever.
 const backoffProbeInitial = 30 * time.Second
 
-// backoff is the time for which an upstream that declined a request asked this entry, in its Retry-After header, to send nothing.
-// The zero value means no backoff.
+// backoff is a time in which an upstream wants no requests from this entry. The upstream requests it in the Retry-After header of
+// an answer that declines a request. The zero value means no backoff.
 type backoff struct {
 	// until is the end of the backoff, and requestedAt the time of the upstream's last request for one.
 	until, requestedAt time.Time
@@ -27,10 +27,10 @@
 	}
 }
 
-// active reports whether the backoff is in force.
+// active reports whether the backoff has not ended yet.
 func (b *backoff) active(now time.Time) bool { return now.Before(b.until) }
 
-// remaining returns the time until a request may be sent.
+// remaining returns the time until a request may be sent: until the next probe, or the end of the backoff if that comes first.
 func (b *backoff) remaining(now time.Time) time.Duration {
 	if b.probeAt.Before(b.until) {
 		return b.probeAt.Sub(now)
@@ -38,10 +38,10 @@
 	return b.until.Sub(now)
 }
 
-// allows reports whether a request may be sent now.
+// allows reports whether a request may be sent now, as a probe or without a backoff.
 func (b *backoff) allows(now time.Time) bool { return !b.active(now) || !now.Before(b.probeAt) }
 
-// attempted records that a request was sent. Within a backoff it doubles the delay before the next probe.
+// attempted records that a request was sent. Within a backoff that request was a probe, and the delay before the next one doubles.
 func (b *backoff) attempted(now time.Time) {
 	if b.active(now) {
 		b.probeInterval *= 2
--- a/internal/core/forward/backoff_test.go
+++ b/internal/core/forward/backoff_test.go
@@ -128,7 +128,7 @@
 	require.Greater(t, probes(3*time.Hour, forward.Answered), 100)
 }
 
-// TestRetryAfterIsBoundedDespiteExcessiveBackoff guards against a caller who is told to retry in a day because an upstream
+// TestRetryAfterIsBoundedDespiteExcessiveBackoff guards against a caller who is asked to retry in a day because an upstream
 // requested such a backoff.
 func TestRetryAfterIsBoundedDespiteExcessiveBackoff(t *testing.T) {
 	r := newRig()
--- a/internal/core/forward/capacity.go
+++ b/internal/core/forward/capacity.go
@@ -6,109 +6,109 @@
 )
 
 const (
-	// plainQueueFactor is how many requests an entry sends to a plain upstream per slot; the upstream queues those beyond its
-	// slots.
+	// plainQueueFactor bounds how many requests of an entry a plain upstream may have, per slot. With 2, at most as many of them
+	// wait in the upstream's queue as it has slots.
 	plainQueueFactor = 2
 	// defaultPrefillRate is the rate, in prompt tokens per second, of engines for which the manifest sets none.
 	defaultPrefillRate = 30000.0
-	// farReservedSlots is how many slots an entry leaves free at an engine of another data centre, whose load reports arrive late.
-	// Nearer entries fill these slots in the meantime, and any further request would wait at the engine.
+	// farReservedSlots is how many slots an entry leaves free at an engine of another data centre. The engine's load reports arrive
+	// late. Nearer entries fill these slots in the meantime, and any further request would wait at the engine.
 	farReservedSlots = 2
-	// minAssumedEntries is how many entries at least are assumed to send an engine as many requests as this one, while its load
-	// report is missing.
+	// minAssumedEntries bounds from below how many entries are assumed to use an engine whose load report is missing. Each of
+	// them, this one included, is assumed to have as many requests there as this one.
 	minAssumedEntries = 2
 )
 
 // hasCapacity reports whether this entry may send the upstream one more request.
-func (t *target) hasCapacity(now time.Time, r *request) bool {
-	return t.occupied(now, r) < t.maxRequests(r) && !t.prefillFull(r) && !t.shareUsedUp(now, r) && t.rateAllowed(now) && t.fitsMemory(t.load.tokens+r.tokens)
+func (v *upstreamView) hasCapacity(now time.Time, r *request) bool {
+	return v.occupied(now, r) < v.maxRequests(r) && !v.prefillFull(r) && !v.shareUsedUp(now, r) && v.rateAllowed(now) && v.fitsMemory(v.load.tokens+r.tokens)
 }
 
 // fitsMemory reports whether an engine's memory holds that many tokens. An engine that runs out of memory evicts a request that it
 // has started, or crashes.
-func (t *target) fitsMemory(tokens int) bool {
-	return t.engine == nil || t.engine.MemoryTokens <= 0 || tokens <= t.engine.MemoryTokens
+func (v *upstreamView) fitsMemory(tokens int) bool {
+	return v.engine == nil || v.engine.MemoryTokens <= 0 || tokens <= v.engine.MemoryTokens
 }
 
-// occupied returns how many requests the upstream has, as far as this entry knows.
-func (t *target) occupied(now time.Time, r *request) int {
+// occupied returns how many requests the upstream has, as far as this entry knows. Of a plain upstream it knows only its own.
+func (v *upstreamView) occupied(now time.Time, r *request) int {
 	if r.model == "" {
-		return t.load.inFlight
+		return v.load.inFlight
 	}
-	if t.load.hasReport(now) {
-		return t.load.inFlight + t.load.otherRequests
+	if v.load.hasReport(now) {
+		return v.load.inFlight + v.load.otherRequests
 	}
-	return t.load.inFlight * max(minAssumedEntries, t.entries)
+	return v.load.inFlight * max(minAssumedEntries, v.entries)
 }
 
-// prefillFull reports whether the engine has as many prompt tokens pending as this entry sends it at once. A request that was sent
-// before does not wait for that.
-func (t *target) prefillFull(r *request) bool {
-	pending := t.load.pendingPromptTokens
-	return r.attempts == 0 && pending > 0 && float64(pending+r.prompt) > t.maxPendingTokens()
+// prefillFull reports whether the request's prompt would exceed what this entry may have pending at the engine at once. It never does
+// so if no prompt is pending, and never for a request that was attempted before.
+func (v *upstreamView) prefillFull(r *request) bool {
+	pending := v.load.pendingPromptTokens
+	return r.attempts == 0 && pending > 0 && float64(pending+r.prompt) > v.maxPendingTokens()
 }
 
 // maxPendingTokens returns how many prompt tokens this entry may have pending at the engine: its share of what all entries may
 // have. The more entries there are, the more engines each one can choose from, so that prompts spread out and none waits.
-func (t *target) maxPendingTokens() float64 {
-	entries := t.load.report.NearEntries
-	if t.distance > 0 {
-		entries = t.load.report.Entries
+func (v *upstreamView) maxPendingTokens() float64 {
+	entries := v.load.report.NearEntries
+	if v.distance > 0 {
+		entries = v.load.report.Entries
 	}
-	return t.prefillRate() * t.prefillAhead.Seconds() / float64(max(1, entries))
+	return v.prefillRate() * v.prefillAhead.Seconds() / float64(max(1, entries))
 }
 
 // prefillRate returns how many prompt tokens per second the engine processes at its present speed.
-func (t *target) prefillRate() float64 {
-	if t.engine != nil && t.engine.PromptTokensPerSecond > 0 {
-		return t.engine.PromptTokensPerSecond / t.slowdown()
+func (v *upstreamView) prefillRate() float64 {
+	if v.engine != nil && v.engine.PromptTokensPerSecond > 0 {
+		return v.engine.PromptTokensPerSecond / v.slowdown()
 	}
-	return defaultPrefillRate / t.slowdown()
+	return defaultPrefillRate / v.slowdown()
 }
 
 // slowThreshold is the slowdown from which an engine is used only after the others.
 const slowThreshold = 1.5
 
 // slowdown returns the engine's reported processing time relative to what its service declares, as a factor of at least 1.
-func (t *target) slowdown() float64 {
-	if reported := t.load.report.Slowdown; reported > 1 && !math.IsInf(reported, 0) {
+func (v *upstreamView) slowdown() float64 {
+	if reported := v.load.report.Slowdown; reported > 1 && !math.IsInf(reported, 0) {
 		return reported
 	}
 	return 1
 }
 
 // slow reports whether the engine's requests are likely to be late.
-func (t *target) slow() bool { return t.slowdown() >= slowThreshold }
+func (v *upstreamView) slow() bool { return v.slowdown() >= slowThreshold }
 
 // maxRequests returns how many requests the upstream may have.
-func (t *target) maxRequests(r *request) int {
+func (v *upstreamView) maxRequests(r *request) int {
 	switch {
 	case r.model == "":
-		return t.slots() * plainQueueFactor
-	case t.distance > 0 && r.attempts == 0:
-		return max(1, t.slots()-farReservedSlots)
+		return v.slots() * plainQueueFactor
+	case v.distance > 0 && r.attempts == 0:
+		return max(1, v.slots()-farReservedSlots)
 	}
-	return t.slots()
+	return v.slots()
 }
 
 // slots returns how many requests the upstream works on at once. Its registration may come from another writer, so the service's
 // own number is an upper limit.
-func (t *target) slots() int {
-	if t.engine != nil && t.engine.Slots > 0 {
-		return max(1, min(t.Slots, t.engine.Slots))
+func (v *upstreamView) slots() int {
+	if v.engine != nil && v.engine.Slots > 0 {
+		return max(1, min(v.Slots, v.engine.Slots))
 	}
-	return max(1, t.Slots)
+	return max(1, v.Slots)
 }
 
-// shareOfFree returns how many requests this entry may send to the engine before its next load report, in addition to those whose
-// slots it frees itself. It is this entry's share of the free slots, since all entries that receive the report fill them at the
-// same time; see also prefillPrompts. The random number draw decides how the share is rounded.
-func (t *target) shareOfFree(ev LoadReported, draw uint64) int {
-	slots, entries := t.slots(), ev.NearEntries
-	if t.distance > 0 {
+// shareOfFree returns how many requests this entry may send to the engine before its next load report. It is this entry's share of
+// the free slots, since all entries that receive the report fill them at the same time; see also prefillPrompts. A slot that a
+// request of this entry frees in the meantime comes on top; see release. The random number draw decides how the share is rounded.
+func (v *upstreamView) shareOfFree(ev LoadReported, draw uint64) int {
+	slots, entries := v.slots(), ev.NearEntries
+	if v.distance > 0 {
 		slots, entries = max(1, slots-farReservedSlots), ev.Entries-ev.NearEntries
 	}
-	share := math.Min(float64(max(0, slots-ev.RequestCount)), t.prefillPrompts()) / float64(max(1, entries))
+	share := math.Min(float64(max(0, slots-ev.RequestCount)), v.prefillPrompts()) / float64(max(1, entries))
 	requests := math.Floor(share)
 	if float64(mix(draw))/math.MaxUint64 < share-requests { // Round up at random, so that on average no fraction of a slot is lost.
 		requests++
@@ -117,15 +117,15 @@
 }
 
 // prefillPrompts returns how many prompts of the usual length the engine processes within Policy.PrefillAhead. The entries together
-// send no more at once, so that an engine that returns empty is filled at the speed at which it processes prompts.
-func (t *target) prefillPrompts() float64 {
-	if t.engine == nil || t.engine.MeanPromptTokens <= 0 {
+// send no more at once. An engine that returns without requests is therefore filled at the speed at which it processes prompts.
+func (v *upstreamView) prefillPrompts() float64 {
+	if v.engine == nil || v.engine.MeanPromptTokens <= 0 {
 		return math.MaxInt
 	}
-	return math.Max(1, t.prefillRate()*t.prefillAhead.Seconds()/t.engine.MeanPromptTokens)
+	return math.Max(1, v.prefillRate()*v.prefillAhead.Seconds()/v.engine.MeanPromptTokens)
 }
 
 // shareUsedUp reports whether this entry has used its share of the engine's free slots.
-func (t *target) shareUsedUp(now time.Time, r *request) bool {
-	return r.model != "" && r.attempts == 0 && t.load.remainingShare <= 0 && t.load.hasReport(now)
+func (v *upstreamView) shareUsedUp(now time.Time, r *request) bool {
+	return r.model != "" && r.attempts == 0 && v.load.remainingSends <= 0 && v.load.hasReport(now)
 }
--- a/internal/core/forward/rejection.go
+++ b/internal/core/forward/ending.go
@@ -10,51 +10,52 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// rejection is the reason why a request must not be sent.
-type rejection struct {
+// ending is why a request ends without an upstream's answer.
+type ending struct {
 	code   code.Code
 	reason string
 	// retryAfter is the delay after which the caller may retry; 0 if a retry is of no use.
 	retryAfter time.Duration
 }
 
-// rejected reports whether a request must not be sent, or not be sent again, and why. It is checked before each attempt: a request
+// mustNotSend reports whether a request must not be sent, or not be sent again, and why. It is checked before each attempt: a request
 // may wait for capacity and take several attempts, so the result of an earlier check may be seconds old.
-func (s *State) rejected(in step.Input, r *request) (rejection, bool) {
-	if b, rejected := s.applyManifest(in, r); rejected {
-		return b, true
+func (s *State) mustNotSend(in step.Input, r *request) (ending, bool) {
+	if end, forbidden := s.applyManifest(in, r); forbidden {
+		return end, true
 	}
 	return s.quarantined(in, r)
 }
 
-// applyManifest looks up a request's route, account and service in the newest manifest. If the operator removed one of them, or
-// made the route non-repeatable, while the request was queued or in flight, that applies to its further attempts.
-func (s *State) applyManifest(in step.Input, r *request) (rejection, bool) {
+// applyManifest looks up a request's route, account and service in the newest manifest, and reports whether the request must not be
+// sent under it. If the operator removed one of them, or made the route non-repeatable, while the request was queued or in flight,
+// that applies to its further attempts.
+func (s *State) applyManifest(in step.Input, r *request) (ending, bool) {
 	m := s.Catalog.Manifest
 	if r.manifest == m {
-		return rejection{}, false
+		return ending{}, false
 	}
 	route := m.Route(r.host, r.path)
 	if route == nil {
-		return rejection{code: code.NoSuchRoute, reason: fmt.Sprintf("no route for %s%s in manifest %d", r.host, r.path, m.Version)}, true
+		return ending{code: code.NoSuchRoute, reason: fmt.Sprintf("no route for %s%s in manifest %d", r.host, r.path, m.Version)}, true
 	}
 	account := m.Account(r.key)
 	if account == nil && m.HasAccounts && !route.Anonymous {
-		return rejection{code: code.UnknownKey, reason: fmt.Sprintf("the key belongs to no client account in manifest %d", m.Version)}, true
+		return ending{code: code.UnknownKey, reason: fmt.Sprintf("the key belongs to no client account in manifest %d", m.Version)}, true
 	}
 	if r.possibleRuns > 0 && accountName(account) != accountName(r.account) {
-		return rejection{code: code.UnknownKey, reason: fmt.Sprintf("the key belongs to another client account in manifest %d", m.Version)}, true
+		return ending{code: code.UnknownKey, reason: fmt.Sprintf("the key belongs to another client account in manifest %d", m.Version)}, true
 	}
 	bound := residency.NewBound(route.HomeRegions, accountHomes(account))
 	if bound.Empty() {
-		return rejection{code: code.NoCommonHome, reason: fmt.Sprintf("route and client account have no home in common (%s) in manifest %d", bound, m.Version)}, true
+		return ending{code: code.NoCommonHome, reason: fmt.Sprintf("route and client account have no home in common (%s) in manifest %d", bound, m.Version)}, true
 	}
 	r.manifest, r.route, r.account, r.homes = m, route, account, bound
-	if !r.partial && !route.Serves(r.service) { // Only the service that began an answer can resume it.
+	if !r.partial && !route.Serves(r.service) { // Only the service that began an answer can continue it.
 		r.service = route.PickService(in.Rand)
 	}
 	r.model = s.modelFor(r)
-	return rejection{}, false
+	return ending{}, false
 }
 
 // modelFor returns the model that a request is for: the one that its caller named, or else the only model of its service's engines.
--- a/internal/core/forward/forward.go
+++ b/internal/core/forward/forward.go
@@ -1,9 +1,12 @@
-// Package forward is the entry's reducer for requests that are forwarded to registered upstreams. It decides which upstream a
-// request is sent to, how long it may wait for capacity, whether it may be retried, and what its caller is told at the end. The
-// package is pure: see package step.
+// Package forward is the reducer of the entry on the users' platform, for requests that are forwarded to registered upstreams. It
+// decides which upstream a request is sent to, how long it may wait for capacity, whether it may be retried, and which answer its
+// caller gets at the end. The package is pure: see package step.
+//
+// Package gateway is the shell of this reducer. Packages hostagent and core/install are the agent's side on the same platform. The
+// first product's path is separate: package entry with core/request and core/routing.
 //
 // Three rules take precedence over all others. A request that may run only once is never retried after an attempt that may have
-// run. A caller is told "not run" only if no attempt can have run. A request that can't be served is answered at once.
+// run. A caller gets the answer "not run" only if no attempt can have run. A request that can't be served is answered at once.
 package forward
 
 import (
@@ -19,7 +22,8 @@
 
 // Self holds what an entry knows about itself and its configuration.
 type Self struct {
-	// Name is the host's name. It seeds the entry's choices, so that they differ from those of other entries.
+	// Name is the host's name. It determines the ranking of the heartbeat targets (topRanked) and the offset of the cold pacer
+	// (setColdPacer), so that both differ between entries.
 	Name       string
 	DataCentre string
 	Region     string
@@ -51,7 +55,8 @@
 	Broken Outcome = "broken"
 	// Silent: nothing was received within the timeout; the request may have run.
 	Silent Outcome = "silent"
-	// Withdrawn: the entry withdrew the request before its answer began; the request may have run.
+	// Withdrawn: the entry ended the attempt itself, and the request may have run. There are three causes: the reducer withdrew the
+	// request before its answer began (see Withdraw), the caller is gone, or the deadline passed.
 	Withdrawn Outcome = "withdrawn"
 	// Unsent: the entry withdrew the request before anything was sent.
 	Unsent Outcome = "taken back before it was sent"
@@ -81,7 +86,8 @@
 	Size int64
 	// PromptTokens is the length of the prompt in tokens, and MaxAnswerTokens the maximum length of the answer; 0 if unknown.
 	PromptTokens, MaxAnswerTokens int
-	// Fingerprint identifies the request's content and its caller, independent of the request's ID; 0 if unknown.
+	// Fingerprint identifies the request's content and its caller, independent of the request's ID; 0 if unknown. It differs from
+	// the fingerprint of the first product's path (package entry), which is independent of the caller.
 	Fingerprint uint64
 }
 
@@ -113,7 +119,7 @@
 // CallerGone is the event that the caller closed its connection.
 type CallerGone struct{ ID uint64 }
 
-// LoadReported is the event that a load report was received from the agent that runs beside an engine.
+// LoadReported is the event that a load report was received from the agent on an engine's host.
 type LoadReported struct {
 	// Address is the engine's address.
 	Address string
@@ -169,7 +175,7 @@
 	Deadline time.Time
 }
 
-// Send has the shell send a request to an upstream: one attempt.
+// Send has the shell make one attempt: send a request to an upstream.
 type Send struct {
 	ID uint64
 	// Attempt counts the attempts of the request from 1.
@@ -188,9 +194,10 @@
 	FirstEventTimeout time.Duration
 	// GapTimeout is the timeout between two events of a stream; 0 for the request's deadline.
 	GapTimeout time.Duration
-	// Resume is set if the upstream must resume an answer that another upstream began.
+	// Resume is set if part of an answer was passed on in an earlier attempt. Another upstream, the one of this attempt, must
+	// then continue that answer.
 	Resume bool
-	// Returning is set if the caller was probably refused before.
+	// Returning is set if the caller was probably refused before; see callerTimeouts.
 	Returning bool
 }
 
@@ -245,13 +252,13 @@
 	homes residency.Bound
 	// requestedModel is the model that the caller named, and model the one that applies; model is empty for a plain service.
 	requestedModel, model string
-	// fingerprint identifies the request's content and caller; see package quarantine.
+	// fingerprint identifies the request's content and caller; see Arrived and package quarantine.
 	fingerprint uint64
 	deadline    time.Time
 	// arrived is when the request's head was read.
 	arrived       time.Time
 	queueDeadline time.Time
-	// returning is set if the caller was probably refused before. Its answer can then only be late, measured from its first try.
+	// returning is set if the caller was probably refused before. Its answer is then late in any case, measured from its first try.
 	returning bool
 	// instance is the upstream that the request is with; zero if none.
 	instance catalog.Instance
@@ -287,19 +294,21 @@
 
 	requests       map[uint64]*request
 	loads          map[catalog.Instance]*load
-	targets        targets
+	views          viewCache
 	retryBudgets   map[string]*retryBudget
 	callerTimeouts callerTimeouts
 	// breaks are the recent broken attempts by the request's fingerprint, the oldest first.
 	breaks map[uint64][]breakRecord
 	// queues are the IDs of the requests that wait for capacity, by service, the oldest first.
 	queues map[string][]uint64
-	// lastQueuedAt is when a request was last put into the queue, or back into it, by service.
+	// lastQueuedAt is when a request of the service last had to wait. Each tick puts the requests that still wait back into their
+	// queue, so it is recent as long as one waits.
 	lastQueuedAt map[string]time.Time
-	// heartbeatTargets are the IDs of the engines whose agents get heartbeats from this entry; nil before the first call of ChooseHeartbeatTargets.
+	// heartbeatTargets are the IDs of the engines whose agents get heartbeats from this entry; nil before the first call of
+	// ChooseHeartbeatTargets.
 	heartbeatTargets map[string]bool
-	// unreportedResumeAt ends the pause for engines without a load report, and unreportedPause is the length of the last pause.
-	unreportedResumeAt time.Time
+	// unreportedPauseEnd is the end of the pause for engines without a load report, and unreportedPause the length of the last pause.
+	unreportedPauseEnd time.Time
 	unreportedPause    time.Duration
 	// unreportedWaiting counts the requests that wait for their first event at such engines.
 	unreportedWaiting int
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -109,7 +109,7 @@
 	require.Equal(t, 1, r.state.InFlight())
 }
 
-// TestRequestIsRefusedAsNotReadyBeforeTheManifestIsKnown guards against telling callers of a starting entry that their route does
+// TestRequestIsRefusedAsNotReadyBeforeTheManifestIsKnown guards against refusing callers of a starting entry as if their route did
 // not exist.
 func TestRequestIsRefusedAsNotReadyBeforeTheManifestIsKnown(t *testing.T) {
 	s := forward.NewState(forward.Self{}, catalog.NewState())
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestDeclinedRequestIsRetriedElsewhere guards against failing a request that certainly did not run, and against telling its caller
-// that it may have run.
+// TestDeclinedRequestIsRetriedElsewhere guards against failing a request that certainly did not run, and against reporting to its
+// caller that it may have run.
 func TestDeclinedRequestIsRetriedElsewhere(t *testing.T) {
 	for _, outcome := range []forward.Outcome{forward.NotSent, forward.Declined, forward.Misdirected} {
 		r := newRig()
@@ -156,8 +156,8 @@
 	}
 }
 
-// TestReportedRunStatusIsTrue guards against a caller that is told "not run" about a request that may have run, and against
-// forbidden retries. It plays random outcomes and timeouts for each kind of route.
+// TestReportedRunStatusIsTrue guards against the answer "not run" to a request that may have run, and against forbidden
+// retries. It plays random outcomes and timeouts for each kind of route.
 func TestReportedRunStatusIsTrue(t *testing.T) {
 	outcomes := []forward.Outcome{
 		forward.Answered, forward.ServerFailed, forward.NotSent, forward.Declined, forward.Misdirected, forward.Broken, forward.Silent,
--- a/internal/core/forward/heartbeat.go
+++ b/internal/core/forward/heartbeat.go
@@ -15,8 +15,8 @@
 	maxFarAgents  = 32
 )
 
-// ChooseHeartbeatTargets chooses the engines whose agents get heartbeats from this entry, in an order specific to the entry, and records them. The
-// entry uses the other engines only when the chosen ones have no capacity.
+// ChooseHeartbeatTargets chooses the engines whose agents get heartbeats from this entry, in an order specific to the entry, and
+// records them. The entry uses the other engines only when the chosen ones have no capacity.
 func (s *State) ChooseHeartbeatTargets() []*catalog.Upstream {
 	var near, far []string
 	for id, u := range s.Catalog.Upstreams {
@@ -29,7 +29,7 @@
 		}
 	}
 	s.heartbeatTargets = map[string]bool{}
-	s.targets = targets{}
+	s.views = viewCache{}
 	s.nearFraction, s.farFraction = fraction(maxNearAgents, len(near)), fraction(maxFarAgents, len(far))
 	var chosen []*catalog.Upstream
 	for _, id := range append(s.topRanked(near, maxNearAgents), s.topRanked(far, maxFarAgents)...) {
@@ -45,7 +45,7 @@
 	return step.Rank(s.Self.Name, ids)[:min(n, len(ids))]
 }
 
-// fraction returns the fraction that n is of the total, 1 at most.
+// fraction returns n as a fraction of the total, but no more than 1.
 func fraction(n, total int) float64 {
 	if total <= n {
 		return 1
@@ -53,8 +53,8 @@
 	return float64(n) / float64(total)
 }
 
-// estimateEntries estimates the number of entries from how many send heartbeats to one agent. Each entry sends heartbeats to a part
-// of the agents only, and that part is the same for all entries.
+// estimateEntries estimates the number of entries from how many send heartbeats to one agent. Each entry sends heartbeats to a
+// fraction of the agents only, and that fraction is the same for all entries.
 func (s *State) estimateEntries(ev LoadReported) int {
 	near, far := float64(ev.NearEntries), float64(ev.Entries-ev.NearEntries)
 	if s.heartbeatTargets == nil {
@@ -63,7 +63,7 @@
 	return int(math.Ceil(near/s.nearFraction + far/s.farFraction))
 }
 
-// isEngine reports whether an upstream is a model engine, which has an agent beside it.
+// isEngine reports whether an upstream is a model engine. The host of a model engine also runs an agent.
 func (s *State) isEngine(u *catalog.Upstream) bool {
 	service := s.service(u)
 	return service != nil && service.Engine != nil
--- a/internal/core/forward/heartbeat_test.go
+++ b/internal/core/forward/heartbeat_test.go
@@ -71,7 +71,7 @@
 		}
 		return count
 	}
-	// 128 agents here and 320 elsewhere: half and a tenth of them get heartbeats, so 5 and 3 entries stand for 10 and 30.
+	// 128 agents here and 320 elsewhere: half and a tenth of them get heartbeats, so 5 and 3 entries represent 10 and 30.
 	part := retries(128, 320, forward.LoadReported{Entries: 8, NearEntries: 5})
 	complete := retries(10, 20, forward.LoadReported{Entries: 40, NearEntries: 10})
 	require.Equal(t, complete, part)
--- a/internal/core/forward/homes_test.go
+++ b/internal/core/forward/homes_test.go
@@ -31,7 +31,7 @@
 	r.applyCatalog(catalog.ManifestRead{Revision: int64(r.next), Manifest: m})
 }
 
-// allowedIn reports whether the manifest in force allows a request of key-1 in a region. It does not use the code under test.
+// allowedIn reports whether the active manifest allows a request of key-1 in a region. It does not use the code under test.
 func (r *rig) allowedIn(region string) bool {
 	m := r.state.Catalog.Manifest
 	for _, homes := range []residency.Regions{m.Route("h", reports).HomeRegions, m.Account("key-1").HomeRegions} {
--- a/internal/core/forward/leaving_test.go
+++ b/internal/core/forward/leaving_test.go
@@ -73,7 +73,7 @@
 	require.Len(t, sentIDs(r.arrive(5, lookups)), 1, "the notice is from the earlier instance")
 }
 
-// TestLeavingOutlivesTheRegistration guards against using a leaving upstream again because its registration lapsed and returned, as
+// TestLeavingOutlivesTheRegistration guards against using a leaving upstream again because its registration expired and returned, as
 // after an outage of the store.
 func TestLeavingOutlivesTheRegistration(t *testing.T) {
 	r := newRig()
--- a/internal/core/forward/load.go
+++ b/internal/core/forward/load.go
@@ -36,12 +36,12 @@
 	overdue int
 	// otherRequests is the number of requests from other entries, as of reportedAt.
 	otherRequests int
-	// remainingShare is how many more requests this entry may send to the engine before its next load report; see shareOfFree.
-	remainingShare int
+	// remainingSends is how many more requests this entry may send to the engine before its next load report; see shareOfFree.
+	remainingSends int
 	failures       int
 	avoidUntil     time.Time
 	avoidDuration  time.Duration
-	// foundDownAt is when the upstream was last found to be down.
+	// foundDownAt is when this entry last found that the upstream is down; see foundDown.
 	foundDownAt time.Time
 	// leavingAt is when the upstream last said that it is shutting down; zero if it did not. An instance does not revoke that.
 	leavingAt time.Time
@@ -76,7 +76,8 @@
 	case Withdrawn, Unsent:
 		return // The outcome says nothing about the upstream.
 	case NotSent, Misdirected, Silent:
-		// Nothing listens there, another process does, or the network path is blocked.
+		// Nothing listens there, another process does, or the network path is blocked. One such outcome counts like failuresToAvoid
+		// consecutive failures. Some misdirected attempts are not recorded at all; see release.
 		l.failures = failuresToAvoid
 	default:
 		l.failures++
@@ -120,14 +121,15 @@
 	l.nearEntries.add(in.Now, ev.NearEntries)
 	l.otherRequests = max(0, ev.RequestCount-l.inFlight)
 	l.noteCold(in.Now, ev.ColdRemaining)
-	t := s.target(u)
-	l.remainingShare = t.shareOfFree(ev, in.Rand)
-	s.setColdPacer(in.Now, t)
+	v := s.view(u)
+	l.remainingSends = v.shareOfFree(ev, in.Rand)
+	s.setColdPacer(in.Now, v)
 	if ev.Leaving {
 		l.leavingAt = in.Now
 	}
 	if limit := ev.RateLimit; limit != nil && *limit >= 0 && !math.IsInf(*limit, 0) {
-		l.limitPacer.setLimit(in.Now, *limit, s.limitShare(u.Instance()), in.Rand) // An answer without a limit ends it, like any other limit.
+		// A report without a limit does not end one. Only an answer without a limit does; see noteRateLimit.
+		l.limitPacer.setLimit(in.Now, *limit, s.limitShare(u.Instance()), in.Rand)
 	}
 	return append(effects, s.serveQueue(in, u.Service)...)
 }
@@ -158,8 +160,8 @@
 	}
 }
 
-// stateLifetime is how long an upstream's statements about itself are kept after its registration is gone. A registration lapses if
-// its upstream can't reach the store, and returns with the same instance.
+// stateLifetime is how long an upstream's statements about itself are kept after its registration is gone. A registration expires
+// while its upstream can't reach the store, and the same instance registers again afterwards.
 const stateLifetime = time.Minute
 
 // keepsState reports whether the upstream made a statement that may still hold if its registration returns.
--- a/internal/core/forward/notice.go
+++ b/internal/core/forward/notice.go
@@ -37,7 +37,7 @@
 // answerHeadReceived handles an upstream's statement about itself.
 func (s *State) answerHeadReceived(in step.Input, ev AnswerHeadReceived) []step.Effect {
 	if ev.Outcome == Misdirected || ev.Outcome == Broken {
-		return nil // It is from another upstream, or its sender is unknown.
+		return nil // The answer is from another upstream, or its sender is unknown.
 	}
 	l := s.load(ev.Upstream)
 	s.noteRateLimit(in, &l.limitPacer, ev)
--- a/internal/core/forward/outcome_test.go
+++ b/internal/core/forward/outcome_test.go
@@ -34,7 +34,7 @@
 	only[forward.Send](t, r.arrive(2, reports))
 }
 
-// TestUnsentRequestIsReportedAsNotRun guards against telling a caller that a request may have run (502, 504) although nothing of it
+// TestUnsentRequestIsReportedAsNotRun guards against reporting to a caller that a request may have run (502, 504) although nothing of it
 // was sent: it was withdrawn, or timed out, before its connection was made. A non-idempotent request would then not be retried.
 func TestUnsentRequestIsReportedAsNotRun(t *testing.T) {
 	for _, path := range []string{bookings, lookups, reports, notes} {
--- a/internal/core/forward/pacer.go
+++ b/internal/core/forward/pacer.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// minLimitRate, in requests per second, is what all entries together still send to an upstream with a smaller limit: only an
-	// answer can tell that a limit has ended.
+	// minLimitRate, in requests per second, is what all entries together still send to an upstream with a smaller limit. Without any
+	// requests, they would get no answer that shows that the limit has ended.
 	minLimitRate = 0.2
 	// defaultSlotLifetime is how long an unused send slot for an upstream at its limit stays valid. Unused slots expire, since
 	// otherwise entries that were idle would use all their saved slots at once.
--- a/internal/core/forward/pick.go
+++ b/internal/core/forward/pick.go
@@ -18,19 +18,23 @@
 	// staleAfterOverdue applies to an engine that keeps a request waiting beyond its latency objective. The load of a working
 	// engine changes with each request, and its agent reports that within 400 ms.
 	staleAfterOverdue = 500 * time.Millisecond
-	// minReports is how many engines must have a load report for these to stand for the others. If none of them holds the weights,
-	// the unreported engines most likely don't either, whatever the store still says about them.
+	// minReports is the smallest number of engines with a load report that are taken to represent the others. If none of them holds
+	// the weights, the unreported engines most likely don't either, whatever the store still says about them.
 	minReports = 8
-	// maxChoices limits how many of the nearest upstreams are compared for a request; see pick.
+	// maxChoices limits Policy.SampleSize, the number of upstreams that are compared for a request; see pick.
 	maxChoices = 4
 )
 
-// availability is the result of the search for an upstream.
+// availability is the result of the search for an upstream. The values correspond to None, Full and Found in package routing, and are
+// ordered: a larger one is a better result.
 type availability int
 
 const (
-	none availability = iota
-	allFull
+	// unavailable: no upstream can take the request soon.
+	unavailable availability = iota
+	// full: an upstream can take the request soon. It is full, loads weights, or is in a backoff that ends in time.
+	full
+	// available: an upstream has capacity for the request.
 	available
 )
 
@@ -38,68 +42,76 @@
 // soonest. Entries see the same loads with a delay; if each of them took the least loaded upstream of all, they would all take the
 // same one.
 //
-// An engine without a load report is used if the reported ones are full, until one without a report declines a request or is slow
-// to its first event: then the whole fleet is likely to be full; see maySendUnreported. An engine whose report is stale is used,
-// full or not, only if no other engine can be: a request that waits for capacity is answered sooner than one at a frozen host.
-// Neither kind is used if at least minReports engines have a report and none of them could accept requests even if it were not
-// full.
+// The reported engines come first. The other kinds are used only in these cases:
+//
+//   - An engine whose version is about to expire: if no reported engine with the required version has capacity; see minVersionIfFull.
+//   - An engine without a load report: if the reported ones are full or unusable. While they are full, there is a pause after an
+//     engine without a report declined a request or was slow to its first event: the whole fleet is then likely to be full; see
+//     maySendUnreported.
+//   - An engine whose report is stale: if every reported engine is unusable, and no unreported one is used. If reported engines are
+//     merely full, the request waits for these: it is answered sooner than at a frozen host. A stale engine that is full itself gets
+//     no request either; the request then waits.
+//
+// Unreported and stale engines are not used if at least minReports engines have a valid report and every reported engine is unusable.
 func (s *State) pick(in step.Input, r *request) (*catalog.Upstream, availability) {
-	p := s.pools(in, r)
+	p := s.samples(in, r)
 	switch {
-	case p.reported.availability < available && p.expiring.availability == available:
-		return p.expiring.best(in.Now, r)
-	case p.reported.availability == none && p.reports >= minReports:
-		return nil, none
-	case p.reported.availability < available && p.unreported.availability > none && s.maySendUnreported(in.Now, &p.reported):
+	case p.reported.availability < available && p.withExpiringVersion.availability == available:
+		return p.withExpiringVersion.best(in.Now, r)
+	case p.reported.availability == unavailable && p.reports >= minReports:
+		return nil, unavailable
+	case p.reported.availability < available && p.unreported.availability > unavailable && s.maySendUnreported(in.Now, &p.reported):
 		return p.unreported.best(in.Now, r)
-	case p.reported.availability == none:
+	case p.reported.availability == unavailable:
 		return p.stale.best(in.Now, r)
 	}
 	return p.reported.best(in.Now, r)
 }
 
-// pools are the upstreams that could accept a request, by how much is known about them.
-type pools struct {
-	// reported are those with a current load report, those that need none, and those whose first one is still expected. The
-	// reports of stale ones are old, and unreported ones have none.
+// samples are the samples of the upstreams that could accept a request, one for each state of knowledge about an upstream.
+type samples struct {
+	// reported is the sample of the upstreams with a current load report, those that need none, and those whose first report is still
+	// expected. stale is that of the engines with an old report, and unreported that of the engines without one; see
+	// upstreamView.unreported.
 	reported, stale, unreported sample
-	// expiring are those with a version on which the request may start only for a short time; see minVersionIfFull.
-	expiring sample
+	// withExpiringVersion is the sample of the engines whose version the request may start on only for a short time; see
+	// minVersionIfFull.
+	withExpiringVersion sample
 	// reports counts the upstreams with a valid load report, whatever it says, among those that were examined.
 	reports int
 }
 
-// pools examines the upstreams that a request may go to, the nearest first. It stops at the distance from which on no upstream can
+// samples examines the upstreams that a request may go to, the nearest first. It stops at the distance from which on no upstream can
 // change the choice.
-func (s *State) pools(in step.Input, r *request) pools {
-	p := pools{reported: s.newSample(), stale: s.newSample(), unreported: s.newSample(), expiring: s.newSample()}
+func (s *State) samples(in step.Input, r *request) samples {
+	p := samples{reported: s.newSample(), stale: s.newSample(), unreported: s.newSample(), withExpiringVersion: s.newSample()}
 	required, ifFull := s.requiredVersion(in.Now, r.model), s.minVersionIfFull(in.Now, r)
 	wait := s.maxWait(r)
-	for _, t := range s.targetsFor(in.Now, r) {
-		if p.reported.settled(t.distance) {
+	for _, v := range s.viewsFor(in.Now, r) {
+		if p.reported.settled(v.distance) {
 			break
 		}
-		if t.load.hasReport(in.Now) {
+		if v.load.hasReport(in.Now) {
 			p.reports++
 		}
 		switch {
-		case t.usable(in.Now, r, required):
-			p.poolOf(t, in.Now).consider(in, t, r)
-		case ifFull < required && !t.stale(in.Now) && t.usable(in.Now, r, ifFull):
-			p.expiring.consider(in, t, r)
-		case t.reloading(in.Now, r) || t.backoffEndsWithin(in.Now, wait):
-			p.reported.availability = max(p.reported.availability, allFull)
+		case v.usable(in.Now, r, required):
+			p.sampleFor(v, in.Now).consider(in, v, r)
+		case ifFull < required && !v.stale(in.Now) && v.usable(in.Now, r, ifFull):
+			p.withExpiringVersion.consider(in, v, r)
+		case v.reloading(in.Now, r) || v.backoffEndsWithin(in.Now, wait):
+			p.reported.availability = max(p.reported.availability, full)
 		}
 	}
 	return p
 }
 
-// poolOf returns the pool that a usable upstream belongs to.
-func (p *pools) poolOf(t *target, now time.Time) *sample {
+// sampleFor returns the sample that a usable upstream belongs to.
+func (p *samples) sampleFor(v *upstreamView, now time.Time) *sample {
 	switch {
-	case t.unreported():
+	case v.unreported():
 		return &p.unreported
-	case t.stale(now):
+	case v.stale(now):
 		return &p.stale
 	}
 	return &p.reported
@@ -107,25 +119,26 @@
 
 // candidate is an upstream with capacity for a request.
 type candidate struct {
-	*target
+	*upstreamView
 	// tieBreak is a random order of the upstreams, different for each request.
 	tieBreak uint64
 }
 
-// stale reports whether the engine's last load report is so old that its host may be frozen or disconnected.
-func (t *target) stale(now time.Time) bool {
-	if t.load.reportedAt.IsZero() {
+// stale reports whether the engine's last load report is so old that its host may be frozen or disconnected. An engine of which no
+// report was ever received is not stale; see unreported.
+func (v *upstreamView) stale(now time.Time) bool {
+	if v.load.reportedAt.IsZero() {
 		return false
 	}
-	age, limit := now.Sub(t.load.reportedAt), staleAfter
-	if t.distance == 0 {
+	age, limit := now.Sub(v.load.reportedAt), staleAfter
+	if v.distance == 0 {
 		limit = staleAfterNear
 	}
-	return age > limit || t.load.overdue > 0 && age > staleAfterOverdue
+	return age > limit || v.load.overdue > 0 && age > staleAfterOverdue
 }
 
-// preferredTo reports whether c is to be used before o whatever their loads: engines with overdue requests or a slowdown come last,
-// and of the others the nearest come first.
+// preferredTo reports whether c is to be used before o whatever their loads. Engines with overdue requests come last, and before them
+// those with a slowdown. Among equal ones, the nearest come first.
 func (c candidate) preferredTo(o candidate) bool {
 	if late, otherLate := c.load.overdue > 0, o.load.overdue > 0; late != otherLate {
 		return otherLate
@@ -136,19 +149,20 @@
 	return c.distance < o.distance
 }
 
-// cost returns a number that grows with the expected time to the first event.
+// cost returns a number that grows with the expected time to the first event: the sum of the used parts of the request limit and of
+// the limit for pending prompt tokens.
 func (c candidate) cost(now time.Time, r *request) float64 {
 	return float64(c.occupied(now, r))/float64(c.maxRequests(r)) + float64(c.load.pendingPromptTokens)/c.maxPendingTokens()
 }
 
-// sample is a random sample of the nearest upstreams with capacity: those with the smallest tieBreak.
+// sample is a random sample of the most preferred upstreams with capacity: those with the smallest tieBreak.
 type sample struct {
 	availability availability
 	// anyFull is set if an upstream that could accept the request is full.
 	anyFull    bool
 	candidates [maxChoices]candidate
 	size       int
-	// maxSize is the size of the sample at most.
+	// maxSize is the maximum size of the sample.
 	maxSize int
 }
 
@@ -156,12 +170,12 @@
 func (s *State) newSample() sample { return sample{maxSize: s.Self.Policy.SampleSize} }
 
 // consider takes an upstream that could accept a request: into the sample if it has capacity, else as a full one.
-func (s *sample) consider(in step.Input, t *target, r *request) {
-	if !t.hasCapacity(in.Now, r) {
-		s.availability, s.anyFull = max(s.availability, allFull), true
+func (s *sample) consider(in step.Input, v *upstreamView, r *request) {
+	if !v.hasCapacity(in.Now, r) {
+		s.availability, s.anyFull = max(s.availability, full), true
 		return
 	}
-	s.add(candidate{target: t, tieBreak: mix(t.hash ^ in.Rand)})
+	s.add(candidate{upstreamView: v, tieBreak: mix(v.hash ^ in.Rand)})
 }
 
 // add offers one more upstream with capacity to the sample.
@@ -219,27 +233,27 @@
 
 // describeUpstreams describes, for the log, why no upstream was found.
 func (s *State) describeUpstreams(now time.Time, r *request) string {
-	var registered, evacuated, draining, avoided, loading, backedOff, empty, limited, full int
+	var registered, evacuated, draining, avoided, loading, backedOff, empty, limited, atCapacity int
 	required := s.requiredVersion(now, r.model)
-	for _, t := range s.targetsFor(now, r) {
+	for _, v := range s.viewsFor(now, r) {
 		registered++
 		switch {
-		case t.evacuated:
+		case v.evacuated:
 			evacuated++
-		case t.leaving(now):
+		case v.leaving(now):
 			draining++
-		case now.Before(t.load.avoidUntil):
+		case now.Before(v.load.avoidUntil):
 			avoided++
-		case t.reloading(now, r):
+		case v.reloading(now, r):
 			loading++
-		case !t.load.backoff.allows(now):
+		case !v.load.backoff.allows(now):
 			backedOff++
-		case !t.usable(now, r, required):
+		case !v.usable(now, r, required):
 			empty++
-		case !t.rateAllowed(now):
+		case !v.rateAllowed(now):
 			limited++
-		case !t.hasCapacity(now, r):
-			full++
+		case !v.hasCapacity(now, r):
+			atCapacity++
 		}
 	}
 	homes := ""
@@ -247,7 +261,7 @@
 		homes = fmt.Sprintf("in its homes (%s): ", r.homes)
 	}
 	return homes + fmt.Sprintf("%d registered, %d evacuated, %d draining, %d avoided after failures, %d loading, %d that sent Retry-After, %d without the required weights or already tried, %d at their rate limit, %d full",
-		registered, evacuated, draining, avoided, loading, backedOff, empty, limited, full)
+		registered, evacuated, draining, avoided, loading, backedOff, empty, limited, atCapacity)
 }
 
 func sortedKeys[T any](m map[string]T) []string {
--- a/internal/core/forward/quarantine.go
+++ b/internal/core/forward/quarantine.go
@@ -13,8 +13,8 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// crashWindow is the longest time between a broken request and the detection that its upstream is down, in either order, for the
-// crash to be attributed to the request. A request whose connection breaks at a healthy upstream is not suspect.
+// crashWindow is the maximum time between the break of a request's attempt and the detection that its upstream is down, in either
+// order, for which the crash is attributed to the request. If the upstream is not found down, the break does not count as a crash.
 const crashWindow = 1500 * time.Millisecond
 
 // CrashesReported is the event that another process reported what it knows about requests that crash upstreams.
@@ -23,8 +23,8 @@
 // Event marks the type as an event.
 func (CrashesReported) Event() {}
 
-// QuarantineStarted reports to the shell that a request is quarantined from now on, because this entry counted the crash that reached the
-// threshold.
+// QuarantineStarted reports to the shell that a request is quarantined from now on, because this entry counted the crash that reached
+// the threshold.
 type QuarantineStarted struct {
 	Fingerprint uint64
 	// Upstream is the one that crashed last.
@@ -50,7 +50,7 @@
 // Effect marks the type as an effect.
 func (Quarantined) Effect() {}
 
-// brokenRequest is a request whose attempt broke at an upstream.
+// brokenRequest is a request whose attempt ended as Broken at an upstream, and when.
 type brokenRequest struct {
 	fingerprint uint64
 	brokeAt     time.Time
@@ -72,8 +72,8 @@
 	var effects []step.Effect
 	for _, r := range s.copies(fingerprint) {
 		if r.instance == (catalog.Instance{}) {
-			reject, _ := s.quarantined(in, r)
-			effects = append(effects, s.endRequest(in, r, reject)...)
+			end, _ := s.quarantined(in, r)
+			effects = append(effects, s.endRequest(in, r, end)...)
 		} else if r.awaitingFirstEvent {
 			effects = append(effects, Withdraw{ID: r.id, Attempt: r.attempts})
 		}
@@ -94,30 +94,35 @@
 }
 
 // quarantined reports whether a request must not be sent because of the upstreams that crashed while running it, and why.
-func (s *State) quarantined(in step.Input, r *request) (rejection, bool) {
+func (s *State) quarantined(in step.Input, r *request) (ending, bool) {
 	if left := s.Crashes.Remaining(in.Now, r.fingerprint); left > 0 {
 		why := fmt.Sprintf("requests with fingerprint %d crashed upstreams; quarantined for another %v", r.fingerprint, left)
-		return rejection{code: code.RequestQuarantined, reason: why, retryAfter: left}, true
+		return ending{code: code.RequestQuarantined, reason: why, retryAfter: left}, true
 	}
 	if atRisk := s.atRisk(in.Now, r); atRisk >= quarantine.CrashThreshold {
 		why := fmt.Sprintf("%d upstreams crashed recently on fingerprint %d, may have crashed, or hold a copy of it", atRisk, r.fingerprint)
-		return rejection{code: code.RequestQuarantined, reason: why, retryAfter: s.retryAfter(in)}, true
+		return ending{code: code.RequestQuarantined, reason: why, retryAfter: s.retryAfter(in)}, true
 	}
-	return rejection{}, false
+	return ending{}, false
 }
 
-// atRisk counts the upstream instances that a request has crashed or may crash: those found down, those of attempts that broke so
-// recently that the upstream may yet be found down, and those that hold a copy of the request. An upstream may restart and break
-// again before it is found to have been down, so each break counts. The result is 0 as long as no attempt of the request broke. The
-// sum is limited to CrashThreshold, so that concurrent copies crash no more upstreams than successive ones.
+// atRisk counts the upstream instances that a request has crashed or may crash. It is the sum of
+//
+//   - the instances that were found down after a break,
+//   - the breaks that are so recent that their upstream may yet be found down. An upstream may restart and break again before it is
+//     found to have been down, so each break counts,
+//   - the instances that hold a copy of the request now.
+//
+// The result is 0 as long as no attempt of the request broke. The caller limits the sum to CrashThreshold, so that concurrent copies
+// crash no more upstreams than successive ones.
 func (s *State) atRisk(now time.Time, r *request) int {
-	down := map[uint32]bool{}
-	for _, upstream := range s.Crashes.RecentCrashes(now, r.fingerprint) {
-		down[upstream] = true
+	down := map[uint32]bool{} // By the hash of the instance; see instanceHash.
+	for _, hash := range s.Crashes.RecentCrashes(now, r.fingerprint) {
+		down[hash] = true
 	}
 	count := len(down)
 	for _, b := range withoutOldBreaks(s.breaks[r.fingerprint], now) {
-		if !down[instanceKey(b.upstream)] {
+		if !down[instanceHash(b.upstream)] {
 			count++
 		}
 	}
@@ -147,13 +152,13 @@
 	return list
 }
 
-// instanceKey identifies an upstream's instance between processes.
-func instanceKey(instance catalog.Instance) uint32 {
+// instanceHash returns the hash by which all processes identify an upstream's instance.
+func instanceHash(instance catalog.Instance) uint32 {
 	return uint32(step.Score(instance.ID, strconv.FormatInt(instance.StartedAt, 10)))
 }
 
-// trackCrashes updates the crash records of a request and its upstream at the end of an attempt. An answer that broke off does not
-// count as an answer, even if part of it was passed on.
+// trackCrashes updates the crash records of a request and its upstream at the end of an attempt. Only a complete answer counts as an
+// answer: if it broke off, the outcome is Broken, even if part of it was passed on.
 func (s *State) trackCrashes(in step.Input, r *request, ev AttemptEnded) []step.Effect {
 	switch ev.Outcome {
 	case Answered:
@@ -201,11 +206,11 @@
 }
 
 func (s *State) recordCrash(in step.Input, fingerprint uint64, upstream catalog.Instance) []step.Effect {
-	if !s.Crashes.Crashed(in.Now, fingerprint, instanceKey(upstream), in.Now) {
+	if !s.Crashes.Crashed(in.Now, fingerprint, instanceHash(upstream), in.Now) {
 		return nil
 	}
-	suspected := QuarantineStarted{Fingerprint: fingerprint, Upstream: upstream.ID}
-	return append([]step.Effect{suspected}, s.stopQuarantined(in, fingerprint)...)
+	started := QuarantineStarted{Fingerprint: fingerprint, Upstream: upstream.ID}
+	return append([]step.Effect{started}, s.stopQuarantined(in, fingerprint)...)
 }
 
 // expireCrashes drops crash records that are too old, and reports how many crashes could not be recorded.
--- a/internal/core/forward/queue.go
+++ b/internal/core/forward/queue.go
@@ -9,14 +9,14 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// enqueue lets a request wait for capacity, or refuses it if it has waited long enough. A request whose caller returned after a
-// refusal does not wait: at the end of its wait it would take capacity from newer requests that can still be in time.
+// enqueue lets a request wait for capacity, or refuses it if it has waited for maxWait. A request whose caller returned after a refusal
+// does not wait: at the end of its wait it would take capacity from newer requests that can still be in time.
 func (s *State) enqueue(in step.Input, r *request) []step.Effect {
 	if r.queueDeadline.IsZero() {
 		r.queueDeadline = in.Now.Add(s.maxWait(r))
 	}
 	if !in.Now.Before(r.queueDeadline) {
-		return s.giveUp(in, r, code.Overloaded, fmt.Sprintf("every upstream of %s is full: %s", r.service, s.describeUpstreams(in.Now, r)))
+		return s.endWithRetryAfter(in, r, code.Overloaded, fmt.Sprintf("every upstream of %s is full: %s", r.service, s.describeUpstreams(in.Now, r)))
 	}
 	s.lastQueuedAt[r.service] = in.Now
 	s.queues[r.service] = append(s.queues[r.service], r.id)
@@ -31,7 +31,7 @@
 	return time.Duration(s.Self.Policy.WaitShare * float64(r.route.Objective))
 }
 
-// serveWaiting sends queued requests as far as there is capacity, and refuses those that have waited long enough.
+// serveWaiting sends queued requests as far as there is capacity, and refuses those that have waited for maxWait.
 func (s *State) serveWaiting(in step.Input) []step.Effect {
 	var effects []step.Effect
 	for _, service := range sortedKeys(s.queues) {
--- a/internal/core/forward/rate_limit_test.go
+++ b/internal/core/forward/rate_limit_test.go
@@ -337,7 +337,7 @@
 	}
 }
 
-// TestRateLimitOutlivesALapsedRegistration guards against forgetting a limit when the upstream's registration lapses because it
+// TestRateLimitOutlivesALapsedRegistration guards against forgetting a limit when the upstream's registration expires because it
 // can't reach the store, and returns with the same instance.
 func TestRateLimitOutlivesALapsedRegistration(t *testing.T) {
 	r := newRig()
--- a/internal/core/forward/ratelimit.go
+++ b/internal/core/forward/ratelimit.go
@@ -20,9 +20,9 @@
 // nearLimitShare is the share of an engine's limit for the entries of its data centre, which send it most of its requests.
 const nearLimitShare = 0.75
 
-// limitShare returns the share of an upstream's limit that this entry may use; the shares of all entries add up to 1. Only the
-// agent beside an engine reports how many entries are near it. An entry without a report from that agent takes no more than it
-// would with one.
+// limitShare returns the share of an upstream's limit that this entry may use; the shares of all entries add up to 1. How many entries
+// are in an engine's data centre is known only from the agent on the engine's host. An entry without a report from that agent
+// takes no more than it would with one.
 func (s *State) limitShare(instance catalog.Instance) float64 {
 	entries := float64(s.recentEntries.value())
 	if entries == 0 {
@@ -32,17 +32,17 @@
 	if u == nil || u.Instance() != instance {
 		return 1 / entries
 	}
-	t := s.target(u)
-	near := float64(t.load.nearEntries.value())
+	v := s.view(u)
+	near := float64(v.load.nearEntries.value())
 	if s.heartbeatTargets != nil {
 		near /= s.nearFraction
 	}
 	switch {
-	case t.load.reportedAt.IsZero() && t.engine != nil && t.distance > 0:
+	case v.load.reportedAt.IsZero() && v.engine != nil && v.distance > 0:
 		return (1 - nearLimitShare) / entries
 	case near == 0 || near >= entries:
 		return 1 / entries
-	case t.distance == 0:
+	case v.distance == 0:
 		return nearLimitShare / near
 	}
 	return (1 - nearLimitShare) / (entries - near)
--- a/internal/core/forward/recent_max.go
+++ b/internal/core/forward/recent_max.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// recentMaxWindow is how long a count is kept at least after smaller ones are received. An agent that has just started knows few
-// entries, and all of them within a second.
+// recentMaxWindow is the minimum time for which a count is kept after smaller ones are received. An agent that has just started
+// knows few entries; within a second it knows all of them.
 const recentMaxWindow = 2 * time.Second
 
 // recentMax is the maximum of the counts received recently. The zero value is 0.
--- a/internal/core/forward/reduce.go
+++ b/internal/core/forward/reduce.go
@@ -12,7 +12,7 @@
 const (
 	// defaultRequestTimeout applies to a request for which neither its caller nor its route sets a timeout.
 	defaultRequestTimeout = 30 * time.Second
-	// maxAttempts limits the attempts of one request, including those that upstreams declined.
+	// maxAttempts limits the attempts of one request, including those that upstreams declined, which Route.MaxUpstreams does not count.
 	maxAttempts = 4
 	// firstEventTimeout is the timeout for the first event of a stream that may be retried. It is three to four times the objective
 	// of the users' streams, and less than the two seconds that their callers wait.
@@ -20,7 +20,8 @@
 	// gapTimeout is the timeout between two events of a stream that may be resumed at another upstream. It is three times the
 	// users' objective for gaps.
 	gapTimeout = 1200 * time.Millisecond
-	// plainTimeoutObjectives is the timeout of a plain service for a request that may be retried, in latency objectives.
+	// plainTimeoutObjectives is the timeout of an attempt that is not a stream and may be retried, as a multiple of the route's latency
+	// objective.
 	plainTimeoutObjectives = 2
 	// minAttemptTime is the remaining time below which an attempt is not worthwhile.
 	minAttemptTime = 60 * time.Millisecond
@@ -32,25 +33,25 @@
 func (s *State) arrived(in step.Input, ev Arrived) []step.Effect {
 	m := s.Catalog.Manifest
 	if !s.Catalog.Ready() {
-		return refuse(ev.ID, code.NotReady, "the manifest or the upstreams are not known yet", s.retryAfter(in))
+		return refuseArrival(ev.ID, code.NotReady, "the manifest or the upstreams are not known yet", s.retryAfter(in))
 	}
 	if s.stopping {
-		return refuse(ev.ID, code.Stopping, "this process is shutting down", time.Millisecond)
+		return refuseArrival(ev.ID, code.Stopping, "this process is shutting down", time.Millisecond)
 	}
 	head := in.Now.Add(-ev.BodyReadTime)
 	r := &request{
 		id: ev.ID, host: ev.Host, path: ev.Path, key: ev.Key, fingerprint: ev.Fingerprint, prompt: ev.PromptTokens, tokens: ev.PromptTokens + ev.MaxAnswerTokens, requestedModel: ev.Model,
 		arrived: head, progressAt: head, tried: map[catalog.Instance]bool{},
 	}
-	if reject, rejected := s.applyManifest(in, r); rejected {
-		return refuse(ev.ID, reject.code, reject.reason, 0)
+	if end, forbidden := s.applyManifest(in, r); forbidden {
+		return refuseArrival(ev.ID, end.code, end.reason, 0)
 	}
 	if m.MaxBody > 0 && ev.Size > m.MaxBody {
-		return refuse(ev.ID, code.BodyTooLarge, fmt.Sprintf("%d bytes, at most %d", ev.Size, m.MaxBody), 0)
+		return refuseArrival(ev.ID, code.BodyTooLarge, fmt.Sprintf("%d bytes, at most %d", ev.Size, m.MaxBody), 0)
 	}
 	r.deadline = head.Add(requestTimeout(r.route, ev.Budget))
 	if !in.Now.Before(r.deadline) {
-		return refuse(ev.ID, code.Overloaded, fmt.Sprintf("the deadline passed while its body was read, which took %v", ev.BodyReadTime), s.retryAfter(in))
+		return refuseArrival(ev.ID, code.Overloaded, fmt.Sprintf("the deadline passed while its body was read, which took %v", ev.BodyReadTime), s.retryAfter(in))
 	}
 	r.returning = s.callerTimeouts.returning(in.Now, r, ev.Budget)
 	s.requests[r.id] = r
@@ -73,35 +74,37 @@
 
 // dispatch sends a request to an upstream, queues it until there is capacity, or refuses it.
 func (s *State) dispatch(in step.Input, r *request) []step.Effect {
-	if reject, rejected := s.rejected(in, r); rejected {
-		return s.endRequest(in, r, reject)
+	if end, forbidden := s.mustNotSend(in, r); forbidden {
+		return s.endRequest(in, r, end)
 	}
 	u, found := s.pick(in, r)
+	// A returning caller is refused although an upstream has capacity: that capacity is reserved for first tries; see Policy.ReserveFor.
 	if found == available && r.returning && in.Now.Sub(s.lastQueuedAt[r.service]) < s.Self.Policy.ReserveFor {
-		return s.giveUp(in, r, code.Overloaded, fmt.Sprintf("the free capacity of %s is reserved for first tries", r.service))
+		return s.endWithRetryAfter(in, r, code.Overloaded, fmt.Sprintf("the free capacity of %s is reserved for first tries", r.service))
 	}
 	switch found {
 	case available:
 		return s.send(in, r, u)
-	case allFull:
+	case full:
 		return s.enqueue(in, r)
 	}
-	return s.giveUp(in, r, code.NoUpstream, fmt.Sprintf("no upstream of %s is usable: %s", r.service, s.describeUpstreams(in.Now, r)))
+	return s.endWithRetryAfter(in, r, code.NoUpstream, fmt.Sprintf("no upstream of %s is usable: %s", r.service, s.describeUpstreams(in.Now, r)))
 }
 
+// send starts an attempt of a request at an upstream and counts the resources that it takes there; see release.
 func (s *State) send(in step.Input, r *request, u *catalog.Upstream) []step.Effect {
 	r.attempts++
 	r.instance, r.sentAt = u.Instance(), in.Now
 	r.tried[r.instance] = true
 	s.load(r.instance).inFlight++
-	s.load(r.instance).remainingShare--
+	s.load(r.instance).remainingSends--
 	s.load(r.instance).pendingPromptTokens += r.prompt
 	s.load(r.instance).tokens += r.tokens
 	s.load(r.instance).limitPacer.used()
 	s.load(r.instance).coldPacer.used()
 	s.load(r.instance).backoff.attempted(in.Now)
 	r.awaitingFirstEvent, r.firstEventLate = true, false
-	r.unreported = s.target(u).unreported()
+	r.unreported = s.view(u).unreported()
 	if r.unreported {
 		s.unreportedWaiting++
 	}
@@ -109,8 +112,8 @@
 		ID: r.id, Attempt: r.attempts, Upstream: u, Homes: r.homes, Priority: r.route.Priority, Deadline: r.deadline, Resume: r.partial, Returning: r.returning,
 	}
 	if required := s.requiredVersion(in.Now, r.model); required > 0 {
-		// An engine compares versions for equality, so name the version that it holds, which may be newer than the required one.
-		if held := s.target(u).heldVersion(in.Now, r.model); held >= required {
+		// An engine compares versions for equality, so require the version that it holds, which may be newer than the required one.
+		if held := s.view(u).heldVersion(in.Now, r.model); held >= required {
 			e.Version = held
 		}
 	}
@@ -143,7 +146,7 @@
 	return append(effects, s.serveQueue(in, r.service)...)
 }
 
-// markStarted records that the upstream has processed the prompt of a request.
+// markStarted records that the prompt of a request is no longer pending at its upstream.
 func (s *State) markStarted(id uint64) {
 	if r := s.requests[id]; r != nil && r.awaitingFirstEvent {
 		r.awaitingFirstEvent = false
@@ -154,42 +157,44 @@
 	}
 }
 
-// release frees the resources that a request takes at its upstream.
+// release frees the resources that a request takes at its upstream. The slot that it frees may be used at once, so send is allowed one
+// more request before the next load report.
 func (s *State) release(in step.Input, r *request, o Outcome) {
 	if r.instance == (catalog.Instance{}) {
 		return
 	}
-	s.markStarted(r.id)
+	s.markStarted(r.id) // Even if the upstream never started the request, its prompt is no longer pending there.
 	l := s.load(r.instance)
 	l.inFlight--
 	l.tokens -= r.tokens
-	l.remainingShare++
-	// A misdirected attempt that required a version does not count: the engine is healthy, but holds another version.
+	l.remainingSends++
+	// A misdirected attempt that required a version is no failure (see recordOutcome): the engine is healthy, but holds another version.
 	if o != Misdirected || r.version == 0 {
 		l.recordOutcome(in.Now, o)
 	}
 	r.instance = catalog.Instance{}
 }
 
+// afterAttempt decides what follows an attempt: the end of the request or a retry.
 func (s *State) afterAttempt(in step.Input, r *request, ev AttemptEnded) []step.Effect {
 	if ev.Outcome == Answered {
 		delete(s.requests, r.id)
 		return nil
 	}
-	reject, rejected := s.rejected(in, r)
+	end, forbidden := s.mustNotSend(in, r)
 	switch {
-	case !rejected && s.mayRetry(in, r, ev.Outcome):
+	case !forbidden && s.mayRetry(in, r, ev.Outcome):
 		return s.retry(in, r, ev.Outcome)
 	case ev.Outcome == ServerFailed && !r.partial:
 		delete(s.requests, r.id)
 		return []step.Effect{Deliver{ID: r.id}}
-	case rejected:
-		return s.endRequest(in, r, reject)
+	case forbidden:
+		return s.endRequest(in, r, end)
 	}
-	return s.giveUp(in, r, code.RetriesExhausted, fmt.Sprintf("attempt %d: %s", r.attempts, ev.Outcome))
+	return s.endWithRetryAfter(in, r, code.RetriesExhausted, fmt.Sprintf("attempt %d: %s", r.attempts, ev.Outcome))
 }
 
-// retry sends a request again, to an upstream with capacity. A request with a partial answer is not queued.
+// retry sends a request again, to an upstream with capacity. Without capacity the request ends: a retry is not queued.
 func (s *State) retry(in step.Input, r *request, o Outcome) []step.Effect {
 	u, found := s.pick(in, r)
 	if found == available {
@@ -202,7 +207,7 @@
 		delete(s.requests, r.id)
 		return []step.Effect{Deliver{ID: r.id}}
 	}
-	return s.giveUp(in, r, code.Overloaded, fmt.Sprintf("attempt %d: %s; no other upstream of %s has capacity", r.attempts, o, r.service))
+	return s.endWithRetryAfter(in, r, code.Overloaded, fmt.Sprintf("attempt %d: %s; no other upstream of %s has capacity", r.attempts, o, r.service))
 }
 
 // mayRetry reports whether the kind of the request, its limits and the fleet's retry budget allow one more attempt.
@@ -226,32 +231,32 @@
 		r.possibleRuns++ // The upstream that it was with may have run it.
 	}
 	s.release(in, r, Withdrawn)
-	effects := s.giveUp(in, r, code.DeadlinePassed, fmt.Sprintf("no answer within %v", r.deadline.Sub(r.arrived)))
+	effects := s.endWithRetryAfter(in, r, code.DeadlinePassed, fmt.Sprintf("no answer within %v", r.deadline.Sub(r.arrived)))
 	return append(effects, s.serveQueue(in, r.service)...)
 }
 
-// giveUp ends a request and lets its caller retry later; see endRequest.
-func (s *State) giveUp(in step.Input, r *request, c code.Code, why string) []step.Effect {
-	return s.endRequest(in, r, rejection{code: c, reason: why, retryAfter: s.retryAfterFor(in, r)})
+// endWithRetryAfter ends a request that could not be served for now, with a delay after which its caller may retry; see endRequest.
+func (s *State) endWithRetryAfter(in step.Input, r *request, c code.Code, why string) []step.Effect {
+	return s.endRequest(in, r, ending{code: c, reason: why, retryAfter: s.retryAfterFor(in, r)})
 }
 
-// endRequest ends a request. The code depends on whether it may have run: a refusal that invites a retry is only for a request that
-// did not run.
-func (s *State) endRequest(in step.Input, r *request, reject rejection) []step.Effect {
+// endRequest ends a request that was admitted. What its caller gets depends on what has happened. A partial answer is aborted. If the
+// request may have run, the refusal does not invite a retry; if it did not run, it does so where a retry is of use.
+func (s *State) endRequest(in step.Input, r *request, end ending) []step.Effect {
 	delete(s.requests, r.id)
 	if r.partial {
-		return []step.Effect{Abort{ID: r.id, Reason: reject.reason}}
+		return []step.Effect{Abort{ID: r.id, Reason: end.reason}}
 	}
 	if r.possibleRuns > 0 {
-		if reject.code != code.DeadlinePassed {
-			reject.code = code.RetriesExhausted
+		if end.code != code.DeadlinePassed {
+			end.code = code.RetriesExhausted
 		}
-		return []step.Effect{Refuse{ID: r.id, Code: reject.code, Ran: code.Unknown, Reason: reject.reason, Returning: r.returning}}
+		return []step.Effect{Refuse{ID: r.id, Code: end.code, Ran: code.Unknown, Reason: end.reason, Returning: r.returning}}
 	}
-	if reject.code == code.RetriesExhausted || reject.code == code.DeadlinePassed {
-		reject.code = code.Overloaded
+	if end.code == code.RetriesExhausted || end.code == code.DeadlinePassed {
+		end.code = code.Overloaded
 	}
-	return []step.Effect{Refuse{ID: r.id, Code: reject.code, Ran: code.NotRun, Reason: reject.reason, RetryAfter: reject.retryAfter, Returning: r.returning}}
+	return []step.Effect{Refuse{ID: r.id, Code: end.code, Ran: code.NotRun, Reason: end.reason, RetryAfter: end.retryAfter, Returning: r.returning}}
 }
 
 func (s *State) callerGone(in step.Input, id uint64) []step.Effect {
@@ -264,6 +269,7 @@
 	return s.serveQueue(in, r.service)
 }
 
-func refuse(id uint64, c code.Code, why string, after time.Duration) []step.Effect {
+// refuseArrival refuses a request that is not admitted, so that no state of it exists. Nothing of it was sent.
+func refuseArrival(id uint64, c code.Code, why string, after time.Duration) []step.Effect {
 	return []step.Effect{Refuse{ID: id, Code: c, Ran: code.NotRun, Reason: why, RetryAfter: after}}
 }
--- a/internal/core/forward/retry_after.go
+++ b/internal/core/forward/retry_after.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// retryAfterMin and retryAfterSpread set the Retry-After delay of a refused caller, drawn from retryAfterMin up to
+	// retryAfterMin and retryAfterSpread set the Retry-After delay of a refused caller, which is drawn from retryAfterMin up to
 	// retryAfterMin + retryAfterSpread. That is one to two times as long as a loaded engine takes for an answer. Before a retry,
-	// callers wait for at most a third of their remaining time, which is two seconds for the users' streams.
+	// callers wait for at most a third of their remaining time; for the users' streams that is at most two seconds.
 	retryAfterMin    = 950 * time.Millisecond
 	retryAfterSpread = 900 * time.Millisecond
 	// retryAfterMinOutage replaces retryAfterMin while most upstreams of a service are unusable, for example after engines lost
@@ -36,11 +36,11 @@
 // active upstream has requested a backoff. It returns 0 if one has not: that one is usable sooner, or at an unknown time.
 func (s *State) shortestBackoff(now time.Time, r *request) time.Duration {
 	var left time.Duration
-	for _, t := range s.targetsFor(now, r) {
-		if t.inactive(now) {
+	for _, v := range s.viewsFor(now, r) {
+		if v.inactive(now) {
 			continue
 		}
-		b := &t.load.backoff
+		b := &v.load.backoff
 		if !b.active(now) {
 			return 0
 		}
@@ -56,10 +56,10 @@
 func (s *State) outage(now time.Time, r *request) bool {
 	var all, reported usableCount
 	required := s.requiredVersion(now, r.model)
-	for _, t := range s.targetsFor(now, r) {
-		usable := t.usable(now, r, required) || r.tried[t.Instance()] && !now.Before(t.load.avoidUntil)
+	for _, v := range s.viewsFor(now, r) {
+		usable := v.usable(now, r, required) || r.tried[v.Instance()] && !now.Before(v.load.avoidUntil)
 		all.add(usable)
-		if t.load.hasReport(now) {
+		if v.load.hasReport(now) {
 			reported.add(usable)
 		}
 	}
--- a/internal/core/forward/retry_budget.go
+++ b/internal/core/forward/retry_budget.go
@@ -12,7 +12,8 @@
 	// budgetSafetyFactor is the part of the allowed retries that entries use. The margin covers the error of up to one bucket at
 	// the edges of the window.
 	budgetSafetyFactor = 0.7
-	// defaultEntries is the assumed number of entries that share the budget until an agent has reported a count.
+	// defaultEntries is the assumed number of entries that share the budget until an agent has reported a count. It bounds this
+	// entry to at most an eighth of the budget's base and of an upstream's rate limit.
 	defaultEntries = 8
 )
 
--- a/internal/core/forward/returning.go
+++ b/internal/core/forward/returning.go
@@ -6,7 +6,7 @@
 const callerTimeoutLifetime = 30 * time.Second
 
 // callerTimeouts are the longest timeouts that callers recently set for a request, by route and client account. A caller that
-// returns after a refusal sets its remaining time as the timeout, so a shorter timeout tells how long ago it first tried.
+// returns after a refusal sets its remaining time as the timeout, so a shorter timeout shows how long ago it first tried.
 type callerTimeouts map[callerKey]observedTimeout
 
 type callerKey struct{ route, account string }
@@ -19,6 +19,9 @@
 // returning reports whether a request with this timeout was probably refused before, and records the timeout. Timeouts of first
 // tries vary somewhat, but a refused caller is asked to wait for at least retryAfterMin. A timeout that is shorter than the longest
 // one by less than that is therefore a first try. A caller also counts as new if no longer timeout is known for its account.
+//
+// For example, the longest timeout known for an account is 6 s, and retryAfterMin is 0.95 s. A request with a timeout of 5.05 s or less
+// then counts as returning, since its caller may have waited for 0.95 s. One with a timeout of 5.2 s counts as a first try.
 func (c callerTimeouts) returning(now time.Time, r *request, timeout time.Duration) bool {
 	key := callerKey{route: r.route.Name}
 	if r.account != nil {
--- a/internal/core/forward/unreported.go
+++ b/internal/core/forward/unreported.go
@@ -12,12 +12,13 @@
 	unreportedWaitShare = 0.5
 )
 
-// maySendUnreported reports whether a request may go to an engine without a load report. The sample holds the engines with one.
+// maySendUnreported reports whether a request may go to an engine without a load report. reported is the sample of the engines with a
+// report.
 func (s *State) maySendUnreported(now time.Time, reported *sample) bool {
-	if reported.availability == none {
+	if reported.availability == unavailable {
 		return true
 	}
-	return !now.Before(s.unreportedResumeAt) && (!reported.anyFull || s.unreportedWaiting < s.Self.Policy.MaxUnreported)
+	return !now.Before(s.unreportedPauseEnd) && (!reported.anyFull || s.unreportedWaiting < s.Self.Policy.MaxUnreported)
 }
 
 // unreportedStarted handles the first event of an attempt at an engine without a load report.
@@ -45,5 +46,5 @@
 
 func (s *State) pauseUnreported(now time.Time) {
 	s.unreportedPause = min(max(2*s.unreportedPause, unreportedPauseInitial), unreportedPauseMax)
-	s.unreportedResumeAt = now.Add(s.unreportedPause)
+	s.unreportedPauseEnd = now.Add(s.unreportedPause)
 }
--- a/internal/core/forward/version.go
+++ b/internal/core/forward/version.go
@@ -9,13 +9,21 @@
 )
 
 // withdrawMargin is how long before a version expires entries withdraw the requests that engines with that version have not
-// started. It covers the delay until the engine is informed: an activation is received up to 0.5 s after its confirmation if another
-// one came just before, a tick is 20 ms, and the network takes some milliseconds. Attempts within the last RequireVersionMargin require
-// the new version, so a request that is withdrawn has been with its engine for at least 0.7 s.
+// started. The last seconds of a version, before its expiry:
+//
+//	1.3 s  Attempts require the new version from now on (catalog.RequireVersionMargin).
+//	0.6 s  Requests that have not started are withdrawn (withdrawMargin).
+//	0 s    The version has expired.
+//
+// A request that is withdrawn has therefore been with its engine for at least 0.7 s, unless it was sent later because the engines with
+// the new version had no capacity; see minVersionIfFull.
+//
+// The 0.6 s cover the delay until the engine is informed: an activation is received up to 0.5 s after its confirmation if another one
+// came just before, a tick of the gateway is 20 ms, and the network takes some milliseconds.
 const withdrawMargin = 600 * time.Millisecond
 
-// Withdraw has the shell withdraw a request that its upstream has not started; the attempt ends as Withdrawn. The effect is
-// repeated with each tick until then.
+// Withdraw has the shell withdraw a request that its upstream has not started. The attempt ends as Withdrawn, or as Unsent if nothing
+// was sent. The effect is repeated with each tick until the attempt has ended or the request has started.
 type Withdraw struct {
 	ID uint64
 	// Attempt is the number of the attempt; see Send.
@@ -60,6 +68,7 @@
 	if !r.route.Repeatable() {
 		return s.requiredVersion(now, r.model) // Once withdrawn, the request could not go to another engine.
 	}
+	// The margin is limited to RequireVersionMargin, so that the result is never newer than requiredVersion.
 	margin := withdrawMargin + time.Duration(s.Self.Policy.StartShare*float64(r.route.Objective))
 	return s.Catalog.RequiredVersion(r.model, now, s.Self.VersionLifetime-min(margin, catalog.RequireVersionMargin))
 }
@@ -105,7 +114,7 @@
 }
 
 // mayStartExpired reports whether the engine that a request is with may start it on a version that has expired by then. An engine
-// that accepted the request with a required version holds at least that version.
+// that accepted the request with a required version (r.version) holds at least that version.
 func (s *State) mayStartExpired(now time.Time, r *request) bool {
 	if s.Self.VersionLifetime <= 0 || r.model == "" {
 		return false
@@ -115,5 +124,5 @@
 		return false
 	}
 	u := s.Catalog.Upstreams[r.instance.ID]
-	return u == nil || u.Instance() != r.instance || s.target(u).heldVersion(now, r.model) < required
+	return u == nil || u.Instance() != r.instance || s.view(u).heldVersion(now, r.model) < required
 }
