--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// outageGrace is how long entries that are missing after a store outage stay usable. The store drops entries whose lease
-	// expired during the outage, and live upstreams register again within 2 s of its return.
+	// outageGrace is how long upstreams whose registrations are missing after a store outage stay usable. The store drops registrations
+	// whose lease expired during the outage, and running upstreams register again within 2 s of its return.
 	outageGrace = 2 * time.Second
 	// minOutage is how long every call to the store must have failed before its return counts as the end of an outage. It is
-	// shorter than the time in which an entry expires, which takes three missed registrations.
+	// shorter than the time in which a registration expires, which takes three missed renewals.
 	minOutage = 1500 * time.Millisecond
 )
 
-// Upstream is one registered upstream of a service.
+// Upstream is the registration of an upstream of a service, as read from the store.
 type Upstream struct {
 	// ID identifies the upstream. A restarted upstream may reuse its ID; see Instance.
 	ID string
@@ -33,11 +33,11 @@
 	Draining bool
 	// Versions maps each model to the version of its weights that the upstream holds completely.
 	Versions map[string]int64
-	// ColdRemaining is the remaining cold time according to the entry. ColdUntil is the resulting end of the cold time, set by the
-	// reducer; see Service.
+	// ColdRemaining is the remaining cold time according to the registration. ColdUntil is the resulting end of the cold time, set by
+	// the reducer; see Service.
 	ColdRemaining time.Duration
 	ColdUntil     time.Time
-	// Revision is the store revision of the entry.
+	// Revision is the store revision of the registration.
 	Revision int64
 }
 
@@ -47,17 +47,17 @@
 	StartedAt int64
 }
 
-// Instance returns the instance that the entry describes.
+// Instance returns the instance that the registration describes.
 func (u *Upstream) Instance() Instance { return Instance{ID: u.ID, StartedAt: u.StartedAt} }
 
-// State is the known state of the manifest, the upstreams, the versions in force and the evacuations.
+// State is the known state of the manifest, the upstreams, the active versions and the evacuations.
 type State struct {
 	// Manifest is nil until a manifest has been read.
 	Manifest  *Manifest
 	Upstreams map[string]*Upstream
 	// ChangeCount counts the changes of Upstreams and evacuations. Values derived from them are stale when it has increased.
 	ChangeCount uint64
-	// Versions maps each model to the version in force.
+	// Versions maps each model to the activation of its active version.
 	Versions map[string]Activation
 	// FollowsEvacuations is set where operators may evacuate data centres. The process must then know the evacuations before
 	// it is ready.
@@ -66,12 +66,13 @@
 	evacuations map[string]evacuation
 	// history maps each model to its activations, in the order in which they were received.
 	history map[string][]Activation
-	// ListedActivatedAt is the assumed activation time of a version that is already in the store when this process first lists it, until
-	// another process reports the version's age. The store has no activation time, and every process that knew it may have
-	// ended before this one started. The zero time stands for the time of the list.
+	// ListedActivatedAt is the assumed activation time of a version that is already in the store when this process first lists the
+	// versions. It applies until another process reports the version's age: the store has no activation time, and every process that
+	// knew it may have ended before this one started. If zero, the time of the list is used.
 	ListedActivatedAt time.Time
 
-	// byAddress maps each address to the IDs of the upstreams registered there. A stale or forged entry makes more than one.
+	// byAddress maps each address to the IDs of the upstreams registered there. There is more than one only if a registration is stale
+	// or forged.
 	byAddress map[string][]string
 	// reportedStarts maps each address to the start time of its upstream, as reported by the agent on the same host.
 	reportedStarts   map[string]reportedStart
@@ -80,10 +81,11 @@
 	listed           map[Topic]bool
 	// removed maps each removed upstream to the store revision of its removal, so that an older list can't restore it.
 	removed map[string]int64
-	// lapsing maps each entry that went missing during an outage to the time at which it counts as removed.
+	// lapsing maps the ID of each upstream whose registration was found missing after an outage to the time at which it counts as
+	// removed.
 	lapsing map[string]time.Time
-	// failingSince is when calls to the store began to fail; zero while the store answers. Until graceUntil, a missing entry may
-	// only have expired during an outage.
+	// failingSince is when calls to the store began to fail; zero while the store answers. A registration
+	// that is missing before graceUntil may have expired merely because of the outage.
 	failingSince time.Time
 	graceUntil   time.Time
 }
@@ -112,16 +114,16 @@
 	Upstreams []*Upstream
 }
 
-// UpstreamChanged reports that an entry was written.
+// UpstreamChanged reports that a registration was written.
 type UpstreamChanged struct{ Upstream *Upstream }
 
-// UpstreamRemoved reports that an entry was removed at a revision.
+// UpstreamRemoved reports that a registration was removed at a revision.
 type UpstreamRemoved struct {
 	ID       string
 	Revision int64
 }
 
-// UpstreamUnreadable reports that an entry was written that doesn't describe a usable upstream.
+// UpstreamUnreadable reports that a registration was written that doesn't describe a usable upstream.
 type UpstreamUnreadable struct {
 	ID       string
 	Revision int64
@@ -272,7 +274,7 @@
 		return nil
 	}
 	if old != nil && u.StartedAt == 0 && old.StartedAt > 0 {
-		// The upstream itself would have given its start time, so another process wrote this entry.
+		// The upstream itself would have given its start time, so another process wrote this registration.
 		return s.upstreamUnreadable(UpstreamUnreadable{ID: u.ID, Revision: u.Revision})
 	}
 	if old != nil && u.StartedAt < old.StartedAt {
@@ -304,7 +306,7 @@
 	return &next
 }
 
-// put stores u in place of old, which is nil for a new upstream.
+// put replaces old, which is nil for a new upstream, with u.
 func (s *State) put(old, u *Upstream) {
 	s.Upstreams[u.ID] = u
 	s.ChangeCount++
@@ -328,7 +330,7 @@
 	s.byAddress[u.Address] = remaining
 }
 
-// upstreamUnreadable drops an upstream at once, also within the grace period after an outage: its entry exists but doesn't
+// upstreamUnreadable drops an upstream at once, also within the grace period after an outage: its registration exists but doesn't
 // describe a usable upstream.
 func (s *State) upstreamUnreadable(ev UpstreamUnreadable) []step.Effect {
 	u := s.Upstreams[ev.ID]
@@ -338,8 +340,9 @@
 	return s.drop(ev.ID, ev.Revision)
 }
 
-// RecordRestart records that an upstream has restarted under the same ID, when its agent reports the later start time before the store
-// does. A new instance holds no weights and counts as cold until it reports otherwise.
+// RecordRestart records that an upstream has restarted under the same ID, if its agent reports the later start time before the store
+// does. A new instance holds no weights. It counts as cold for its service's ColdDuration, unless it
+// reports otherwise.
 func (s *State) RecordRestart(now time.Time, id string, startedAt int64) {
 	u := s.Upstreams[id]
 	if u == nil || startedAt <= u.StartedAt {
@@ -395,7 +398,8 @@
 	return effects
 }
 
-// UpstreamAt returns the upstream at an address whose start time is startedAt, or else the one that registered there last; nil for none.
+// UpstreamAt returns the upstream at an address whose start time is startedAt, or else the one that registered there last; nil if none
+// is registered there.
 func (s *State) UpstreamAt(address string, startedAt int64) *Upstream {
 	var last *Upstream
 	for _, id := range s.byAddress[address] {
@@ -430,8 +434,8 @@
 	receivedAt time.Time
 }
 
-// staleStartWindow is how long a report of an earlier start time is ignored as delayed. After that, the host's clock has been set
-// back. It is longer than the interval between two reports of an agent.
+// staleStartWindow is how long after a report a report of an earlier start time is ignored as delayed. A later one means that the host's
+// clock has been set back. It is longer than the interval between two reports of an agent.
 const staleStartWindow = 2500 * time.Millisecond
 
 // RecordStart records the start time that an agent reports for the upstream at an address, in milliseconds since 1970.
@@ -446,8 +450,8 @@
 	}
 }
 
-// Superseded reports whether an upstream's instance has ended although its entry remains: its agent reports a later start, or a
-// later entry at the same address has the same start time.
+// Superseded reports whether an upstream's registration is superseded: it remains in the store although its instance has ended. That is
+// so if the agent at the address reports a later start, or if a later registration at the same address has the same start time.
 func (s *State) Superseded(u *Upstream) bool {
 	if u.StartedAt <= 0 {
 		return false
--- a/internal/core/catalog/catalog_test.go
+++ b/internal/core/catalog/catalog_test.go
@@ -53,8 +53,8 @@
 	require.Empty(t, s.Upstreams)
 }
 
-// TestListRemovesMissingUpstreamsUnlessNewer has a list lack two upstreams: one whose entry is older than the list, and one that registered
-// after the list was read and must stay.
+// TestListRemovesMissingUpstreamsUnlessNewer has a list lack two upstreams: one whose registration is older than the list, and
+// one that registered after the list was read and must stay.
 func TestListRemovesMissingUpstreamsUnlessNewer(t *testing.T) {
 	s := catalog.NewState()
 	s.Reduce(at(0, catalog.UpstreamsListed{Revision: 10, Upstreams: []*catalog.Upstream{upstream("a", 4)}}))
@@ -87,10 +87,11 @@
 	s.Reduce(at(6*time.Second, catalog.UpstreamChanged{Upstream: upstream("a", 33)}))
 	s.Reduce(at(7*time.Second, step.Tick{}))
 	require.NotNil(t, s.Upstreams["a"])
-	require.Nil(t, s.Upstreams["b"], "an entry still missing 2 s after the outage is dropped")
+	require.Nil(t, s.Upstreams["b"], "a registration still missing 2 s after the outage is dropped")
 }
 
-// TestDrainingUpstreamIsDroppedWithoutGracePeriod covers a draining upstream whose entry is gone after an outage: it won't register again.
+// TestDrainingUpstreamIsDroppedWithoutGracePeriod covers a draining upstream whose registration is gone after an outage: it won't
+// register again.
 func TestDrainingUpstreamIsDroppedWithoutGracePeriod(t *testing.T) {
 	s := catalog.NewState()
 	draining := upstream("a", 4)
@@ -126,7 +127,7 @@
 	require.Equal(t, int64(2), s.Versions["m"].Version, "an older version is never restored")
 }
 
-// TestAddressBelongsToTheLatestRegistration guards against a removal of an earlier entry that hides the entry now at its address.
+// TestAddressBelongsToTheLatestRegistration guards against a removal of an earlier registration that hides the one now at its address.
 func TestAddressBelongsToTheLatestRegistration(t *testing.T) {
 	s := catalog.NewState()
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: upstream("old", 4)}))
@@ -206,8 +207,8 @@
 	return catalog.VersionActivated{Model: "m", Version: 2, Revision: 9, Age: age, Assumed: assumed}
 }
 
-// TestKnownAgeReplacesAnAssumedOne has a process find a version when it starts and then receive reports of its age. A known age must replace
-// an assumed one, and an assumed age must never replace a known one.
+// TestKnownAgeReplacesAnAssumedOne has a process find a version when it starts and then receive reports of its age. A known age
+// must replace an assumed one, and an assumed age must never replace a known one.
 func TestKnownAgeReplacesAnAssumedOne(t *testing.T) {
 	s := catalog.NewState()
 	s.ListedActivatedAt = begin.Add(-5 * time.Second)
--- a/internal/core/catalog/evacuation.go
+++ b/internal/core/catalog/evacuation.go
@@ -56,7 +56,7 @@
 	return effects
 }
 
-// evacuate stores the evacuation state that the store had at e.revision, unless a newer revision is known. An event that reports a
+// evacuate records the evacuation state that the store had at e.revision, unless a newer revision is known. An event that reports a
 // change always has a later revision than the state that it changes.
 func (s *State) evacuate(dataCentre string, e evacuation) []step.Effect {
 	known := s.evacuations[dataCentre]
--- a/internal/core/catalog/instances_test.go
+++ b/internal/core/catalog/instances_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestEntryOfAnEarlierInstanceIsIgnored covers an upstream that restarts under its ID while a write of its earlier instance is still in
-// flight: the delayed write must not replace the entry of the new instance.
+// flight: the delayed write must not replace the registration of the new instance.
 func TestEntryOfAnEarlierInstanceIsIgnored(t *testing.T) {
 	s := catalog.NewState()
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(100, 4)}))
@@ -28,7 +28,7 @@
 	require.Equal(t, int64(200), s.Upstreams["a"].StartedAt)
 }
 
-// TestAgentReportsANewInstanceBeforeTheStore covers a restart that the agent reports before the store does: the entry of the earlier
+// TestAgentReportsANewInstanceBeforeTheStore covers a restart that the agent reports before the store does: the registration of the earlier
 // instance must not come back, and the weights that it held must not be assumed.
 func TestAgentReportsANewInstanceBeforeTheStore(t *testing.T) {
 	s := catalog.NewState()
@@ -41,7 +41,7 @@
 	require.Equal(t, int64(200), s.Upstreams["a"].StartedAt)
 }
 
-// TestEntryWithoutTheKnownStartTimeIsRejected covers an entry that lacks the start time which the upstream has already given, so that
+// TestEntryWithoutTheKnownStartTimeIsRejected covers a registration that lacks the start time which the upstream has already given, so that
 // another process must have written it.
 func TestEntryWithoutTheKnownStartTimeIsRejected(t *testing.T) {
 	s := catalog.NewState()
@@ -50,8 +50,8 @@
 	require.Empty(t, s.Upstreams)
 }
 
-// TestAddressInTwoEntriesBelongsToTheOneWithTheReportedStart covers a second entry with the address of a running engine: reports of the
-// engine's agent must still apply to the engine's own entry.
+// TestAddressInTwoEntriesBelongsToTheOneWithTheReportedStart covers a second registration with the address of a running engine:
+// reports of the engine's agent must still apply to the engine's own registration.
 func TestAddressInTwoEntriesBelongsToTheOneWithTheReportedStart(t *testing.T) {
 	s := catalog.NewState()
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(100, 4)}))
--- a/internal/core/catalog/manifest.go
+++ b/internal/core/catalog/manifest.go
@@ -1,5 +1,5 @@
 // Package catalog holds the reducer for what a process knows from the platform's store: the operator's manifest, the registered
-// upstreams, the evacuated data centres and the versions of weights in force. Each item carries the store revision at which it
+// upstreams, the evacuated data centres and the active versions of weights. Each item carries the store revision at which it
 // was read and is never replaced by an older revision. The reducer is pure: see package step.
 package catalog
 
@@ -38,9 +38,9 @@
 	// Prefix is the path prefix of the route's requests. It starts and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Shares has a single entry when the route isn't split.
+	// Shares has a single element when the route isn't split.
 	Shares []Share
-	// Timeout is the maximum time that a caller waits for the answer.
+	// Timeout is the maximum time that a caller waits for the answer; 0 when the route sets none.
 	Timeout time.Duration
 	// Objective is the latency objective: an answer within it counts in full.
 	Objective time.Duration
@@ -49,13 +49,14 @@
 	// CallerTimeout is how long callers of a stream wait for the first event, and for each following one, before they disconnect;
 	// 0 when it is unknown.
 	CallerTimeout time.Duration
-	// MaxUpstreams is the maximum number of upstreams that one request is sent to.
+	// MaxUpstreams is the maximum number of upstreams on which one request may run. Attempts that certainly did not run, such as
+	// declined ones, don't count.
 	MaxUpstreams int
 	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
 	// Anonymous is set when the route accepts requests without an API key.
 	Anonymous bool
-	// Resumable is set when a stream may continue at another upstream.
+	// Resumable is set when another upstream can continue a stream that broke off.
 	Resumable bool
 	// HomeRegions are the home regions of the route, to which its requests are confined; see package residency.
 	HomeRegions residency.Regions
@@ -97,13 +98,13 @@
 	// Origin is the address of the weights origin when this service is the origin, else empty.
 	Origin     string
 	DataCentre string
-	// ColdDuration is how long an upstream is cold after a start. ColdRate is the total rate that a cold upstream accepts from all entries,
-	// in requests per second. Both are 0 where upstreams accept the full load from their start.
+	// ColdDuration is how long an upstream is cold after a start. ColdRate is the total rate, in requests per second, that a cold
+	// upstream accepts from all entries together. Both are 0 where upstreams accept the full load from their start.
 	ColdDuration time.Duration
 	ColdRate     float64
 }
 
-// ClientAccount is a client account.
+// ClientAccount is a client account: the terms for the callers that present one of its API keys.
 type ClientAccount struct {
 	Name string
 	// Priority overrides the route's priority unless it is nil.
--- a/internal/core/catalog/version.go
+++ b/internal/core/catalog/version.go
@@ -11,10 +11,10 @@
 
 // RequireVersionMargin is how long before the deadline for a new version entries start to require that version. An engine starts a
 // request with its first token, which follows the attempt within 1 s at the usual load. At a full or slow engine it takes longer;
-// a request that hasn't started shortly before the end is withdrawn (package forward).
+// a request that hasn't started shortly before the deadline is withdrawn (package forward).
 const RequireVersionMargin = 1300 * time.Millisecond
 
-// Activation is the activation of a version of weights: the operator put the version in force.
+// Activation is the operator's activation of a version of weights. The version is active until a newer one is activated.
 type Activation struct {
 	Model    string
 	Version  int64
@@ -26,12 +26,12 @@
 	Assumed bool
 }
 
-// VersionActivated reports that a version of weights is in force according to the store.
+// VersionActivated reports that a version of weights is active according to the store or to another process.
 type VersionActivated struct {
 	Model    string
 	Version  int64
 	Revision int64
-	// Age is the minimum time for which the version has been in force, as reported by another process. Assumed is set when that
+	// Age is the minimum time since the activation, as reported by another process. Assumed is set when that
 	// process only assumes the age.
 	Age     time.Duration
 	Assumed bool
@@ -78,7 +78,8 @@
 	return append([]step.Effect{change}, effects...)
 }
 
-// record stores an activation, or merges it with the known activation of the same version: n becomes the better of the two.
+// record stores an activation, or merges it with the known activation of the same version. It updates n in place: afterwards n is the
+// better of the two.
 func (s *State) record(n *Activation) []step.Effect {
 	list := s.history[n.Model]
 	i := slices.IndexFunc(list, func(known Activation) bool { return known.Version == n.Version })
@@ -108,10 +109,10 @@
 	return n.ActivatedAt.Before(known.ActivatedAt)
 }
 
-// ReportedActivations returns the activations to report to other processes: those of versions that may still be required, when each version must be
-// in use within the given time after its activation. The store has only the newest one, and a process that starts needs the earlier
-// ones until the newest is required. Per model, the newest version comes first, so that a host that receives all of them doesn't
-// start to fetch a superseded version.
+// ReportedActivations returns the activations to report to other processes: those of versions that may still be required, when each
+// version must be used from the time within after its activation. The store has only the newest one, and a process that starts needs
+// the earlier ones until the newest is required. Per model, the newest version comes first, so that a host that receives all of them
+// doesn't start to fetch a superseded version.
 func (s *State) ReportedActivations(now time.Time, within time.Duration) []Activation {
 	var list []Activation
 	for model, history := range s.history {
@@ -140,8 +141,8 @@
 	return required
 }
 
-// Successor returns the activation from which a version's expiry is counted: the earliest activation of a newer version. ok is false when
-// there is none.
+// Successor returns the activation from which a version's expiry is counted: the earliest activation of a newer version. ok is false
+// when there is none.
 func (s *State) Successor(model string, version int64) (first Activation, ok bool) {
 	for _, n := range s.history[model] {
 		if n.Version > version && (!ok || n.ActivatedAt.Before(first.ActivatedAt)) {
