--- a/internal/core/quarantine/quarantine.go
+++ b/internal/core/quarantine/quarantine.go
@@ -1,10 +1,16 @@
-// Package quarantine detects requests that crash the upstreams that run them, and quarantines them. A request is identified by its
-// fingerprint, a hash of its path, its caller and its body, so that a repeated request is recognized under any request ID.
+// Package quarantine counts, on the users' platform, the crashes of upstreams that requests may have caused, and quarantines requests
+// with several crashes. A request is identified by its fingerprint, so that a repeated request is recognized under any request ID. The
+// fingerprint is a hash of the request's method, host, path with query, API key (its caller) and body; package gateway computes it.
 //
 // Entries observe which requests were in flight on an upstream when it crashed, and report the crashes to all processes (see Report).
 // Crashes are therefore counted over the whole fleet, and each upstream's crash counts once. A request that crashed CrashThreshold
-// upstreams, without a complete answer in between, is quarantined for QuarantineDuration at every process that receives a report of it. A complete
-// answer does not lift a quarantine; otherwise processes that receive answers and crashes in a different order would disagree.
+// upstreams, without a complete answer in between, is quarantined for QuarantineDuration at every process that receives a report of it.
+// A complete answer does not lift a quarantine; otherwise processes that receive answers and crashes in a different order would
+// disagree.
+//
+// Package suspect does the same on the first product's path, and also starts from requests that were in flight at a crash. There, one
+// crash makes a request a suspect, which then runs alone on an upstream. If that upstream crashes too, the request is quarantined for
+// 30 minutes. Here, the third crash starts a quarantine of 30 seconds.
 //
 // The package is pure: the current time is a parameter of each call.
 package quarantine
@@ -15,9 +21,11 @@
 
 const (
 	// CrashThreshold is the number of upstreams that must crash under a request, without a complete answer in between, before the request
-	// is quarantined. An innocent request that runs beside a crashing one can be in flight at two of its crashes.
+	// is quarantined. An innocent request that runs at the same time as one that crashes upstreams can be in flight at two of the
+	// crashes.
 	CrashThreshold = 3
-	// QuarantineDuration is the duration of a quarantine. Upstreams are back a few seconds after a crash, and callers give up after a few attempts.
+	// QuarantineDuration is the duration of a quarantine. Upstreams are back a few seconds after a crash, and callers give up after a
+	// few attempts.
 	QuarantineDuration = 30 * time.Second
 	// CrashRetention is how long a crash counts towards CrashThreshold.
 	CrashRetention = 20 * time.Second
@@ -30,8 +38,8 @@
 
 // record is what is known of one request.
 type record struct {
-	// crashes maps each upstream instance that crashed under the request to the time of the crash. An upstream that restarted and crashed
-	// again counts twice.
+	// crashes maps the hash of each upstream instance that crashed under the request to the time of the crash. An upstream that
+	// restarted and crashed again counts twice, since it has two instances.
 	crashes map[uint32]time.Time
 	// lastUpdate is when the last crash or quarantine was recorded.
 	lastUpdate time.Time
@@ -63,33 +71,33 @@
 	return max(0, r.quarantinedUntil.Sub(now))
 }
 
-// RecentCrashes returns the upstream instances that crashed under a request within CrashRetention and since its last complete answer; nil for
-// none.
+// RecentCrashes returns the hashes of the upstream instances that crashed under a request within CrashRetention and since its last
+// complete answer; nil for none.
 func (t *Table) RecentCrashes(now time.Time, fingerprint uint64) []uint32 {
 	r := t.records[fingerprint]
 	if r == nil {
 		return nil
 	}
 	var list []uint32
-	for upstream, at := range r.crashes {
+	for instanceHash, at := range r.crashes {
 		if now.Sub(at) <= CrashRetention {
-			list = append(list, upstream)
+			list = append(list, instanceHash)
 		}
 	}
 	return list
 }
 
-// Crashed records that an upstream instance was found crashed under a request at the given time. It reports whether this crash starts a
-// quarantine.
-func (t *Table) Crashed(now time.Time, fingerprint uint64, upstream uint32, at time.Time) bool {
+// Crashed records that an upstream instance, identified by its hash, was found crashed under a request at the given time. It reports
+// whether this crash starts a quarantine.
+func (t *Table) Crashed(now time.Time, fingerprint uint64, instanceHash uint32, at time.Time) bool {
 	r := t.record(fingerprint)
 	if r == nil || !at.After(r.answered) {
 		return false
 	}
-	if _, known := r.crashes[upstream]; known {
+	if _, known := r.crashes[instanceHash]; known {
 		return false
 	}
-	r.crashes[upstream] = at
+	r.crashes[instanceHash] = at
 	r.lastUpdate = now
 	t.changes++
 	if now.Before(r.quarantinedUntil) || len(t.RecentCrashes(now, fingerprint)) < CrashThreshold {
@@ -114,8 +122,8 @@
 	return r
 }
 
-// Quarantine applies a quarantine that another process reported with its remaining time. It reports whether the request was not quarantined
-// before.
+// Quarantine applies a quarantine that another process reported with its remaining time. It reports whether the quarantine is new here
+// and was recorded.
 func (t *Table) Quarantine(now time.Time, fingerprint uint64, remaining time.Duration) bool {
 	if remaining < minReported || t.Remaining(now, fingerprint) > 0 {
 		return false
@@ -129,7 +137,8 @@
 	return true
 }
 
-// Answered records that an upstream answered a request completely. The request did not cause the crashes before that.
+// Answered records that an upstream answered a request completely. The crashes before that no longer count, since the request is taken
+// not to have caused them.
 func (t *Table) Answered(now time.Time, fingerprint uint64) {
 	if r := t.records[fingerprint]; r != nil {
 		r.answered = now
--- a/internal/core/quarantine/report.go
+++ b/internal/core/quarantine/report.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// maxQuarantined, maxRepeated and maxSingle bound the reports that are sent at once of requests that are quarantined, that crashed
-	// several upstreams, and that crashed one. Together they take less than 2 kB of the 4 kB that a datagram may have. Each kind has its
-	// own bound, so that none displaces the others: there may be many quarantined requests, even of a single client account, and each
-	// crash yields a dozen or more requests with a single crash, nearly all of which are innocent.
+	// maxQuarantined, maxRepeated and maxSingle bound how many reports of each kind are sent at once: those of quarantined requests, of
+	// requests with several crashes, and of requests with one. Together they take less than 2 kB of the 4 kB that a datagram may have.
+	// Each kind has its own bound, so that none displaces the others. There may be many quarantined requests, even of a single client
+	// account. Each crash yields a dozen or more requests with a single crash, nearly all of which are innocent.
 	maxQuarantined = 16
 	maxRepeated    = 6
 	maxSingle      = 6
@@ -29,7 +29,7 @@
 
 // Crash is the crash of an upstream instance under a request.
 type Crash struct {
-	// Upstream identifies the upstream instance; all processes use the same number for it.
+	// Upstream is the hash of the upstream instance; all processes compute the same one.
 	Upstream uint32 `json:"u"`
 	// AgeMS is the time since the crash was found, in milliseconds.
 	AgeMS int64 `json:"a"`
@@ -84,12 +84,13 @@
 	return list
 }
 
-// reportedCrashes returns the crashes under a request that other processes need.
+// reportedCrashes returns the crashes under a request to report: all that other processes would accept. A single crash is left out after
+// singleCrashAge.
 func (r *record) reportedCrashes(now time.Time) []Crash {
 	var list []Crash
-	for upstream, at := range r.crashes {
+	for instanceHash, at := range r.crashes {
 		if age := now.Sub(at); age <= CrashRetention-minReported {
-			list = append(list, Crash{Upstream: upstream, AgeMS: age.Milliseconds()})
+			list = append(list, Crash{Upstream: instanceHash, AgeMS: age.Milliseconds()})
 		}
 	}
 	if len(list) == 1 && list[0].AgeMS > singleCrashAge.Milliseconds() {
--- a/internal/core/residency/residency.go
+++ b/internal/core/residency/residency.go
@@ -12,8 +12,8 @@
 // Regions are the regions that an operator restricts a route or a client account to. An empty list means no restriction.
 type Regions []string
 
-// Bound is the set of regions in which one request may be: the regions that both its route and its client account allow. The zero
-// value allows every region.
+// Bound is the set of regions in which one request may be served, cached and stored: the regions that both its route and its client
+// account allow. The zero value allows every region.
 type Bound struct{ route, account Regions }
 
 // NewBound returns the bound of a request with the given restrictions of its route and its client account.
@@ -33,7 +33,7 @@
 	return !slices.ContainsFunc(b.route, b.account.allow)
 }
 
-// String lists the allowed regions for logs. It is empty for a request that may be in any region.
+// String lists the regions of the route and those of the client account, for logs. It is empty for a request that may be in any region.
 func (b Bound) String() string {
 	var parts []string
 	if len(b.route) > 0 {
