--- a/internal/membudget/membudget.go
+++ b/internal/membudget/membudget.go
@@ -1,5 +1,5 @@
-// Package membudget limits the bytes that a process holds for its callers: request bodies, and responses that callers have not read yet. Each
-// request has a Reservation. When the budget is exhausted, the reservation that has made no progress for the longest time is
+// Package membudget limits the bytes that a process holds for its callers: request bodies, and responses that callers have not read
+// yet. Each request has a Reservation. When the budget is exhausted, the reservation that has made no progress for the longest time is
 // evicted, since its caller costs the others most.
 package membudget
 
@@ -11,7 +11,7 @@
 )
 
 const (
-	// ownerDivisor limits the reservations of one owner to half of the budget.
+	// ownerDivisor limits the reservations of one owner to half of the budget, so that no owner can exhaust it alone.
 	ownerDivisor = 2
 	// minStall is how long a reservation must have made no progress before it can be evicted.
 	minStall = 500 * time.Millisecond
@@ -51,14 +51,15 @@
 	budget *Budget
 	owner  string
 	evict  func()
-	// size (in bytes), progressAt and evicted are guarded by the budget's lock. progressAt is when the caller last sent or read data.
+	// size (in bytes), progressAt and evicted are guarded by the budget's lock. progressAt is when data last arrived for the request or
+	// its caller last read some.
 	size       int64
 	progressAt time.Time
 	evicted    bool
 }
 
-// Open returns an empty reservation for a request of an owner; owner is any key that distinguishes callers. If the reservation is evicted to
-// free memory for others, evict is called once. It runs with the budget's lock held and must not block.
+// Open returns an empty reservation for a request of an owner; owner is any key that distinguishes callers. If the reservation is
+// evicted to free memory for others, evict is called once. It runs with the budget's lock held and must not block.
 func (b *Budget) Open(owner string, evict func()) *Reservation {
 	r := &Reservation{budget: b, owner: owner, evict: evict, progressAt: b.now()}
 	b.mu.Lock()
@@ -67,7 +68,8 @@
 	return r
 }
 
-// Grow reserves n more bytes. It evicts other reservations if that frees enough, and returns ErrFull if it does not.
+// Grow reserves n more bytes. As long as they don't fit, it evicts other reservations, and returns ErrFull if none is left to evict. If
+// the owner's share is exhausted, only reservations of the same owner are evicted.
 func (r *Reservation) Grow(n int) error {
 	b := r.budget
 	b.mu.Lock()
@@ -91,7 +93,7 @@
 	}
 }
 
-// Progress records that the caller sent or read data.
+// Progress records that data for the request arrived, from its caller or an upstream.
 func (r *Reservation) Progress() {
 	r.budget.mu.Lock()
 	defer r.budget.mu.Unlock()
@@ -123,7 +125,8 @@
 	r.release()
 }
 
-// evictSlowest evicts the eligible reservation that made no progress for the longest time, and reports whether there was one. The caller holds the lock.
+// evictSlowest evicts the eligible reservation that made no progress for the longest time, and reports whether there was one. The caller
+// holds the lock.
 func (b *Budget) evictSlowest(eligible func(*Reservation) bool) bool {
 	var slowest *Reservation
 	now := b.now()
