--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -23,10 +23,10 @@
 // errUpstreamTimeout ends an attempt whose upstream sent nothing within the attempt's timeout.
 var errUpstreamTimeout = errors.New("timed out waiting for data from the upstream")
 
-// errWithdrawn ends an attempt that its engine has not started while the engine's version is about to expire.
-var errWithdrawn = errors.New("withdrawn before the upstream started it: the engine's version is about to expire")
+// errWithdrawn ends an attempt that its upstream has not started and must not start any more; see forward.Withdraw.
+var errWithdrawn = errors.New("withdrawn before the upstream started it: the request is quarantined, or the engine's version is about to expire")
 
-// attempt is one attempt to have an upstream execute a request.
+// attempt is one attempt to have an upstream run a request.
 type attempt struct {
 	x        *exchange
 	decision forward.Send
@@ -35,7 +35,8 @@
 	cancel    context.CancelCauseFunc
 	// timer cancels the attempt when its timeout ends; nil for an attempt without a timeout.
 	timer *time.Timer
-	// createdAt is when the attempt was created. version is the version on which the upstream says it started; see markStarted.
+	// createdAt is when the attempt was created. version is the version of the weights on which the upstream reports that it started the
+	// request; see markStarted.
 	createdAt time.Time
 	version   int64
 	// stage is stagePending until the upstream has started the request or the attempt is withdrawn, whichever comes first.
@@ -49,12 +50,14 @@
 	stageWithdrawn
 )
 
-// runAttempt makes one attempt and reports its outcome to the reducer. It returns true if the request ended with it.
+// runAttempt makes one attempt and reports its outcome to the reducer. It returns true if the request ended with the attempt.
 func (x *exchange) runAttempt(e forward.Send) bool {
 	if !time.Now().Before(e.Deadline) {
-		return false // The request's deadline passed before the decision was carried out; run reports that to the reducer.
+		return false // The request's deadline passed before the attempt was made; run reports that to the reducer.
 	}
-	logevent.Info(x.gateway.log, logevent.RequestSent).Str("request", x.call.AttemptID).Str("route", x.routeName()).Str("upstream", e.Upstream.ID).
+	// The log field entry_revision is the store revision of the upstream's registration, sends is Send.Attempt, and came_back is
+	// Send.Returning.
+	logevent.Info(x.gateway.log, logevent.RequestSent).Str("request", x.call.CallerAttemptID).Str("route", x.routeName()).Str("upstream", e.Upstream.ID).
 		Int64("entry_revision", e.Upstream.Revision).Int("sends", e.Attempt).Bool("resume", e.Resume).
 		Int64("version", e.Version).Stringer("homes", e.Homes).Bool("came_back", e.Returning).Dur("waited_ms", time.Since(x.arrivedAt)).Msg("request sent")
 	x.gateway.metrics.Attempts.Add(1, x.routeName(), "", strconv.Itoa(e.Attempt))
@@ -73,7 +76,8 @@
 		return false
 	}
 	if err != nil {
-		logevent.Warn(x.gateway.log, logevent.AttemptFailed).Str("request", x.call.AttemptID).Str("upstream", e.Upstream.ID).Int("sends", e.Attempt).
+		// The log field sends is Send.Attempt.
+		logevent.Warn(x.gateway.log, logevent.AttemptFailed).Str("request", x.call.CallerAttemptID).Str("upstream", e.Upstream.ID).Int("sends", e.Attempt).
 			Str("outcome", string(outcome)).Uint64("fingerprint", x.fingerprint).Str("last_event", x.lastEventID).Err(err).Msg("attempt failed")
 		x.gateway.metrics.AttemptsFailed.Add(1, string(outcome))
 	}
@@ -99,7 +103,7 @@
 		return a.outcomeOf(ctx, err), err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	reading := platform.ReadResponseHead(resp, a.x.call.AttemptID)
+	reading := platform.ReadResponseHead(resp, a.x.call.CallerAttemptID)
 	a.version = reading.Version
 	a.x.gateway.step(forward.AnswerHeadReceived{Upstream: a.decision.Upstream.Instance(), Sent: a.createdAt, Outcome: reading.Outcome, Notice: reading.Notice})
 	switch {
@@ -146,7 +150,7 @@
 	return true
 }
 
-// withdraw cancels the current attempt if it is the one that e names and its upstream has not started it.
+// withdraw cancels the current attempt if its number is e.Attempt and its upstream has not started it.
 func (x *exchange) withdraw(e forward.Withdraw) {
 	if a := x.current.Load(); a != nil && a.decision.Attempt == e.Attempt && a.stage.CompareAndSwap(stagePending, stageWithdrawn) {
 		a.cancel(errWithdrawn)
@@ -247,7 +251,8 @@
 	}
 }
 
-// checkEventOrder returns an error if ev does not directly follow the last event passed on: a stream that skips or repeats an event is broken.
+// checkEventOrder returns an error if ev does not directly follow the last event passed on: a stream that skips or repeats an event is
+// broken.
 func (x *exchange) checkEventOrder(ev event) error {
 	if x.lastEventID == "" || ev.id == "" {
 		return nil
--- a/internal/gateway/buffering.go
+++ b/internal/gateway/buffering.go
@@ -14,11 +14,12 @@
 	"samphireweir.example/samphireweir/internal/periodic"
 )
 
-// capacityRetryInterval is the delay before memory for a response is requested again. A caller that does not read can be evicted after half a second.
+// capacityRetryInterval is the delay before memory for a response is requested again. Memory may become free at any time, since a request
+// whose caller does not read can be evicted after half a second.
 const capacityRetryInterval = 20 * time.Millisecond
 
-// openReservation returns the memory reservation of a request. When the reservation is evicted, the caller's connection is of no further use,
-// so the deadlines are set to the past to make reads and writes on it fail at once.
+// openReservation returns the memory reservation of a request. When the reservation is evicted, the caller's connection is of no further
+// use. Its deadlines are then set to the past, so that reads and writes on it fail at once.
 func (g *Gateway) openReservation(w http.ResponseWriter, key string) *membudget.Reservation {
 	callerConn := http.NewResponseController(w)
 	return g.memory.Open(key, func() {
@@ -51,7 +52,8 @@
 	return n, err
 }
 
-// accountedBody reads a caller's request body. It fails with membudget.ErrFull if there is no free memory, and the request can be refused.
+// accountedBody reads a caller's request body. It fails with membudget.ErrFull if there is no free memory: nothing was sent yet, so the
+// request can be refused.
 func accountedBody(body io.Reader, r *membudget.Reservation) io.Reader {
 	return accountedReader{Reader: body, reservation: r, reserve: r.Grow}
 }
@@ -75,7 +77,8 @@
 	}
 }
 
-// eventQueue holds the events of a stream that were read but not yet passed on, so that the upstream is read at full speed however slowly the caller reads.
+// eventQueue holds the events of a stream that were read but not yet passed on, so that the upstream is read at full speed however slowly
+// the caller reads.
 type eventQueue struct {
 	mu     sync.Mutex
 	events []event
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -21,13 +21,16 @@
 	"samphireweir.example/samphireweir/platform"
 )
 
-// maxEffects is the capacity of a request's effect channel: each attempt has one effect, and the end of the request another.
+// maxEffects is the capacity of a request's effect channel. A request has one effect for its admission, one for each attempt and one for
+// its end.
 const maxEffects = 8
 
 const (
-	// memoryFullRetryAfter is the Retry-After delay of a refusal for lack of memory. Callers that do not read are evicted within that time.
+	// memoryFullRetryAfter is the Retry-After delay of a refusal for lack of memory. Within that time, requests whose callers do not
+	// read are evicted.
 	memoryFullRetryAfter = time.Second
-	// writeChunkBytes is how many bytes of a buffered response are written at a time, so that the reservation sees progress while the caller reads.
+	// writeChunkBytes is how many bytes of a buffered response are written at a time, so that the reservation records progress while the
+	// caller reads.
 	writeChunkBytes = 64 << 10
 )
 
@@ -43,7 +46,7 @@
 	reservation *membudget.Reservation
 	// arrivedAt is when the request's head was read.
 	arrivedAt time.Time
-	// fingerprint identifies the request's content and its caller; see package quarantine.
+	// fingerprint identifies the request's content and its caller; see the function fingerprint.
 	fingerprint uint64
 	effects     chan step.Effect
 
@@ -52,15 +55,16 @@
 	// ctx ends when the caller leaves or the request's deadline passes.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// headerSent is set once the response header was written, at firstByteAt. The last write to the caller ended at lastWriteAt.
+	// headerSent is set once the response header was written, which is at firstByteAt. The last write to the caller ended at lastWriteAt.
 	headerSent  bool
 	firstByteAt time.Time
 	lastWriteAt time.Time
 	// current is the attempt in progress, nil between two attempts.
 	current atomic.Pointer[attempt]
-	// unsent is true while nothing is known to have reached an upstream since the outcome of the last attempt was reported to the reducer.
+	// unsent is true while nothing can have reached an upstream since the outcome of the last attempt was reported to the reducer.
 	unsent bool
-	// startedVersion is the version of the weights on which the last attempt started; 0 if it did not start or its upstream does not report a version.
+	// startedVersion is the version of the weights on which an upstream last started the request; 0 if none started it or that upstream
+	// does not report a version.
 	startedVersion int64
 	// lastEventID is the id of the last event that was passed on.
 	lastEventID string
@@ -113,7 +117,7 @@
 // logIfEvicted logs that the request was ended to free memory for others.
 func (x *exchange) logIfEvicted() {
 	if x.reservation.Evicted() {
-		logevent.Warn(x.gateway.log, logevent.SlowCallerDisconnected).Str("request", x.call.AttemptID).Str("route", x.routeName()).Bool("answering", x.headerSent).
+		logevent.Warn(x.gateway.log, logevent.SlowCallerDisconnected).Str("request", x.call.CallerAttemptID).Str("route", x.routeName()).Bool("answering", x.headerSent).
 			Int64("held", x.gateway.memory.Used()).Dur("took_ms", time.Since(x.arrivedAt)).Msg("slow caller disconnected")
 	}
 }
@@ -140,7 +144,9 @@
 	}
 }
 
-// fingerprint returns a hash of a request's content and its caller.
+// fingerprint returns a hash of a request's content and its caller: method, host, path with query, API key and body. Package quarantine
+// identifies requests by it. It differs from the fingerprint of the first product's path (package entry), which is independent of the
+// caller.
 func fingerprint(r *http.Request, key string, body []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -151,7 +157,8 @@
 	return d.Sum64()
 }
 
-// handleDone reports to the reducer, once, that the caller left or that the deadline passed. It returns true if the caller left.
+// handleDone reports to the reducer, once, that the caller left or that the deadline passed. It returns true if the caller left; after
+// the deadline, the request ends with the reducer's next effect.
 func (x *exchange) handleDone() bool {
 	if x.r.Context().Err() != nil {
 		x.gateway.step(forward.CallerGone{ID: x.id})
@@ -194,7 +201,7 @@
 
 func (x *exchange) refuse(e forward.Refuse) {
 	description := e.Code.Describe()
-	platform.SetAttemptID(x.w.Header(), x.call.AttemptID)
+	platform.SetAttemptID(x.w.Header(), x.call.CallerAttemptID)
 	if e.RetryAfter > 0 {
 		platform.SetRetryAfter(x.w.Header(), e.RetryAfter)
 	}
@@ -206,7 +213,8 @@
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(description.Status)
 	_, _ = x.w.Write(body) // A caller that left is detected by the request's context.
-	logevent.Warn(x.gateway.log, logevent.RequestRefused).Str("request", x.call.AttemptID).Int("code", int(e.Code)).Str("ran", string(e.Ran)).
+	// The log field came_back is Refuse.Returning.
+	logevent.Warn(x.gateway.log, logevent.RequestRefused).Str("request", x.call.CallerAttemptID).Int("code", int(e.Code)).Str("ran", string(e.Ran)).
 		Str("why", e.Reason).Bool("came_back", e.Returning).Dur("limit_ms", x.call.TimeLeft).Dur("retry_after_ms", e.RetryAfter).Dur("held_ms", time.Since(x.arrivedAt)).Msg("request refused")
 	x.countRequest(strconv.Itoa(int(e.Code)))
 	x.gateway.metrics.Refusals.Add(1, strconv.Itoa(int(e.Code)), string(e.Ran))
@@ -247,7 +255,7 @@
 
 // recordEnd logs and counts the end of a request; why may be empty.
 func (x *exchange) recordEnd(outcome, why string) {
-	logevent.Info(x.gateway.log, logevent.RequestEnded).Str("request", x.call.AttemptID).Str("route", x.routeName()).Str("outcome", outcome).
+	logevent.Info(x.gateway.log, logevent.RequestEnded).Str("request", x.call.CallerAttemptID).Str("route", x.routeName()).Str("outcome", outcome).
 		Str("why", why).Dur("objective_ms", x.objective()).Dur("first_ms", x.timeToFirstByte()).
 		Int("events", x.timing.eventCount).Dur("gap_objective_ms", x.gapObjective()).Dur("upstream_pause_ms", x.timing.maxUpstreamGap).Dur("caller_pause_ms", x.timing.maxWrite).
 		Int64("version", x.startedVersion).Dur("took_ms", time.Since(x.arrivedAt)).Msg("request ended")
--- a/internal/gateway/expiry_test.go
+++ b/internal/gateway/expiry_test.go
@@ -106,7 +106,7 @@
 }
 
 // TestResponseRacingWithWithdrawalIsNotAnUpstreamFailure has the first event arrive between the withdrawal of an attempt and the end of its
-// connection. The upstream must not be blamed for an attempt that the entry withdrew.
+// connection. An attempt that the entry withdrew must not count as a failure of the upstream.
 func TestResponseRacingWithWithdrawalIsNotAnUpstreamFailure(t *testing.T) {
 	require.Equal(t, forward.Withdrawn, gateway.OutcomeOfWithdrawnResponse())
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// handleStoreEvent applies a change in the store. An activated version is passed on to the agents at once.
+// handleStoreEvent applies a change in the store. An activation is passed on to the agents at once, with heartbeats.
 func (g *Gateway) handleStoreEvent(ev step.Event) {
 	g.step(ev)
 	if _, activated := ev.(catalog.VersionActivated); activated {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,9 @@
-// Package gateway is the shell of the entry on the platform: it accepts callers' requests, sends each one directly to a registered
-// upstream and passes the response on. The reducers catalog and forward make the decisions; the shell carries out their effects.
+// Package gateway is the shell of the entry on the users' platform. It accepts callers' requests, sends each one directly to a
+// registered upstream and passes the response on. The reducers in core/catalog and core/forward make the decisions; the shell carries
+// out their effects.
+//
+// Packages hostagent and core/install are the agent's side on the same platform. The first product's path is separate: package entry
+// with core/request and core/routing.
 package gateway
 
 import (
@@ -30,7 +34,8 @@
 )
 
 const (
-	// tickInterval is how often queued requests are checked for free capacity. Requests queue for tens of milliseconds.
+	// tickInterval is the time between two step.Tick events of this shell. With each tick, queued requests are checked for free
+	// capacity. They queue for tens of milliseconds only, so the interval is shorter than step.TickInterval, which other shells use.
 	tickInterval = 20 * time.Millisecond
 	// upstreamDialTimeout limits connecting to an upstream; it allows some tens of round trips between regions.
 	upstreamDialTimeout = 400 * time.Millisecond
@@ -48,9 +53,9 @@
 	// upstreamTransport sends requests to upstreams; traces is nil when tracing is off.
 	upstreamTransport http.RoundTripper
 	traces            *telemetry.Traces
-	// storePeers are the entries of the data centre, through one of which the store is read in a large one.
+	// storePeers are the entries of the data centre. In a large data centre, the others read the store through one of them.
 	storePeers *storefeed.Peers
-	// cache holds what was read from the store, for the processes that read the store through this one; store reads through it.
+	// cache holds what was read from the store, for the processes that read the store through this one. store also reads through it.
 	cache  *storefeed.Cache
 	store  *storefeed.Reader
 	self   string
@@ -91,10 +96,10 @@
 }
 
 const (
-	// callerMemoryDivisor limits the bytes held for callers to a quarter of the process's memory. The runtime takes about as much again; the
-	// known state and buffers take the rest.
+	// callerMemoryDivisor limits the bytes held for callers to a quarter of the process's memory. The Go runtime takes about as much
+	// again; the known state and buffers take the rest.
 	callerMemoryDivisor = 4
-	// defaultMemoryBytes is used when the platform sets no memory limit.
+	// defaultMemoryBytes is the assumed memory of the process when the platform sets no limit.
 	defaultMemoryBytes = 256 << 20
 )
 
@@ -106,9 +111,9 @@
 	return host.MemoryBytes / callerMemoryDivisor
 }
 
-// newUpstreamTransport returns a transport that opens a connection for each request. A reused connection may no longer be served, may be
-// about to be closed by the other side, or may carry a late response to an earlier request. Each of these would leave it unknown
-// whether a request ran. A connection costs one round trip.
+// newUpstreamTransport returns a transport that opens a new connection for each request, which costs one round trip. A reused connection
+// may no longer be served, may be about to be closed by the other side, or may carry a late response to an earlier request. In each of
+// these cases it would be unknown whether a request ran.
 func newUpstreamTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: upstreamDialTimeout, KeepAlive: -1}).DialContext,
@@ -137,7 +142,7 @@
 	if !g.ready.Load() && g.catalog.Ready() {
 		g.ready.Store(true)
 		logevent.Info(g.log, logevent.Ready).Int("upstreams", len(g.catalog.Upstreams)).Msg("ready")
-		go g.sendHeartbeats() // Agents that are starting too wait for heartbeats of entries.
+		go g.sendHeartbeats() // Agents that are also starting wait for heartbeats of entries.
 	}
 }
 
@@ -175,14 +180,17 @@
 	}
 }
 
-// logQuarantine logs that a request is quarantined. upstream is the one whose crash caused it; it is empty if another process reported the quarantine.
+// logQuarantine logs that a request is quarantined. upstream is the one whose crash caused it; it is empty if another process reported
+// the quarantine.
 func (g *Gateway) logQuarantine(fingerprint uint64, left time.Duration, upstream string) {
+	// The log field told says that another process reported the quarantine.
 	logevent.Warn(g.log, logevent.RequestQuarantined).Uint64("fingerprint", fingerprint).Dur("left_ms", left).Str("upstream", upstream).
 		Bool("told", upstream == "").Msg("request quarantined")
 }
 
 func (g *Gateway) logUpstreamNotice(e forward.NoticeChanged) {
 	g.metrics.UpstreamNotices.Add(1)
+	// The log field garbled is Notice.Malformed.
 	logevent.Info(g.log, logevent.UpstreamNotice).Str("upstream", e.Upstream).Bool("limited", e.Notice.Limited).Float64("rate_limit", e.Notice.RateLimit).
 		Bool("garbled", e.Notice.Malformed).Bool("leaving", e.Notice.Leaving).Dur("retry_after_ms", e.Notice.RetryAfter).
 		Bool("limited_before", e.Before.Limited).Bool("leaving_before", e.Before.Leaving).
@@ -192,7 +200,8 @@
 func (g *Gateway) logLateStart(e forward.StartedLate) {
 	g.metrics.StartedLate.Add(1)
 	if x := g.exchanges[e.ID]; x != nil {
-		logevent.Warn(g.log, logevent.StartedLate).Str("request", x.call.AttemptID).Str("upstream", e.Upstream).Int64("version", e.Version).
+		// The log field insisted is StartedLate.Required.
+		logevent.Warn(g.log, logevent.StartedLate).Str("request", x.call.CallerAttemptID).Str("upstream", e.Upstream).Int64("version", e.Version).
 			Int64("successor", e.Successor).Int64("insisted", e.Required).Dur("late_ms", e.Late).Dur("waited_ms", e.Waited).Msg("started late")
 	}
 }
@@ -209,7 +218,7 @@
 	g.exchanges[x.id] = x
 }
 
-// forget drops the state of a request. The reducer treats a request that it did not end itself as left by its caller.
+// forget drops the state of a request. If the reducer has not ended the request itself, it handles it as one whose caller is gone.
 func (g *Gateway) forget(id uint64) {
 	g.step(forward.CallerGone{ID: id})
 	g.mu.Lock()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -85,7 +85,7 @@
 	require.LessOrEqual(t, seen.DeadlineMS, 2000, "the route's limit is below the caller's")
 }
 
-// TestEntryRefusals guards against refusals that do not tell the caller whether its request ran and when to retry.
+// TestEntryRefusals guards against refusals that do not say whether the request ran and when to retry.
 func TestEntryRefusals(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
@@ -139,7 +139,8 @@
 	}
 }
 
-// TestBrokenStreamResumesAtAnotherEngine guards against lost, repeated or incomplete events when the connection to an engine breaks within a stream.
+// TestBrokenStreamResumesAtAnotherEngine guards against lost, repeated or incomplete events when the connection to an engine
+// breaks within a stream.
 func TestBrokenStreamResumesAtAnotherEngine(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
@@ -242,8 +243,8 @@
 	}
 }
 
-// TestGracefulShutdownCompletesOpenRequests guards against a shutdown that cuts off open streams, or refuses requests that the load balancer
-// still sends before it has seen the failed readiness check.
+// TestGracefulShutdownCompletesOpenRequests guards against a shutdown that cuts off open streams, or refuses requests that the
+// load balancer still sends before it has seen the failed readiness check.
 func TestGracefulShutdownCompletesOpenRequests(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -11,7 +11,8 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// TestUpstreamNoticesAreLogged guards against limits and shutdowns that upstreams signal in response heads and that operators can't see in the log.
+// TestUpstreamNoticesAreLogged guards against limits and shutdowns that upstreams signal in response heads and that operators
+// can't see in the log.
 func TestUpstreamNoticesAreLogged(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -15,7 +15,7 @@
 	"samphireweir.example/samphireweir/internal/periodic"
 )
 
-// heartbeatInterval is how often an entry sends heartbeats to the agents, which drop an entry after several missed heartbeats.
+// heartbeatInterval is how often an entry sends heartbeats to the agents. An agent drops an entry after several missed heartbeats.
 const heartbeatInterval = time.Second
 
 // runHeartbeats sends heartbeats until ctx ends; agents that receive them report their engine's load.
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// headTimeout limits reading a request's head; the manifest allows callers about three seconds.
+	// headTimeout limits reading a request's head. It is longer than the about three seconds that the manifest allows callers.
 	headTimeout = 10 * time.Second
-	// idleTimeout is how long an idle connection of a caller is kept, far longer than manifests promise callers.
+	// idleTimeout is how long an idle connection of a caller is kept. It is far longer than manifests promise callers.
 	idleTimeout = 2 * time.Minute
 	// maxHeadBytes is the size limit of a request's head.
 	maxHeadBytes = 64 << 10
-	// maxBodyBytes is the size limit up to which a request's body is read; the manifest's limit is lower.
+	// maxBodyBytes is the maximum size of a request's body that is read. The manifest's limit is lower.
 	maxBodyBytes = 16 << 20
 	// acceptAfterStop is how long new requests are accepted after a shutdown was requested. The load balancer checks readiness once a
 	// second and removes a host after two failed checks.
 	acceptAfterStop = 3 * time.Second
-	// stopMargin is how long before the platform's kill the process exits by itself.
+	// stopMargin is how long before the end of the grace period, when the platform kills the process, the process exits by itself.
 	stopMargin = 300 * time.Millisecond
 	// stopPollInterval is how often the shutdown checks for open requests.
 	stopPollInterval = 50 * time.Millisecond
--- a/internal/gateway/slow_reader_test.go
+++ b/internal/gateway/slow_reader_test.go
@@ -10,7 +10,8 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// startWithSlowReaders starts an entry with 184 MB of memory, an engine whose streams exceed the connections' buffers, and n callers that read nothing.
+// startWithSlowReaders starts an entry with 184 MB of memory, an engine whose streams exceed the connections' buffers, and n
+// callers that read nothing.
 func startWithSlowReaders(t *testing.T, n, events, eventBytes int) (*entry, *standin.Upstream) {
 	t.Helper()
 	fleet := standin.NewFleet(t)
@@ -29,8 +30,8 @@
 	return e, engine
 }
 
-// TestEngineIsReadDespiteSlowCaller guards against a response that is left unread because its caller does not read. The engine closes such a
-// connection after some seconds.
+// TestEngineIsReadDespiteSlowCaller guards against a response that is left unread because its caller does not read. The engine
+// closes such a connection after some seconds.
 func TestEngineIsReadDespiteSlowCaller(t *testing.T) {
 	t.Parallel()
 	const events = 40
--- a/internal/gateway/superseded_test.go
+++ b/internal/gateway/superseded_test.go
@@ -33,8 +33,8 @@
 	require.Equal(t, int64(2), starting.RequiredVersion("m", 4*time.Second, host.VersionTime), "four seconds on, version 2 is 9 s old and version 3 is 6 s old")
 }
 
-// TestStartingEntryAssumesAgeOfListedVersion guards against an entry that never requires a version which it finds in the store when it starts and
-// whose age no process reports.
+// TestStartingEntryAssumesAgeOfListedVersion guards against an entry that never requires a version which it finds in the store
+// when it starts and whose age no process reports.
 func TestStartingEntryAssumesAgeOfListedVersion(t *testing.T) {
 	host := hostconfig.Host{Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", VersionTime: 8 * time.Hour, SettleTime: 3 * time.Hour}
 	starting := gateway.New(host, zerolog.Nop(), telemetry.NewMetrics(), nil)
--- a/internal/gateway/unsent_test.go
+++ b/internal/gateway/unsent_test.go
@@ -19,8 +19,9 @@
 	return nil, r.Context().Err()
 }
 
-// TestRequestThatExpiresBeforeItIsSentIsReportedNotRun guards against a caller that is told that its request may have run, although its deadline
-// passed while the connection was being made. Nothing was sent, so the caller may retry even a request that must run only once.
+// TestRequestThatExpiresBeforeItIsSentIsReportedNotRun guards against reporting to a caller that its request may have run,
+// although its deadline passed while the connection was being made. Nothing was sent, so the caller may retry even a request that
+// must run only once.
 func TestRequestThatExpiresBeforeItIsSentIsReportedNotRun(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
@@ -36,8 +37,8 @@
 	require.Zero(t, desk.Runs(r.ID))
 }
 
-// TestRequestWithdrawnBeforeItIsSentIsReportedNotRun guards against the same report for a request that is withdrawn before its connection was
-// made, because the engine's version is about to expire.
+// TestRequestWithdrawnBeforeItIsSentIsReportedNotRun guards against the same report for a request that is withdrawn before its
+// connection was made, because the engine's version is about to expire.
 func TestRequestWithdrawnBeforeItIsSentIsReportedNotRun(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
