--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -164,7 +164,7 @@
 // ClaimOutcome is the outcome of claiming the idempotency key of an at-most-once call.
 type ClaimOutcome int
 
-// The outcomes of a claim. ClaimNotMade and ClaimUnknown lead to the same answer, because the call did not run in either
+// The outcomes of a claim. ClaimNotRecorded and ClaimMaybeRecorded lead to the same answer, because the call did not run in either
 // case. They differ in what a resend with the same key may find: nothing, or perhaps the key of this call. At present, the
 // entry reports only ClaimGranted and ClaimRefused, and ClaimRefused carries the reason.
 const (
