--- a/internal/core/source/source.go
+++ b/internal/core/source/source.go
@@ -22,20 +22,21 @@
 	MinEntries = 4
 	// CandidateCount is the number of entries of a small data centre that are reported as sources: the reader and two replacements.
 	CandidateCount = 3
-	// minFanOut is the number of entries that may read from one before a second level is needed. The answer to an initial read is
-	// some hundred kilobytes, and the host with the slowest link can send this many of them per second.
+	// minFanOut is the number of entries that may read from one before a second level is needed. The answer to an initial read has
+	// several hundred kilobytes. The host with the slowest link can send 8 such answers per second.
 	minFanOut = 8
 	// spareCandidates is the number of replacements reported in addition to the entries of the first two levels.
 	spareCandidates = 2
-	// entryTTL is how long an entry counts after it was last reported. The least frequent reports come every 3 s.
+	// entryTTL is how long an entry is considered as a source after it was last reported. The least frequent reports come every 3 s.
 	entryTTL = 7 * time.Second
 	// failureBackoff is how long an entry that failed as a source is avoided.
 	failureBackoff = 2 * time.Second
 )
 
-// EntriesReported reports the entries of the data centre, as counted by another process.
+// EntriesReported reports the entries of the data centre, as counted from their heartbeats by this or another process.
 type EntriesReported struct {
-	// Entries are the addresses of the entries that rank first in the data centre. Count is the number of all its entries.
+	// Entries are the addresses of some or all of these entries, from which this process may read. EntryCount is the number of all of
+	// them.
 	Entries    []string
 	EntryCount int
 }
@@ -64,19 +65,20 @@
 type State struct {
 	self       string
 	dataCentre string
-	// spreadsLoad is set for agents, which spread evenly over the entries. Entries form a tree instead.
+	// spreadsLoad is set for agents, each of which chooses among all known entries by its own address. Entries form a tree instead.
 	spreadsLoad bool
-	reportedAt  map[string]time.Time
-	failedAt    map[string]time.Time
-	// count is the number of entries: the highest count that was reported within the last entryTTL. recentCount is the highest
-	// count reported since countAt.
+	// reportedAt and failedAt hold when each entry was last reported, and when it last failed as a source, by address.
+	reportedAt map[string]time.Time
+	failedAt   map[string]time.Time
+	// count is the number of entries, for which the highest count reported within about the last entryTTL is taken. recentCount is the
+	// highest count reported since count last expired.
 	count       int
 	recentCount int
 	countAt     time.Time
 	address     string
 }
 
-// NewState returns the state of the process at address self. spreadsLoad is set for agents, which spread over the known entries.
+// NewState returns the state of the process at address self. spreadsLoad is set for agents; see State.
 func NewState(self, dataCentre string, spreadsLoad bool) *State {
 	return &State{self: self, dataCentre: dataCentre, spreadsLoad: spreadsLoad, reportedAt: map[string]time.Time{}, failedAt: map[string]time.Time{}}
 }
@@ -108,7 +110,7 @@
 	for _, e := range ev.Entries {
 		s.reportedAt[e] = now
 	}
-	// A process undercounts for a while after its start, or always if it never receives from some entries. The highest count of
+	// A process counts too few entries for a while after its start, or always if some entries send it nothing. The highest count of
 	// the last seconds is therefore the best estimate.
 	s.recentCount = max(s.recentCount, ev.EntryCount)
 	if ev.EntryCount >= s.count {
@@ -171,13 +173,14 @@
 	return ranked[0]
 }
 
-// fanOut returns how many entries of a data centre read from the first one: the square root of their number, at least minFanOut. Neither
-// the first entry nor an entry of the second level then serves many more than that.
+// fanOut returns how many entries of a data centre read from the first one: the square root of their number, at least minFanOut. With
+// the square root, an entry of the second level serves about as many entries as the first one.
 func fanOut(entries int) int {
 	return max(minFanOut, int(math.Ceil(math.Sqrt(float64(entries)))))
 }
 
-// EntryCandidates returns the entries that are reported as sources to the entries of a data centre: those that are read from, and spares.
+// EntryCandidates returns the entries that are reported as sources to the entries of a data centre: those that others read from, and
+// their replacements.
 func EntryCandidates(dataCentre string, entries []string) []string {
 	count := CandidateCount
 	if secondLevel := fanOut(len(entries)); len(entries) > secondLevel+1 {
@@ -187,7 +190,8 @@
 	return ranked[:min(count, len(ranked))]
 }
 
-// AgentCandidates returns the entries that are reported to an agent as sources. Different agents receive different ones, which spreads the load.
+// AgentCandidates returns the entries that are reported to an agent as sources. Different agents get different ones, so that the reads
+// are distributed over all entries of the data centre.
 func AgentCandidates(agent string, entries []string) []string {
 	ranked := step.Rank(agent, entries)
 	return ranked[:min(CandidateCount, len(ranked))]
