--- a/internal/core/install/install.go
+++ b/internal/core/install/install.go
@@ -1,6 +1,9 @@
 // Package install holds the agent's reducer that brings one engine to the versions of weights in force. It resolves a version to its
-// content digest, waits until every chunk is on this host, has the chunks staged for the engine and read back, and orders the engine
-// to load them, in turn with the other engines of its service. The reducer is pure: see package step.
+// content digest and waits until every chunk is on this host. It then has the chunks staged for the engine and read back, and orders
+// the engine to load them, in turn with the other engines of its service. The reducer is pure: see package step.
+//
+// This package and its shell, package hostagent, are the agent's side on the users' platform. The entry's side there is package gateway
+// with package forward. Packages internal/agent and rollout do the same for the first product. Package weights serves both.
 //
 // No decision relies on the answer to a load order: the engine is read again, which settles lost, repeated and late answers.
 package install
@@ -14,9 +17,9 @@
 )
 
 const (
-	// resolveTimeout is how long a request for a version's manifest may remain unanswered.
+	// resolveTimeout is how long a request for a version's chunk manifest may remain unanswered.
 	resolveTimeout = 4 * time.Second
-	// resolveRetry is the delay before a failed request for a manifest is repeated.
+	// resolveRetry is the delay before a failed request for a chunk manifest is repeated.
 	resolveRetry = 100 * time.Millisecond
 	// prepareRetry is the delay before chunks are staged again after a failure.
 	prepareRetry = 200 * time.Millisecond
@@ -24,32 +27,34 @@
 	orderRetry = 500 * time.Millisecond
 	// orderTimeout is how long a load order may remain unanswered.
 	orderTimeout = 3 * time.Second
-	// maxCheckAge is the maximum age of the oldest chunk check when the engine is ordered to load. Stored chunks can become corrupted;
-	// a load that follows its check within this time stays within what the platform tolerates.
+	// maxCheckAge is the maximum age of the oldest chunk check when the engine is ordered to load. Staged chunks can become corrupted
+	// after their check. The platform tolerates a load that follows its check within this time.
 	maxCheckAge = 2 * time.Second
 	// servingShare is the fraction of the host's link that transfers may use while the engine processes requests. Its answers use
 	// the same link.
 	servingShare = 0.8
 	// idleShare is the same fraction while the engine is idle. Control traffic between hosts takes the rest.
 	idleShare = 0.92
-	// engineTimeout is how long an engine may fail to answer before it counts as down: several readings, which are made every 100 ms.
+	// engineTimeout is how long an engine may fail to answer before it counts as down. It spans several readings, which are made every
+	// 100 ms.
 	engineTimeout = 800 * time.Millisecond
 )
 
-// Phase is the progress of a version on this host, or of a model on the engine.
+// Phase is the progress of a version on this host, or the progress of the engine with a model. These have separate sets of constants,
+// and a field holds values of one set only. PhaseChanged.Phase, which is logged, holds values of both.
 type Phase string
 
-// The phases of a version.
+// The phases of a version on this host, held by the field phase of type version.
 const (
 	// Resolving is the phase in which the version's digest is requested.
 	Resolving Phase = "resolving"
 	// Fetching is the phase in which the version's chunks are transferred.
 	Fetching Phase = "fetching"
-	// Fetched is the phase of a complete version: every chunk is on this host.
+	// Fetched is the phase of a complete version: every chunk is on this host. Its value is logged, so it stays "whole".
 	Fetched Phase = "whole"
 )
 
-// The phases of an engine, for a model.
+// The phases of the engine for a model, held by the field phase of type model.
 const (
 	// Idle is the phase without a load in progress.
 	Idle Phase = "idle"
@@ -98,7 +103,7 @@
 	RequestCount int
 	// Slowdown is the engine's processing time relative to what its service declares; 0 when it is unknown.
 	Slowdown float64
-	// Notice is what the engine reports about itself besides.
+	// Notice holds the engine's notices: its rate limit, its shutdown and how long it stays cold.
 	Notice catalog.Notice
 }
 
@@ -156,12 +161,12 @@
 type Resolve struct {
 	Model   string
 	Version int64
-	// Attempt is the number of earlier attempts. The more there were, the more hosts ask the origin directly.
-	Attempt int
+	// EarlierAttempts is the number of attempts before this one. The more there were, the more hosts may ask the origin.
+	EarlierAttempts int
 }
 
-// Fetch reports that the versions whose chunks are wanted on this host have changed; see State.Wanted.
-type Fetch struct{}
+// WantedChanged informs the shell that the versions whose chunks are wanted on this host have changed; see State.Wanted.
+type WantedChanged struct{}
 
 // Want is a version whose chunks are wanted on this host.
 type Want struct {
@@ -181,14 +186,15 @@
 type LoadOrder struct {
 	Model   string
 	Version int64
-	// Sequence is the number of accepted orders that the engine must have for the order to apply.
+	// Sequence is the number of orders that the engine must have accepted before this one. Otherwise it rejects the order.
 	Sequence int64
-	// CheckedAt is when the first chunk was read back. The order must not be sent later than MaxAge after it.
+	// CheckedAt is when the first chunk was read back. The order must be sent within MaxAge of it.
 	CheckedAt time.Time
 	MaxAge    time.Duration
 }
 
-// PhaseChanged has the shell log that a model or version entered a phase.
+// PhaseChanged has the shell log that a version, or the engine for a model, entered a phase. The texts in Phase and Reason are logged as
+// they are.
 type PhaseChanged struct {
 	Model   string
 	Version int64
@@ -200,7 +206,7 @@
 func (Resolve) Effect() {}
 
 // Effect marks the type as an effect.
-func (Fetch) Effect() {}
+func (WantedChanged) Effect() {}
 
 // Effect marks the type as an effect.
 func (Prepare) Effect() {}
@@ -216,7 +222,7 @@
 	number int64
 	digest string
 	phase  Phase
-	// nextAt is when a failed request for the manifest is repeated. attempts counts the repetitions.
+	// nextAt is when the request for the chunk manifest is repeated if it failed or is unanswered. attempts counts these repetitions.
 	nextAt   time.Time
 	attempts int
 }
@@ -229,10 +235,10 @@
 	activatedAt map[int64]time.Time
 	// versions are the versions that the engine may still need, oldest first; see retained.
 	versions []*version
-	// phase is the engine's phase for this model, and target the version that it applies to.
+	// phase is the engine's phase for this model, and target the number of the version to load.
 	phase  Phase
 	target int64
-	// nextAt is the earliest time at which the phase may end.
+	// nextAt ends the wait of the phase: for the engine's turn in Waiting, for the answer in Ordering, for the order's effect in Loading.
 	nextAt time.Time
 }
 
@@ -240,8 +246,8 @@
 type State struct {
 	// Self is this host's address among the peers.
 	Self string
-	// VersionTime is how long after the activation of a version requests may still start on an older one.
-	VersionTime time.Duration
+	// VersionLifetime is how long requests may still start on a version after a newer one was activated.
+	VersionLifetime time.Duration
 
 	models map[string]*model
 	peers  []string
@@ -255,14 +261,14 @@
 }
 
 // NewState returns the state of an agent that knows nothing about its engine yet.
-func NewState(self string, versionTime time.Duration) *State {
-	return &State{Self: self, VersionTime: versionTime, models: map[string]*model{}, complete: map[string]bool{}}
+func NewState(self string, versionLifetime time.Duration) *State {
+	return &State{Self: self, VersionLifetime: versionLifetime, models: map[string]*model{}, complete: map[string]bool{}}
 }
 
 // Loaded maps each model to the version that the engine holds completely.
 func (s *State) Loaded() map[string]int64 { return s.engine.Loaded }
 
-// NotAccepting reports whether the engine accepts no new requests now or in a moment.
+// NotAccepting reports whether the engine accepts no new requests, or will stop accepting them because of a load order.
 func (s *State) NotAccepting() bool {
 	for _, m := range s.models {
 		if m.phase == Ordering || m.phase == Loading {
--- a/internal/core/install/install_test.go
+++ b/internal/core/install/install_test.go
@@ -14,8 +14,8 @@
 var begin = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 const (
-	self        = "10.0.0.1:7700"
-	versionTime = 8 * time.Second
+	self            = "10.0.0.1:7700"
+	versionLifetime = 8 * time.Second
 )
 
 // harness drives an agent's reducer and the readings of its engine.
@@ -27,7 +27,7 @@
 }
 
 func newHarness(peers ...string) *harness {
-	h := &harness{state: install.NewState(self, versionTime), engine: install.EngineRead{Loaded: map[string]int64{}}}
+	h := &harness{state: install.NewState(self, versionLifetime), engine: install.EngineRead{Loaded: map[string]int64{}}}
 	h.step(install.PeersChanged{Peers: append([]string{self}, peers...)})
 	return h
 }
@@ -53,7 +53,7 @@
 	var list []step.Effect
 	for _, e := range effects {
 		switch e.(type) {
-		case install.PhaseChanged, install.Fetch:
+		case install.PhaseChanged, install.WantedChanged:
 		default:
 			list = append(list, e)
 		}
@@ -74,7 +74,7 @@
 	h := newHarness("10.0.0.2:7700")
 	h.read()
 	require.Contains(t, h.step(install.VersionActivated{Model: "m", Version: 1}), install.Resolve{Model: "m", Version: 1})
-	require.Contains(t, h.step(install.Resolved{Model: "m", Version: 1, Digest: "d1"}), install.Fetch{})
+	require.Contains(t, h.step(install.Resolved{Model: "m", Version: 1, Digest: "d1"}), install.WantedChanged{})
 	require.Equal(t, []install.Want{{Model: "m", Version: 1, Digest: "d1"}}, h.state.Wanted())
 	h.step(install.ContentComplete{Digest: "d1"})
 	require.Equal(t, []step.Effect{install.Prepare{Model: "m", Version: 1, Digest: "d1"}}, h.pass(200*time.Millisecond))
@@ -152,7 +152,7 @@
 	h.read()
 	h.step(install.VersionActivated{Model: "m", Version: 1})
 	h.step(install.Resolved{Model: "m", Version: 1})
-	require.Equal(t, []step.Effect{install.Resolve{Model: "m", Version: 1, Attempt: 1}}, h.pass(500*time.Millisecond))
+	require.Equal(t, []step.Effect{install.Resolve{Model: "m", Version: 1, EarlierAttempts: 1}}, h.pass(500*time.Millisecond))
 }
 
 // TestContradictedDigestIsResolvedAgain guards against fetching forever for a corrupted digest, whose chunks exist nowhere.
@@ -162,7 +162,7 @@
 	h.step(install.VersionActivated{Model: "m", Version: 1})
 	h.step(install.Resolved{Model: "m", Version: 1, Digest: "wrong"})
 	require.Equal(t, []step.Effect{install.Resolve{Model: "m", Version: 1}}, actions(h.step(install.DigestContradicted{Digest: "wrong"})))
-	require.Contains(t, h.step(install.Resolved{Model: "m", Version: 1, Digest: "right"}), install.Fetch{})
+	require.Contains(t, h.step(install.Resolved{Model: "m", Version: 1, Digest: "right"}), install.WantedChanged{})
 	require.Equal(t, []install.Want{{Model: "m", Version: 1, Digest: "right"}}, h.state.Wanted())
 }
 
@@ -180,7 +180,7 @@
 	require.Empty(t, h.pass(time.Second))
 	h.step(install.Resolved{Model: "m", Version: 3, Digest: "d3"})
 	h.step(install.ContentComplete{Digest: "d3"})
-	require.Contains(t, h.pass(versionTime), install.Prepare{Model: "m", Version: 3, Digest: "d3"})
+	require.Contains(t, h.pass(versionLifetime), install.Prepare{Model: "m", Version: 3, Digest: "d3"})
 }
 
 // TestFirstRequiredVersionIsFetchedToTheEnd activates three versions during an origin outage. The first one, most of which has arrived,
@@ -200,7 +200,7 @@
 	h.step(install.Resolved{Model: "m", Version: 4, Digest: "d4"})
 	require.Equal(t, []install.Want{{Model: "m", Version: 2, Digest: "d2"}, {Model: "m", Version: 4, Digest: "d4"}}, h.state.Wanted())
 	h.step(install.ContentComplete{Digest: "d2"})
-	require.Contains(t, h.pass(versionTime), install.Prepare{Model: "m", Version: 2, Digest: "d2"})
+	require.Contains(t, h.pass(versionLifetime), install.Prepare{Model: "m", Version: 2, Digest: "d2"})
 	h.step(install.VersionActivated{Model: "m", Version: 3})
 	require.Equal(t, int64(4), h.state.NewestVersion("m"), "an older version never replaces a newer one")
 }
@@ -230,7 +230,7 @@
 	}
 	var times []time.Duration
 	for _, host := range hosts {
-		h := &harness{state: install.NewState(host, versionTime), engine: install.EngineRead{Loaded: map[string]int64{"m": 1}}}
+		h := &harness{state: install.NewState(host, versionLifetime), engine: install.EngineRead{Loaded: map[string]int64{"m": 1}}}
 		h.step(install.PeersChanged{Peers: hosts})
 		h.read()
 		h.step(install.VersionActivated{Model: "m", Version: 2})
@@ -264,7 +264,7 @@
 	highest := 0
 	perSecond := map[time.Duration]int{}
 	for _, at := range turns(t, 20, false) {
-		require.LessOrEqual(t, at, versionTime)
+		require.LessOrEqual(t, at, versionLifetime)
 		perSecond[at.Truncate(time.Second)]++
 	}
 	for _, n := range perSecond {
--- a/internal/core/install/reduce.go
+++ b/internal/core/install/reduce.go
@@ -21,7 +21,8 @@
 	if len(m.versions) == 0 || ev.Version > m.newest().number {
 		v := &version{number: ev.Version, phase: Resolving, nextAt: in.Now.Add(resolveTimeout)}
 		m.versions = append(m.retained(m.activatedAt[ev.Version]), v)
-		effects = []step.Effect{Resolve{Model: m.name, Version: v.number}, Fetch{}, m.moved(v.number, Resolving, "named")}
+		// The reason "named" means that the version was activated. It is logged, so it stays.
+		effects = []step.Effect{Resolve{Model: m.name, Version: v.number}, WantedChanged{}, m.phaseChanged(v.number, Resolving, "named")}
 	}
 	if m.phase == Waiting && m.newestComplete() != nil {
 		m.nextAt = in.Now.Add(s.turnDelay(in.Now, m, s.engine.Loaded[m.name]))
@@ -39,8 +40,9 @@
 	}
 }
 
-// retained returns the versions to keep when a newer one is activated: the complete ones, and the oldest one being fetched if it can be
-// used long enough before the newer one replaces it. Fetching two versions at once shares the links and delays the newer one.
+// retained returns the versions to keep when a newer one, activated at the time newer, is added. These are the complete versions, and
+// the oldest of those being fetched that were activated at least minUse before the newer one and are thus usable long enough. Only one is
+// kept of those being fetched, because they share the links with the newer version and delay it.
 func (m *model) retained(newer time.Time) []*version {
 	var list []*version
 	fetching := false
@@ -76,7 +78,9 @@
 	return list
 }
 
-// dropObsolete drops versions that the engine has skipped or will skip, and reports whether there were any.
+// dropObsolete drops versions that the engine has skipped or will skip, and reports whether there were any. The oldest version is
+// dropped in two cases: it is older than the version that the engine holds, or the newest version is complete and the oldest one isn't
+// the target of the engine's phase. The newest version always stays.
 func (m *model) dropObsolete(held int64) bool {
 	before := len(m.versions)
 	for len(m.versions) > 1 && (m.versions[0].number < held || m.newest().phase == Fetched && m.versions[0].number != m.target) {
@@ -99,11 +103,11 @@
 		return nil
 	}
 	v.digest, v.phase = ev.Digest, Fetching
-	return []step.Effect{Fetch{}, m.moved(v.number, Fetching, "resolved")}
+	return []step.Effect{WantedChanged{}, m.phaseChanged(v.number, Fetching, "resolved")}
 }
 
-// contradicted resolves a version again whose digest the origin contradicts while it is being fetched. A complete version has passed
-// the check against its digest, so that it stays.
+// contradicted resolves a version again if the origin contradicts its digest while it is being fetched. A complete version stays: its
+// chunks have passed the check against the digest.
 func (s *State) contradicted(in step.Input, ev DigestContradicted) []step.Effect {
 	var effects []step.Effect
 	for _, name := range s.Models() {
@@ -111,7 +115,7 @@
 		for _, v := range m.versions {
 			if v.phase == Fetching && v.digest == ev.Digest {
 				v.phase, v.nextAt = Resolving, in.Now.Add(resolveTimeout)
-				effects = append(effects, Resolve{Model: m.name, Version: v.number}, m.moved(v.number, Resolving, "the origin contradicts the digest"))
+				effects = append(effects, Resolve{Model: m.name, Version: v.number}, m.phaseChanged(v.number, Resolving, "the origin contradicts the digest"))
 			}
 		}
 	}
@@ -193,17 +197,17 @@
 		case v.phase == Resolving && !in.Now.Before(v.nextAt):
 			v.nextAt = in.Now.Add(resolveTimeout)
 			v.attempts++
-			effects = append(effects, Resolve{Model: m.name, Version: v.number, Attempt: v.attempts})
+			effects = append(effects, Resolve{Model: m.name, Version: v.number, EarlierAttempts: v.attempts})
 		case v.phase == Fetching && s.complete[v.digest]:
 			v.phase = Fetched
 			if m.phase == Waiting {
 				m.nextAt = in.Now.Add(s.turnDelay(in.Now, m, s.engine.Loaded[m.name]))
 			}
-			effects = append(effects, m.moved(v.number, Fetched, "every chunk is on this host"))
+			effects = append(effects, m.phaseChanged(v.number, Fetched, "every chunk is on this host"))
 		}
 	}
 	if m.dropObsolete(s.engine.Loaded[m.name]) {
-		effects = append(effects, Fetch{})
+		effects = append(effects, WantedChanged{})
 	}
 	return effects
 }
@@ -241,7 +245,8 @@
 	return list[len(list)-1]
 }
 
-// leaveWaiting starts to prepare the newest complete version once it is the engine's turn.
+// leaveWaiting starts to prepare the newest complete version once it is the engine's turn. There is nothing to load in two cases: no
+// version is complete, or the engine responds and already holds the newest complete one.
 func (s *State) leaveWaiting(in step.Input, m *model, responding bool, held int64, due bool) []step.Effect {
 	v := m.newestComplete()
 	if v == nil || responding && v.number == held {
@@ -254,23 +259,24 @@
 	return append(m.enter(Preparing, in.Now, "its turn"), Prepare{Model: m.name, Version: v.number, Digest: v.digest})
 }
 
-// supersededWait is how long an engine that skips a version waits for the next one after entries have stopped sending requests to the
-// version that it holds.
+// supersededWait is how long an engine that skips a version still waits for the next one, from the time at which entries stop sending
+// requests to the version that it holds.
 const supersededWait = time.Second
 
-// minUse is the minimum time for which a version must be usable for its load to be worthwhile. An engine accepts no requests for about
-// usualLoadTime, so that a version that is superseded sooner costs more capacity than it adds.
+// minUse is the minimum time for which a version must be usable for its load to be worthwhile. During a load, an engine accepts no
+// requests for about usualLoadTime. A version that is superseded sooner costs more capacity than it adds.
 const minUse = 2500 * time.Millisecond
 
 // idleLoadTime is the approximate load time of an engine without running requests. minIdleUse is the minimum time for which a version
-// must be usable after such a load for it to be worthwhile; no capacity is lost meanwhile.
+// must be usable after such a load for it to be worthwhile. It is shorter than minUse, because such a load costs no capacity.
 const (
 	idleLoadTime = 500 * time.Millisecond
 	minIdleUse   = 500 * time.Millisecond
 )
 
-// notWorthLoading reports whether a newer version is required so soon that the engine should skip v and wait for that one. An engine
-// whose own version is no longer usable receives no requests until it loads another, so that a shorter use is enough.
+// notWorthLoading reports whether a newer version is required so soon that the engine should skip v and wait for that one. For an
+// engine that receives no requests, a shorter use is enough. There are two such cases: the engine holds no version, or the version that
+// it holds is no longer usable.
 func (s *State) notWorthLoading(now time.Time, m *model, v *version, held int64) bool {
 	until := s.usableUntil(m, v.number)
 	if until.IsZero() || !now.Before(until.Add(loadAnywayAfter)) {
@@ -287,16 +293,22 @@
 	return until.Sub(from) < minUse
 }
 
-// loadAnywayAfter is how long after the end of its usable time an old version is loaded after all. The newer version may not arrive, as
-// while the origin is down, and may then be withdrawn or arrive only in part; the engine shouldn't stay empty until then.
+// loadAnywayAfter is how long after the end of its usable time an old version is loaded after all. The newer version may not arrive, for
+// example while the origin is down. This host may then drop the newer version in favour of a still newer one (see retained), or hold only
+// a part of its chunks. The engine shouldn't stay empty until a newer version is complete.
 const loadAnywayAfter = 10 * time.Second
 
 // usualLoadTime is the approximate time that an engine takes to complete its running requests and to load.
 const usualLoadTime = 2 * time.Second
 
 // turnDelay returns how long this engine waits before it loads a version, so that the engines of a service don't all stop accepting
-// requests at once. The time for which entries still send requests to the version that it holds is divided among the peers by rank. The
-// order is reversed from one version to the next.
+// requests at once. The time for which entries still send requests to the version that it holds is divided among the peers by rank.
+//
+// The ranks are the same for all versions of a model. For versions with an odd number, the order is reversed: an engine that loads an
+// even version first loads the odd version after it last.
+//
+// The delay is 0 where there is nothing to take turns for: the engine holds no version, entries no longer send requests to the version
+// that it holds, or no other peer is known. It is also 0 while this host isn't among the known peers, because it then has no rank.
 //
 // When a still newer version has been activated, only half of the engines load this one. The others serve their version as long as it
 // is usable and then load the newer one directly, because each load costs an engine the time to complete its running requests.
@@ -322,8 +334,8 @@
 	return window * time.Duration(position) / time.Duration(n)
 }
 
-// usableUntil returns until when entries send requests to an engine that holds a version: until they require the first newer one. The
-// zero time means no end.
+// usableUntil returns until when entries send requests to an engine that holds a version: until they require the newer version that
+// was activated first. The zero time means that no end is known.
 func (s *State) usableUntil(m *model, held int64) time.Time {
 	var first time.Time
 	for number, since := range m.activatedAt {
@@ -334,16 +346,16 @@
 	if first.IsZero() {
 		return first
 	}
-	return first.Add(s.VersionTime - catalog.RequireVersionMargin)
+	return first.Add(s.VersionLifetime - catalog.RequireVersionMargin)
 }
 
-// enter puts the engine into a phase that may end at next at the earliest.
+// enter sets the engine's phase for the model, and nextAt to next.
 func (m *model) enter(p Phase, next time.Time, why string) []step.Effect {
 	m.phase = p
 	m.nextAt = next
-	return []step.Effect{m.moved(m.target, p, why)}
+	return []step.Effect{m.phaseChanged(m.target, p, why)}
 }
 
-func (m *model) moved(number int64, p Phase, why string) PhaseChanged {
+func (m *model) phaseChanged(number int64, p Phase, why string) PhaseChanged {
 	return PhaseChanged{Model: m.name, Version: number, Phase: p, Reason: why}
 }
--- a/internal/core/install/restart_test.go
+++ b/internal/core/install/restart_test.go
@@ -22,10 +22,10 @@
 // TestVersionIsUsedInTimeAfterAllProcessesRestart activates a version while all engines hold the previous one. Three seconds later, every
 // entry and every agent ends and restarts at once, while the engines keep running.
 //
-// It guards against requests that start on the old version after it has expired, and against load orders that come too late, by as long as
-// the processes had known of the version before the restart. A process that starts finds the version in the store's list, which has no
-// activation times. If it takes the version as activated at that moment, the time that has already passed is lost: heartbeats and load
-// reports carry the age, but no process is left that knows it.
+// It guards against requests that start on the old version after it has expired, and against load orders that come too late. With the
+// fault, both are late by the time for which the processes had known of the version before the restart. A process that starts finds the
+// version in the store's list, which has no activation times. If it assumes that the version was activated at that moment, it ignores the
+// time that has already passed. Heartbeats and load reports carry the age, but no process is left that knows it.
 func TestVersionIsUsedInTimeAfterAllProcessesRestart(t *testing.T) {
 	const never = time.Duration(0)
 	for _, c := range []struct {
@@ -41,7 +41,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(3, 10)
 			f.activate(2)
-			for f.now < versionTime+4*time.Second {
+			for f.now < versionLifetime+4*time.Second {
 				if c.restartAt != never && f.now == c.restartAt {
 					f.restart(c.survivors)
 				}
@@ -52,7 +52,7 @@
 			}
 			assert.Empty(t, f.expired, "requests that started on version 1 after it expired, by time since the activation of version 2")
 			for _, a := range f.agents {
-				assert.Less(t, a.orderedAt, versionTime, "load order to the engine of %s, by time since the activation of version 2", a.host)
+				assert.Less(t, a.orderedAt, versionLifetime, "load order to the engine of %s, by time since the activation of version 2", a.host)
 			}
 		})
 	}
@@ -93,7 +93,7 @@
 )
 
 // host holds the settings of the fleet's hosts.
-var host = hostconfig.Host{VersionTime: versionTime, SettleTime: 3 * time.Second}
+var host = hostconfig.Host{VersionLifetime: versionLifetime, SettleTime: 3 * time.Second}
 
 func newFleet(entries, agents int) *fleet {
 	f := &fleet{version: 1}
@@ -114,7 +114,7 @@
 		c.ListedActivatedAt = begin.Add(f.now).Add(-host.AssumedVersionAge())
 		f.entries[i] = forward.NewState(forward.Self{
 			Name: fmt.Sprintf("entry-%d", i), DataCentre: "perth-a", Region: "perth", Regions: map[string]string{"perth-a": "perth"},
-			Retries: hostconfig.RetryBudget{Ratio: 0.2, Base: 100, Window: 10 * time.Second}, VersionLifetime: versionTime,
+			Retries: hostconfig.RetryBudget{Ratio: 0.2, Base: 100, Window: 10 * time.Second}, VersionLifetime: versionLifetime,
 		}, c)
 		for _, ev := range f.lists() {
 			c.Reduce(f.input(ev))
@@ -122,7 +122,7 @@
 		f.versions(func(ev step.Event) { c.Reduce(f.input(ev)) }).OnList(f.object())
 	}
 	for _, a := range f.agents[survivors:] {
-		a.catalog, a.install = catalog.NewState(), install.NewState(a.host, versionTime)
+		a.catalog, a.install = catalog.NewState(), install.NewState(a.host, versionLifetime)
 		a.catalog.ListedActivatedAt = begin.Add(f.now).Add(-host.AssumedVersionAge())
 		f.step(a, install.PeersChanged{Peers: f.hosts()})
 		f.step(a, a.engine)
@@ -136,8 +136,8 @@
 	}
 }
 
-// lists returns what a starting process reads from the store besides the version in force: the manifest, and the engines, which
-// started an hour ago.
+// lists returns what a starting process reads from the store in addition to the version in force: the configuration manifest, and the
+// engines, which started an hour ago.
 func (f *fleet) lists() []step.Event {
 	route := &catalog.Route{
 		Name: "reports", Host: "h", Prefix: "/reports/", Kind: catalog.Streaming, Resumable: true, MaxUpstreams: 2,
@@ -252,7 +252,7 @@
 func (f *fleet) reports(c *catalog.State) []step.Event {
 	var events []step.Event
 	now := begin.Add(f.now)
-	for _, n := range loadreport.Activations(now, c.ReportedActivations(now, versionTime)) {
+	for _, n := range loadreport.Activations(now, c.ReportedActivations(now, versionLifetime)) {
 		events = append(events, n.Event())
 	}
 	return events
@@ -276,7 +276,7 @@
 				outcome = forward.Declined
 			case attempt.Version > 0 && attempt.Version != held:
 				outcome = forward.Misdirected
-			case held < 2 && f.now > versionTime:
+			case held < 2 && f.now > versionLifetime:
 				f.expired = append(f.expired, f.now)
 			}
 		}
--- a/internal/core/install/superseded_test.go
+++ b/internal/core/install/superseded_test.go
@@ -10,9 +10,9 @@
 	"samphireweir.example/samphireweir/internal/core/install"
 )
 
-// TestLoadTurnsEndWithTheFirstRequiredVersion activates version 3 two seconds after version 2, which is dropped in its favour. The chunks of
-// version 3 arrive five seconds after the activation of version 2. The engines hold version 1, on which no request may start once version 2
-// is required, whether or not any engine holds version 2.
+// TestLoadTurnsEndWithTheFirstRequiredVersion activates version 3 two seconds after version 2, so that version 2 is dropped. The chunks of
+// version 3 arrive five seconds after the activation of version 2. The engines hold version 1. No request may start on it once version 2 is
+// required, whether or not any engine holds version 2.
 //
 // It guards against load turns that last until version 3 is required: half of the engines would still hold version 1 when entries stop
 // sending requests to it, and would be idle for up to 1.7 s until their turn. This happens if the expiry of a version is derived from
@@ -23,7 +23,7 @@
 		hosts = append(hosts, string(rune('a'+i)))
 	}
 	for _, host := range hosts {
-		h := &harness{state: install.NewState(host, versionTime), engine: install.EngineRead{Loaded: map[string]int64{"m": 1}}}
+		h := &harness{state: install.NewState(host, versionLifetime), engine: install.EngineRead{Loaded: map[string]int64{"m": 1}}}
 		h.step(install.PeersChanged{Peers: hosts})
 		h.read()
 		h.step(install.VersionActivated{Model: "m", Version: 2})
@@ -36,16 +36,16 @@
 		for !done && !hasPrepare(h.pass(100*time.Millisecond)) {
 			require.Less(t, h.now, 30*time.Second)
 		}
-		require.LessOrEqual(t, h.now, versionTime-catalog.RequireVersionMargin, "load turn of the engine of %s, since the activation of version 2", host)
+		require.LessOrEqual(t, h.now, versionLifetime-catalog.RequireVersionMargin, "load turn of the engine of %s, since the activation of version 2", host)
 	}
 }
 
 // TestEngineWithoutAUsableVersionLoadsOneForItsLastSeconds covers an origin outage that starts right after two activations and ends when
 // the version that the engines hold is no longer usable. The first of the new versions then arrives some seconds before the second one is
-// required. An engine that receives no requests must load it even for such a short time, one that still serves requests skips it, and
-// neither loads it when less than about 1 s is left.
+// required. An engine that receives no requests must load it even for such a short time. One that still serves requests skips it. Neither
+// loads it when less than about 1 s is left.
 func TestEngineWithoutAUsableVersionLoadsOneForItsLastSeconds(t *testing.T) {
-	const secondActivation, endOfUse = 3 * time.Second, versionTime - catalog.RequireVersionMargin
+	const secondActivation, endOfUse = 3 * time.Second, versionLifetime - catalog.RequireVersionMargin
 	for _, c := range []struct {
 		held  int64
 		at    time.Duration
--- a/internal/gateway/expiry_test.go
+++ b/internal/gateway/expiry_test.go
@@ -51,7 +51,7 @@
 				release = append(release, u.Hold())
 			}
 			host := fleet.Host(standin.NextIP(), false)
-			host.VersionTime = 2 * time.Second
+			host.VersionLifetime = 2 * time.Second
 			e := startHost(t, fleet, host)
 			fleet.Faults.Next(c.faults...)
 			replies := make(chan standin.Reply, 1)
@@ -66,7 +66,7 @@
 			next := fleet.AddEngine("i-2", standin.NextIP(), 2)
 			time.Sleep(watchDelay) // By now the entry watches the store, and sees the version at once.
 			fleet.ActivateVersion(2)
-			time.Sleep(host.VersionTime)
+			time.Sleep(host.VersionLifetime)
 			for _, resume := range release {
 				resume()
 			}
@@ -94,7 +94,7 @@
 	engine := fleet.AddEngine("i-1", standin.NextIP(), 1)
 	engine.Events, engine.EventInterval = 40, 50*time.Millisecond
 	host := fleet.Host(standin.NextIP(), false)
-	host.VersionTime = time.Second
+	host.VersionLifetime = time.Second
 	e := startHost(t, fleet, host)
 	replies := make(chan standin.Reply, 1)
 	go func() { replies <- e.Post("/stream/1") }()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -81,7 +81,7 @@
 		host: host, self: self, log: log, metrics: m, catalog: catalogState, storePeers: storePeers, cache: cache,
 		forward: forward.NewState(forward.Self{
 			Name: host.Name, DataCentre: host.DataCentre, Region: host.Region, Regions: host.Regions,
-			Retries: host.Retries, VersionLifetime: host.VersionTime,
+			Retries: host.Retries, VersionLifetime: host.VersionLifetime,
 		}, catalogState),
 		exchanges: map[uint64]*exchange{}, memory: membudget.New(callerMemoryLimit(host), time.Now),
 		upstreamTransport: upstreamClient.Transport, traces: traces,
--- a/internal/gateway/superseded_test.go
+++ b/internal/gateway/superseded_test.go
@@ -20,27 +20,27 @@
 // store holds the newest version only. If heartbeats and reports also carry only the newest version with its age, the entry
 // never learns of version 2 and accepts version 1 until version 3 becomes required.
 func TestStartingEntryLearnsOfSupersededVersion(t *testing.T) {
-	host := hostconfig.Host{Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", VersionTime: 8 * time.Second}
+	host := hostconfig.Host{Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", VersionLifetime: 8 * time.Second}
 	newEntry := func() *gateway.Gateway { return gateway.New(host, zerolog.Nop(), telemetry.NewMetrics(), nil) }
 	running, starting := newEntry(), newEntry()
 	running.Step(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50, Age: 5 * time.Second})
 	running.Step(catalog.VersionActivated{Model: "m", Version: 3, Revision: 60, Age: 2 * time.Second})
-	require.Equal(t, int64(2), running.RequiredVersion("m", 4*time.Second, host.VersionTime), "the other entries require version 2 by then")
+	require.Equal(t, int64(2), running.RequiredVersion("m", 4*time.Second, host.VersionLifetime), "the other entries require version 2 by then")
 
 	starting.Step(catalog.VersionActivated{Model: "m", Version: 3, Revision: 60})
 	// Agents report the versions that entries send them in the same form.
 	starting.Receive(netip.MustParseAddrPort("127.0.0.2:7700"), loadreport.Message{Activations: running.Heartbeat().Activations})
-	require.Equal(t, int64(2), starting.RequiredVersion("m", 4*time.Second, host.VersionTime), "four seconds on, version 2 is 9 s old and version 3 is 6 s old")
+	require.Equal(t, int64(2), starting.RequiredVersion("m", 4*time.Second, host.VersionLifetime), "four seconds on, version 2 is 9 s old and version 3 is 6 s old")
 }
 
 // TestStartingEntryAssumesAgeOfListedVersion guards against an entry that never requires a version which it finds in the store when it starts and
 // whose age no process reports.
 func TestStartingEntryAssumesAgeOfListedVersion(t *testing.T) {
-	host := hostconfig.Host{Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", VersionTime: 8 * time.Hour, SettleTime: 3 * time.Hour}
+	host := hostconfig.Host{Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", VersionLifetime: 8 * time.Hour, SettleTime: 3 * time.Hour}
 	starting := gateway.New(host, zerolog.Nop(), telemetry.NewMetrics(), nil)
 	starting.Step(catalog.VersionActivated{Model: "m", Version: 2, Revision: 60, Listed: true})
-	require.Zero(t, starting.RequiredVersion("m", 2*time.Hour, host.VersionTime))
-	require.Equal(t, int64(2), starting.RequiredVersion("m", 3*time.Hour, host.VersionTime))
+	require.Zero(t, starting.RequiredVersion("m", 2*time.Hour, host.VersionLifetime))
+	require.Equal(t, int64(2), starting.RequiredVersion("m", 3*time.Hour, host.VersionLifetime))
 	reported := starting.Heartbeat().Activations
 	require.Len(t, reported, 1)
 	require.True(t, reported[0].Assumed)
--- a/internal/gateway/unsent_test.go
+++ b/internal/gateway/unsent_test.go
@@ -45,7 +45,7 @@
 	fleet.SetGapTarget(time.Second)
 	fleet.AddEngine("i-1", standin.NextIP(), 1)
 	host := fleet.Host(standin.NextIP(), false)
-	host.VersionTime = 2 * time.Second
+	host.VersionLifetime = 2 * time.Second
 	e := startHost(t, fleet, host)
 	e.gateway.SetUpstreamTransport(hangingTransport{})
 	replies := make(chan standin.Reply, 1)
--- a/internal/hostagent/age_test.go
+++ b/internal/hostagent/age_test.go
@@ -28,7 +28,7 @@
 
 // newIdleAgent returns an agent that is not running: it handles events and serves nobody. Its engine holds version 1.
 func newIdleAgent(log zerolog.Logger) *hostagent.Agent {
-	a := hostagent.New(hostconfig.Host{Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", VersionTime: longVersionTime, MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20},
+	a := hostagent.New(hostconfig.Host{Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", VersionLifetime: longVersionTime, MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20},
 		log, telemetry.NewMetrics(), nil)
 	a.Step(install.EngineRead{StartedAt: 1, Loaded: map[string]int64{"m": 1}})
 	return a
@@ -97,7 +97,7 @@
 // its start, as if it were known.
 func TestStartingAgentMarksAssumedVersionAge(t *testing.T) {
 	a := hostagent.New(hostconfig.Host{
-		Name: "a", IP: "127.0.0.1", PeerPort: 7700, VersionTime: 8 * time.Hour, SettleTime: 3 * time.Hour, MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20,
+		Name: "a", IP: "127.0.0.1", PeerPort: 7700, VersionLifetime: 8 * time.Hour, SettleTime: 3 * time.Hour, MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20,
 	}, zerolog.Nop(), telemetry.NewMetrics(), nil)
 	a.Step(catalog.VersionActivated{Model: "m", Version: 2, Revision: 60, Listed: true})
 	versions := a.ActiveVersions()
--- a/internal/hostagent/hostagent.go
+++ b/internal/hostagent/hostagent.go
@@ -95,7 +95,7 @@
 		storePeers: storePeers, store: storePeers.Reader(platform.NewStore(host.Store, client), pool, nil), engine: platform.NewEngine(host.Engine, client),
 		catalog:  catalog.NewState(),
 		weights:  weights.NewState(weights.Peer{Address: self, Place: host.DataCentre, Region: host.Region}),
-		install:  install.NewState(self, host.VersionTime),
+		install:  install.NewState(self, host.VersionLifetime),
 		reporter: newReporter(), timeouts: defaultTimeouts(),
 	}
 	a.catalog.ListedActivatedAt = time.Now().Add(-host.AssumedVersionAge())
@@ -175,7 +175,7 @@
 			Str("why", e.Reason).Msg("install phase changed")
 	case install.Resolve:
 		go a.resolve(e)
-	case install.Fetch:
+	case install.WantedChanged:
 		a.updateWants(in)
 	case install.Prepare:
 		go a.prepare(e)
--- a/internal/hostagent/reports.go
+++ b/internal/hostagent/reports.go
@@ -219,5 +219,5 @@
 		Address: a.host.Engine, StartedAt: a.install.StartedAt(), RequestCount: a.install.RequestCount(), NotAccepting: a.install.NotAccepting(), Versions: a.install.Loaded(),
 		RateLimit: a.install.RateLimit(), Leaving: a.install.Leaving(), ColdMS: a.install.ColdRemaining().Milliseconds(), Slowdown: a.install.Slowdown(),
 	}
-	return load, loadreport.Activations(now, a.catalog.ReportedActivations(now, a.host.VersionTime))
+	return load, loadreport.Activations(now, a.catalog.ReportedActivations(now, a.host.VersionLifetime))
 }
--- a/internal/hostagent/resolve.go
+++ b/internal/hostagent/resolve.go
@@ -86,7 +86,7 @@
 	if raw := a.queryPeers(peers, e.Model, e.Version); raw != nil {
 		return raw, nil
 	}
-	if position >= originRequestersAt(e.Attempt) {
+	if position >= originRequestersAt(e.EarlierAttempts) {
 		return nil, errOriginNotPermitted
 	}
 	return a.queryOrigin(e, peers)
--- a/internal/hostagent/starting_test.go
+++ b/internal/hostagent/starting_test.go
@@ -122,7 +122,7 @@
 // newStartingAgent returns an agent that knows the manifest, which gives an origin, and no other host.
 func newStartingAgent(log *standin.Log, ip string, port int, origin string) *hostagent.Agent {
 	a := hostagent.New(hostconfig.Host{
-		Name: "a", IP: ip, PeerPort: port, DataCentre: "perth-a", Engine: "127.0.0.1:1", EngineService: "model", VersionTime: longVersionTime,
+		Name: "a", IP: ip, PeerPort: port, DataCentre: "perth-a", Engine: "127.0.0.1:1", EngineService: "model", VersionLifetime: longVersionTime,
 		MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20,
 	}, zerolog.New(log), telemetry.NewMetrics(), nil)
 	m := catalog.NewManifest(1, nil, nil)
--- a/internal/hostconfig/hostconfig.go
+++ b/internal/hostconfig/hostconfig.go
@@ -38,17 +38,17 @@
 	LinkBytesPerSecond int64
 	// ShutdownGrace is the time between the signal to stop and the kill of the process.
 	ShutdownGrace time.Duration
-	// VersionTime is how long after the activation of a version requests may still start on an older one.
-	VersionTime time.Duration
-	// ManifestTime is the maximum time from a write of the manifest to the store until the change is in force on every host.
+	// VersionLifetime is how long requests may still start on a version after a newer one was activated.
+	VersionLifetime time.Duration
+	// ManifestTime is the maximum time from a write of the configuration manifest to the store until the change is in force on every host.
 	// DrainTime is the maximum time from the write of an upstream's drain to the store until the upstream gets no more
 	// requests. Each is 0 when the platform does not specify it.
 	ManifestTime, DrainTime time.Duration
 	// EvacuationTime is the maximum time from a write of the evacuation of a data centre to the store until it is in force on
 	// every host; 0 when the platform has no evacuations.
 	EvacuationTime time.Duration
-	// SettleTime is the maximum time after its start or a disturbance during which a host may not know what is in force; 0 when
-	// the platform does not specify it.
+	// SettleTime is the time after its start or after a disturbance within which a host may not know yet what is in force; 0
+	// when the platform does not specify it.
 	SettleTime time.Duration
 	// Retries is the retry budget of a service.
 	Retries RetryBudget
@@ -57,12 +57,12 @@
 // AssumedVersionAge returns the age that a process assumes at its start for a version of weights that it finds in the store. With
 // this age, the version becomes required when the host must know what is in force, SettleTime after the start. A version that
 // was activated long ago is then required in time, even if no other process can report when it was activated. A version
-// that was activated a moment ago is required up to VersionTime - SettleTime too early, until a process reports its age.
+// that was activated a moment ago is required up to VersionLifetime - SettleTime too early, until a process reports its age.
 func (h Host) AssumedVersionAge() time.Duration {
 	if h.SettleTime <= 0 {
 		return 0
 	}
-	return max(0, h.VersionTime-h.SettleTime)
+	return max(0, h.VersionLifetime-h.SettleTime)
 }
 
 // ChangeTime returns the maximum time for a process to receive any change in the store: the shorter of ManifestTime and
