--- a/internal/hostagent/age_test.go
+++ b/internal/hostagent/age_test.go
@@ -22,13 +22,13 @@
 const (
 	// agentSelf is the agent's own address among the peers.
 	agentSelf = "127.0.0.1:7700"
-	// longVersionTime is so long that no turn to load comes up by itself within a test.
-	longVersionTime = 10 * time.Minute
+	// longVersionLifetime is so long that an engine's turn to load doesn't come within a test just because time passes.
+	longVersionLifetime = 10 * time.Minute
 )
 
 // newIdleAgent returns an agent that is not running: it handles events and serves nobody. Its engine holds version 1.
 func newIdleAgent(log zerolog.Logger) *hostagent.Agent {
-	a := hostagent.New(hostconfig.Host{Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", VersionLifetime: longVersionTime, MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20},
+	a := hostagent.New(hostconfig.Host{Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", VersionLifetime: longVersionLifetime, MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20},
 		log, telemetry.NewMetrics(), nil)
 	a.Step(install.EngineRead{StartedAt: 1, Loaded: map[string]int64{"m": 1}})
 	return a
@@ -45,7 +45,8 @@
 
 var entryAddress = netip.MustParseAddrPort("127.0.0.9:7700")
 
-// earlierPeer returns a peer whose engine loads an even version before this agent's, whose turn is half a version's time later.
+// earlierPeer returns a peer whose engine loads an even version before this agent's engine. With it as the only peer, this agent's turn comes
+// after about half of a version's lifetime.
 func earlierPeer(t *testing.T) string {
 	t.Helper()
 	for port := 1; port < 100; port++ {
@@ -58,12 +59,12 @@
 	return ""
 }
 
-// TestStartingAgentTakesVersionAgeFromEntries guards against an engine that keeps an old version, to which entries send no requests any more,
-// for most of a version's time after its agent restarts.
+// TestStartingAgentTakesVersionAgeFromEntries guards against an engine that keeps an old version for most of a version's lifetime after its
+// agent restarts, although entries no longer send requests to that version.
 //
 // The agent finds the required version in the store's list and computes the engine's turn as if the version had just been activated. Then an
-// entry's heartbeat reports the version's real age. The engine loads too late if this age does not reach the install
-// reducer, or if a turn that was computed already is kept although the version proves to be older.
+// entry's heartbeat reports the version's real age. The engine loads too late if this age does not reach the install reducer. It also loads
+// too late if the turn that was computed already is kept although the version is older.
 func TestStartingAgentTakesVersionAgeFromEntries(t *testing.T) {
 	var log standin.Log
 	a := newIdleAgent(zerolog.New(&log))
@@ -75,13 +76,13 @@
 	require.Equal(t, 1, log.Count(`"the engine holds another version"`), "the engine waits for its turn")
 	require.Zero(t, log.Count(`"its turn"`), "as far as this agent knows, the version was just activated")
 
-	a.Receive(entryAddress, heartbeat(map[int64]time.Duration{2: longVersionTime}))
+	a.Receive(entryAddress, heartbeat(map[int64]time.Duration{2: longVersionLifetime}))
 	a.Step(step.Tick{})
 	require.Equal(t, 1, log.Count(`"its turn"`), "the version is required: the engine loads it now")
 }
 
-// TestAgentReportsSupersededVersion guards against an agent that reports only the newest of two versions which are both still within their
-// validity time; see TestStartingEntryLearnsOfSupersededVersion.
+// TestAgentReportsSupersededVersion guards against an agent that reports only the newest of two versions, neither of which has expired;
+// see TestStartingEntryLearnsOfSupersededVersion.
 func TestAgentReportsSupersededVersion(t *testing.T) {
 	a := newIdleAgent(zerolog.Nop())
 	a.Receive(entryAddress, heartbeat(map[int64]time.Duration{2: 5 * time.Second, 3: 2 * time.Second}))
@@ -93,8 +94,8 @@
 	require.GreaterOrEqual(t, ages[3], (2 * time.Second).Milliseconds())
 }
 
-// TestStartingAgentMarksAssumedVersionAge guards against an agent that reports an age which it only assumes, for a version found in the store at
-// its start, as if it were known.
+// TestStartingAgentMarksAssumedVersionAge guards against an agent that only assumes the age of a version found in the store at its start,
+// but reports this age as if it were known.
 func TestStartingAgentMarksAssumedVersionAge(t *testing.T) {
 	a := hostagent.New(hostconfig.Host{
 		Name: "a", IP: "127.0.0.1", PeerPort: 7700, VersionLifetime: 8 * time.Hour, SettleTime: 3 * time.Hour, MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20,
--- a/internal/hostagent/export_test.go
+++ b/internal/hostagent/export_test.go
@@ -19,7 +19,7 @@
 	return versions
 }
 
-// AddManifest gives the agent the manifest of a version.
+// AddManifest gives the agent the chunk manifest of a version.
 func (a *Agent) AddManifest(model string, version int64, raw []byte, m *manifest.Manifest) error {
 	digest := manifest.Digest(raw)
 	if _, err := a.fetcher.Memory.AddVersion(digest, raw, m); err != nil {
--- a/internal/hostagent/growth_test.go
+++ b/internal/hostagent/growth_test.go
@@ -17,7 +17,7 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// addVersion gives an agent the manifest of a version of many chunks.
+// addVersion gives an agent the chunk manifest of a version with many chunks.
 func addVersion(t *testing.T, a *hostagent.Agent) {
 	t.Helper()
 	m := &manifest.Manifest{Model: "m", Version: "2", SHA256: strings.Repeat("ab", 32), ChunkSize: 4}
@@ -56,8 +56,8 @@
 	return minAllocated
 }
 
-// TestUpstreamListCostGrowsLinearly guards against an agent that recomputes its peers for each upstream of a list. The cost is then quadratic: a
-// fleet of twice the size took four times as long to start and to serve requests.
+// TestUpstreamListCostGrowsLinearly guards against an agent that recomputes its peers for each upstream of a list. The cost was then
+// quadratic: a fleet of twice the size took four times as long to start and to serve requests.
 func TestUpstreamListCostGrowsLinearly(t *testing.T) {
 	const small, large = 150, 1200
 	smallBytes, largeBytes := allocatedByUpstreamList(t, small), allocatedByUpstreamList(t, large)
--- a/internal/hostagent/hostagent.go
+++ b/internal/hostagent/hostagent.go
@@ -1,6 +1,13 @@
-// Package hostagent is the shell of the agent beside a model engine on the platform: it brings the active weights to the engine, spreads
-// them to the other hosts, and reports the engine's load to the entries. The reducers catalog, weights and install make the
-// decisions; the shell carries out their effects.
+// Package hostagent is the shell of the agent that runs on the same host as a model engine on the users' platform. It brings the active
+// weights to the engine, distributes them to the other hosts, and reports the engine's load to the entries. The reducers catalog, weights
+// and install make the decisions; the shell carries out their effects.
+//
+// Packages hostagent and install are the agent's side on the platform; packages gateway and forward are the entry's side. The first
+// product has its own agent, in packages internal/agent and rollout. Packages weights and transfer serve both agents.
+//
+// Two kinds of manifest occur here. The configuration manifest holds the operator's settings (package catalog). A chunk manifest lists the
+// chunks of one version (package manifest). "Load" has two meanings as well. A load report informs entries of how busy the engine is. A load
+// order makes the engine load the weights of a version.
 package hostagent
 
 import (
@@ -37,14 +44,14 @@
 	engineReadInterval = 100 * time.Millisecond
 	// engineReadTimeout limits one such call.
 	engineReadTimeout = 400 * time.Millisecond
-	// versionPollInterval, upstreamPollInterval and configPollInterval are the times between two reads of a list that may be stale. They
-	// can be long: entries report versions sooner, and new hosts announce themselves to the others.
+	// versionPollInterval, upstreamPollInterval and configPollInterval are the times between two reads of a list of versions, upstreams or
+	// configuration manifests. They can be long: entries report versions sooner, and new hosts announce themselves to the others.
 	versionPollInterval  = 2 * time.Second
 	upstreamPollInterval = 4 * time.Second
 	configPollInterval   = 10 * time.Second
-	// initialPollInterval is the time between two reads until the manifest and the upstreams are known.
+	// initialPollInterval is the time between two reads until the configuration manifest and the upstreams are known.
 	initialPollInterval = 500 * time.Millisecond
-	// baseUpstreams is the number of upstreams that the poll intervals are meant for; in larger fleets they grow in proportion.
+	// baseUpstreams is the number of upstreams that the poll intervals are meant for. In larger fleets, the intervals grow in proportion.
 	baseUpstreams = 100
 	// originIdleTimeout is how long an idle connection to the origin is kept.
 	originIdleTimeout = 300 * time.Millisecond
@@ -52,17 +59,17 @@
 	dialTimeout = 700 * time.Millisecond
 	// chunkMemoryDivisor limits the memory for chunks to a quarter of the process's memory.
 	chunkMemoryDivisor = 4
-	// headTimeout limits reading the head of a peer's request.
+	// headTimeout limits reading the headers of a peer's request.
 	headTimeout = 5 * time.Second
 )
 
-// Agent is the process beside one engine.
+// Agent is the process that serves one engine, on the same host.
 type Agent struct {
 	host    hostconfig.Host
 	self    string
 	log     zerolog.Logger
 	metrics *telemetry.Metrics
-	// storePeers are the entries through which the store is read in a large data centre.
+	// storePeers holds the known entries of this data centre, through which the store is read if it is a large one.
 	storePeers *storefeed.Peers
 	store      *storefeed.Reader
 	engine     *platform.Engine
@@ -76,7 +83,7 @@
 	catalog *catalog.State
 	weights *weights.State
 	install *install.State
-	// peersChanged is set while the reducers have not been informed of a change of the upstreams; see updatePeers.
+	// peersChanged is set when the upstreams have changed and the reducers have not been informed yet; see updatePeers.
 	peersChanged bool
 	reporter     reporter
 }
@@ -127,7 +134,7 @@
 	return a.catalog.Origin(), chunks
 }
 
-// engineConfig returns the manifest's settings for this host's engine, nil if there are none.
+// engineConfig returns the configuration manifest's settings for this host's engine, nil if there are none.
 func (a *Agent) engineConfig() *catalog.Engine {
 	if a.catalog.Manifest == nil {
 		return nil
@@ -189,7 +196,7 @@
 	}
 }
 
-// logCatalogChange logs a change of the known state. A change of an upstream is only marked, for updatePeers.
+// logCatalogChange logs a change of the known state. A change of an upstream isn't logged, but recorded for updatePeers.
 func (a *Agent) logCatalogChange(c catalog.StateChanged) {
 	if c.Topic == catalog.UpstreamTopic {
 		a.peersChanged = true
@@ -199,8 +206,8 @@
 		Int64("revision", c.Revision).Msg("known state changed")
 }
 
-// updatePeers informs the reducers of the hosts in the fleet. It does so once for all changes since the last tick or list, since each
-// time the reducers recompute over all hosts who shares chunks with whom.
+// updatePeers informs the reducers of the hosts in the fleet. It does so once for all changes since the last tick or list, because the
+// reducers recompute each time which hosts share chunks with each other.
 func (a *Agent) updatePeers() {
 	if !a.peersChanged {
 		return
@@ -237,7 +244,7 @@
 		}
 		ip, err := platform.HostIP(u.Address)
 		if err != nil || ip == a.host.IP {
-			continue // Can't fail: addresses are validated when the store's entry is read.
+			continue // An error can't occur: addresses are validated when the upstream's registration is read.
 		}
 		list = append(list, weights.Peer{
 			Address: net.JoinHostPort(ip, strconv.Itoa(a.host.PeerPort)), Place: u.DataCentre, Region: a.host.Regions[u.DataCentre],
@@ -303,7 +310,7 @@
 	a.storePeers.Tick()
 }
 
-// followStore reads the manifest, the upstreams and the versions from the store.
+// followStore reads the configuration manifest, the upstreams and the versions from the store.
 func (a *Agent) followStore(ctx context.Context) {
 	watch := storewatch.Decoder{Step: a.Step, Log: a.log}
 	for kind, interval := range map[string]time.Duration{
@@ -315,8 +322,9 @@
 	}
 }
 
-// pollInterval returns the time until the next read of a list. It is short until the manifest and the upstreams are known, and grows with the
-// number of upstreams, so that the store sends no more to a large fleet than to a small one.
+// pollInterval returns the time until the next read of a list. It is short until the configuration manifest and the upstreams are known.
+// After that, the time between reads from the store itself grows with the number of upstreams. The store thus sends no more to a large fleet
+// than to a small one.
 func (a *Agent) pollInterval(interval time.Duration) time.Duration {
 	if !a.initialized() {
 		return initialPollInterval
@@ -329,7 +337,7 @@
 	return interval * time.Duration(1+len(a.catalog.Upstreams)/baseUpstreams)
 }
 
-// initialized reports whether the agent knows the manifest and the upstreams.
+// initialized reports whether the agent knows the configuration manifest and the upstreams.
 func (a *Agent) initialized() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/hostagent/hostagent_test.go
+++ b/internal/hostagent/hostagent_test.go
@@ -15,7 +15,7 @@
 // testTimeout limits how long a test waits for a condition. It is far longer than needed, since test machines can be busy.
 const testTimeout = 60 * time.Second
 
-// start runs n engines that hold a version, and an agent beside each.
+// start runs n engines that hold a version, each with an agent on the same host.
 func start(t *testing.T, fleet *standin.Fleet, n int, version int64) (engines []*standin.Upstream, stops []func()) {
 	t.Helper()
 	for i := range n {
@@ -89,7 +89,8 @@
 	requireLoaded(t, engines, 1)
 }
 
-// TestEngineIsRefilledAfterPowerLoss guards against an agent that takes chunks for staged which the engine's host lost with its power.
+// TestEngineIsRefilledAfterPowerLoss guards against an agent that assumes that chunks are staged although the engine's host
+// lost them in a power loss.
 func TestEngineIsRefilledAfterPowerLoss(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
--- a/internal/hostagent/joining_test.go
+++ b/internal/hostagent/joining_test.go
@@ -25,7 +25,7 @@
 	for _, running := range []time.Duration{time.Second, time.Minute} {
 		var log standin.Log
 		a := hostagent.New(hostconfig.Host{
-			Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", Engine: "127.0.0.1:1", EngineService: "model", VersionLifetime: longVersionTime,
+			Name: "a", IP: "127.0.0.1", PeerPort: 7700, DataCentre: "perth-a", Engine: "127.0.0.1:1", EngineService: "model", VersionLifetime: longVersionLifetime,
 			MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20,
 		}, zerolog.New(&log), telemetry.NewMetrics(), nil)
 		m := catalog.NewManifest(1, nil, nil)
--- a/internal/hostagent/manifest_request_test.go
+++ b/internal/hostagent/manifest_request_test.go
@@ -18,7 +18,7 @@
 )
 
 // TestManifestRequestWaitsUntilPeerHasManifest guards against a delay at each level of the tree when a version is activated: all hosts learn of it at
-// about the same time and ask their parents for the manifest before these have it. A parent must hold the request until it does.
+// about the same time and ask their parents for the chunk manifest before these have it. A parent must hold the request until it does.
 func TestManifestRequestWaitsUntilPeerHasManifest(t *testing.T) {
 	t.Parallel()
 	a := newIdleAgent(zerolog.Nop())
--- a/internal/hostagent/notice_test.go
+++ b/internal/hostagent/notice_test.go
@@ -15,8 +15,8 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// TestAgentReportsEngineNoticesToEntries guards against a rate limit or a shutdown signalled by an engine that only those entries know which have
-// received a response from it since.
+// TestAgentReportsEngineNoticesToEntries guards against an agent that doesn't report the rate limit or the shutdown that its engine signals.
+// Only entries that have received a response from the engine since would then know of it.
 func TestAgentReportsEngineNoticesToEntries(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
--- a/internal/hostagent/reports.go
+++ b/internal/hostagent/reports.go
@@ -16,8 +16,8 @@
 const (
 	// subscriberTimeout is how long after its last heartbeat an entry still receives load reports; entries send a heartbeat each second.
 	subscriberTimeout = 3500 * time.Millisecond
-	// nearMinInterval and farMinInterval are the minimum times between two reports to an entry when the load has changed, in this data
-	// centre and in others. Entries in other data centres send requests here only when their own engines are full.
+	// nearMinInterval and farMinInterval are the minimum times between two reports to an entry when the engine's request count has changed,
+	// for an entry in this data centre and for one in another. Entries in other data centres send requests here only when their own engines are full.
 	nearMinInterval = 90 * time.Millisecond
 	farMinInterval  = 400 * time.Millisecond
 	// idleInterval is the time between two reports without a change. nearIdleInterval is the same for entries of this data centre, which send
@@ -26,26 +26,28 @@
 	nearIdleInterval = 300 * time.Millisecond
 )
 
-// subscriber is an entry that receives this engine's load.
+// subscriber is an entry that sent a heartbeat within subscriberTimeout. Such an entry receives this engine's load reports.
 type subscriber struct {
 	dataCentre string
 	// near is set for an entry in this data centre.
-	near        bool
+	near bool
+	// heartbeatAt is when its last heartbeat arrived. reportedAt is when a load report was last sent to it, and lastLoad is that
+	// report.
 	heartbeatAt time.Time
 	reportedAt  time.Time
 	lastLoad    loadreport.Load
 	// crashChanges is the value of quarantine.Table.Changes when crashes were last sent to the entry, at crashesSentAt.
 	crashChanges  uint64
 	crashesSentAt time.Time
-	// entriesSentAt is when the entry was last sent the entries of its data centre.
+	// entriesSentAt is when the list of entries of its data centre was last sent to it.
 	entriesSentAt time.Time
 }
 
-// reporter sends load reports to the entries that subscribed with a heartbeat.
+// reporter holds the subscribers, and what is passed on to all of them.
 type reporter struct {
 	mu          sync.Mutex
 	subscribers map[netip.AddrPort]*subscriber
-	// crashes holds what heartbeats reported of requests that crash upstreams; it is passed on to all subscribers.
+	// crashes holds the requests that crash upstreams, as reported in heartbeats. It is passed on to all subscribers.
 	crashes *quarantine.Table
 }
 
@@ -99,9 +101,10 @@
 	a.fetcher.Execute(weights.SetShare{Share: share})
 }
 
-// activateDefaultVersions activates the newest version that an engine holds for each model without a version activated by the operator. It
-// does so once the operator's activations are known, and waits for this host's engine, since chunks may be staged there. In
-// a running fleet it does not wait for the engine, so that the weights are fetched while the engine starts.
+// activateDefaultVersions activates a version for each model without a version activated by the operator: the newest one that any engine
+// of the fleet holds, or the first version. It does so once the operator's activations are known. It also waits for this host's engine,
+// because chunks may be staged there. If this host joins a running fleet, it doesn't wait for the engine, so that the weights are fetched
+// while the engine starts.
 func (a *Agent) activateDefaultVersions() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,7 +136,7 @@
 	return newest
 }
 
-// sendReports sends the engine's load to each entry whose report is due.
+// sendReports sends a load report to each entry to which one is due.
 func (a *Agent) sendReports() {
 	now := time.Now()
 	load, versions := a.currentLoad(now)
@@ -165,7 +168,7 @@
 			s.crashChanges, s.crashesSentAt = changes, now
 			m.Crashes = crashes
 		}
-		if now.Sub(s.entriesSentAt) >= idleInterval { // Sent with each report, they would take up much of it.
+		if now.Sub(s.entriesSentAt) >= idleInterval { // Sent with each report, the entries would take up much of it.
 			s.entriesSentAt = now
 			a.storePeers.AddEntries(s.dataCentre, &m)
 		}
@@ -183,7 +186,7 @@
 	return idleInterval
 }
 
-// needsImmediateReport reports whether a change from the previous to the current load must be reported at once. Otherwise an entry may send
+// needsImmediateReport reports whether a change from the previous to the current load report must be sent at once. Otherwise an entry may send
 // requests that the engine does not accept, or none to an engine that accepts them.
 func needsImmediateReport(previous, current loadreport.Load) bool {
 	limited := (current.RateLimit != nil) != (previous.RateLimit != nil)
@@ -191,7 +194,7 @@
 	return limited || cold || current.StartedAt != previous.StartedAt || current.NotAccepting != previous.NotAccepting || current.Leaving != previous.Leaving
 }
 
-// reportDue reports whether the load is to be sent to the entry now.
+// reportDue reports whether a load report is to be sent to the entry now.
 func (s *subscriber) reportDue(now time.Time, load loadreport.Load) bool {
 	elapsed := now.Sub(s.reportedAt)
 	if elapsed >= s.maxInterval() || needsImmediateReport(s.lastLoad, load) {
@@ -206,12 +209,13 @@
 	return elapsed >= farMinInterval
 }
 
-// crashesDue reports whether crashes are to be sent to the entry now: at once after each change, and repeatedly, since datagrams get
-// lost. They are not sent with each report: at eleven reports a second they would take up most of the traffic.
+// crashesDue reports whether crashes are to be sent to the entry now. They are sent at once after each change, and repeatedly, because
+// datagrams get lost. They are not sent with each report: at eleven reports a second they would take up most of the traffic.
 func (s *subscriber) crashesDue(now time.Time, changes uint64) bool {
 	return changes != s.crashChanges || now.Sub(s.crashesSentAt) >= idleInterval
 }
 
+// currentLoad returns the load report of the engine, and the activations to send with it.
 func (a *Agent) currentLoad(now time.Time) (loadreport.Load, []loadreport.Activation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/hostagent/resolve.go
+++ b/internal/hostagent/resolve.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// versionsPath is the path prefix under which peers serve the manifest of a version.
+	// versionsPath is the path prefix under which peers serve the chunk manifest of a version.
 	versionsPath = "/versions/"
-	// treeFanOut is how many hosts ask the same host for a manifest. The hosts form a tree in the version's rendezvous order.
+	// treeFanOut is how many hosts ask the same host for a chunk manifest. The hosts form a tree in the version's rendezvous order.
 	treeFanOut = 8
-	// originRequesters is how many hosts, in rendezvous order, may ask the origin at the first try. As many more may at each of the next
-	// fastTries tries, since the first hosts may be down, and after that as many more only at every slowTries-th try. Without
-	// this limit an origin that recovers after seconds would send the manifest to every host before the first chunk.
+	// originRequesters is how many hosts, in rendezvous order, may ask the origin at the first try. At each of the next fastTries tries,
+	// as many more hosts may ask it, because the first hosts may be down. After that, as many more may ask it only at every slowTries-th
+	// try. Without this limit, an origin that recovers after seconds would send the chunk manifest to every host before the first chunk.
 	originRequesters = 3
 	fastTries        = 3
 	slowTries        = 8
@@ -33,12 +33,13 @@
 	originTimeout = 2 * time.Second
 	// peerRetryInterval is the delay before peers that did not know a version are asked again.
 	peerRetryInterval = 100 * time.Millisecond
-	// requestHoldTime is how long a host without the manifest holds a peer's request for it, and manifestPollInterval how often it checks
-	// meanwhile. The manifest then passes down the tree as soon as it arrives, without waiting for the next level to ask again.
+	// requestHoldTime is how long a host without a chunk manifest holds a peer's request for it. manifestPollInterval is how often it
+	// checks meanwhile whether the manifest has arrived. It then passes the manifest down the tree at once, and the next level needn't ask
+	// again.
 	requestHoldTime      = 350 * time.Millisecond
 	manifestPollInterval = 10 * time.Millisecond
-	// discoveryTimeout is how long a host that has just started waits until the other hosts and the origin are known. Without them it would
-	// take itself for the first in rendezvous order, and in a simultaneous restart all hosts of a fleet would ask the origin.
+	// discoveryTimeout is how long a host that has just started waits until the other hosts and the origin are known. Without this wait, it
+	// would consider itself the first in rendezvous order. In a simultaneous restart, all hosts of a fleet would then ask the origin.
 	discoveryTimeout = time.Second
 )
 
@@ -52,7 +53,7 @@
 
 func defaultTimeouts() timeouts { return timeouts{discovery: discoveryTimeout, origin: originTimeout} }
 
-// resolve gets the manifest of a version and reuses the chunks of it that are already staged at the engine.
+// resolve gets the chunk manifest of a version and reuses those of its chunks that are already staged at the engine.
 func (a *Agent) resolve(e install.Resolve) {
 	raw, err := a.fetchManifest(e)
 	var m *manifest.Manifest
@@ -79,7 +80,7 @@
 // errOriginNotPermitted means that no queried peer knows a version and that it is not this host's turn to ask the origin.
 var errOriginNotPermitted = errors.New("no queried peer knows the version yet")
 
-// fetchManifest asks peers for a version's manifest, and then the origin if it is this host's turn.
+// fetchManifest asks peers for a version's chunk manifest, and then the origin if it is this host's turn.
 func (a *Agent) fetchManifest(e install.Resolve) ([]byte, error) {
 	a.awaitPeers()
 	position, peers := a.treePosition(e.Model, e.Version)
@@ -92,13 +93,13 @@
 	return a.queryOrigin(e, peers)
 }
 
-// originRequestersAt returns how many hosts may ask the origin at a try, counted from 0.
+// originRequestersAt returns how many hosts may ask the origin at a try. The first try has number 0.
 func originRequestersAt(try int) int {
 	return originRequesters * (1 + min(try, fastTries) + max(0, try-fastTries)/slowTries)
 }
 
-// queryOrigin asks the origin and meanwhile keeps asking the peers. An origin that is down or overloaded may not respond for seconds, and a peer may
-// have the manifest sooner.
+// queryOrigin asks the origin and meanwhile keeps asking the peers. An origin that is down or overloaded may not respond for seconds, and a
+// peer may have the chunk manifest sooner.
 func (a *Agent) queryOrigin(e install.Resolve, peers []string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), a.timeouts.origin)
 	defer cancel()
@@ -129,7 +130,8 @@
 	}
 }
 
-// queryPeers asks the given hosts concurrently and returns the first manifest, nil if there is none. A host may be down and not respond at all.
+// queryPeers asks the given hosts concurrently and returns the first chunk manifest, nil if there is none. It doesn't ask them in turn,
+// because a host may be down and not respond at all.
 func (a *Agent) queryPeers(peers []string, model string, version int64) []byte {
 	responses := make(chan []byte, len(peers))
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
@@ -151,8 +153,8 @@
 	return nil
 }
 
-// treePosition returns this host's position in a version's rendezvous order and the hosts that it asks: its parent in the tree and the
-// host next to that.
+// treePosition returns this host's position in a version's rendezvous order and the hosts that it asks. These are its parent in the tree
+// and, if it comes before this host, the host after the parent.
 func (a *Agent) treePosition(model string, version int64) (position int, parents []string) {
 	a.mu.Lock()
 	ranked := step.Rank(model+"/"+strconv.FormatInt(version, 10), a.peerAddresses())
@@ -186,7 +188,7 @@
 	return raw, nil
 }
 
-// serveManifest sends a peer the manifest of a version, as soon as this host has it.
+// serveManifest sends a peer the chunk manifest of a version as soon as this host has it, within requestHoldTime.
 func (a *Agent) serveManifest(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestHoldTime)
 	defer cancel()
@@ -204,7 +206,7 @@
 	}
 }
 
-// localManifest returns the manifest of a version, nil while this host does not have it.
+// localManifest returns the chunk manifest of a version, nil while this host does not have it.
 func (a *Agent) localManifest(model, version string) []byte {
 	a.mu.Lock()
 	wanted := a.install.Wanted()
--- a/internal/hostagent/staging.go
+++ b/internal/hostagent/staging.go
@@ -24,8 +24,8 @@
 	orderTimeout = 2 * time.Second
 )
 
-// reuseStaged puts the intact chunks that are staged at the engine into the chunk memory, from which other hosts get them, and returns their
-// indexes. It returns an error if the engine did not respond.
+// reuseStaged puts the intact chunks that are staged at the engine into the chunk memory, from which other hosts get them. It returns their
+// indexes, or an error if the engine did not respond.
 func (a *Agent) reuseStaged(model string, m *manifest.Manifest) ([]int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), stageTimeout)
 	defer cancel()
@@ -55,8 +55,8 @@
 	return reused, nil
 }
 
-// reuseStagedLater reuses the chunks staged at an engine that starts after this agent, as soon as the engine responds. The weights are being
-// fetched meanwhile, because a power loss would have left nothing staged.
+// reuseStagedLater reuses the chunks staged at an engine that starts after this agent, as soon as the engine responds. The weights are
+// fetched meanwhile, because nothing is staged after a power loss.
 func (a *Agent) reuseStagedLater(model, digest string, m *manifest.Manifest) {
 	for start := time.Now(); time.Since(start) < stageTimeout; {
 		time.Sleep(engineReadInterval)
@@ -96,7 +96,7 @@
 	a.Step(install.Prepared{Model: e.Model, Version: e.Version, OK: err == nil, CheckedAt: checked})
 }
 
-// stageChunks returns the start time of the pass in which every chunk was intact.
+// stageChunks stages chunks in passes, until a pass finds every chunk intact. It returns the start time of that pass.
 func (a *Agent) stageChunks(ctx context.Context, e install.Prepare) (time.Time, error) {
 	_, m := a.fetcher.Memory.Manifest(e.Digest)
 	if m == nil {
@@ -149,9 +149,10 @@
 	return stored, nil
 }
 
-// orderLoad sends the engine a load order, unless the last check of the staged chunks is too old, as after a freeze of this process.
+// orderLoad sends the engine a load order, unless the last check of the staged chunks is too old. That happens, for example, after this
+// process was frozen.
 func (a *Agent) orderLoad(e install.LoadOrder) {
-	a.sendReports() // Reports to entries that the engine stops accepting requests before it does.
+	a.sendReports() // Entries learn that the engine stops accepting requests before it does so.
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	accepted := false
--- a/internal/hostagent/starting_test.go
+++ b/internal/hostagent/starting_test.go
@@ -21,12 +21,12 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// peersKnownAfter is how long after it learns of a version a host in the test learns of the other hosts.
+// peersKnownAfter is how long after the host of the test has learned of a version it learns of the other hosts.
 const peersKnownAfter = 100 * time.Millisecond
 
-// TestStartingHostWaitsForPeersBeforeAskingOrigin guards against hosts that all ask the origin after a power loss of the fleet: a host learns of a
-// version from an entry before it knows the other hosts, and takes itself for the first. With ten hosts it is not this one's turn.
-// The timeout is long here, so that a test machine that freezes for seconds does not use it up before the other hosts are known.
+// TestStartingHostWaitsForPeersBeforeAskingOrigin guards against hosts that all ask the origin after a power loss of the fleet. A host learns
+// of a version from an entry before it knows the other hosts, and could consider itself the first. This host is the last of ten, so that it
+// isn't its turn. The timeout is long here, so that a test machine that freezes for seconds does not use it up before the other hosts are known.
 func TestStartingHostWaitsForPeersBeforeAskingOrigin(t *testing.T) {
 	t.Parallel()
 	var originRequests atomic.Int64
@@ -64,8 +64,8 @@
 	return list
 }
 
-// TestHostWaitingForOriginAcceptsPeerResponse guards against a host that waits for an overloaded origin although a peer has the manifest by
-// now. The origin never responds and its timeout exceeds that of the test, so that only a peer's response can end the wait,
+// TestHostWaitingForOriginAcceptsPeerResponse guards against a host that waits for an overloaded origin although a peer has the chunk
+// manifest by now. The origin never responds and its timeout exceeds that of the test, so that only a peer's response can end the wait,
 // however slow the machine is.
 func TestHostWaitingForOriginAcceptsPeerResponse(t *testing.T) {
 	t.Parallel()
@@ -119,10 +119,10 @@
 	return ""
 }
 
-// newStartingAgent returns an agent that knows the manifest, which gives an origin, and no other host.
+// newStartingAgent returns an agent that knows no other host. It knows a configuration manifest, which contains the origin's address.
 func newStartingAgent(log *standin.Log, ip string, port int, origin string) *hostagent.Agent {
 	a := hostagent.New(hostconfig.Host{
-		Name: "a", IP: ip, PeerPort: port, DataCentre: "perth-a", Engine: "127.0.0.1:1", EngineService: "model", VersionLifetime: longVersionTime,
+		Name: "a", IP: ip, PeerPort: port, DataCentre: "perth-a", Engine: "127.0.0.1:1", EngineService: "model", VersionLifetime: longVersionLifetime,
 		MemoryBytes: 64 << 20, LinkBytesPerSecond: 1 << 20,
 	}, zerolog.New(log), telemetry.NewMetrics(), nil)
 	m := catalog.NewManifest(1, nil, nil)
