--- a/internal/core/weights/announce.go
+++ b/internal/core/weights/announce.go
@@ -16,8 +16,8 @@
 	maxAnnounceInterval = 500 * time.Millisecond
 )
 
-// announceIfDue announces immediately if the announcement interval has passed. Otherwise a later
-// tick announces.
+// announceIfDue announces immediately if the announcement interval has passed or the version is
+// complete. Otherwise a later tick announces.
 func (b *Burst) announceIfDue(in step.Input) []step.Effect {
 	if in.Now.Before(b.nextAnnounce) && !b.complete() {
 		return nil
@@ -71,13 +71,13 @@
 	}
 }
 
-// queueForCandidates queues announcements of a chunk to the hosts that would fetch its origin slot
-// if this host were silent.
+// queueForCandidates queues announcements of a chunk to the other candidates for its origin part,
+// which would fetch the part if this host were silent.
 func (b *Burst) queueForCandidates(c int) {
 	if b.mode != Tiers {
 		return
 	}
-	for _, i := range b.slots[c%len(b.slots)].candidates {
+	for _, i := range b.originParts[c%len(b.originParts)].candidates {
 		b.queueForPeer(i, c)
 	}
 }
--- a/internal/core/weights/burst.go
+++ b/internal/core/weights/burst.go
@@ -29,16 +29,19 @@
 	selfHash   uint64
 	fetchCount *uint64
 
-	// peers are all hosts known to take part, listed or not. Their indexes never change.
+	// peers are all other hosts that have wanted the version since the burst began. Those that no
+	// longer want it stay in the slice, so that indexes never change.
 	peers []*peer
 	index map[string]int
 	// earlyPeers are peers that sent a hello before the version was wanted here.
 	earlyPeers   []string
 	cachedGroups []group
 
+	// keys are the keys of the chunks for rendezvous hashing, and ranks this host's ranks for them.
 	keys  []uint64
 	ranks []rank
-	slots []slot
+	// originParts are the parts of the version for fetching from the origin.
+	originParts []originPart
 
 	chunks []chunk
 	// nearChunks are the missing chunks that a peer of the data centre has and that are not in
@@ -59,13 +62,13 @@
 	originFetches, peerFetches int
 
 	timing timing
-	// slotActiveAt has, for each origin slot that this host is a candidate for, when a chunk of the
-	// slot last became known.
-	slotActiveAt []time.Time
+	// partActiveAt has, for each origin part that this host is a candidate for, when this host last
+	// learned that a chunk of the part had come from the origin.
+	partActiveAt []time.Time
 	// firstOriginChunkAt is when this host first learned that a chunk had come from the origin.
 	firstOriginChunkAt time.Time
-	// tookOverSlot are the slots that this host fetches in place of a silent host.
-	tookOverSlot map[int]bool
+	// tookOverPart are the origin parts that this host fetches in place of a silent host.
+	tookOverPart map[int]bool
 	// pendingAnnouncements are chunks to announce to peers that are not linked, by peer index.
 	pendingAnnouncements map[int][]int
 
@@ -74,34 +77,36 @@
 	nextPeerManifest time.Time
 	nextAnnounce     time.Time
 	nextPoll         time.Time
-	// originRetryAt is when the origin may be asked again; originFailures counts the failures in a
-	// row.
+	// originRetryAt is when the origin may be asked again; originFailures counts its consecutive
+	// failures.
 	originRetryAt  time.Time
 	originFailures int
 	outage         outage
 	startedAt      time.Time
 	completedAt    time.Time
-	// fallbackTurns is the number of idle turns after which this host began to fetch from the
-	// origin by itself; 0 while it does not.
+	// fallbackTurns is the number of idle turns after which this host began to fetch any missing
+	// chunk from the origin; 0 while it does not. See fetchFallback.
 	fallbackTurns int
 	// blockedBy is the result code of the problem that blocks the burst; 0 if there is none.
 	blockedBy code.Code
 
 	Counts Counts
-	// reportedBlockedBy is the BlockedBy last reported to other processes.
+	// reportedBlockedBy is the blockedBy last reported to other processes.
 	reportedBlockedBy code.Code
 }
 
 // Counts are the bytes received by this host for a version, by the tier they came from, and the
-// failures.
+// numbers of failures.
 type Counts struct {
 	// Bytes counts the bytes of verified chunks.
 	Bytes [tiers]int64 `json:"bytes"`
 	// Wasted counts the discarded bytes: corrupted, or already held.
-	Wasted  int64 `json:"wasted"`
+	Wasted int64 `json:"wasted"`
+	// Corrupt counts the corrupted chunks received; Hedged counts the fetches started because another
+	// fetch of the same chunk had stalled.
 	Corrupt int64 `json:"corrupt"`
 	Hedged  int64 `json:"hedged"`
-	// Busy counts rejections for lack of an upload slot; Failed counts all other failures.
+	// Busy counts the fetches that failed with reason Busy; Failed counts all other failures.
 	Busy   int64 `json:"busy"`
 	Failed int64 `json:"failed"`
 }
@@ -116,8 +121,9 @@
 	nearHolders, farHolders []int
 	// farSince is when the chunk was first known to be held outside this data centre.
 	farSince time.Time
-	retryAt  time.Time
-	// stalledAt is when the only holder first stalled.
+	// retryAt is the earliest time of the next fetch after a failure.
+	retryAt time.Time
+	// stalledAt is when a fetch from the only known holder first stalled.
 	stalledAt time.Time
 	// originFailures counts the failed fetches from the origin.
 	originFailures int
@@ -135,14 +141,14 @@
 func newBurst(s *State, in step.Input, w Want) *Burst {
 	return &Burst{
 		Ref: w.Ref, Digest: w.Digest, mode: s.Mode, self: s.Self, selfHash: hostHash(s.Self.Address), fetchCount: &s.fetchCount,
-		index: map[string]int{}, inFlight: map[uint64]*chunkFetch{}, pendingAnnouncements: map[int][]int{}, tookOverSlot: map[int]bool{},
+		index: map[string]int{}, inFlight: map[uint64]*chunkFetch{}, pendingAnnouncements: map[int][]int{}, tookOverPart: map[int]bool{},
 		startedAt: in.Now, timing: newTiming(in.Now), outage: outage{lastOriginChunkAt: in.Now},
 	}
 }
 
 func (b *Burst) complete() bool { return b.Manifest != nil && b.missing.len() == 0 }
 
-// start begins the transfer with the manifest.
+// start begins the transfer of the chunks once the manifest is known.
 func (b *Burst) start(in step.Input, ev ManifestRead) []step.Effect {
 	if b.Manifest != nil {
 		return nil
@@ -248,7 +254,7 @@
 		b.originFailures = 0
 		b.blockedBy = 0
 		b.recordOriginChunk(in.Now, true)
-		b.recordSlotChunk(in, ev.Index)
+		b.recordPartChunk(in, ev.Index)
 		b.queueForCandidates(ev.Index)
 	}
 	if tier != Place {
@@ -372,8 +378,9 @@
 	return append(effects, b.scheduleFetches(in)...)
 }
 
-// requestManifest asks the origin if this host is the first candidate of an origin slot. The other
-// hosts get hellos from their linked peers; without any, they ask one random peer per attempt.
+// requestManifest asks the origin if this host is the first candidate for an origin part, or has
+// waited long. Other hosts usually get a hello from a peer and ask that peer. Until then, they ask
+// one random peer per attempt, from the second attempt on.
 func (b *Burst) requestManifest(in step.Input) []step.Effect {
 	if in.Now.Before(b.nextManifestAttempt) {
 		return nil
@@ -392,14 +399,15 @@
 }
 
 // mayFetchManifestFromOrigin reports whether this host is an origin fetcher, or has waited so long
-// that it may ask the origin as well.
+// that it may ask the origin in place of the fetchers.
 func (b *Burst) mayFetchManifestFromOrigin(in step.Input, r *random) bool {
-	for _, s := range b.assignSlots() {
-		if s.rank == 0 {
+	for _, part := range b.assignParts() {
+		if part.rank == 0 {
 			return true
 		}
 	}
 	attempts := int(in.Now.Sub(b.startedAt) / manifestRetryInterval)
-	// Without its origin fetchers, a fleet sends about one more host to the origin at each attempt.
-	return attempts >= candidatesPerSlot && r.intN(len(b.peers)+1) < attempts
+	// If no origin fetcher passes the manifest on, about one more host of the fleet asks the origin
+	// at each attempt.
+	return attempts >= candidatesPerPart && r.intN(len(b.peers)+1) < attempts
 }
--- a/internal/core/weights/burst_test.go
+++ b/internal/core/weights/burst_test.go
@@ -35,7 +35,7 @@
 }
 
 // TestOriginTrafficIsBoundedWhenHostsDie guards against repeated fetches from the origin when a
-// quarter of the hosts die during a burst and others take over their slots.
+// quarter of the hosts die during a burst and others take over their origin parts.
 func TestOriginTrafficIsBoundedWhenHostsDie(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		f := burstWith(t, seed, setting.OriginFirst, minCopyTime/2, fault{"a quarter of the hosts die", killQuarter})
--- a/internal/core/weights/fetch.go
+++ b/internal/core/weights/fetch.go
@@ -24,7 +24,7 @@
 	extraDelegateFetches = 2
 	// maxFetchesPerPeer bounds the concurrent fetches from one peer.
 	maxFetchesPerPeer = 2
-	// rarestSampleSize is how many chunks are compared to find a rare one.
+	// rarestSampleSize is how many random chunks are compared to find one with few holders.
 	rarestSampleSize = 24
 	// minBusyBackoff and maxBusyBackoff bound the wait after a peer rejected a request for a chunk.
 	minBusyBackoff = 40 * time.Millisecond
@@ -65,7 +65,8 @@
 	return max(1, int(float64(limit)/(slowdown*slowdown)))
 }
 
-// pickRarest chooses the rarest among some random chunks that a peer of the data centre can send.
+// pickRarest chooses, among some random chunks that a peer of the data centre can send, the one with
+// the fewest holders there, and the peer to fetch it from.
 func (b *Burst) pickRarest(in step.Input, r *random) (c, from int, found bool) {
 	n := b.nearChunks.len()
 	if n == 0 {
@@ -146,8 +147,8 @@
 	return false
 }
 
-// permittedHolders lists the far holders from which this host may fetch a chunk: the delegate
-// immediately, the next in rank after the delegate's timeout, and so on.
+// permittedHolders lists the far holders from which this host may fetch a chunk now. The delegate
+// may fetch from them immediately, the next host in rank after the delegate's timeout, and so on.
 func (b *Burst) permittedHolders(in step.Input, c int) []int {
 	turn := int(in.Now.Sub(b.chunks[c].farSince) / b.timing.delegateTimeout())
 	turn = max(turn, b.idleTurns(in))
@@ -213,7 +214,8 @@
 	b.chunks[c].retryAt = in.Now.Add(memoryRetryInterval)
 }
 
-// recordStalledHolder records a stalled chunk that no other available peer is known to have.
+// recordStalledHolder records the chunk of a stalled fetch from a peer, if no available peer is
+// known to have it.
 func (b *Burst) recordStalledHolder(in step.Input, f *chunkFetch) {
 	c := &b.chunks[f.chunkIndex]
 	if f.fromOrigin || b.stalled.has(f.chunkIndex) || b.available(in, c.nearHolders) || b.available(in, c.farHolders) {
@@ -231,7 +233,7 @@
 	return b.peers[f.peerIndex]
 }
 
-// hedge asks a second sender for a chunk whose fetch has stalled.
+// hedge fetches a chunk from a second peer if its fetch has stalled.
 func (b *Burst) hedge(in step.Input) []step.Effect {
 	var effects []step.Effect
 	r := random(in.Rand)
--- a/internal/core/weights/mesh.go
+++ b/internal/core/weights/mesh.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// chosenLinks is how many peers a host links to by its own choice. Further peers link to it.
+	// chosenLinks is how many peers a host chooses itself to link to. Other peers link to it by their
+	// own choice.
 	chosenLinks = 5
 	// maxLinks bounds the linked peers, whoever chose the link.
 	maxLinks = 16
 	// helloRetryInterval is the wait before a hello is repeated to a peer that did not answer.
 	helloRetryInterval = time.Second
-	// silentBackoff is how long a peer that did not answer is not asked.
+	// silentBackoff is how long nothing is fetched from a peer that did not answer.
 	silentBackoff = 2 * time.Second
 )
 
 // setPeers updates the hosts that want the version.
 func (b *Burst) setPeers(in step.Input, list []Peer) []step.Effect {
-	changed := len(b.slots) == 0
+	changed := len(b.originParts) == 0
 	listed := make(map[string]bool, len(list))
 	for _, p := range list {
 		listed[p.Address] = true
@@ -57,13 +58,13 @@
 		b.index[p.Address] = i
 		b.peers = append(b.peers, &peer{hash: hostHash(p.Address)})
 	}
-	entry := b.peers[i]
-	if entry.listed && entry.Peer == p {
+	other := b.peers[i]
+	if other.listed && other.Peer == p {
 		return false
 	}
-	entry.Peer = p
-	entry.listed = true
-	entry.tier = b.distance(p)
+	other.Peer = p
+	other.listed = true
+	other.tier = b.distance(p)
 	return true
 }
 
@@ -172,7 +173,8 @@
 		b.linkTo(ev.From)
 	}
 	if ev.All == nil && p.have == nil && p.tier == Place && len(ev.New) > 0 && !p.helloDue {
-		p.helloDue = true // Announcements without a full list mean that this host restarted and lost the list.
+		// Announcements without a full list mean that this host restarted and lost the list.
+		p.helloDue = true
 	}
 	useful := b.recordHeldChunks(in, i, ev.All)
 	for _, c := range ev.New {
@@ -235,8 +237,8 @@
 	chunk := &b.chunks[c]
 	if len(chunk.nearHolders)+len(chunk.farHolders) == 0 && !chunk.have {
 		b.recordOriginChunk(in.Now, false)
-		b.recordSlotChunk(in, c)
-		delete(b.tookOverSlot, c%originSlots)
+		b.recordPartChunk(in, c)
+		delete(b.tookOverPart, c%originPartCount)
 	}
 	if b.peers[i].tier == Place {
 		chunk.nearHolders = append(chunk.nearHolders, i)
--- a/internal/core/weights/origin.go
+++ b/internal/core/weights/origin.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// originFetchesPerHost is how many chunks an origin fetcher fetches at the same time. All
-	// fetchers share the origin's link, and a chunk can be passed on only when it is complete. Few
-	// concurrent fetches are therefore best.
+	// originFetchesPerHost is how many chunks an origin fetcher fetches from the origin at the same
+	// time. All fetchers share the origin's link, and a chunk can be passed on only when it is
+	// complete. Few concurrent fetches are therefore best.
 	originFetchesPerHost = 1
-	// swarmOriginFetches and directOriginFetches are the same for the baselines.
+	// swarmOriginFetches and directOriginFetches are the same for the baseline modes.
 	swarmOriginFetches  = 2
 	directOriginFetches = 4
 	// initialOriginBackoff is the wait after the first failure at the origin. It doubles with each
-	// failure, up to shortOriginBackoff. An unavailable origin is usually restarting, and a whole
-	// fleet may be waiting for a version that must be in use.
+	// failure, up to shortOriginBackoff. It is short because an unavailable origin is usually
+	// restarting, and a whole fleet may be waiting for a version that must be in use.
 	initialOriginBackoff = 200 * time.Millisecond
 	shortOriginBackoff   = time.Second
 	// shortBackoffFailures is the number of failures after which the backoff grows further, up to
-	// maxOriginBackoff: the outage is a long one.
+	// maxOriginBackoff, because the outage is then a long one.
 	shortBackoffFailures = 12
 	maxOriginBackoff     = 5 * time.Second
-	// reportedFailures is the number of failures in a row that is reported to operators.
+	// reportedFailures is the number of consecutive failures from which on operators get a report.
 	reportedFailures = 3
-	// regionFallbackTurns and placeFallbackTurns are the idle turns after which the delegates of a
-	// region and of a data centre fetch from the origin themselves, for example because no origin
-	// fetcher is reachable.
+	// regionFallbackTurns and placeFallbackTurns are the numbers of idle turns after which the
+	// delegates of a region and of a data centre fetch from the origin themselves. This happens, for
+	// example, when they reach no origin fetcher.
 	regionFallbackTurns = 3
 	placeFallbackTurns  = 6
 	// firstOriginChunkTimeout is how long the origin may take for the first chunk of a fleet before
-	// its slots count as silent. It allows for all fetchers sharing the origin's link.
+	// the fetchers of the origin parts count as silent. It takes into account that all fetchers
+	// share the origin's link.
 	firstOriginChunkTimeout = 2 * time.Second
 	// helloAnswerTimeout is how long a host waits for the answers of its linked peers before it
-	// fetches from the origin. After a restart of this host, they have most chunks.
+	// fetches from the origin. If this host has restarted, the peers may already have most chunks.
 	helloAnswerTimeout = 150 * time.Millisecond
 )
 
@@ -55,11 +56,12 @@
 		return nil
 	}
 	var effects []step.Effect
-	// Own slots first: no other host takes over the slot of a host that is active on another slot.
-	for rank := range uint8(candidatesPerSlot) {
-		for j := range b.slots {
-			if b.slots[j].rank == rank {
-				effects = append(effects, b.fetchSlot(in, j)...)
+	// The parts of which this host is the fetcher come first, then those where it is a standby, by
+	// rank.
+	for rank := range uint8(candidatesPerPart) {
+		for j := range b.originParts {
+			if b.originParts[j].rank == rank {
+				effects = append(effects, b.fetchPart(in, j)...)
 			}
 		}
 	}
@@ -76,21 +78,21 @@
 	return true
 }
 
-// fetchSlot fetches the next chunks of an origin slot, as its fetcher or in place of a silent one.
-// After a takeover it continues without a new wait for each chunk, until another host has a chunk
-// of the slot.
-func (b *Burst) fetchSlot(in step.Input, j int) []step.Effect {
-	s := &b.slots[j]
-	if b.originFetches >= originFetchesPerHost || b.outage.suspends(in.Now, int(s.rank)) {
+// fetchPart fetches the next chunks of an origin part, as its fetcher or in place of a silent one.
+// After a takeover it continues without a new wait for each chunk, until another host is found to
+// have a new chunk of the part.
+func (b *Burst) fetchPart(in step.Input, j int) []step.Effect {
+	part := &b.originParts[j]
+	if b.originFetches >= originFetchesPerHost || b.outage.suspends(in.Now, int(part.rank)) {
 		return nil
 	}
-	if !b.tookOverSlot[j] && s.rank > 0 && in.Now.Sub(b.slotLastActive(j)) < time.Duration(s.rank)*b.slotTimeout() {
+	if !b.tookOverPart[j] && part.rank > 0 && in.Now.Sub(b.partLastActive(j)) < time.Duration(part.rank)*b.partTimeout() {
 		return nil
 	}
 	var effects []step.Effect
-	for c := j; c < len(b.chunks) && b.originFetches < originFetchesPerHost; c += len(b.slots) {
+	for c := j; c < len(b.chunks) && b.originFetches < originFetchesPerHost; c += len(b.originParts) {
 		if b.mayFetchFromOrigin(in, c) {
-			b.tookOverSlot[j] = s.rank > 0
+			b.tookOverPart[j] = part.rank > 0
 			effects = append(effects, b.fetchChunkFromOrigin(in, c))
 		}
 	}
@@ -101,7 +103,7 @@
 	chunk := &b.chunks[c]
 	inFlight := chunk.inFlight
 	if inFlight == 1 && b.stalled.has(c) {
-		inFlight = 0 // The fetch goes on, because it may only be slow.
+		inFlight = 0 // The stalled fetch is not cancelled, because it may only be slow.
 	}
 	if chunk.have || inFlight > 0 || in.Now.Before(chunk.retryAt) {
 		return false
@@ -109,44 +111,44 @@
 	return !b.available(in, chunk.nearHolders) && !b.available(in, chunk.farHolders)
 }
 
-// slotTimeout is how long an origin fetcher may be silent before the next candidate takes over.
-func (b *Burst) slotTimeout() time.Duration {
+// partTimeout is how long an origin fetcher may be silent before the next candidate takes over.
+func (b *Burst) partTimeout() time.Duration {
 	if b.Policy == setting.OriginFirst {
-		return min(max(6*b.timing.slotGap, time.Second), 5*time.Second)
+		return min(max(6*b.timing.partGap, time.Second), 5*time.Second)
 	}
-	return min(max(3*b.timing.slotGap, 300*time.Millisecond), 5*time.Second)
+	return min(max(3*b.timing.partGap, 300*time.Millisecond), 5*time.Second)
 }
 
-// recordSlotChunk records that a chunk of a slot has come from the origin to some host.
-func (b *Burst) recordSlotChunk(in step.Input, c int) {
-	if len(b.slots) == 0 {
+// recordPartChunk records that a chunk of an origin part has come from the origin to some host.
+func (b *Burst) recordPartChunk(in step.Input, c int) {
+	if len(b.originParts) == 0 {
 		return
 	}
-	j := c % len(b.slots)
+	j := c % len(b.originParts)
 	if b.firstOriginChunkAt.IsZero() {
 		b.firstOriginChunkAt = in.Now
 	}
-	if b.slots[j].rank == maxRank {
+	if b.originParts[j].rank == maxRank {
 		return
 	}
-	for len(b.slotActiveAt) <= j {
-		b.slotActiveAt = append(b.slotActiveAt, b.startedAt)
+	for len(b.partActiveAt) <= j {
+		b.partActiveAt = append(b.partActiveAt, b.startedAt)
 	}
-	b.timing.addSlotGap(in.Now.Sub(b.slotActiveAt[j]))
-	b.slotActiveAt[j] = in.Now
+	b.timing.addPartGap(in.Now.Sub(b.partActiveAt[j]))
+	b.partActiveAt[j] = in.Now
 }
 
-// slotLastActive is the time from which the silence of the slot's fetcher is counted. While no slot
-// is active, the silence is due to the origin and not to one fetcher: all fetch their first chunks
-// at the same time, over one link. An outage also silences all slots, so the time starts again when
-// it ends.
-func (b *Burst) slotLastActive(j int) time.Time {
+// partLastActive is the time from which the silence of the part's fetcher is counted. While no chunk
+// of any part has arrived, the silence is due to the origin and not to one fetcher: all fetch their
+// first chunks at the same time, over one link. An outage also silences the fetchers of all parts,
+// so the time starts again when it ends.
+func (b *Burst) partLastActive(j int) time.Time {
 	active := b.firstOriginChunkAt
 	if active.IsZero() {
 		active = b.startedAt.Add(firstOriginChunkTimeout)
 	}
-	if j < len(b.slotActiveAt) && b.slotActiveAt[j].After(active) {
-		active = b.slotActiveAt[j]
+	if j < len(b.partActiveAt) && b.partActiveAt[j].After(active) {
+		active = b.partActiveAt[j]
 	}
 	if b.outage.endedAt.After(active) {
 		return b.outage.endedAt
@@ -156,9 +158,10 @@
 
 // fetchFallback fetches chunks that no reachable host has, after a long time without progress.
 // After the first such fetch it continues without a new wait for each chunk, until a chunk arrives
-// from outside the data centre. Chunks whose only holder stalled are fetched sooner.
+// from another data centre or becomes available there, or a fetch from the origin fails. Chunks
+// whose only holder stalled are fetched sooner.
 func (b *Burst) fetchFallback(in step.Input) []step.Effect {
-	if b.originFetches >= originFetchesPerHost || b.outage.suspends(in.Now, candidatesPerSlot) {
+	if b.originFetches >= originFetchesPerHost || b.outage.suspends(in.Now, candidatesPerPart) {
 		return nil
 	}
 	for _, c := range b.stalled.items {
@@ -186,7 +189,8 @@
 	return int(b.ranks[c].region)+regionFallbackTurns <= turns || int(b.ranks[c].place)+placeFallbackTurns <= turns
 }
 
-// fetchAnyFromOrigin fetches random missing chunks; the baseline modes use it.
+// fetchAnyFromOrigin fetches random missing chunks, at most limit at the same time. The baseline
+// modes use it.
 func (b *Burst) fetchAnyFromOrigin(in step.Input, r *random, limit int) []step.Effect {
 	var effects []step.Effect
 	n := b.missing.len()
@@ -230,7 +234,7 @@
 	b.originRetryAt = in.Now.Add(wait/2 + time.Duration(r.intN(int(wait/2))))
 	b.outage.recordOwnFailure(in.Now)
 	b.fallbackTurns = 0
-	clear(b.tookOverSlot)
+	clear(b.tookOverPart)
 	if b.originFailures >= reportedFailures {
 		b.blockedBy = code.SourceUnavailable
 	}
--- a/internal/core/weights/outage.go
+++ b/internal/core/weights/outage.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// standbyBackoff is how long the first standby of an origin slot, the candidate after its
+	// standbyBackoff is how long the first standby of an origin part, the candidate after its
 	// fetcher, waits before it asks an unavailable origin. Each further rank waits that much
-	// longer, and a host that falls back by itself waits longest. During an outage nobody knows
-	// whether a slot's fetcher is alive. If all candidates kept retrying, the origin's link would
+	// longer, and a fallback fetch (see fetchFallback) waits longest. During an outage, no host can tell
+	// whether a part's fetcher is alive. If all candidates kept retrying, the origin's link would
 	// carry most chunks several times after the recovery.
 	standbyBackoff = 10 * time.Second
-	// minOriginSilence is how long nothing must have come from the origin, to any host that reports
-	// to this one, before failures of peers count as an outage. Until then, perhaps only the paths
-	// of those peers to the origin are broken, and standbys must take over.
+	// minOriginSilence is the minimum time since a chunk last came from the origin, as far as this
+	// host knows, after which failures of peers count as an outage. Until then, perhaps only the
+	// paths of those peers to the origin are broken, and standbys must take over.
 	minOriginSilence = 2 * time.Second
 	// minFailedHosts is how many hosts must have failed since the last chunk from the origin before
 	// their failures count as an outage. Each must report its own failure, or one must report that
@@ -32,8 +32,8 @@
 	lastOriginChunkAt time.Time
 	// endedAt is when the last outage was found to have ended.
 	endedAt time.Time
-	// ownFetchSucceeded is set while this host's own last fetch succeeded. The origin is then
-	// available, whatever other hosts report.
+	// ownFetchSucceeded is set while this host's last own fetch from the origin succeeded. The origin
+	// is then available, whatever other hosts report.
 	ownFetchSucceeded bool
 	// firstOwnFailure and lastOwnFailure are the first and the last failure of an own fetch since
 	// lastOriginChunkAt; zero if there is none.
@@ -47,8 +47,8 @@
 	reportedDown bool
 }
 
-// OriginFailure is what hosts report to each other about failed fetches since a chunk last came from the
-// origin.
+// OriginFailure is what hosts report to each other about failed fetches since a chunk last came from
+// the origin.
 type OriginFailure struct {
 	// Ago is the time since the last failure; 0 if there is none.
 	Ago time.Duration
@@ -138,7 +138,7 @@
 }
 
 // suspends reports whether a candidate of the given rank must not ask the origin. The fetcher of a
-// slot has rank 0 and is never suspended. Failures reported by peers suspend a host only for a
+// part has rank 0 and is never suspended. Failures reported by peers suspend a host only for a
 // fixed time after the first report, because only the path of those peers to the origin may be
 // broken.
 func (o *outage) suspends(now time.Time, rank int) bool {
--- a/internal/core/weights/outage_state_test.go
+++ b/internal/core/weights/outage_state_test.go
@@ -13,7 +13,7 @@
 // TestPeerFailureReportsSuspendFetchesForABoundedTime checks that failures reported by peers count
 // once two hosts reported them and nothing came from the origin for a while. They suspend a host
 // for the backoff of its rank from then on, however often they are repeated, and never the fetcher
-// of a slot. Otherwise hosts with a broken path to the origin could stop all others.
+// of an origin part. Otherwise hosts with a broken path to the origin could stop all others.
 func TestPeerFailureReportsSuspendFetchesForABoundedTime(t *testing.T) {
 	start := time.Unix(1000, 0)
 	o := outage{lastOriginChunkAt: start}
@@ -44,8 +44,8 @@
 }
 
 // TestStaleFailureReportsDoNotReopenAnOutage covers hellos that were already in transit when a
-// chunk came from the origin. It also checks that the shell is informed once of the start and once of
-// the end of an outage.
+// chunk came from the origin. It also checks that the shell is informed once of the start and once
+// of the end of an outage.
 func TestStaleFailureReportsDoNotReopenAnOutage(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := &Burst{Digest: "d", outage: outage{lastOriginChunkAt: start}}
--- a/internal/core/weights/outage_test.go
+++ b/internal/core/weights/outage_test.go
@@ -16,7 +16,7 @@
 // refuses connections; transfers in flight fail when it goes down.
 type sharedOrigin struct {
 	fleet *fleet
-	// perChunk is how long the idle link takes for a chunk.
+	// perChunk is how long the link takes for a chunk when nothing else is sent.
 	perChunk   time.Duration
 	transfers  []*originTransfer
 	updatedAt  time.Time
@@ -99,8 +99,8 @@
 }
 
 // maxSlowdown is the maximum factor by which half of the hosts may be slower than the origin's link
-// allows. propagationTime is an additional allowance: until the origin is asked again, and for a
-// host to receive the chunks that are fetched concurrently over its own link.
+// allows. propagationTime is allowed in addition: for the time until the origin is asked again, and
+// for a host to receive the chunks that are fetched concurrently over its own link.
 const (
 	maxSlowdown     = 1.25
 	propagationTime = 200*time.Millisecond + 24*chunkTime
--- a/internal/core/weights/peer.go
+++ b/internal/core/weights/peer.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// initialDistrust is how long no chunk is fetched from a peer after its first corrupted chunk.
-	// It doubles with each further one.
+	// initialDistrust is how long no chunk is fetched from a peer after it sent a corrupted chunk for
+	// the first time. It doubles with each further one.
 	initialDistrust = 10 * time.Second
 	// maxDistrustDoublings bounds the number of doublings.
 	maxDistrustDoublings = 8
-	// initialStallBackoff is how long a peer is not used after a stall. It doubles with each stall
-	// in a row, at most maxBackoffDoublings times.
+	// initialStallBackoff is how long a peer is not used after a stall. It doubles with each
+	// consecutive stall, at most maxBackoffDoublings times.
 	initialStallBackoff = 2 * time.Second
 	maxBackoffDoublings = 5
 )
@@ -21,7 +21,7 @@
 	// listed is set while the host is live and wants the version.
 	listed bool
 	tier   Tier
-	// have holds which chunks the peer has; nil until the peer reports.
+	// have holds which chunks the peer has; nil until the peer reports them.
 	have []bool
 	// linked is set if the peer is linked: both hosts send each other announcements.
 	linked bool
@@ -30,22 +30,24 @@
 	nextHello time.Time
 	// announced is how many chunks of arrivalOrder were announced to the peer.
 	announced int
-	// inFlight counts the fetches from the peer.
-	inFlight                                int
+	// inFlight counts the fetches in flight from the peer.
+	inFlight int
+	// No chunk is fetched from the peer until busyUntil, after it rejected a request; until
+	// silentUntil, after it did not answer; and until distrustedUntil, after a corrupted chunk.
 	busyUntil, silentUntil, distrustedUntil time.Time
-	// corruptChunks counts the corrupted chunks from the peer; stalls counts its stalled fetches in
-	// a row.
+	// corruptChunks counts the corrupted chunks from the peer; stalls counts the fetches from it that
+	// stalled consecutively.
 	corruptChunks, stalls int
 	// stalledUntil is until when the peer is not used after a stall. Answers to control calls don't
 	// end the wait, because a link can stall for chunks alone.
 	stalledUntil time.Time
-	// refusals counts the rejections in a row; refusedSince is the time of the first.
+	// refusals counts the consecutive rejections; refusedSince is the time of the first.
 	refusals     int
 	refusedSince time.Time
 }
 
-// recordRefusal backs off from a peer that has no free upload slot. A peer that refuses for longer
-// than timeout counts as stalled.
+// recordRefusal backs off from a peer that rejected a request because too many uploads wait. A peer
+// that rejects requests for longer than timeout counts as stalled.
 func (p *peer) recordRefusal(now time.Time, backoff, timeout time.Duration) {
 	if p.refusals == 0 {
 		p.refusedSince = now
--- a/internal/core/weights/state.go
+++ b/internal/core/weights/state.go
@@ -23,7 +23,7 @@
 	retired map[string]*Burst
 	// earlyPeers are peers that sent a hello for a version before it was wanted here, by digest.
 	earlyPeers map[string][]string
-	// fetchCount numbers the fetches.
+	// fetchCount is the number of fetches so far; it is also the ID of the last one.
 	fetchCount uint64
 	// nextBlockedReport is the earliest time of the next report of blocked bursts.
 	nextBlockedReport time.Time
@@ -179,7 +179,8 @@
 	s.earlyPeers[ev.Digest] = append(peers, ev.From)
 }
 
-// tierOf returns the tier of the peer with the given address; Fleet if the peer is unknown.
+// tierOf returns the tier of the peer with the given address. An unknown peer gets the farthest,
+// Fleet.
 func (s *State) tierOf(address string) Tier {
 	for _, b := range s.Bursts {
 		if i, known := b.index[address]; known {
--- a/internal/core/weights/summary.go
+++ b/internal/core/weights/summary.go
@@ -14,8 +14,8 @@
 	percentScale       = 100
 )
 
-// Summary is a host's report about one burst. The full summary is sent on request; only the digest
-// and what blocks a burst are sent to all entries.
+// Summary is a host's report about one burst. It is sent completely on request. To all entries, only
+// the digest and what blocks the burst are sent.
 type Summary struct {
 	Digest  string `json:"digest"`
 	Percent int    `json:"percent,omitempty"`
@@ -65,8 +65,8 @@
 	return list
 }
 
-// BlockedReportDue reports whether a burst became blocked or unblocked since the last report and a new
-// report is due.
+// BlockedReportDue reports whether the result code that blocks a burst changed since the last report
+// and a new report is due.
 func (s *State) BlockedReportDue(in step.Input) bool {
 	if in.Now.Before(s.nextBlockedReport) {
 		return false
--- a/internal/core/weights/tier.go
+++ b/internal/core/weights/tier.go
@@ -27,19 +27,21 @@
 const (
 	// manifestIndex is the chunk index that denotes the manifest in rankings.
 	manifestIndex = -1
-	// maxRank is the highest rank that is stored. A host with this rank never acts for a chunk.
+	// maxRank is the highest rank that is stored. It also marks a host that is no candidate for an
+	// origin part.
 	maxRank = 255
-	// delegatesPerGroup is how many hosts of each data centre or region a new chunk is announced
-	// to: the delegate and its replacement.
+	// delegatesPerGroup is how many hosts of each data centre or region are sent announcements of a
+	// new chunk: the delegate and its replacement.
 	delegatesPerGroup = 2
-	// candidatesPerSlot is how many hosts may fetch an origin slot, one replacing the other.
-	candidatesPerSlot = 4
-	// originSlots is the number of parts into which the chunks are split for fetching from the
-	// origin. It bounds the hosts that fetch at the same time and the connections to the origin. It
-	// must not depend on the number of hosts: two hosts whose host lists differ by one would then
-	// agree on no slot. Some chunks would be fetched twice, and others not until a standby's wait
-	// has passed.
-	originSlots = 24
+	// candidatesPerPart is how many hosts may fetch an origin part: its fetcher, and standbys that
+	// replace it in the order of their ranks.
+	candidatesPerPart = 4
+	// originPartCount is the number of origin parts, into which the chunks are split for fetching
+	// from the origin. It bounds the hosts that fetch at the same time and the connections to the
+	// origin. It must not depend on the number of hosts: two hosts whose host lists differ by one
+	// would then split the chunks differently. Some chunks would be fetched twice, and others not
+	// until a standby's wait has passed.
+	originPartCount = 24
 )
 
 // rank is this host's position in the rendezvous order of a chunk, over its data centre and over
@@ -69,14 +71,14 @@
 	return mix(binary.BigEndian.Uint64(raw) + uint64(i))
 }
 
-// rankChunks computes this host's rank for each chunk and the origin slots. It runs whenever the
-// list of hosts changes.
+// rankChunks computes this host's rank for each chunk and assigns the origin parts. It runs whenever
+// the list of hosts changes.
 func (b *Burst) rankChunks() {
 	b.ranks = make([]rank, len(b.keys))
 	for i, key := range b.keys {
 		b.ranks[i] = b.rankOf(key)
 	}
-	b.slots = b.assignSlots()
+	b.originParts = b.assignParts()
 }
 
 func (b *Burst) rankOf(key uint64) rank {
@@ -94,30 +96,31 @@
 	return rank{place: uint8(min(place, maxRank)), region: uint8(min(region, maxRank))}
 }
 
-// slot is a part of the chunks that one host of the fleet at a time may fetch from the origin.
-type slot struct {
+// originPart is a part of the chunks that one host of the fleet at a time may fetch from the origin.
+type originPart struct {
 	// rank is this host's position among the candidates; maxRank if it is not one of them.
 	rank uint8
-	// candidates are the indexes of the other hosts that may fetch the slot.
+	// candidates are the indexes of the other hosts that may fetch the part.
 	candidates []int
 }
 
-// assignSlots distributes the origin slots over the hosts. An origin fetcher is the first holder of
+// assignParts distributes the origin parts over the hosts. An origin fetcher is the first holder of
 // the chunks that it fetches and sends them to more hosts than any other. With as many fetchers as
-// the slots allow, all links send about the same amount. No host is first for more than its share,
-// so that a host missing from one list moves only a few slots.
-func (b *Burst) assignSlots() []slot {
-	slots := make([]slot, originSlots)
-	share := (originSlots + b.hostCount() - 1) / b.hostCount()
+// the number of parts allows, all links send about the same amount. No host is the fetcher of more
+// than its share of the parts, so that only a few parts change hands when a host is missing from one
+// list.
+func (b *Burst) assignParts() []originPart {
+	originParts := make([]originPart, originPartCount)
+	share := (originPartCount + b.hostCount() - 1) / b.hostCount()
 	firstFor := map[int]int{}
-	for j := range slots {
-		order := b.topRanked(slotKey(b.Digest, j), candidatesPerSlot, func(i int) bool { return firstFor[i] < share })
+	for j := range originParts {
+		order := b.topRanked(partKey(b.Digest, j), candidatesPerPart, func(i int) bool { return firstFor[i] < share })
 		if len(order) > 0 {
 			firstFor[order[0]]++
 		}
-		slots[j] = b.newSlot(order)
+		originParts[j] = b.newPart(order)
 	}
-	return slots
+	return originParts
 }
 
 // hostCount returns the number of listed hosts, including this one.
@@ -131,19 +134,19 @@
 	return hosts
 }
 
-func (b *Burst) newSlot(order []int) slot {
-	s := slot{rank: maxRank}
+func (b *Burst) newPart(order []int) originPart {
+	part := originPart{rank: maxRank}
 	for k, i := range order {
 		if i == selfIndex {
-			s.rank = uint8(k)
+			part.rank = uint8(k)
 			continue
 		}
-		s.candidates = append(s.candidates, i)
+		part.candidates = append(part.candidates, i)
 	}
-	return s
+	return part
 }
 
-func slotKey(digest string, j int) uint64 { return mix(xxhash.Sum64String(digest) + uint64(j)) }
+func partKey(digest string, j int) uint64 { return mix(xxhash.Sum64String(digest) + uint64(j)) }
 
 // selfIndex denotes this host among indexes of peers.
 const selfIndex = -1
--- a/internal/core/weights/timing.go
+++ b/internal/core/weights/timing.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// initialFetchTime and initialSlotGap are the assumed duration of a fetch and the time between
-	// two chunks of an origin slot, until the first measurement.
+	// initialFetchTime and initialPartGap are the assumed duration of a fetch and the assumed time
+	// between two chunks of an origin part, before any measurement.
 	initialFetchTime = 250 * time.Millisecond
-	initialSlotGap   = 500 * time.Millisecond
-	// initialChunkGap is the assumed time between two chunks, until the first measurement.
+	initialPartGap   = 500 * time.Millisecond
+	// initialChunkGap is the assumed time between two chunks, before any measurement.
 	initialChunkGap = 50 * time.Millisecond
 	// minDelegateTimeout and maxDelegateTimeout bound the wait for a delegate.
 	minDelegateTimeout = 400 * time.Millisecond
 	maxDelegateTimeout = 10 * time.Second
-	// maxIdleTurn bounds the length of an idle turn. Waits increase the mean time between chunks
+	// maxIdleTurn bounds the length of an idle turn. Each wait increases the mean time between chunks
 	// and thereby the next wait, so the bound must be well below the time that a person would wait.
 	maxIdleTurn = 2 * time.Second
 	// minPeerStallTimeout and minOriginStallTimeout are the minimum times after which a fetch
@@ -26,15 +26,16 @@
 	// minFetchTimeout and maxFetchTimeout bound the timeout of one fetch.
 	minFetchTimeout = 5 * time.Second
 	maxFetchTimeout = time.Minute
-	// pastWeight is the weight of the past in a running mean, out of 8.
+	// pastWeight is the weight of the previous mean in a running mean, out of 8; a sample has the
+	// rest.
 	pastWeight = 7
 )
 
 // timing measures how fast a burst proceeds. The timeouts for other hosts are derived from it.
 type timing struct {
-	// peerFetchTime, originFetchTime and slotGap are running means of the duration of a fetch from
-	// a peer, of a fetch from the origin, and of the time between two chunks of one origin slot.
-	peerFetchTime, originFetchTime, slotGap time.Duration
+	// peerFetchTime, originFetchTime and partGap are running means of the duration of a fetch from
+	// a peer, of a fetch from the origin, and of the time between two chunks of one origin part.
+	peerFetchTime, originFetchTime, partGap time.Duration
 	// chunkGap is the running mean of the time between two chunks.
 	chunkGap time.Duration
 	// lastProgress is when a missing chunk last arrived or became available at a peer; lastChunk is
@@ -43,15 +44,16 @@
 }
 
 func newTiming(now time.Time) timing {
-	return timing{peerFetchTime: initialFetchTime, originFetchTime: initialFetchTime, slotGap: initialSlotGap, chunkGap: initialChunkGap, lastProgress: now, lastChunk: now}
+	return timing{peerFetchTime: initialFetchTime, originFetchTime: initialFetchTime, partGap: initialPartGap, chunkGap: initialChunkGap, lastProgress: now, lastChunk: now}
 }
 
 func smooth(mean *time.Duration, sample time.Duration) {
 	*mean = (*mean*pastWeight + sample) / (pastWeight + 1)
 }
 
-// addGap updates the mean with the time since the last chunk, capped at twice the mean. Callers
-// skip it after a long wait: timeouts that grow with the waits they cause would grow without bound.
+// addGap updates the mean chunkGap with the time since the last chunk, at most twice the mean.
+// Callers skip it after a long wait: timeouts that grow with the waits they cause would grow without
+// bound.
 func (t *timing) addGap(now time.Time) { smooth(&t.chunkGap, min(now.Sub(t.lastChunk), 2*t.chunkGap)) }
 
 // addChunk records a chunk that arrived.
@@ -68,7 +70,7 @@
 // progressed records that a missing chunk became available at a peer.
 func (t *timing) progressed(now time.Time) { t.lastProgress = now }
 
-func (t *timing) addSlotGap(took time.Duration) { smooth(&t.slotGap, min(took, 2*t.slotGap)) }
+func (t *timing) addPartGap(took time.Duration) { smooth(&t.partGap, min(took, 2*t.partGap)) }
 
 // delegateTimeout is how long a delegate may take to fetch a chunk that was announced to it.
 func (t *timing) delegateTimeout() time.Duration {
--- a/internal/core/weights/upload.go
+++ b/internal/core/weights/upload.go
@@ -7,16 +7,16 @@
 	// passed on only when it is complete, so a few uploads at the full rate distribute chunks
 	// faster than many slow ones.
 	uploadSlots = 2
-	// maxQueuedUploads bounds the requests that wait for a slot. Further requests are rejected, and
-	// the peer asks another host. Requests from outside the data centre may fill twice as many
-	// places.
+	// maxQueuedUploads bounds the requests that wait for an upload slot. Further requests are
+	// rejected, and the peer asks another host. A request from outside the data centre is rejected
+	// only if twice as many are waiting.
 	maxQueuedUploads = 3
 )
 
 // Uploads decides which chunk requests of peers are served.
 type Uploads struct {
 	calls map[uint64]*upload
-	// waiting are the requests without a slot, in the order in which they will get one.
+	// waiting are the requests without an upload slot, in the order in which they will get one.
 	waiting []uint64
 	active  int
 	// Sent counts the bytes sent, by the tier of the receiving peer.
--- a/internal/core/weights/view.go
+++ b/internal/core/weights/view.go
@@ -17,7 +17,7 @@
 	// manifest is read.
 	Held   int `json:"held"`
 	Chunks int `json:"chunks"`
-	// Counts has the transferred bytes by tier; Size is the size of the whole version in bytes.
+	// Counts has the received bytes by tier; Size is the size of the whole version in bytes.
 	Counts Counts `json:"counts"`
 	Size   int64  `json:"size"`
 	// Hosts is the number of hosts that want the version, including this one; Links is the number
--- a/internal/core/weights/weights.go
+++ b/internal/core/weights/weights.go
@@ -1,11 +1,18 @@
 // Package weights implements the reducer that distributes versions of weights between hosts. Each
 // host decides for itself from which source it fetches each missing chunk; there is no tracker and
-// no coordinator.
+// no coordinator. Package transfer carries out the effects.
+//
+// Both agents use the two packages: hostagent with core/install, the agent on the users' platform
+// (where gateway with core/forward is the entry), and internal/agent with core/rollout, the agent of
+// the first product.
+//
+// In this package, a manifest is always a chunk manifest: the list of the chunks of one version
+// (package manifest). It is not the operator's configuration manifest (package catalog).
 //
 // Hosts are grouped in tiers: data centre ("place"), region, fleet. For each chunk, one host of a
 // data centre, its delegate, may fetch the chunk from another data centre of the region. One host
-// of a region may fetch it from another region. One host of the fleet, its origin fetcher, may
-// fetch it from the weight store or the origin. Rendezvous hashing over the hosts that want the
+// of a region may fetch it from another region. One host of the fleet, the chunk's origin fetcher,
+// may fetch it from the weight store or the origin. Rendezvous hashing over the hosts that want the
 // version selects all three. When the selected host is silent, the next one in the hash order
 // replaces it. Within a data centre, hosts exchange chunks in a mesh.
 package weights
@@ -103,7 +110,8 @@
 	event
 	Digest string
 	From   Source
-	// Code is 0 when the peer or the source merely gave no answer.
+	// Code is 0 when there is no result code for the failure, for example when the peer or the
+	// source gave no answer.
 	Code code.Code
 }
 
@@ -124,11 +132,12 @@
 const (
 	// ExchangeFailed means that the exchange failed or timed out.
 	ExchangeFailed Reason = iota
-	// Busy means that the sender has no free upload slot, or that the source limits the rate.
+	// Busy means that the sender rejected the request because too many uploads are waiting, or that
+	// the source limits the rate.
 	Busy
 	// Corrupt means that the chunk did not match its digest.
 	Corrupt
-	// Changed means that the source now has another manifest for the version.
+	// Changed means that the source now has another chunk manifest for the version.
 	Changed
 	// NoMemory means that the chunk memory of this host is full.
 	NoMemory
@@ -159,7 +168,8 @@
 	All []bool
 	// New lists the chunks that the peer got since its last message.
 	New []int
-	// Hello asks this host to announce its chunks to the peer from now on.
+	// Hello is set if the message is a hello. It asks this host to announce its chunks to the peer
+	// from now on.
 	Hello bool
 	// OriginFailed describes the failed origin fetches that the peer knows of.
 	OriginFailed OriginFailure
@@ -222,7 +232,7 @@
 	// Try counts the failures of this chunk at the sources. It rotates the source that is asked
 	// first.
 	Try int
-	// Limit is the timeout of the fetch.
+	// Limit is the maximum duration of the fetch.
 	Limit time.Duration
 }
 
@@ -238,8 +248,8 @@
 	Digest string
 	To     string
 	New    []int
-	// Hello sends the complete list of held chunks and asks the peer for its own list and for later
-	// announcements.
+	// Hello makes the message a hello: it contains the complete list of held chunks, and asks the
+	// peer for its own list and for later announcements.
 	Hello bool
 	// OriginFailed describes the failed origin fetches that this host knows of.
 	OriginFailed OriginFailure
--- a/internal/core/weights/yield.go
+++ b/internal/core/weights/yield.go
@@ -14,16 +14,15 @@
 	// minPressureRatio is the ratio of recent to baseline first-byte times above which the share
 	// shrinks.
 	minPressureRatio = 2
-	// minRise is the minimum increase of first-byte times that counts, so that noise in short times
-	// has no effect.
+	// minRise is the minimum increase of first-byte times that counts as pressure, so that noise in
+	// short times has no effect.
 	minRise = 5 * time.Millisecond
 	// The share is multiplied by shrinkFactor when it shrinks; growStep is added when it grows.
 	shrinkFactor = 0.85
 	growStep     = 0.2
-	// trialSteps is how often the share shrinks before it must have helped. improvementRatio is the
-	// ratio of first-byte times, compared to the peak, that counts as help. If shrinking did not
-	// help, something other than the transfers delays live requests, and the full share is used for
-	// fullShareHold.
+	// trialSteps is how often the share shrinks before it must have helped. It has helped when the
+	// pressure is at most improvementRatio times its peak. If shrinking did not help, something
+	// other than the transfers delays live requests, and the full share is used for fullShareHold.
 	trialSteps       = 4
 	improvementRatio = 0.9
 	fullShareHold    = 30 * time.Second
@@ -54,7 +53,8 @@
 // firstByteTimes are running means of an upstream's first-byte times, in nanoseconds.
 type firstByteTimes struct {
 	recent, baseline float64
-	fresh            bool
+	// fresh is set if there was a sample since the last check for pressure.
+	fresh bool
 }
 
 func newYield() Yield { return Yield{Share: 1, upstreams: map[string]*firstByteTimes{}} }
