--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -1,5 +1,6 @@
-// Package manifest reads manifests: the list of chunks that make up a version of weights. A version
-// is identified by its digest, the SHA-256 of the exact bytes of its manifest in hex.
+// Package manifest reads chunk manifests. A chunk manifest lists the chunks that make up a version of
+// weights. A version is identified by its digest, the SHA-256 of the exact bytes of its chunk
+// manifest in hex. The operator's configuration manifest is another one; see package catalog.
 package manifest
 
 import (
--- a/internal/transfer/chunk.go
+++ b/internal/transfer/chunk.go
@@ -75,7 +75,8 @@
 	return weights.ExchangeFailed
 }
 
-// sourceChanged reports whether a source now has another manifest for the version.
+// sourceChanged reports whether the first source that answers has another chunk manifest for the
+// version.
 func (f *Fetcher) sourceChanged(e weights.FetchChunk) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), manifestTimeout)
 	defer cancel()
@@ -92,7 +93,7 @@
 	data := make([]byte, e.Chunk.Size)
 	if e.From == weights.Origin {
 		// Until the fleet has a complete copy, all hosts wait for the origin, which may become
-		// unavailable. Its data therefore has priority on the link.
+		// unavailable before that. Its data therefore has priority on the link.
 		return data, f.Downlink.ReadPriority(body, data)
 	}
 	return data, f.Downlink.ReadFull(ctx, body, data)
@@ -115,8 +116,8 @@
 	return nil, last
 }
 
-// openSource opens a chunk at one source, unless the source has limited the rate and its delay has
-// not passed.
+// openSource opens a chunk at one source. If the source has limited the rate and the delay that it
+// asked for has not passed, openSource fails without asking the source.
 func (f *Fetcher) openSource(ctx context.Context, at int, e weights.FetchChunk) (io.ReadCloser, error) {
 	if until, known := f.sourceRetryAt.Load(at); known && time.Now().Before(until.(time.Time)) {
 		return nil, &source.BusyError{RetryAfter: time.Until(until.(time.Time))}
@@ -129,8 +130,8 @@
 	return body, err
 }
 
-// preferBusy returns a BusyError if there is one, because it says when a retry is worthwhile, and
-// otherwise the latest error.
+// preferBusy returns last if it is a BusyError, because that says when a retry is worthwhile.
+// Otherwise it returns err, the latest error.
 func preferBusy(last, err error) error {
 	var busy *source.BusyError
 	if errors.As(last, &busy) {
--- a/internal/transfer/content.go
+++ b/internal/transfer/content.go
@@ -9,8 +9,8 @@
 // ErrIncomplete means that the memory lacks a chunk of the version.
 var ErrIncomplete = errors.New("version is incomplete in the chunk memory")
 
-// Content returns a reader of a version's whole content and its size in bytes. It fails with
-// ErrIncomplete if a chunk is missing, so that an engine never loads part of a version.
+// Content returns a reader of a version's complete content, and the size of that content in bytes.
+// It fails with ErrIncomplete if a chunk is missing, so that an engine never loads part of a version.
 func (m *Memory) Content(digest string) (io.Reader, int64, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/internal/transfer/deadline.go
+++ b/internal/transfer/deadline.go
@@ -6,7 +6,7 @@
 )
 
 // defaultWriteTimeout bounds the write of one block of an upload. It ends the upload to a peer that
-// stopped reading, which would otherwise occupy an upload slot.
+// stopped reading; otherwise that upload would continue to occupy an upload slot.
 const defaultWriteTimeout = 5 * time.Second
 
 // deadlineWriter sets a new deadline for each write.
--- a/internal/transfer/fetcher.go
+++ b/internal/transfer/fetcher.go
@@ -16,15 +16,15 @@
 	"samphireweir.example/samphireweir/internal/logevent"
 )
 
-// manifestTimeout bounds the fetch of a manifest.
+// manifestTimeout bounds the fetch of a chunk manifest.
 const manifestTimeout = 3 * time.Second
 
-// Stepper passes events to the core.
+// Stepper passes events to the reducers.
 type Stepper interface{ Step(step.Event) }
 
 // Source provides versions of weights from outside the fleet: the weight store or the origin.
 type Source interface {
-	// Manifest returns the exact bytes of a version's manifest.
+	// Manifest returns the exact bytes of a version's chunk manifest.
 	Manifest(ctx context.Context, ref weights.Ref) ([]byte, error)
 	// Data opens length bytes of a version's content, starting at offset. A source that limits the
 	// rate returns a source.BusyError.
@@ -34,7 +34,8 @@
 // Fetcher carries out the effects of the weights reducer.
 type Fetcher struct {
 	Memory *Memory
-	// Sources are asked in order: the weight store, then the origin.
+	// Sources are asked in this order, for example the weight store and then the origin. After a
+	// failed fetch of a chunk, the next fetch begins with another source.
 	Sources []Source
 	Pool    *control.Pool
 	Client  *http.Client
@@ -52,7 +53,8 @@
 	fetches sync.Map
 	// uploads maps the ID of an upload request to the channel on which its decision arrives.
 	uploads sync.Map
-	calls   atomic.Uint64
+	// calls is the number of upload requests so far; it is also the ID of the last one.
+	calls atomic.Uint64
 	// controlMessages and controlBytes count the announcements sent and their bytes.
 	controlMessages, controlBytes atomic.Int64
 	// sourceRetryAt is when a source that limited the rate may be asked again, by its index in
--- a/internal/transfer/fetcher_test.go
+++ b/internal/transfer/fetcher_test.go
@@ -173,7 +173,7 @@
 }
 
 // TestManifestThatDoesNotFitReportsItsCode checks that a version larger than the chunk memory, or a
-// manifest with another digest, fails with a result code instead of a crash.
+// chunk manifest with another digest, fails with a result code instead of a crash.
 func TestManifestThatDoesNotFitReportsItsCode(t *testing.T) {
 	_, raw := contentOf(t, "ccccdddd")
 	f, _, steps := newFetcher(t, 8, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(raw) })
@@ -219,7 +219,7 @@
 // TestUploadEndsWhenThePeerStopsReading guards against a peer that stops reading and so occupies an
 // upload slot forever.
 func TestUploadEndsWhenThePeerStopsReading(t *testing.T) {
-	const size = 64 << 20 // exceeds the buffers of a connection
+	const size = 64 << 20 // This exceeds the buffers of a connection.
 	content := strings.Repeat("x", size)
 	m := &manifest.Manifest{Size: size, ChunkSize: size, Chunks: []manifest.Chunk{{SHA256: digestOf(content), Size: size}}}
 	f, _, steps := newFetcher(t, 2*size)
--- a/internal/transfer/link.go
+++ b/internal/transfer/link.go
@@ -14,8 +14,8 @@
 const blockSize = 8 << 10
 
 const (
-	// slowWrite is the duration of a block's write above which the path to the peer counts as
-	// narrower than the link. A block takes about 10 ms on the slowest links and waits for the
+	// slowWrite is the duration of a block's write from which on the path to the peer counts as
+	// slower than the link. A block takes about 10 ms on the slowest links and waits for the
 	// blocks of a few other uploads.
 	slowWrite = 150 * time.Millisecond
 	// decreaseFactor and increaseFactor change the rate factor after a slow write and after a fast
@@ -23,21 +23,21 @@
 	decreaseFactor = 0.5
 	increaseFactor = 1.02
 	minRateFactor  = 1.0 / 32
-	// decreaseInterval is the minimum time between two decreases. Blocks that are already waiting
-	// are sent in this time.
+	// decreaseInterval is the minimum time between two decreases. In this time, the blocks that were
+	// already waiting are sent.
 	decreaseInterval = 300 * time.Millisecond
 )
 
 // Link limits the rate of transfers in one direction of a host's link. It decreases the rate while
-// writes are slow, which happens when the link has become narrower than its configured rate. A full
-// link would delay the live requests that share it.
+// writes are slow, which happens when the link has become slower than its configured rate. Otherwise
+// the transfers would fill the link and delay the live requests that share it.
 type Link struct {
 	limiter *rate.Limiter
 	rate    float64
 
 	mu sync.Mutex
-	// share is the fraction of the rate that transfers may use; rateFactor is the fraction that
-	// gets through.
+	// share is the fraction of the rate that transfers may use. rateFactor is a further factor, below
+	// 1 while writes are slow.
 	share, rateFactor float64
 	lastDecrease      time.Time
 }
--- a/internal/transfer/manifest.go
+++ b/internal/transfer/manifest.go
@@ -13,7 +13,7 @@
 	"samphireweir.example/samphireweir/internal/manifest"
 )
 
-// fetchManifest fetches and validates a manifest and adds the version to the chunk memory.
+// fetchManifest fetches and validates a chunk manifest and adds the version to the chunk memory.
 func (f *Fetcher) fetchManifest(e weights.FetchManifest) {
 	ctx, cancel := context.WithTimeout(context.Background(), manifestTimeout)
 	defer cancel()
@@ -45,7 +45,7 @@
 	}
 	held, err := f.Memory.AddVersion(digest, raw, m)
 	if err != nil {
-		return // Can't fail: the version fitted before.
+		return // An error can't occur: the version fitted before.
 	}
 	f.Steps.Step(weights.ManifestRead{Digest: digest, Manifest: m, Held: held})
 }
--- a/internal/transfer/memory.go
+++ b/internal/transfer/memory.go
@@ -1,4 +1,12 @@
-// Package transfer stores a host's chunks in memory and transfers them between hosts.
+// Package transfer stores a host's chunks in memory and transfers them between hosts. It is the
+// shell of package weights: it carries out the effects of that reducer.
+//
+// Both agents use the two packages: hostagent with core/install, the agent on the users' platform
+// (where gateway with core/forward is the entry), and internal/agent with core/rollout, the agent of
+// the first product.
+//
+// In this package, a manifest is always a chunk manifest: the list of the chunks of one version
+// (package manifest). It is not the operator's configuration manifest (package catalog).
 package transfer
 
 import (
@@ -11,15 +19,18 @@
 // Memory stores verified chunks by digest, within its own budget in bytes. A chunk that several
 // versions share is stored once.
 type Memory struct {
-	mu       sync.RWMutex
-	budget   int64
-	used     int64
-	chunks   map[string][]byte
-	refs     map[string]int
+	mu     sync.RWMutex
+	budget int64
+	used   int64
+	// chunks holds the chunks by their digest, and refs how often the known versions contain each.
+	chunks map[string][]byte
+	refs   map[string]int
+	// versions holds the known versions by their digest.
 	versions map[string]version
 }
 
 type version struct {
+	// raw are the exact bytes of the chunk manifest, and manifest is its parsed form.
 	raw      []byte
 	manifest *manifest.Manifest
 	// retired is set if the version may be evicted when memory is needed.
@@ -31,7 +42,7 @@
 	return &Memory{budget: budget, chunks: map[string][]byte{}, refs: map[string]int{}, versions: map[string]version{}}
 }
 
-// AddVersion adds a version by its manifest and returns the indexes of the chunks that are already
+// AddVersion adds a version by its chunk manifest and returns the indexes of the chunks that are already
 // held. It fails if the version is larger than the budget.
 func (m *Memory) AddVersion(digest string, raw []byte, parsed *manifest.Manifest) ([]int, error) {
 	m.mu.Lock()
@@ -55,15 +66,15 @@
 	return held, nil
 }
 
-// DropVersion removes a version and the chunks that no other version shares.
+// DropVersion removes a version and its chunks, except those that it shares with other versions.
 func (m *Memory) DropVersion(digest string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.drop(digest)
 }
 
-// Retire marks a version that is no longer wanted. It is kept while there is free memory, because
-// other versions may share its chunks.
+// Retire marks a version that is no longer wanted. Its chunks are kept while there is free memory,
+// because other versions may share them.
 func (m *Memory) Retire(digest string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
