--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,8 +1,8 @@
-// Package loadreport sends and receives small UDP datagrams between entries and the agents beside engines. An entry sends
+// Package loadreport sends and receives small UDP datagrams between entries and the agents of engines. An entry sends
 // heartbeats to the agents whose engines it uses, and each agent reports the load of its engine to the entries whose
-// heartbeats it received. Both also report which versions of weights they know to be in force, so that one process that
-// reaches the store is enough for its peers. Datagrams are neither acknowledged nor retried: each one is complete and
-// replaces the one before, so a lost datagram only delays the information until the next.
+// heartbeats it received. Both also report which versions of weights they know to be in force. A process that can't reach
+// the store thus learns of a new version from a peer that can. Datagrams are neither acknowledged nor retried: each one is
+// complete and replaces the one before, so a lost datagram only delays the information until the next.
 package loadreport
 
 import (
@@ -27,7 +27,7 @@
 	Model    string `json:"m"`
 	Version  int64  `json:"v"`
 	Revision int64  `json:"r"`
-	// AgeMS is how long the sender has known of the activation, in milliseconds. Assumed is set when the sender only
+	// AgeMS is the time since the activation as the sender knows it, in milliseconds. Assumed is set when the sender only
 	// assumes this age.
 	AgeMS   int64 `json:"a"`
 	Assumed bool  `json:"u,omitempty"`
@@ -36,22 +36,22 @@
 // Activations encodes the activations that a process knows at now for a datagram.
 func Activations(now time.Time, list []catalog.Activation) []Activation {
 	var encoded []Activation
-	for _, n := range list {
-		encoded = append(encoded, Activation{Model: n.Model, Version: n.Version, Revision: n.Revision, AgeMS: now.Sub(n.ActivatedAt).Milliseconds(), Assumed: n.Assumed})
+	for _, a := range list {
+		encoded = append(encoded, Activation{Model: a.Model, Version: a.Version, Revision: a.Revision, AgeMS: now.Sub(a.ActivatedAt).Milliseconds(), Assumed: a.Assumed})
 	}
 	return encoded
 }
 
 // Event returns the activation as an event for package catalog.
-func (n Activation) Event() catalog.VersionActivated {
+func (a Activation) Event() catalog.VersionActivated {
 	return catalog.VersionActivated{
-		Model: n.Model, Version: n.Version, Revision: n.Revision, Age: time.Duration(n.AgeMS) * time.Millisecond, Assumed: n.Assumed,
+		Model: a.Model, Version: a.Version, Revision: a.Revision, Age: time.Duration(a.AgeMS) * time.Millisecond, Assumed: a.Assumed,
 	}
 }
 
 // Load is an agent's load report for its engine.
 type Load struct {
-	// Address is the engine's address, to which callers' requests are sent.
+	// Address is the engine's address, to which entries send callers' requests.
 	Address string `json:"e"`
 	// StartedAt is the start time of the engine, in milliseconds since 1970; 0 if the engine does not report it.
 	StartedAt int64 `json:"b,omitempty"`
