--- a/internal/storefeed/cache.go
+++ b/internal/storefeed/cache.go
@@ -1,5 +1,5 @@
 // Package storefeed lets the processes of a data centre share what they read from the platform's store. A process caches
-// the objects that it has read and serves them to its peers. Package source decides from which peer a process reads, or
+// the objects that it has read and serves them to its peers. Package core/source decides from which peer a process reads, or
 // whether it reads the store itself. Objects are passed on as the store wrote them, with the store's revisions, so that a
 // reader can switch between the store and a peer at any time.
 package storefeed
@@ -15,10 +15,11 @@
 const (
 	// defaultChangeTime is the change time of a platform that does not specify one; see NewCache.
 	defaultChangeTime = 2 * time.Second
-	// storeWaitDivisor gives the maximum wait of a watch call to the store while peers depend on it: the change time
-	// divided by 4.
+	// storeWaitDivisor determines the maximum wait of a watch call to the store while peers read from this process: the
+	// change time divided by 4.
 	storeWaitDivisor = 4
-	// responseSlack is how much longer than its wait such a call may take, including the slack of the store's client.
+	// responseSlack is how much longer than its wait such a call may take. It includes the additional time that the store's
+	// client allows.
 	responseSlack = 800 * time.Millisecond
 	// tombstoneTTL is how long the removal of an object is remembered. A reader whose revision is older than a forgotten
 	// removal must list again.
@@ -40,11 +41,11 @@
 	objects map[string]cachedObject
 	// revision is the store's revision as of its last response.
 	revision int64
-	// oldest is the oldest revision since which all changes are known.
+	// oldest is the oldest revision after which all changes are known.
 	oldest int64
 	// lastChange is the highest asOf of all objects.
 	lastChange int64
-	// storeReadAt is when the store last responded, to this process or to the peer that it reads from.
+	// storeReadAt is when the store last sent a response that reached this process, directly or through a peer.
 	storeReadAt time.Time
 	// listed is set once a complete list was read.
 	listed bool
@@ -60,8 +61,8 @@
 	kinds map[string]*kindCache
 	// lastRequest is when a peer last sent a read request.
 	lastRequest time.Time
-	// storeWait is how long a watch call to the store waits while peers depend on it. An entry that has lost the store,
-	// and the peers that read from it, must notice the loss in less than the change time.
+	// storeWait is how long a watch call to the store waits while peers read from this process. If an entry loses the
+	// store, the entry and the peers that read from it must notice this in less than the change time.
 	storeWait time.Duration
 }
 
@@ -184,14 +185,15 @@
 	return time.Since(c.lastRequest) < readerTTL
 }
 
-// waitForChanges responds as soon as there are changes or the cache is stale, and at the latest after the requested wait.
+// waitForChanges returns the response to a read request: as soon as there are changes or the cache is stale, and at the
+// latest after the requested wait, which maxWait limits.
 func (c *Cache) waitForChanges(ctx context.Context, req ReadRequest) ReadResponse {
 	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(req.WaitMS)*time.Millisecond, maxWait))
 	defer cancel()
 	for {
 		resp, changed := c.read(req.Kind, req.Since)
-		// A request for a first list waits while the cache is stale, since this process is about to read its own list. A
-		// peer that already has a list gets the response at once, so that it can read the store instead.
+		// A request for a first list waits while the cache is stale, because this process is about to read its own list. A
+		// peer that already has a list is sent StateStale at once, so that it can read from another source.
 		if resp.State == StateUpdated || resp.State == StateHistoryGone || resp.State == StateStale && req.Since > 0 {
 			return resp
 		}
--- a/internal/storefeed/pack.go
+++ b/internal/storefeed/pack.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// minPackedBytes is the minimum content of a response, in bytes, for which it is compressed. The entries of upstreams
-	// are similar to each other, and a list of them shrinks to a tenth.
+	// minPackedBytes is the minimum content of a response, in bytes, for which it is compressed. The registrations of
+	// upstreams are similar to each other, and a list of them shrinks to a tenth.
 	minPackedBytes = 2 << 10
 	// maxUnpackedBytes is the maximum size of a decompressed response, in bytes.
 	maxUnpackedBytes = 32 << 20
@@ -43,8 +43,8 @@
 	return objects, nil
 }
 
-// packedResponses holds compressed objects by the revision since which they were requested. They are valid until the next
-// change: most peers that read from a process request the same objects.
+// packedResponses holds compressed objects by the revision since which they were requested. They are kept until the next
+// change, because most peers that read from a process request the same objects.
 type packedResponses map[int64][]byte
 
 // maxPackedResponses is the maximum number of compressed responses that are kept for a kind.
--- a/internal/storefeed/reader.go
+++ b/internal/storefeed/reader.go
@@ -22,10 +22,10 @@
 	// maxPeerWait is the maximum time that a read request to a peer waits for changes. It is short so that a peer that
 	// stopped responding is noticed soon.
 	maxPeerWait = 500 * time.Millisecond
-	// peerSlack is how much longer than the requested wait a peer may take before the request times out.
+	// peerSlack is how much longer than the requested wait a peer may take until the request times out.
 	peerSlack = 300 * time.Millisecond
-	// peerListTimeout is the timeout of a list from a peer. The peer may still wait for its own list, and a megabyte takes
-	// one second over an agent's link.
+	// peerListTimeout is the timeout of a list from a peer. The peer may still be waiting for its own list, and a megabyte
+	// takes one second over an agent's link.
 	peerListTimeout = 2900 * time.Millisecond
 	// directReadDelay is how long a process with DelayDirectReads keeps reading from stale entries before it reads the
 	// store itself. It is longer than entries need to reach a store that has recovered.
@@ -54,7 +54,8 @@
 
 // The outcomes of a read request.
 const (
-	// StateUpdated means that the response holds the changed objects, or all objects if Since was 0.
+	// StateUpdated means that the response holds the changed objects, or all objects if Since was 0. Like the other values,
+	// its value is sent to peers, so it stays.
 	StateUpdated State = "told"
 	// StateUnchanged means that nothing changed.
 	StateUnchanged State = "same"
@@ -112,9 +113,9 @@
 	Source *Source
 	// OnPeerFailure is called when a peer did not respond or responded that it is stale.
 	OnPeerFailure func(address string, err error)
-	// DelayDirectReads keeps the process from reading the store as soon as its peers are stale. It is set for processes
-	// that receive urgent changes in another way. Otherwise, when a store recovers, all processes of a large fleet would
-	// request the same objects at once and fill the links between regions.
+	// DelayDirectReads makes the process wait for directReadDelay before it reads the store because its peers are stale. It
+	// is set for processes that receive urgent changes in another way. Without the wait, all processes of a large fleet would
+	// request the same objects at once when a store recovers, and fill the links between regions.
 	DelayDirectReads bool
 
 	mu sync.Mutex
@@ -173,7 +174,7 @@
 		}
 		r.peerFailed(address, err)
 		if errors.Is(err, errStale) && r.Source.Address() != "" {
-			return nil, 0, err // The next peer may have recent data, and the store may refuse this process, too.
+			return nil, 0, err // The next peer may have recent data, and the store may refuse this process as it refuses the peer.
 		}
 		wait = 0 // A change that the peer did not report may have been waiting in the store for a while.
 	}
--- a/internal/storefeed/scaling_test.go
+++ b/internal/storefeed/scaling_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestChangeReachesAllWhenReadersFail guards against processes that learn of a change too late, or never, because the
-// processes that they read from are killed, unresponsive or cut off from the store at the moment of the change.
+// TestChangeReachesAllWhenReadersFail guards against processes that learn of a change too late, or never. At the moment of the
+// change, the processes that they read from are killed, unresponsive or cut off from the store.
 func TestChangeReachesAllWhenReadersFail(t *testing.T) {
 	const processes, allowed = 240, 5 * time.Second // allowed is the platform's time limit for a manifest in a fleet of this size.
 	for name, failing := range map[string]func(*virtualFleet) []*virtualProcess{
@@ -120,8 +120,8 @@
 	return list
 }
 
-// measureOutage returns the calls to the store in 9 seconds in which it refuses all calls, and the time from its recovery
-// until all processes know a change that was written meanwhile.
+// measureOutage makes the store refuse all calls for 9 seconds. It returns the number of calls in that time, and the time from
+// the recovery until all processes know a change that was written during the outage.
 func measureOutage(t *testing.T, n int) (calls int, recovery time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -163,8 +163,8 @@
 	require.LessOrEqual(t, recovery, allowed)
 }
 
-// measurePartialOutage returns the calls to the store in 9 seconds in which it refuses a third of the entries, with one
-// change per second. All processes must learn of each change in time, whichever entry reads for them.
+// measurePartialOutage makes the store refuse a third of the entries for 9 seconds, with one change per second. It returns the
+// number of calls to the store in that time. All processes must learn of each change in time, whichever entry reads for them.
 func measurePartialOutage(t *testing.T, n int, allowed time.Duration) int {
 	t.Helper()
 	calls := 0
--- a/internal/storefeed/source.go
+++ b/internal/storefeed/source.go
@@ -11,10 +11,11 @@
 type Source struct {
 	mu      sync.Mutex
 	address string
-	// changed is cancelled when the source changes; nil until the first list needs it.
+	// changed is a context that is cancelled when the source changes; nil until a list needs it. cancel cancels it.
 	changed context.Context
 	cancel  context.CancelFunc
-	// listsAllowed is closed when lists need not wait for a source any more; nil if they never had to.
+	// listsAllowed is closed when lists no longer wait to learn their source; nil if they never had to. released is set once
+	// it is closed.
 	listsAllowed chan struct{}
 	released     bool
 }
--- a/internal/storewatch/events.go
+++ b/internal/storewatch/events.go
@@ -9,7 +9,7 @@
 	"samphireweir.example/samphireweir/platform"
 )
 
-// manifestName is the name of the object that holds the manifest in force.
+// manifestName is the name of the object that holds the configuration manifest in force.
 const manifestName = "main"
 
 // Decoder converts objects of the store to events of package catalog. It logs and skips objects that can't be decoded, so
@@ -25,115 +25,115 @@
 }
 
 // Follower returns a follower of a kind that passes the kind's events to Step.
-func (b Decoder) Follower(store Store, kind string) *Follower {
-	b.loggedRevisions = map[string]int64{}
-	f := &Follower{Store: store, Kind: kind, Wait: shortWait, Log: b.Log, OnResponse: func() { b.Step(catalog.StoreAnswered{}) }, OnFailure: func() { b.Step(catalog.StoreFailed{}) }}
+func (d Decoder) Follower(store Store, kind string) *Follower {
+	d.loggedRevisions = map[string]int64{}
+	f := &Follower{Store: store, Kind: kind, Wait: shortWait, Log: d.Log, OnResponse: func() { d.Step(catalog.StoreAnswered{}) }, OnFailure: func() { d.Step(catalog.StoreFailed{}) }}
 	switch kind {
 	case platform.ConfigKind:
-		f.OnList, f.OnChanges = func(_ int64, o []platform.Object) { b.manifestsChanged(o) }, b.manifestsChanged
+		f.OnList, f.OnChanges = func(_ int64, o []platform.Object) { d.manifestsChanged(o) }, d.manifestsChanged
 	case platform.ServerKind:
-		f.OnList, f.OnChanges = b.upstreamsListed, b.upstreamsChanged
+		f.OnList, f.OnChanges = d.upstreamsListed, d.upstreamsChanged
 	case platform.VersionKind:
 		f.Wait = longWait
-		f.OnList, f.OnChanges = b.versionsListed, b.versionsChanged
+		f.OnList, f.OnChanges = d.versionsListed, d.versionsChanged
 	case platform.EvacuationKind:
-		f.OnList, f.OnChanges = b.evacuationsListed, b.evacuationsChanged
+		f.OnList, f.OnChanges = d.evacuationsListed, d.evacuationsChanged
 	}
 	return f
 }
 
-func (b Decoder) manifestsChanged(objects []platform.Object) {
+func (d Decoder) manifestsChanged(objects []platform.Object) {
 	for _, o := range objects {
 		if o.Name != manifestName || o.Deleted {
 			continue
 		}
 		m, err := platform.DecodeManifest(o.Spec)
 		if err != nil {
-			b.logMalformed(o, err)
+			d.logMalformed(o, err)
 			continue
 		}
-		b.Step(catalog.ManifestRead{Revision: o.Revision, Manifest: m})
+		d.Step(catalog.ManifestRead{Revision: o.Revision, Manifest: m})
 	}
 }
 
-func (b Decoder) upstreamsListed(revision int64, objects []platform.Object) {
+func (d Decoder) upstreamsListed(revision int64, objects []platform.Object) {
 	var list []*catalog.Upstream
 	var malformed []platform.Object
 	for _, o := range objects {
 		u, err := platform.DecodeUpstream(o)
 		if err != nil {
-			b.logMalformed(o, err)
+			d.logMalformed(o, err)
 			malformed = append(malformed, o)
 			continue
 		}
 		list = append(list, u)
 	}
-	b.Step(catalog.UpstreamsListed{Revision: revision, Upstreams: list})
+	d.Step(catalog.UpstreamsListed{Revision: revision, Upstreams: list})
 	for _, o := range malformed {
-		b.Step(catalog.UpstreamUnreadable{ID: o.Name, Revision: o.Revision})
+		d.Step(catalog.UpstreamUnreadable{ID: o.Name, Revision: o.Revision})
 	}
-	b.Step(catalog.TopicListed{Topic: catalog.UpstreamTopic})
+	d.Step(catalog.TopicListed{Topic: catalog.UpstreamTopic})
 }
 
-func (b Decoder) upstreamsChanged(objects []platform.Object) {
+func (d Decoder) upstreamsChanged(objects []platform.Object) {
 	for _, o := range objects {
 		if o.Deleted {
-			b.Step(catalog.UpstreamRemoved{ID: o.Name, Revision: o.Revision})
+			d.Step(catalog.UpstreamRemoved{ID: o.Name, Revision: o.Revision})
 			continue
 		}
 		u, err := platform.DecodeUpstream(o)
 		if err != nil {
-			b.logMalformed(o, err)
-			b.Step(catalog.UpstreamUnreadable{ID: o.Name, Revision: o.Revision})
+			d.logMalformed(o, err)
+			d.Step(catalog.UpstreamUnreadable{ID: o.Name, Revision: o.Revision})
 			continue
 		}
-		b.Step(catalog.UpstreamChanged{Upstream: u})
+		d.Step(catalog.UpstreamChanged{Upstream: u})
 	}
 }
 
-func (b Decoder) versionsListed(_ int64, objects []platform.Object) {
-	b.stepVersions(objects, true)
-	b.Step(catalog.TopicListed{Topic: catalog.VersionTopic})
+func (d Decoder) versionsListed(_ int64, objects []platform.Object) {
+	d.stepVersions(objects, true)
+	d.Step(catalog.TopicListed{Topic: catalog.VersionTopic})
 }
 
-func (b Decoder) versionsChanged(objects []platform.Object) { b.stepVersions(objects, false) }
+func (d Decoder) versionsChanged(objects []platform.Object) { d.stepVersions(objects, false) }
 
-func (b Decoder) stepVersions(objects []platform.Object, listed bool) {
+func (d Decoder) stepVersions(objects []platform.Object, listed bool) {
 	for _, o := range objects {
 		if o.Deleted {
 			continue
 		}
 		v, err := platform.DecodeVersion(o)
 		if err != nil {
-			b.logMalformed(o, err)
+			d.logMalformed(o, err)
 			continue
 		}
 		v.Listed = listed
-		b.Step(v)
+		d.Step(v)
 	}
 }
 
 // evacuationsListed reports the data centres that are being evacuated. Each object is named after a data centre; its
 // content is not used.
-func (b Decoder) evacuationsListed(revision int64, objects []platform.Object) {
+func (d Decoder) evacuationsListed(revision int64, objects []platform.Object) {
 	ev := catalog.EvacuationsListed{Revision: revision}
 	for _, o := range objects {
 		if o.Name != "" {
 			ev.DataCentres = append(ev.DataCentres, o.Name)
 		}
 	}
-	b.Step(ev)
-	b.Step(catalog.TopicListed{Topic: catalog.EvacuationTopic})
+	d.Step(ev)
+	d.Step(catalog.TopicListed{Topic: catalog.EvacuationTopic})
 }
 
-func (b Decoder) evacuationsChanged(objects []platform.Object) {
+func (d Decoder) evacuationsChanged(objects []platform.Object) {
 	for _, o := range objects {
 		switch {
 		case o.Name == "":
 		case o.Deleted:
-			b.Step(catalog.EvacuationEnded{DataCentre: o.Name, Revision: o.Revision})
+			d.Step(catalog.EvacuationEnded{DataCentre: o.Name, Revision: o.Revision})
 		default:
-			b.Step(catalog.EvacuationStarted{DataCentre: o.Name, Revision: o.Revision})
+			d.Step(catalog.EvacuationStarted{DataCentre: o.Name, Revision: o.Revision})
 		}
 	}
 }
@@ -142,13 +142,13 @@
 const maxLoggedRevisions = 1000
 
 // logMalformed logs an object that can't be decoded, once for each of its revisions.
-func (b Decoder) logMalformed(o platform.Object, err error) {
-	if revision, known := b.loggedRevisions[o.Name]; known && revision == o.Revision {
+func (d Decoder) logMalformed(o platform.Object, err error) {
+	if revision, known := d.loggedRevisions[o.Name]; known && revision == o.Revision {
 		return
 	}
-	if len(b.loggedRevisions) >= maxLoggedRevisions {
-		clear(b.loggedRevisions)
+	if len(d.loggedRevisions) >= maxLoggedRevisions {
+		clear(d.loggedRevisions)
 	}
-	b.loggedRevisions[o.Name] = o.Revision
-	logevent.Warn(b.Log, logevent.MalformedObject).Str("entry", o.Name).Int64("revision", o.Revision).Err(err).Msg("malformed object")
+	d.loggedRevisions[o.Name] = o.Revision
+	logevent.Warn(d.Log, logevent.MalformedObject).Str("entry", o.Name).Int64("revision", o.Revision).Err(err).Msg("malformed object")
 }
--- a/internal/storewatch/storewatch.go
+++ b/internal/storewatch/storewatch.go
@@ -18,10 +18,10 @@
 
 const (
 	// shortWait is how long one call waits for a change of a kind whose changes must be in force within 2 seconds. Including
-	// the client's slack, a call takes less than 3 seconds, the time within which a silently failed connection must be
-	// detected.
+	// the additional time that the client allows, a call takes less than 3 seconds. Within that time, a connection that has
+	// failed without an error must be detected.
 	shortWait = 2 * time.Second
-	// longWait is the wait for versions, which must be in force within 8 seconds and also arrive from other processes.
+	// longWait is the same wait for versions. They must be in force within 8 seconds, and other processes report them too.
 	longWait = 5 * time.Second
 	// minCallInterval is the minimum time between two calls to the store. Changes are batched meanwhile: each call has a
 	// cost, and many upstreams join or leave at about the same time. It is a quarter of the time within which a draining
@@ -49,7 +49,8 @@
 	OnChanges func(objects []platform.Object)
 	// Wait is how long one call waits for a change.
 	Wait time.Duration
-	// ReadsFromPeer reports whether the store is read through a peer, whose calls cost nothing. Nil means that it is not.
+	// ReadsFromPeer reports whether the store is read through a peer; such calls cost nothing at the store. Nil means that it
+	// is not.
 	ReadsFromPeer func() bool
 	// OnResponse is called before the objects of each response are delivered, OnFailure after each failed call.
 	OnResponse, OnFailure func()
@@ -88,9 +89,9 @@
 	}
 }
 
-// Poll lists the kind repeatedly until ctx is cancelled. The interval between two lists is drawn around the value of
-// interval, from half to one and a half times as long. The lists may be seconds old and cost a tenth of a watch. Poll is
-// for processes that receive the changes from other processes first.
+// Poll lists the kind repeatedly until ctx is cancelled. The time between two lists is random: between half and one and a
+// half times the value of interval. The lists may be seconds old and cost a tenth of a watch. Poll is for processes that
+// receive the changes from other processes first.
 func (f *Follower) Poll(ctx context.Context, interval func() time.Duration) {
 	for ctx.Err() == nil {
 		wait := maxRetryDelay
@@ -103,8 +104,8 @@
 	}
 }
 
-// poll reads the kind once. A stale list is the cheapest call to the store, while changes are the shortest response of a
-// peer.
+// poll reads the kind once. From the store it reads a list that may be stale, because that is the cheapest call. From a peer
+// it reads the changes since the last poll, because that is the shortest response.
 func (f *Follower) poll(ctx context.Context) error {
 	if f.polledRevision > 0 && f.shared() {
 		objects, at, err := f.Store.Watch(ctx, f.Kind, f.polledRevision, 0)
@@ -130,6 +131,7 @@
 	return nil
 }
 
+// shared reports whether the store is read through a peer.
 func (f *Follower) shared() bool { return f.ReadsFromPeer != nil && f.ReadsFromPeer() }
 
 // callInterval is the minimum time between two calls.
