--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,6 @@
-// Package control carries the control messages between the processes: JSON-RPC 2.0 over one long-lived connection for each
-// pair of processes that communicate. A connection starts as an HTTP upgrade request, so that one address of a host serves
-// both control messages and bulk data.
+// Package control carries the control messages between the processes: JSON-RPC 2.0 over a long-lived connection from a
+// caller to each of its peers. A connection starts as an HTTP upgrade request, so that one address of a host serves both
+// control messages and bulk data.
 package control
 
 import (
@@ -190,8 +190,8 @@
 	return &Pool{self: self, secret: secret, dialer: dial, Meter: noopMeter{}, conns: map[string]*jsonrpc2.Conn{}}
 }
 
-// Call calls a method of the peer at address and decodes the response into result. It closes the connection if the call
-// fails otherwise than by an error response.
+// Call calls a method of the peer at address and decodes the response into result. If the call fails without an error
+// response from the peer, Call closes the connection.
 func (p *Pool) Call(ctx context.Context, address, method string, params, result any) error {
 	p.Meter.CountControlCall(method, DirectionOut)
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
