--- a/internal/core/install/install.go
+++ b/internal/core/install/install.go
@@ -64,7 +64,8 @@
 	Preparing Phase = "preparing"
 	// Ordering is the phase in which a load order awaits the engine's answer.
 	Ordering Phase = "ordering"
-	// Loading is the phase in which the engine completes its running requests and loads.
+	// Loading is the phase in which the engine completes its running requests and loads. It also follows an order that was not confirmed
+	// or not answered. It then waits for the effect of the order, which may have been lost.
 	Loading Phase = "loading"
 )
 
@@ -186,7 +187,7 @@
 type LoadOrder struct {
 	Model   string
 	Version int64
-	// Sequence is the number of orders that the engine must have accepted before this one. Otherwise it rejects the order.
+	// Sequence is the count, EngineRead.OrderCount, that the engine must have when the order arrives. Otherwise it rejects the order.
 	Sequence int64
 	// CheckedAt is when the first chunk was read back. The order must be sent within MaxAge of it.
 	CheckedAt time.Time
@@ -312,7 +313,7 @@
 	return &limit
 }
 
-// Leaving reports whether the engine is shutting down.
+// Leaving reports whether the engine says that it is leaving, which means that it is shutting down.
 func (s *State) Leaving() bool { return s.engine.Notice.Leaving }
 
 // RequestCount returns the number of requests that the engine processes or has queued.
--- a/internal/core/install/install_test.go
+++ b/internal/core/install/install_test.go
@@ -220,9 +220,9 @@
 	require.Equal(t, []install.Want{{Model: "m", Version: 3, Digest: "d3"}}, h.state.Wanted())
 }
 
-// turns returns when each of n hosts prepares version 2, which is activated at 0 and complete on every host at 3 s. With superseded,
-// version 3 is activated 600 ms after that.
-func turns(t *testing.T, n int, superseded bool) []time.Duration {
+// turns returns when each of n hosts prepares version 2, which is activated at 0 and complete on every host at 3 s. With
+// supersededVersion, version 3 is activated 600 ms after that.
+func turns(t *testing.T, n int, supersededVersion bool) []time.Duration {
 	t.Helper()
 	var hosts []string
 	for i := range n {
@@ -237,7 +237,7 @@
 		h.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
 		h.pass(3 * time.Second)
 		done := hasPrepare(h.step(install.ContentComplete{Digest: "d2"}))
-		if superseded {
+		if supersededVersion {
 			done = hasPrepare(h.pass(600*time.Millisecond)) || done
 			done = hasPrepare(h.step(install.VersionActivated{Model: "m", Version: 3})) || done
 		}
--- a/internal/core/install/reduce.go
+++ b/internal/core/install/reduce.go
@@ -259,9 +259,9 @@
 	return append(m.enter(Preparing, in.Now, "its turn"), Prepare{Model: m.name, Version: v.number, Digest: v.digest})
 }
 
-// supersededWait is how long an engine that skips a version still waits for the next one, from the time at which entries stop sending
-// requests to the version that it holds.
-const supersededWait = time.Second
+// supersededVersionWait is how long an engine that skips a version still waits for the next one, from the time at which entries stop
+// sending requests to the version that it holds.
+const supersededVersionWait = time.Second
 
 // minUse is the minimum time for which a version must be usable for its load to be worthwhile. During a load, an engine accepts no
 // requests for about usualLoadTime. A version that is superseded sooner costs more capacity than it adds.
@@ -326,7 +326,7 @@
 	if best != m.newest() {
 		n = (n + 1) / 2
 		if position >= n {
-			return window + supersededWait
+			return window + supersededVersionWait
 		}
 		// These engines must accept requests again when the others stop.
 		window = max(0, window-usualLoadTime)
@@ -334,12 +334,13 @@
 	return window * time.Duration(position) / time.Duration(n)
 }
 
-// usableUntil returns until when entries send requests to an engine that holds a version: until they require the newer version that
-// was activated first. The zero time means that no end is known.
-func (s *State) usableUntil(m *model, held int64) time.Time {
+// usableUntil returns until when entries send requests to an engine that holds the version with this number: until they require the
+// newer version that was activated first. This engine need not hold the version yet. The number 0 stands for no version. The zero time
+// means that no end is known.
+func (s *State) usableUntil(m *model, number int64) time.Time {
 	var first time.Time
-	for number, since := range m.activatedAt {
-		if number > held && (first.IsZero() || since.Before(first)) {
+	for newer, since := range m.activatedAt {
+		if newer > number && (first.IsZero() || since.Before(first)) {
 			first = since
 		}
 	}
