--- a/internal/core/request/admit.go
+++ b/internal/core/request/admit.go
@@ -12,8 +12,8 @@
 
 // These words have one meaning each in this package:
 //
-//   - To retry is to make another attempt after one that failed before any of its answer was passed on. It uses the
-//     retry budget; see takeRetry.
+//   - To retry is to make another attempt after one that failed before any of its answer was passed on. It may
+//     use the retry budget; see takeRetry and withinBudget.
 //   - To requeue is to put a request that was admitted back into the queue, because upstreams were merely full.
 //   - To resume is to reconnect to the same run and request the rest of its answer. It is no new attempt. Each answer
 //     that has started is resumable, as long as its agent still keeps the run and the bytes that are missing.
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -48,9 +48,11 @@
 // Phase is the phase of a request.
 type Phase int
 
-// The phases of a request, in order. The event Received precedes them, and the event Ended follows them.
+// The phases of a request. The event Received precedes them, and the event Ended follows them. A request is first Queued, and may be
+// admitted at once. It returns to Admitted after an attempt, and to Queued when it is requeued.
 const (
-	// Admitted means that no attempt is in flight.
+	// Admitted means that no attempt is in flight. A request is in this phase after Queued, and between two attempts. Admitted is also
+	// the zero value, which a request has before it is queued.
 	Admitted Phase = iota
 	// Queued means that the request waits for capacity at this entry; see package admission.
 	Queued
