--- a/internal/storefeed/reader.go
+++ b/internal/storefeed/reader.go
@@ -92,7 +92,8 @@
 
 // Store is the platform's store.
 type Store interface {
-	List(ctx context.Context, kind string, stale bool) ([]platform.Object, int64, error)
+	// List reads all objects of a kind. With allowStale, the store may return data that is seconds old.
+	List(ctx context.Context, kind string, allowStale bool) ([]platform.Object, int64, error)
 	Watch(ctx context.Context, kind string, revision int64, wait time.Duration) ([]platform.Object, int64, error)
 }
 
@@ -124,12 +125,12 @@
 }
 
 // List reads all objects of a kind. If the source changes while a list is in progress, the list is started again from the
-// new source.
-func (r *Reader) List(ctx context.Context, kind string, stale bool) ([]platform.Object, int64, error) {
+// new source. allowStale applies only if the store itself is read.
+func (r *Reader) List(ctx context.Context, kind string, allowStale bool) ([]platform.Object, int64, error) {
 	r.Source.waitUntilReleased(ctx)
 	for {
 		address, listCtx, done := r.Source.beginList(ctx)
-		objects, revision, age, err := r.list(listCtx, address, kind, stale)
+		objects, revision, age, err := r.list(listCtx, address, kind, allowStale)
 		sourceChanged := listCtx.Err() != nil && ctx.Err() == nil
 		done()
 		switch {
@@ -145,12 +146,12 @@
 	}
 }
 
-func (r *Reader) list(ctx context.Context, address, kind string, stale bool) ([]platform.Object, int64, time.Duration, error) {
+func (r *Reader) list(ctx context.Context, address, kind string, allowStale bool) ([]platform.Object, int64, time.Duration, error) {
 	if address == "" && r.mustWait() {
 		return nil, 0, 0, errStale
 	}
 	if address == "" {
-		objects, revision, err := r.Direct.List(ctx, kind, stale)
+		objects, revision, err := r.Direct.List(ctx, kind, allowStale)
 		if err == nil {
 			r.clearStale()
 		}
--- a/internal/storefeed/scaling_test.go
+++ b/internal/storefeed/scaling_test.go
@@ -26,7 +26,7 @@
 // TestSimultaneousStartCausesFewStoreLists guards against a start in which each process requests the same lists from the
 // store. Their bytes grow with the square of the fleet and fill the links between regions, so that calls time out and are
 // retried. At 988 hosts, a start with this fault made 7,565 calls, eight times as many as at 300 hosts. They cost a seventh
-// of a day's value.
+// of the value of a day's answers.
 func TestSimultaneousStartCausesFewStoreLists(t *testing.T) {
 	const small, large = 170, 1000
 	before, after := measureStart(t, small), measureStart(t, large)
@@ -219,7 +219,7 @@
 
 // TestPartialStoreOutageDoesNotCauseCallsFromAllProcesses guards against processes that all call the store repeatedly because
 // it refuses the entry that reads for their data centre. At 988 hosts, a day with 9 such seconds had 10,943 calls,
-// which cost a fifth of the day's value.
+// which cost a fifth of the value of that day's answers.
 func TestPartialStoreOutageDoesNotCauseCallsFromAllProcesses(t *testing.T) {
 	const small, large, allowed = 120, 480, 5 * time.Second
 	before, after := measurePartialOutage(t, small, allowed), measurePartialOutage(t, large, allowed)
--- a/internal/storefeed/virtualfleet_test.go
+++ b/internal/storefeed/virtualfleet_test.go
@@ -274,11 +274,11 @@
 }
 
 // List lists the store.
-func (d directStore) List(ctx context.Context, kind string, stale bool) ([]platform.Object, int64, error) {
+func (d directStore) List(ctx context.Context, kind string, allowStale bool) ([]platform.Object, int64, error) {
 	if !d.process.has(healthy) {
 		return nil, 0, d.refuse()
 	}
-	return d.virtualFleet.List(ctx, kind, stale)
+	return d.virtualFleet.List(ctx, kind, allowStale)
 }
 
 // refuse counts a refused call and returns its error.
