--- a/internal/core/forward/backoff_test.go
+++ b/internal/core/forward/backoff_test.go
@@ -27,7 +27,7 @@
 // TestUpstreamInBackoffGetsNoRequests guards against an entry that ignores the Retry-After of a declined request and counts it as
 // one more failure. Then 11 requests from one entry reached an upstream within a backoff of three seconds.
 func TestUpstreamInBackoffGetsNoRequests(t *testing.T) {
-	for _, service := range []struct{ name, path string }{{"desk", lookups}, {"model", reports}} {
+	for _, service := range []struct{ name, path string }{{"desk", idempotentCall}, {"model", resumableStream}} {
 		r := newRig()
 		r.add("u1", service.name, "perth-a", 6)
 		r.add("u2", service.name, "bunbury-a", 6)
@@ -60,14 +60,14 @@
 	r.add("u2", "desk", "perth-a", 6)
 	r.requestBackoff("u1", 9*time.Second)
 	r.requestBackoff("u2", 3*time.Second)
-	refuse := only[forward.Refuse](t, r.arrive(1, bookings))
+	refuse := only[forward.Refuse](t, r.arrive(1, nonIdempotentCall))
 	require.Equal(t, code.NoUpstream, refuse.Code)
 	require.Equal(t, code.NotRun, refuse.Ran)
 	require.Contains(t, refuse.Reason, "2 that sent Retry-After")
 	require.GreaterOrEqual(t, refuse.RetryAfter, 3*time.Second)
 	require.Less(t, refuse.RetryAfter, 5*time.Second)
 	r.now = 2900 * time.Millisecond
-	require.Empty(t, r.arrive(2, bookings)[1:], "the backoff ends while a request may still wait for capacity")
+	require.Empty(t, r.arrive(2, nonIdempotentCall)[1:], "the backoff ends while a request may still wait for capacity")
 }
 
 // TestBackoffIsNotShortened guards against a backoff that is ended early by the answer to an earlier request, by a later request
@@ -83,9 +83,9 @@
 	r.step(forward.AnswerHeadReceived{Upstream: instance, Sent: begin, Outcome: forward.Declined})
 	r.add("u1", "desk", "perth-a", 6)
 	r.now = 3500 * time.Millisecond
-	require.Empty(t, sentIDs(r.arrive(1, lookups)))
+	require.Empty(t, sentIDs(r.arrive(1, idempotentCall)))
 	r.now = 4 * time.Second
-	require.Len(t, sentIDs(r.arrive(2, lookups)), 1)
+	require.Len(t, sentIDs(r.arrive(2, idempotentCall)), 1)
 }
 
 // TestBackoffEndsWithTheInstance guards against a restarted upstream that gets no requests because its earlier instance requested a
@@ -95,11 +95,11 @@
 	u := catalog.Upstream{ID: "d1", StartedAt: 1000, Service: "desk", Address: "a", DataCentre: "perth-a", Slots: 6, Revision: 1}
 	r.applyCatalog(catalog.UpstreamChanged{Upstream: &u})
 	r.requestBackoff("d1", time.Minute)
-	require.Empty(t, sentIDs(r.arrive(1, lookups)))
+	require.Empty(t, sentIDs(r.arrive(1, idempotentCall)))
 	again := u
 	again.StartedAt, again.Revision = 2000, 2
 	r.applyCatalog(catalog.UpstreamChanged{Upstream: &again})
-	require.Len(t, sentIDs(r.arrive(2, lookups)), 1)
+	require.Len(t, sentIDs(r.arrive(2, idempotentCall)), 1)
 }
 
 // TestExcessiveBackoffIsProbed guards against an upstream that stays out of use forever because it requested an absurdly long
@@ -113,7 +113,7 @@
 		n := 0
 		for ; r.now < until; r.now += 500 * time.Millisecond {
 			id++
-			for _, s := range sentAttempts(r.arrive(id, lookups)) {
+			for _, s := range sentAttempts(r.arrive(id, idempotentCall)) {
 				n++
 				r.step(forward.AnswerHeadReceived{Upstream: s.Upstream.Instance(), Sent: begin.Add(r.now), Outcome: outcome})
 				r.step(forward.AttemptEnded{ID: id, Outcome: outcome})
@@ -134,7 +134,7 @@
 	r := newRig()
 	r.add("u1", "desk", "perth-a", 6)
 	r.requestBackoff("u1", 24*time.Hour)
-	require.Less(t, only[forward.Refuse](t, r.arrive(1, bookings)).RetryAfter, 35*time.Second)
+	require.Less(t, only[forward.Refuse](t, r.arrive(1, nonIdempotentCall)).RetryAfter, 35*time.Second)
 }
 
 // TestRetryAfterFollowsTheUpstreamThatIsUsableFirst guards against a Retry-After as long as one upstream's backoff, while another
@@ -142,11 +142,11 @@
 func TestRetryAfterFollowsTheUpstreamThatIsUsableFirst(t *testing.T) {
 	r := newRig()
 	r.add("u1", "desk", "perth-a", 6)
-	only[forward.Send](t, r.arrive(1, bookings))
+	only[forward.Send](t, r.arrive(1, nonIdempotentCall))
 	r.step(forward.AttemptEnded{ID: 1, Outcome: forward.NotSent})
 	r.add("u2", "desk", "perth-a", 6)
 	r.requestBackoff("u2", 9*time.Second)
-	require.Less(t, only[forward.Refuse](t, r.arrive(2, bookings)).RetryAfter, 3*time.Second)
+	require.Less(t, only[forward.Refuse](t, r.arrive(2, nonIdempotentCall)).RetryAfter, 3*time.Second)
 }
 
 // TestRetryAfterIgnoresTheBackoffOfALeavingUpstream guards against a Retry-After that is based on an upstream which will be gone by
@@ -156,5 +156,5 @@
 	r.add("u1", "desk", "perth-a", 6)
 	r.requestBackoff("u1", 25*time.Second)
 	r.reportLeaving("u1", forward.Declined)
-	require.Less(t, only[forward.Refuse](t, r.arrive(1, bookings)).RetryAfter, 3*time.Second)
+	require.Less(t, only[forward.Refuse](t, r.arrive(1, nonIdempotentCall)).RetryAfter, 3*time.Second)
 }
--- a/internal/core/forward/bench_test.go
+++ b/internal/core/forward/bench_test.go
@@ -42,7 +42,7 @@
 			r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 1, Revision: 50})
 			r.now = 20 * time.Second
 			for id := range uint64(n) {
-				r.arrive(id+1, reports)
+				r.arrive(id+1, resumableStream)
 			}
 			for b.Loop() {
 				r.step(step.Tick{})
--- a/internal/core/forward/capacity.go
+++ b/internal/core/forward/capacity.go
@@ -102,7 +102,7 @@
 
 // shareOfFree returns how many requests this entry may send to the engine before its next load report. It is this entry's share of
 // the free slots, since all entries that receive the report fill them at the same time; see also prefillPrompts. A slot that a
-// request of this entry frees in the meantime comes on top; see release. The random number draw decides how the share is rounded.
+// request of this entry frees in the meantime is added; see release. draw is a random number that decides how the share is rounded.
 func (v *upstreamView) shareOfFree(ev LoadReported, draw uint64) int {
 	slots, entries := v.slots(), ev.NearEntries
 	if v.distance > 0 {
--- a/internal/core/forward/cold.go
+++ b/internal/core/forward/cold.go
@@ -24,7 +24,7 @@
 
 // noteCold records how much longer an upstream says that it is cold. A value of 0 changes nothing, because only some answers carry
 // it.
-func (l *load) noteCold(now time.Time, left time.Duration) {
+func (l *loadState) noteCold(now time.Time, left time.Duration) {
 	if left > 0 {
 		l.coldUntil = now.Add(left)
 	}
--- a/internal/core/forward/cold_test.go
+++ b/internal/core/forward/cold_test.go
@@ -63,7 +63,7 @@
 					idle := now > 2*time.Second && now < 3*time.Second // Idle entries could save up send slots.
 					for range perInterval {
 						if id++; !idle {
-							effects = append(effects, r.arrive(id, reports)...)
+							effects = append(effects, r.arrive(id, resumableStream)...)
 						}
 					}
 					for _, send := range sentAttempts(effects) {
@@ -92,7 +92,7 @@
 	sent := 0
 	for range 200 {
 		r.next++
-		sent += len(sentIDs(r.arrive(r.next, reports)))
+		sent += len(sentIDs(r.arrive(r.next, resumableStream)))
 	}
 	return sent
 }
--- a/internal/core/forward/crash_simulation_test.go
+++ b/internal/core/forward/crash_simulation_test.go
@@ -169,7 +169,7 @@
 	id := c.nextID
 	e.unsettled++
 	c.deliver(func() {
-		c.step(e, forward.Arrived{ID: id, Host: "h", Path: reports, Key: "key-1", Model: "m", Fingerprint: crashingFingerprint})
+		c.step(e, forward.Arrived{ID: id, Host: "h", Path: resumableStream, Key: "key-1", Model: "m", Fingerprint: crashingFingerprint})
 	})
 }
 
--- a/internal/core/forward/ending.go
+++ b/internal/core/forward/ending.go
@@ -18,18 +18,20 @@
 	retryAfter time.Duration
 }
 
-// mustNotSend reports whether a request must not be sent, or not be sent again, and why. It is checked before each attempt: a request
-// may wait for capacity and take several attempts, so the result of an earlier check may be seconds old.
-func (s *State) mustNotSend(in step.Input, r *request) (ending, bool) {
+// refreshAndCheck updates a request by the newest manifest, and reports whether it must not be sent, or not be sent again, and why. The
+// update may choose another service; see applyManifest. It is called before each attempt: a request may wait for capacity and take
+// several attempts, so the result of an earlier check may be seconds old.
+func (s *State) refreshAndCheck(in step.Input, r *request) (ending, bool) {
 	if end, forbidden := s.applyManifest(in, r); forbidden {
 		return end, true
 	}
 	return s.quarantined(in, r)
 }
 
-// applyManifest looks up a request's route, account and service in the newest manifest, and reports whether the request must not be
-// sent under it. If the operator removed one of them, or made the route non-repeatable, while the request was queued or in flight,
-// that applies to its further attempts.
+// applyManifest updates a request's route, account, homes, service and model by the newest manifest. It chooses another service if the
+// route no longer has the present one and no part of an answer was passed on. If the request must not be sent under the manifest,
+// applyManifest leaves it unchanged and reports why. If the operator removed its route or account, or made the route non-repeatable,
+// while the request was queued or in flight, that applies to its further attempts.
 func (s *State) applyManifest(in step.Input, r *request) (ending, bool) {
 	m := s.Catalog.Manifest
 	if r.manifest == m {
--- a/internal/core/forward/evacuation_test.go
+++ b/internal/core/forward/evacuation_test.go
@@ -30,19 +30,19 @@
 			r.add(fmt.Sprintf("near%d", i), "model", "perth-a", 1)
 		}
 		r.add("far", "model", "bunbury-a", 3)
-		only[forward.Send](t, r.arrive(1, reports))
-		only[forward.Send](t, r.arrive(2, reports))
+		only[forward.Send](t, r.arrive(1, resumableStream))
+		only[forward.Send](t, r.arrive(2, resumableStream))
 		if unreported {
 			r.state.ChooseHeartbeatTargets()
 		}
 		r.evacuate("perth-a")
-		require.Equal(t, "far", only[forward.Send](t, r.arrive(3, reports)).Upstream.ID)
+		require.Equal(t, "far", only[forward.Send](t, r.arrive(3, resumableStream)).Upstream.ID)
 		resumed := r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Broken, Partial: true})
 		for _, send := range sentAttempts(resumed) {
 			require.Equal(t, "far", send.Upstream.ID)
 		}
 		for id := uint64(4); id < 12; id++ {
-			for _, send := range sentAttempts(r.arrive(id, reports)) {
+			for _, send := range sentAttempts(r.arrive(id, resumableStream)) {
 				require.Equal(t, "far", send.Upstream.ID)
 			}
 		}
@@ -52,7 +52,7 @@
 		}
 		require.Empty(t, sentAttempts(r.step(forward.AttemptEnded{ID: 2, Outcome: forward.Answered})), "the free slot there is not used")
 		r.evacuate()
-		require.NotEqual(t, "far", only[forward.Send](t, r.arrive(20, reports)).Upstream.ID, "it is used again at once")
+		require.NotEqual(t, "far", only[forward.Send](t, r.arrive(20, resumableStream)).Upstream.ID, "it is used again at once")
 	}
 }
 
@@ -64,11 +64,11 @@
 		r.add(dataCentre, "desk", dataCentre, 9)
 	}
 	r.evacuate("perth-a", "bunbury-a")
-	require.Equal(t, "karratha-a", only[forward.Send](t, r.arrive(1, lookups)).Upstream.ID)
+	require.Equal(t, "karratha-a", only[forward.Send](t, r.arrive(1, idempotentCall)).Upstream.ID)
 	r.next++
 	r.applyCatalog(catalog.EvacuationEnded{DataCentre: "bunbury-a", Revision: int64(r.next)})
 	r.state.Catalog.Reduce(step.Input{Now: begin, Event: catalog.EvacuationStarted{DataCentre: "karratha-a", Revision: int64(r.next) + 1}})
-	require.Equal(t, "bunbury-a", only[forward.Send](t, r.arrive(2, lookups)).Upstream.ID)
+	require.Equal(t, "bunbury-a", only[forward.Send](t, r.arrive(2, idempotentCall)).Upstream.ID)
 }
 
 // TestRequestIsRefusedAtOnceWhileItsOnlyHomeIsEvacuated guards against callers that wait until their deadline, and against requests
@@ -79,7 +79,7 @@
 	r.add("d2", "desk", "bunbury-a", 6)
 	r.setHomes(residency.Regions{"perth"}, nil)
 	r.evacuate("perth-a")
-	refuse := only[forward.Refuse](t, r.arrive(1, lookups))
+	refuse := only[forward.Refuse](t, r.arrive(1, idempotentCall))
 	require.Equal(t, code.NoUpstream, refuse.Code)
 	require.Equal(t, code.NotRun, refuse.Ran)
 	require.Positive(t, refuse.RetryAfter)
--- a/internal/core/forward/forward.go
+++ b/internal/core/forward/forward.go
@@ -49,7 +49,8 @@
 	NotSent Outcome = "not sent"
 	// Declined: the upstream says that it did not run the request.
 	Declined Outcome = "declined"
-	// Misdirected: another upstream has the address now; it did not run the request.
+	// Misdirected: another upstream has the address, or this one holds another version of the weights than the attempt required. The
+	// request did not run.
 	Misdirected Outcome = "misdirected"
 	// Broken: the connection ended, or carried something other than the answer; the request may have run.
 	Broken Outcome = "broken"
@@ -133,7 +134,7 @@
 	Versions map[string]int64
 	// RateLimit is the limit that the engine reported to its agent, in requests per second from all entries together; nil for none.
 	RateLimit *float64
-	// Leaving is set if the engine reported to its agent that it is shutting down.
+	// Leaving is set if the engine reported to its agent that it is leaving; see upstreamView.leaving.
 	Leaving bool
 	// ColdRemaining is how much longer the engine is cold, as it reported to its agent; 0 if it does not say.
 	ColdRemaining time.Duration
@@ -168,8 +169,10 @@
 // Event marks the type as an event.
 func (ShutdownStarted) Event() {}
 
-// Admitted reports to the shell the deadline of a request and the route whose terms apply to it.
-type Admitted struct {
+// Accepted informs the shell that a request passed the checks on arrival, and of its deadline and the route whose terms apply to it. It
+// comes before the effects that send or refuse the request. A request that must wait for capacity has no further effect yet. A request
+// that fails the checks gets only a Refuse.
+type Accepted struct {
 	ID       uint64
 	Route    *catalog.Route
 	Deadline time.Time
@@ -195,7 +198,8 @@
 	// GapTimeout is the timeout between two events of a stream; 0 for the request's deadline.
 	GapTimeout time.Duration
 	// Resume is set if part of an answer was passed on in an earlier attempt. Another upstream, the one of this attempt, must
-	// then continue that answer.
+	// then continue that answer. Package core/request calls this to continue, and uses to resume for the rest of the same run. On the
+	// users' platform, the manifest and the log call it to resume.
 	Resume bool
 	// Returning is set if the caller was probably refused before; see callerTimeouts.
 	Returning bool
@@ -224,7 +228,7 @@
 }
 
 // Effect marks the type as an effect.
-func (Admitted) Effect() {}
+func (Accepted) Effect() {}
 
 // Effect marks the type as an effect.
 func (Send) Effect() {}
@@ -243,7 +247,7 @@
 	id uint64
 	// host, path and key are as the caller sent them. The manifest maps them to a route and a client account.
 	host, path, key string
-	// manifest is the one by which route, service and account were last looked up; see applyManifest.
+	// manifest is the one in which route, service and account were last looked up; see applyManifest.
 	manifest *catalog.Manifest
 	route    *catalog.Route
 	service  string
@@ -284,7 +288,7 @@
 	tried      map[catalog.Instance]bool
 }
 
-// State is what an entry knows about its requests and the load of the upstreams.
+// State is what an entry knows about its requests and about the state of the upstreams.
 type State struct {
 	Self    Self
 	Catalog *catalog.State
@@ -293,7 +297,7 @@
 	Crashes *quarantine.Table
 
 	requests       map[uint64]*request
-	loads          map[catalog.Instance]*load
+	loadStates     map[catalog.Instance]*loadState
 	views          viewCache
 	retryBudgets   map[string]*retryBudget
 	callerTimeouts callerTimeouts
@@ -319,9 +323,10 @@
 	// last load report. recentEntries is the maximum of the recent estimates.
 	estimatedEntries int
 	recentEntries    recentMax
-	stopping         bool
-	// overdue are the loads that had overdue requests at the last tick, and forgotAt is when forget last ran.
-	overdue  []*load
+	// stopping is set once this process is shutting down.
+	stopping bool
+	// overdue are the states of the upstreams that had overdue requests at the last tick, and forgotAt is when forget last ran.
+	overdue  []*loadState
 	forgotAt time.Time
 }
 
@@ -331,7 +336,7 @@
 		self.Policy = DefaultPolicy()
 	}
 	return &State{
-		Self: self, Catalog: c, requests: map[uint64]*request{}, loads: map[catalog.Instance]*load{},
+		Self: self, Catalog: c, requests: map[uint64]*request{}, loadStates: map[catalog.Instance]*loadState{},
 		retryBudgets: map[string]*retryBudget{}, callerTimeouts: callerTimeouts{}, Crashes: quarantine.NewTable(),
 		breaks: map[uint64][]breakRecord{}, queues: map[string][]uint64{}, lastQueuedAt: map[string]time.Time{},
 	}
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -19,10 +19,10 @@
 
 // The paths of the routes in these tests.
 const (
-	bookings = "/bookings/"
-	lookups  = "/lookups/"
-	reports  = "/reports/"
-	notes    = "/notes/"
+	nonIdempotentCall  = "/bookings/"
+	idempotentCall     = "/lookups/"
+	resumableStream    = "/reports/"
+	nonResumableStream = "/notes/"
 )
 
 // rig is a test harness: an entry's reducer with a manifest and upstreams.
@@ -35,10 +35,10 @@
 
 func newRig() *rig {
 	routes := []*catalog.Route{
-		{Name: "bookings", Host: "h", Prefix: bookings, Kind: catalog.NonIdempotent, MaxUpstreams: 2, Shares: share("desk"), Timeout: time.Second, Objective: 300 * time.Millisecond},
-		{Name: "lookups", Host: "h", Prefix: lookups, Kind: catalog.Idempotent, MaxUpstreams: 2, Shares: share("desk"), Timeout: time.Second, Objective: 300 * time.Millisecond},
-		{Name: "reports", Host: "h", Prefix: reports, Kind: catalog.Streaming, Resumable: true, MaxUpstreams: 2, Shares: share("model"), Timeout: 6 * time.Second, Objective: 500 * time.Millisecond},
-		{Name: "notes", Host: "h", Prefix: notes, Kind: catalog.Streaming, MaxUpstreams: 2, Shares: share("model"), Timeout: 6 * time.Second, Objective: 500 * time.Millisecond},
+		{Name: "bookings", Host: "h", Prefix: nonIdempotentCall, Kind: catalog.NonIdempotent, MaxUpstreams: 2, Shares: share("desk"), Timeout: time.Second, Objective: 300 * time.Millisecond},
+		{Name: "lookups", Host: "h", Prefix: idempotentCall, Kind: catalog.Idempotent, MaxUpstreams: 2, Shares: share("desk"), Timeout: time.Second, Objective: 300 * time.Millisecond},
+		{Name: "reports", Host: "h", Prefix: resumableStream, Kind: catalog.Streaming, Resumable: true, MaxUpstreams: 2, Shares: share("model"), Timeout: 6 * time.Second, Objective: 500 * time.Millisecond},
+		{Name: "notes", Host: "h", Prefix: nonResumableStream, Kind: catalog.Streaming, MaxUpstreams: 2, Shares: share("model"), Timeout: 6 * time.Second, Objective: 500 * time.Millisecond},
 	}
 	accounts := map[string]*catalog.ClientAccount{"key-1": {Name: "karrakin"}, "key-2": {Name: "harrowgate"}}
 	m := catalog.NewManifest(1, routes, accounts)
@@ -78,7 +78,7 @@
 
 func (r *rig) arrive(id uint64, path string) []step.Effect {
 	ev := forward.Arrived{ID: id, Host: "h", Path: path + "x", Key: "key-1"}
-	if path == reports || path == notes {
+	if path == resumableStream || path == nonResumableStream {
 		ev.Model = "m"
 	}
 	return r.step(ev)
@@ -100,9 +100,9 @@
 func TestUnknownKeysAndRoutesAreRefused(t *testing.T) {
 	r := newRig()
 	r.add("d1", "desk", "perth-a", 6)
-	send := only[forward.Send](t, r.arrive(1, lookups))
+	send := only[forward.Send](t, r.arrive(1, idempotentCall))
 	require.Equal(t, "karrakin", send.Account)
-	refuse := only[forward.Refuse](t, r.step(forward.Arrived{ID: 2, Host: "h", Path: lookups, Key: "revoked"}))
+	refuse := only[forward.Refuse](t, r.step(forward.Arrived{ID: 2, Host: "h", Path: idempotentCall, Key: "revoked"}))
 	require.Equal(t, code.UnknownKey, refuse.Code)
 	refuse = only[forward.Refuse](t, r.step(forward.Arrived{ID: 3, Host: "h", Path: "/nowhere/", Key: "key-1"}))
 	require.Equal(t, code.NoSuchRoute, refuse.Code)
@@ -113,7 +113,7 @@
 // not exist.
 func TestRequestIsRefusedAsNotReadyBeforeTheManifestIsKnown(t *testing.T) {
 	s := forward.NewState(forward.Self{}, catalog.NewState())
-	effects := s.Reduce(step.Input{Now: begin, Event: forward.Arrived{ID: 1, Host: "h", Path: lookups}})
+	effects := s.Reduce(step.Input{Now: begin, Event: forward.Arrived{ID: 1, Host: "h", Path: idempotentCall}})
 	refuse := only[forward.Refuse](t, effects)
 	require.Equal(t, code.NotReady, refuse.Code)
 	require.Positive(t, refuse.RetryAfter)
@@ -126,7 +126,7 @@
 		r := newRig()
 		r.add("d1", "desk", "perth-a", 6)
 		r.add("d2", "desk", "perth-a", 6)
-		only[forward.Send](t, r.arrive(1, bookings))
+		only[forward.Send](t, r.arrive(1, nonIdempotentCall))
 		effects := r.step(forward.AttemptEnded{ID: 1, Outcome: outcome})
 		for _, e := range effects {
 			_, again := e.(forward.Send)
@@ -140,14 +140,14 @@
 	}
 }
 
-// TestDeclinedRequestIsRetriedElsewhere guards against failing a request that certainly did not run, and against reporting to its
+// TestRequestThatDidNotRunIsRetriedElsewhere guards against failing a request that certainly did not run, and against reporting to its
 // caller that it may have run.
-func TestDeclinedRequestIsRetriedElsewhere(t *testing.T) {
+func TestRequestThatDidNotRunIsRetriedElsewhere(t *testing.T) {
 	for _, outcome := range []forward.Outcome{forward.NotSent, forward.Declined, forward.Misdirected} {
 		r := newRig()
 		r.add("d1", "desk", "perth-a", 6)
 		r.add("d2", "desk", "perth-a", 6)
-		first := only[forward.Send](t, r.arrive(1, bookings))
+		first := only[forward.Send](t, r.arrive(1, nonIdempotentCall))
 		second := only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: outcome}))
 		require.NotEqual(t, first.Upstream.ID, second.Upstream.ID)
 		refuse := only[forward.Refuse](t, r.step(forward.AttemptEnded{ID: 1, Outcome: outcome}))
@@ -168,7 +168,7 @@
 			r.add(fmt.Sprintf("d%d", i), "desk", "perth-a", 6)
 			r.add(fmt.Sprintf("m%d", i), "model", "perth-a", 6)
 		}
-		path := rapid.SampledFrom([]string{bookings, lookups, reports, notes}).Draw(t, "route")
+		path := rapid.SampledFrom([]string{nonIdempotentCall, idempotentCall, resumableStream, nonResumableStream}).Draw(t, "route")
 		effects := r.arrive(1, path)
 		mayHaveRun, partial, ended := 0, false, false
 		for turns := 0; !ended && turns < 10; turns++ {
@@ -190,7 +190,7 @@
 				case forward.Deliver:
 					ended = true
 				case forward.Send:
-					if path == bookings || path == notes {
+					if path == nonIdempotentCall || path == nonResumableStream {
 						require.Zero(t, mayHaveRun, "retried although it may have run")
 					}
 					require.Less(t, mayHaveRun, 2, "more upstreams than the route allows")
@@ -207,7 +207,7 @@
 			o := rapid.SampledFrom(outcomes).Draw(t, "outcome")
 			if o != forward.NotSent && o != forward.Declined && o != forward.Misdirected {
 				mayHaveRun++
-				if (o == forward.Broken || o == forward.Silent) && (path == reports || path == notes) {
+				if (o == forward.Broken || o == forward.Silent) && (path == resumableStream || path == nonResumableStream) {
 					partial = partial || rapid.Bool().Draw(t, "partial")
 				}
 			}
@@ -227,7 +227,7 @@
 func TestTimedOutStreamIsAborted(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 6)
-	only[forward.Send](t, r.arrive(1, reports))
+	only[forward.Send](t, r.arrive(1, resumableStream))
 	only[forward.Abort](t, r.step(forward.TimedOut{ID: 1, Partial: true}))
 }
 
@@ -236,21 +236,22 @@
 	r := newRig()
 	r.add("m1", "model", "perth-a", 6)
 	r.add("m2", "model", "perth-a", 6)
-	first := only[forward.Send](t, r.arrive(1, reports))
+	first := only[forward.Send](t, r.arrive(1, resumableStream))
 	require.Positive(t, first.GapTimeout)
 	second := only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Broken, Partial: true}))
 	require.True(t, second.Resume)
 	require.NotEqual(t, first.Upstream.ID, second.Upstream.ID)
-	require.Zero(t, second.FirstEventTimeout, "the last attempt has no timeout but the deadline")
+	require.Zero(t, second.FirstEventTimeout, "the rig's routes set no CallerTimeout, so the last attempt has no timeout but the deadline")
 }
 
-// TestNearUpstreamsAreFilledFirst guards against sending requests to another data centre while this one has capacity.
+// TestNearUpstreamsAreFilledFirst guards against sending requests to another data centre while this one has capacity. It also checks that
+// half of a near engine's slots count as used by another entry as long as there is no load report.
 func TestNearUpstreamsAreFilledFirst(t *testing.T) {
 	r := newRig()
 	r.add("far", "model", "bunbury-a", 2)
 	r.add("near", "model", "perth-a", 2)
-	require.Equal(t, "near", only[forward.Send](t, r.arrive(1, reports)).Upstream.ID)
-	require.Equal(t, "far", only[forward.Send](t, r.arrive(2, reports)).Upstream.ID, "without a load report, an entry assumes that another one sends as much")
+	require.Equal(t, "near", only[forward.Send](t, r.arrive(1, resumableStream)).Upstream.ID)
+	require.Equal(t, "far", only[forward.Send](t, r.arrive(2, resumableStream)).Upstream.ID, "without a load report, an entry assumes that another one sends as much")
 }
 
 // TestLoadReportDecidesTheChoice guards against requests to an engine that is full, or loading weights, according to its agent.
@@ -263,12 +264,12 @@
 	}
 	report("m1", 3, false)
 	report("m2", 0, false)
-	require.Equal(t, "m2", only[forward.Send](t, r.arrive(1, reports)).Upstream.ID)
+	require.Equal(t, "m2", only[forward.Send](t, r.arrive(1, resumableStream)).Upstream.ID)
 	report("m2", 0, true)
-	require.Equal(t, "m1", only[forward.Send](t, r.arrive(2, reports)).Upstream.ID, "an engine that loads weights accepts no requests")
+	require.Equal(t, "m1", only[forward.Send](t, r.arrive(2, resumableStream)).Upstream.ID, "an engine that loads weights accepts no requests")
 	require.Empty(t, func() []step.Effect {
 		var list []step.Effect
-		for _, e := range r.arrive(3, reports) {
+		for _, e := range r.arrive(3, resumableStream) {
 			if _, ok := e.(forward.Send); ok {
 				list = append(list, e)
 			}
@@ -289,11 +290,11 @@
 	report("m2")
 	r.now = 1300 * time.Millisecond
 	report("m2")
-	require.Equal(t, "m2", only[forward.Send](t, r.arrive(1, reports)).Upstream.ID)
-	require.Empty(t, sentIDs(r.arrive(2, reports)), "waiting for a slot at the other engine is better")
+	require.Equal(t, "m2", only[forward.Send](t, r.arrive(1, resumableStream)).Upstream.ID)
+	require.Empty(t, sentIDs(r.arrive(2, resumableStream)), "waiting for a slot at the other engine is better")
 	require.Equal(t, "m2", only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Answered})).Upstream.ID)
 	r.applyCatalog(catalog.UpstreamRemoved{ID: "m2", Revision: 9})
-	require.Equal(t, "m1", only[forward.Send](t, r.arrive(3, reports)).Upstream.ID, "no other engine is usable")
+	require.Equal(t, "m1", only[forward.Send](t, r.arrive(3, resumableStream)).Upstream.ID, "no other engine is usable")
 }
 
 // TestQueuedRequestIsSentOrRefusedInTime guards against a queued request that misses a free slot, or waits longer than its share of
@@ -301,9 +302,9 @@
 func TestQueuedRequestIsSentOrRefusedInTime(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 2)
-	only[forward.Send](t, r.arrive(1, reports))
-	only[forward.Admitted](t, r.arrive(2, reports))
-	only[forward.Admitted](t, r.arrive(3, reports))
+	only[forward.Send](t, r.arrive(1, resumableStream))
+	only[forward.Accepted](t, r.arrive(2, resumableStream))
+	only[forward.Accepted](t, r.arrive(3, resumableStream))
 	require.Equal(t, uint64(2), only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Answered})).ID)
 	r.now += 199 * time.Millisecond
 	require.Empty(t, r.step(step.Tick{}))
@@ -318,7 +319,7 @@
 	r := newRig()
 	r.add("d1", "desk", "perth-a", 6)
 	r.applyCatalog(catalog.UpstreamChanged{Upstream: &catalog.Upstream{ID: "d1", Service: "desk", Address: "d1", Draining: true, Revision: 99}})
-	require.Equal(t, code.NoUpstream, only[forward.Refuse](t, r.arrive(1, bookings)).Code)
+	require.Equal(t, code.NoUpstream, only[forward.Refuse](t, r.arrive(1, nonIdempotentCall)).Code)
 }
 
 // TestRetriesStayWithinTheFleetsBudget guards against retries that multiply the load while all attempts break.
@@ -332,7 +333,7 @@
 	const requests = 300
 	for id := uint64(1); id <= requests; id++ {
 		r.now += 30 * time.Millisecond
-		effects := r.arrive(id, lookups)
+		effects := r.arrive(id, idempotentCall)
 		for range 4 {
 			if len(effects) == 0 {
 				break
--- a/internal/core/forward/free_share_test.go
+++ b/internal/core/forward/free_share_test.go
@@ -29,7 +29,7 @@
 				}
 				r.step(report)
 				for id := uint64(1); id <= slots; id++ {
-					sent += len(sentIDs(r.arrive(id, reports)))
+					sent += len(sentIDs(r.arrive(id, resumableStream)))
 				}
 			}
 		}
@@ -45,11 +45,11 @@
 	r.add("m1", "model", "perth-a", 12)
 	report := forward.LoadReported{Address: "m1", RequestCount: 8, Versions: map[string]int64{"m": 1}, Entries: 4, NearEntries: 4}
 	r.step(report)
-	require.Len(t, sentIDs(r.arrive(1, reports)), 1)
-	require.Empty(t, sentIDs(r.arrive(2, reports)))
+	require.Len(t, sentIDs(r.arrive(1, resumableStream)), 1)
+	require.Empty(t, sentIDs(r.arrive(2, resumableStream)))
 	require.Equal(t, []uint64{2}, sentIDs(r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Answered})))
 	r.now += 20 * time.Millisecond
-	require.Empty(t, sentIDs(r.arrive(3, reports)))
+	require.Empty(t, sentIDs(r.arrive(3, resumableStream)))
 	require.Equal(t, []uint64{3}, sentIDs(r.step(report)), "the next load report brings a new share")
 }
 
@@ -61,12 +61,12 @@
 		targets[u.ID] = true
 	}
 	for id := range uint64(64) {
-		require.True(t, targets[only[forward.Send](t, r.arrive(id, notes)).Upstream.ID])
+		require.True(t, targets[only[forward.Send](t, r.arrive(id, nonResumableStream)).Upstream.ID])
 	}
 	next := uint64(64)
 	sentUnreported := func() bool {
 		next++
-		effects := r.arrive(next, notes)
+		effects := r.arrive(next, nonResumableStream)
 		if len(sentIDs(effects)) == 0 {
 			return false
 		}
@@ -94,7 +94,7 @@
 	}
 	var last *catalog.Upstream
 	for id := range uint64(6) {
-		last = only[forward.Send](t, r.arrive(id, notes)).Upstream
+		last = only[forward.Send](t, r.arrive(id, nonResumableStream)).Upstream
 	}
 	require.True(t, r.state.Catalog.Upstreams[last.ID] != nil)
 }
@@ -109,7 +109,7 @@
 		}
 		var chosen []string
 		for id := uint64(1); id <= 12; id++ {
-			chosen = append(chosen, only[forward.Send](t, r.arrive(id, reports)).Upstream.ID)
+			chosen = append(chosen, only[forward.Send](t, r.arrive(id, resumableStream)).Upstream.ID)
 		}
 		if try == 0 {
 			first = chosen
@@ -133,7 +133,7 @@
 		var sent []uint64
 		for range n {
 			next++
-			sent = append(sent, sentIDs(r.arrive(next, notes))...)
+			sent = append(sent, sentIDs(r.arrive(next, nonResumableStream))...)
 		}
 		r.now += 250 * time.Millisecond // Requests that were not sent are refused by now.
 		r.step(step.Tick{})
--- a/internal/core/forward/heartbeat_test.go
+++ b/internal/core/forward/heartbeat_test.go
@@ -62,7 +62,7 @@
 		r.step(report)
 		count := 0
 		for id := range uint64(60) {
-			r.arrive(id, lookups)
+			r.arrive(id, idempotentCall)
 			for _, e := range r.step(forward.AttemptEnded{ID: id, Outcome: forward.Declined}) {
 				if _, again := e.(forward.Send); again {
 					count++
@@ -88,10 +88,10 @@
 	}
 	require.Len(t, targets, 64)
 	for id := range uint64(64) {
-		send := only[forward.Send](t, r.arrive(id, notes))
+		send := only[forward.Send](t, r.arrive(id, nonResumableStream))
 		require.True(t, targets[send.Upstream.ID])
 	}
-	send := only[forward.Send](t, r.arrive(64, notes))
+	send := only[forward.Send](t, r.arrive(64, nonResumableStream))
 	require.False(t, targets[send.Upstream.ID])
 }
 
@@ -109,7 +109,7 @@
 		}
 		count := 0
 		for id := range uint64(60) {
-			r.arrive(id, lookups)
+			r.arrive(id, idempotentCall)
 			count += len(sentIDs(r.step(forward.AttemptEnded{ID: id, Outcome: forward.Declined})))
 		}
 		return count
--- a/internal/core/forward/homes_test.go
+++ b/internal/core/forward/homes_test.go
@@ -21,7 +21,7 @@
 	previous := r.state.Catalog.Manifest
 	r.next++
 	var routes []*catalog.Route
-	for _, prefix := range []string{bookings, lookups, reports, notes} {
+	for _, prefix := range []string{nonIdempotentCall, idempotentCall, resumableStream, nonResumableStream} {
 		next := *previous.Route("h", prefix)
 		next.HomeRegions = route
 		routes = append(routes, &next)
@@ -34,7 +34,7 @@
 // allowedIn reports whether the active manifest allows a request of key-1 in a region. It does not use the code under test.
 func (r *rig) allowedIn(region string) bool {
 	m := r.state.Catalog.Manifest
-	for _, homes := range []residency.Regions{m.Route("h", reports).HomeRegions, m.Account("key-1").HomeRegions} {
+	for _, homes := range []residency.Regions{m.Route("h", resumableStream).HomeRegions, m.Account("key-1").HomeRegions} {
 		if len(homes) > 0 && !slices.Contains(homes, region) {
 			return false
 		}
@@ -85,7 +85,7 @@
 			default:
 				next++
 				open = append(open, next)
-				check(r.arrive(next, rapid.SampledFrom([]string{bookings, lookups, reports, notes}).Draw(rt, "path")))
+				check(r.arrive(next, rapid.SampledFrom([]string{nonIdempotentCall, idempotentCall, resumableStream, nonResumableStream}).Draw(rt, "path")))
 			}
 		}
 	})
@@ -97,7 +97,7 @@
 	r := newRig()
 	r.add("d1", "desk", "perth-a", 6)
 	r.setHomes(residency.Regions{"perth"}, residency.Regions{"southwest"})
-	refuse := only[forward.Refuse](t, r.arrive(1, lookups))
+	refuse := only[forward.Refuse](t, r.arrive(1, idempotentCall))
 	require.Equal(t, code.NoCommonHome, refuse.Code)
 	require.Equal(t, code.NotRun, refuse.Ran)
 	require.Zero(t, r.state.InFlight())
@@ -109,19 +109,19 @@
 	r := newRig()
 	r.add("d1", "desk", "perth-a", 6)
 	r.setHomes(nil, residency.Regions{"southwest"})
-	refuse := only[forward.Refuse](t, r.arrive(1, lookups))
+	refuse := only[forward.Refuse](t, r.arrive(1, idempotentCall))
 	require.Equal(t, code.NoUpstream, refuse.Code)
 	require.Equal(t, code.NotRun, refuse.Ran)
 	require.Positive(t, refuse.RetryAfter)
 	r.add("d2", "desk", "bunbury-a", 6)
-	require.Equal(t, "d2", only[forward.Send](t, r.arrive(2, lookups)).Upstream.ID)
+	require.Equal(t, "d2", only[forward.Send](t, r.arrive(2, idempotentCall)).Upstream.ID)
 }
 
 // TestStreamIsAbortedWhenItsHomesForbidResuming guards against resuming a broken stream in a region that is no longer a home.
 func TestStreamIsAbortedWhenItsHomesForbidResuming(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 4)
-	only[forward.Send](t, r.arrive(1, reports))
+	only[forward.Send](t, r.arrive(1, resumableStream))
 	r.add("m2", "model", "bunbury-a", 4)
 	r.setHomes(residency.Regions{"perth"}, nil)
 	only[forward.Abort](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Broken, Partial: true}))
--- a/internal/core/forward/instance_test.go
+++ b/internal/core/forward/instance_test.go
@@ -23,7 +23,7 @@
 func TestRequestThatCrashesOneEngineRepeatedlyIsQuarantined(t *testing.T) {
 	r := newRig()
 	arrived := func(id uint64) forward.Arrived {
-		return forward.Arrived{ID: id, Host: "h", Path: reports, Key: "key-1", Model: "m", Fingerprint: 7}
+		return forward.Arrived{ID: id, Host: "h", Path: resumableStream, Key: "key-1", Model: "m", Fingerprint: 7}
 	}
 	for startedAt := int64(1); startedAt <= 3; startedAt++ {
 		r.register("m1", startedAt)
@@ -41,11 +41,11 @@
 func TestNewInstanceStartsWithoutFailures(t *testing.T) {
 	r := newRig()
 	r.register("m1", 100)
-	only[forward.Send](t, r.arrive(1, reports))
+	only[forward.Send](t, r.arrive(1, resumableStream))
 	r.step(forward.AttemptEnded{ID: 1, Outcome: forward.NotSent})
-	only[forward.Refuse](t, r.arrive(2, reports))
+	only[forward.Refuse](t, r.arrive(2, resumableStream))
 	r.register("m1", 200)
-	only[forward.Send](t, r.arrive(3, reports))
+	only[forward.Send](t, r.arrive(3, resumableStream))
 }
 
 // TestReportOnEarlierInstanceIsIgnored guards against a delayed report on the earlier instance that blocks the new one. A request
@@ -53,7 +53,7 @@
 func TestReportOnEarlierInstanceIsIgnored(t *testing.T) {
 	r := newRig()
 	r.register("m1", 100)
-	only[forward.Send](t, r.arrive(1, reports))
+	only[forward.Send](t, r.arrive(1, resumableStream))
 	r.register("m1", 200)
 	r.step(forward.LoadReported{Address: "m1", StartedAt: 200, Versions: map[string]int64{"m": 1}})
 	r.step(forward.LoadReported{Address: "m1", StartedAt: 100, NotAccepting: true, RequestCount: 4})
@@ -68,14 +68,14 @@
 	r.state.Catalog.Manifest.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{Slots: 2}}
 	r.add("m1", "model", "perth-a", 1000)
 	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}})
-	only[forward.Send](t, r.arrive(1, reports))
+	only[forward.Send](t, r.arrive(1, resumableStream))
 	r.now += 10 * time.Millisecond
-	only[forward.Send](t, r.arrive(2, reports))
-	require.Empty(t, sentIDs(r.arrive(3, reports)))
+	only[forward.Send](t, r.arrive(2, resumableStream))
+	require.Empty(t, sentIDs(r.arrive(3, resumableStream)))
 }
 
-// TestSupersededUpstreamGetsNoRequests guards against requests to outdated registrations. After a power loss, engines return under
-// new IDs at their addresses, while the store still holds the old registrations for seconds.
+// TestSupersededUpstreamGetsNoRequests guards against requests to an upstream whose registration is superseded. After a power loss,
+// engines return under new IDs at their addresses, while the store still holds the old registrations for seconds.
 func TestSupersededUpstreamGetsNoRequests(t *testing.T) {
 	register := func(r *rig, id string, startedAt int64, versions map[string]int64) {
 		r.next++
@@ -96,15 +96,15 @@
 		} else {
 			register(r, "after", 200, nil)
 			reportStarting(r)
-			only[forward.Refuse](t, r.arrive(10, reports))
+			only[forward.Refuse](t, r.arrive(10, resumableStream))
 			report(r, nil)
 		}
-		only[forward.Refuse](t, r.arrive(1, reports))
+		only[forward.Refuse](t, r.arrive(1, resumableStream))
 		register(r, "after", 200, nil)
 		report(r, map[string]int64{"m": 1})
 		for id := uint64(2); id <= 5; id++ {
 			r.now += 10 * time.Millisecond
-			require.Equal(t, "after", only[forward.Send](t, r.arrive(id, reports)).Upstream.ID, "report first: %v", reportFirst)
+			require.Equal(t, "after", only[forward.Send](t, r.arrive(id, resumableStream)).Upstream.ID, "report first: %v", reportFirst)
 		}
 	}
 }
@@ -130,5 +130,5 @@
 		r.now += 300 * time.Millisecond
 		report(1_000)
 	}
-	require.Equal(t, "back", only[forward.Send](t, r.arrive(1, reports)).Upstream.ID)
+	require.Equal(t, "back", only[forward.Send](t, r.arrive(1, resumableStream)).Upstream.ID)
 }
--- a/internal/core/forward/leaving_test.go
+++ b/internal/core/forward/leaving_test.go
@@ -12,17 +12,16 @@
 	"samphireweir.example/samphireweir/internal/core/step"
 )
 
-// reportLeaving has an upstream say in an answer that it is shutting down.
+// reportLeaving has an upstream report in an answer that it is leaving.
 func (r *rig) reportLeaving(id string, outcome forward.Outcome) {
 	instance := r.state.Catalog.Upstreams[id].Instance()
 	r.step(forward.AnswerHeadReceived{Upstream: instance, Sent: begin.Add(r.now), Outcome: outcome, Notice: catalog.Notice{Leaving: true}})
 }
 
-// TestUpstreamThatSaysItIsLeavingGetsNoRequests guards against requests to an upstream that reported to this entry that it is shutting
-// down, while the store, which may be unreachable, still lists it as ready. Without the check, a request was sent to one 2.3 s
-// later.
+// TestUpstreamThatSaysItIsLeavingGetsNoRequests guards against requests to an upstream that reported to this entry that it is leaving.
+// The store, which may be unreachable, still lists it as ready. Without the check, a request was sent to such an upstream 2.3 s later.
 func TestUpstreamThatSaysItIsLeavingGetsNoRequests(t *testing.T) {
-	for _, service := range []struct{ name, path string }{{"desk", bookings}, {"model", reports}} {
+	for _, service := range []struct{ name, path string }{{"desk", nonIdempotentCall}, {"model", resumableStream}} {
 		for _, outcome := range []forward.Outcome{forward.Answered, forward.Declined, forward.ServerFailed} {
 			r := newRig()
 			r.add("u1", service.name, "perth-a", 6)
@@ -41,12 +40,13 @@
 	}
 }
 
-// TestQueuedRequestIsNotSentToALeavingUpstream guards against a choice that was made before the upstream said that it is leaving.
+// TestQueuedRequestIsNotSentToALeavingUpstream guards against a choice that was made before the upstream reported that it is
+// leaving.
 func TestQueuedRequestIsNotSentToALeavingUpstream(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 1)
-	only[forward.Send](t, r.arrive(1, reports))
-	require.Empty(t, sentIDs(r.arrive(2, reports)))
+	only[forward.Send](t, r.arrive(1, resumableStream))
+	require.Empty(t, sentIDs(r.arrive(2, resumableStream)))
 	r.reportLeaving("m1", forward.Answered)
 	require.Empty(t, sentIDs(r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Answered})))
 }
@@ -62,15 +62,15 @@
 	r.applyCatalog(catalog.UpstreamChanged{Upstream: upstream("d1", 1000)})
 	first := r.state.Catalog.Upstreams["d1"].Instance()
 	r.reportLeaving("d1", forward.Misdirected)
-	require.Len(t, sentIDs(r.arrive(1, lookups)), 1, "another upstream at the address sent the notice")
+	require.Len(t, sentIDs(r.arrive(1, idempotentCall)), 1, "another upstream at the address sent the notice")
 	r.reportLeaving("d1", forward.Broken)
-	require.Len(t, sentIDs(r.arrive(2, lookups)), 1, "the sender of the notice is unknown")
+	require.Len(t, sentIDs(r.arrive(2, idempotentCall)), 1, "the sender of the notice is unknown")
 	r.reportLeaving("d1", forward.Answered)
-	require.Empty(t, sentIDs(r.arrive(3, lookups)))
+	require.Empty(t, sentIDs(r.arrive(3, idempotentCall)))
 	r.applyCatalog(catalog.UpstreamChanged{Upstream: upstream("d1", 2000)})
-	require.Len(t, sentIDs(r.arrive(4, lookups)), 1)
+	require.Len(t, sentIDs(r.arrive(4, idempotentCall)), 1)
 	r.step(forward.AnswerHeadReceived{Upstream: first, Outcome: forward.Answered, Notice: catalog.Notice{Leaving: true}})
-	require.Len(t, sentIDs(r.arrive(5, lookups)), 1, "the notice is from the earlier instance")
+	require.Len(t, sentIDs(r.arrive(5, idempotentCall)), 1, "the notice is from the earlier instance")
 }
 
 // TestLeavingOutlivesTheRegistration guards against using a leaving upstream again because its registration expired and returned, as
@@ -84,7 +84,7 @@
 	r.now = 30 * time.Second
 	r.step(step.Tick{})
 	r.add("d1", "desk", "perth-a", 6)
-	require.Empty(t, sentIDs(r.arrive(1, lookups)))
+	require.Empty(t, sentIDs(r.arrive(1, idempotentCall)))
 }
 
 // TestUpstreamThatReportsLeavingToItsAgentGetsNoRequests guards against requests from entries that have received no answer from the
@@ -94,10 +94,10 @@
 	r.add("m1", "model", "perth-a", 6)
 	report := forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1, Leaving: true}
 	r.step(report)
-	require.Empty(t, sentIDs(r.arrive(1, reports)))
+	require.Empty(t, sentIDs(r.arrive(1, resumableStream)))
 	report.Leaving = false
 	r.step(report)
-	require.Empty(t, sentIDs(r.arrive(2, reports)), "reports may overtake each other")
+	require.Empty(t, sentIDs(r.arrive(2, resumableStream)), "reports may overtake each other")
 }
 
 // TestLeavingUpstreamWithoutStartTimeIsTriedAgain guards against an upstream that stays out of use forever: without a start time,
@@ -107,9 +107,9 @@
 	r.add("d1", "desk", "perth-a", 6)
 	r.reportLeaving("d1", forward.Answered)
 	r.now = 59 * time.Second
-	require.Empty(t, sentIDs(r.arrive(1, lookups)))
+	require.Empty(t, sentIDs(r.arrive(1, idempotentCall)))
 	r.now = 61 * time.Second
-	require.Len(t, sentIDs(r.arrive(2, lookups)), 1)
+	require.Len(t, sentIDs(r.arrive(2, idempotentCall)), 1)
 	r.reportLeaving("d1", forward.Answered)
-	require.Empty(t, sentIDs(r.arrive(3, lookups)))
+	require.Empty(t, sentIDs(r.arrive(3, idempotentCall)))
 }
--- a/internal/core/forward/load.go
+++ b/internal/core/forward/load.go
@@ -19,8 +19,8 @@
 	failuresToAvoid = 3
 )
 
-// load is what an entry knows about the load and health of an upstream.
-type load struct {
+// loadState is the last known state of an upstream: its load, its health, and what it has reported about itself.
+type loadState struct {
 	// inFlight is the number of this entry's requests at the upstream, and pendingPromptTokens the length of their prompts that the
 	// upstream has not processed yet.
 	inFlight            int
@@ -43,7 +43,7 @@
 	avoidDuration  time.Duration
 	// foundDownAt is when this entry last found that the upstream is down; see foundDown.
 	foundDownAt time.Time
-	// leavingAt is when the upstream last said that it is shutting down; zero if it did not. An instance does not revoke that.
+	// leavingAt is when the upstream last reported that it is leaving; zero if it did not. An instance does not revoke that.
 	leavingAt time.Time
 	// notice is the upstream's latest statement about itself, and limitPacer enforces the rate limit in it.
 	notice     catalog.Notice
@@ -58,17 +58,17 @@
 	brokenRequests []brokenRequest
 }
 
-func (s *State) load(instance catalog.Instance) *load {
-	l := s.loads[instance]
+func (s *State) loadState(instance catalog.Instance) *loadState {
+	l := s.loadStates[instance]
 	if l == nil {
-		l = &load{}
-		s.loads[instance] = l
+		l = &loadState{}
+		s.loadStates[instance] = l
 	}
 	return l
 }
 
 // recordOutcome updates the health of the upstream at the end of an attempt.
-func (l *load) recordOutcome(now time.Time, o Outcome) {
+func (l *loadState) recordOutcome(now time.Time, o Outcome) {
 	switch o {
 	case Answered:
 		l.failures, l.avoidDuration = 0, 0
@@ -76,8 +76,9 @@
 	case Withdrawn, Unsent:
 		return // The outcome says nothing about the upstream.
 	case NotSent, Misdirected, Silent:
-		// Nothing listens there, another process does, or the network path is blocked. One such outcome counts like failuresToAvoid
-		// consecutive failures. Some misdirected attempts are not recorded at all; see release.
+		// Nothing listens there, another upstream has the address, or the network path is blocked. One such outcome counts like
+		// failuresToAvoid consecutive failures. A misdirected attempt that required a version may also mean that this upstream holds
+		// another version. It is not recorded at all; see release.
 		l.failures = failuresToAvoid
 	default:
 		l.failures++
@@ -89,10 +90,10 @@
 }
 
 // hasReport reports whether the last load report is still valid.
-func (l *load) hasReport(now time.Time) bool { return now.Sub(l.reportedAt) < reportLifetime }
+func (l *loadState) hasReport(now time.Time) bool { return now.Sub(l.reportedAt) < reportLifetime }
 
 // notAccepting reports whether the engine's agent says that it does not accept requests now.
-func (l *load) notAccepting(now time.Time) bool { return l.report.NotAccepting && l.hasReport(now) }
+func (l *loadState) notAccepting(t time.Time) bool { return l.report.NotAccepting && l.hasReport(t) }
 
 func (s *State) loadReported(in step.Input, ev LoadReported) []step.Effect {
 	if ev.Entries > 0 {
@@ -113,7 +114,7 @@
 	if len(ev.Versions) == 0 {
 		s.markUnloaded(in.Now, ev)
 	}
-	l := s.load(u.Instance())
+	l := s.loadState(u.Instance())
 	if lostWeights(l.report, ev) {
 		effects = append(effects, s.foundDown(in, u.Instance())...)
 	}
@@ -138,7 +139,7 @@
 // weights. While the engine starts, its agent can't say which of these upstreams it is.
 func (s *State) markUnloaded(now time.Time, ev LoadReported) {
 	for _, u := range s.Catalog.UpstreamsAt(ev.Address) {
-		l := s.load(u.Instance())
+		l := s.loadState(u.Instance())
 		if l.reportedAt.IsZero() {
 			l.report, l.reportedAt = ev, now
 		}
@@ -153,7 +154,7 @@
 	s.overdue = s.overdue[:0]
 	for _, r := range s.requests {
 		if r.awaitingFirstEvent && r.route.Objective > 0 && now.Sub(r.sentAt) > r.route.Objective {
-			l := s.load(r.instance)
+			l := s.loadState(r.instance)
 			l.overdue++
 			s.overdue = append(s.overdue, l)
 		}
@@ -165,7 +166,7 @@
 const stateLifetime = time.Minute
 
 // keepsState reports whether the upstream made a statement that may still hold if its registration returns.
-func (l *load) keepsState(now time.Time) bool {
+func (l *loadState) keepsState(now time.Time) bool {
 	return now.Sub(l.limitPacer.limitAt) < stateLifetime || now.Sub(l.leavingAt) < stateLifetime || l.backoff.active(now)
 }
 
@@ -178,10 +179,10 @@
 		return
 	}
 	s.forgotAt = now
-	for instance, l := range s.loads {
+	for instance, l := range s.loadStates {
 		u := s.Catalog.Upstreams[instance.ID]
 		if (u == nil || u.StartedAt != instance.StartedAt) && l.inFlight == 0 && now.Sub(l.reportedAt) > reportLifetime && !l.keepsState(now) {
-			delete(s.loads, instance)
+			delete(s.loadStates, instance)
 		}
 	}
 }
--- a/internal/core/forward/memory_test.go
+++ b/internal/core/forward/memory_test.go
@@ -17,7 +17,7 @@
 	r.state.Catalog.Manifest.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{MemoryTokens: 1000}}
 	r.add("m1", "model", "perth-a", 12)
 	arrived := func(id uint64, prompt, answer int) forward.Arrived {
-		return forward.Arrived{ID: id, Host: "h", Path: reports, Key: "key-1", Model: "m", PromptTokens: prompt, MaxAnswerTokens: answer}
+		return forward.Arrived{ID: id, Host: "h", Path: resumableStream, Key: "key-1", Model: "m", PromptTokens: prompt, MaxAnswerTokens: answer}
 	}
 	only[forward.Send](t, r.step(arrived(1, 300, 200)))
 	r.step(forward.Started{ID: 1, Version: 1})
--- a/internal/core/forward/notice.go
+++ b/internal/core/forward/notice.go
@@ -37,9 +37,9 @@
 // answerHeadReceived handles an upstream's statement about itself.
 func (s *State) answerHeadReceived(in step.Input, ev AnswerHeadReceived) []step.Effect {
 	if ev.Outcome == Misdirected || ev.Outcome == Broken {
-		return nil // The answer is from another upstream, or its sender is unknown.
+		return nil // Another upstream may have the address, or the sender is unknown.
 	}
-	l := s.load(ev.Upstream)
+	l := s.loadState(ev.Upstream)
 	s.noteRateLimit(in, &l.limitPacer, ev)
 	if ev.Notice.RetryAfter > 0 {
 		l.backoff.request(in.Now, ev.Notice.RetryAfter)
--- a/internal/core/forward/outcome_test.go
+++ b/internal/core/forward/outcome_test.go
@@ -17,27 +17,27 @@
 func TestFailingUpstreamIsAvoidedTemporarily(t *testing.T) {
 	r := newRig()
 	r.add("d1", "desk", "perth-a", 6)
-	only[forward.Send](t, r.arrive(1, bookings))
+	only[forward.Send](t, r.arrive(1, nonIdempotentCall))
 	r.step(forward.AttemptEnded{ID: 1, Outcome: forward.NotSent})
-	only[forward.Refuse](t, r.arrive(2, bookings))
+	only[forward.Refuse](t, r.arrive(2, nonIdempotentCall))
 	r.now += 400 * time.Millisecond
-	only[forward.Send](t, r.arrive(3, bookings))
+	only[forward.Send](t, r.arrive(3, nonIdempotentCall))
 }
 
 // TestLeavingCallerFreesItsSlot guards against slots that stay taken after their callers have left.
 func TestLeavingCallerFreesItsSlot(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 2)
-	only[forward.Send](t, r.arrive(1, reports))
+	only[forward.Send](t, r.arrive(1, resumableStream))
 	r.step(forward.CallerGone{ID: 1})
 	require.Zero(t, r.state.InFlight())
-	only[forward.Send](t, r.arrive(2, reports))
+	only[forward.Send](t, r.arrive(2, resumableStream))
 }
 
 // TestUnsentRequestIsReportedAsNotRun guards against reporting to a caller that a request may have run (502, 504) although nothing of it
 // was sent: it was withdrawn, or timed out, before its connection was made. A non-idempotent request would then not be retried.
 func TestUnsentRequestIsReportedAsNotRun(t *testing.T) {
-	for _, path := range []string{bookings, lookups, reports, notes} {
+	for _, path := range []string{nonIdempotentCall, idempotentCall, resumableStream, nonResumableStream} {
 		r := newRig()
 		for i := range 2 {
 			r.add(fmt.Sprintf("d%d", i), "desk", "perth-a", 6)
@@ -59,7 +59,7 @@
 	r := newRig()
 	r.add("d0", "desk", "perth-a", 6)
 	for id := uint64(1); id < 6; id++ {
-		only[forward.Send](t, r.arrive(id, lookups))
+		only[forward.Send](t, r.arrive(id, idempotentCall))
 		r.step(forward.AttemptEnded{ID: id, Outcome: forward.Unsent})
 	}
 }
@@ -70,14 +70,14 @@
 	for _, end := range []step.Event{forward.CallerGone{ID: 2}, forward.TimedOut{ID: 2}} {
 		r := newRig()
 		r.add("d0", "desk", "perth-a", 6)
-		only[forward.Send](t, r.arrive(1, bookings))
-		only[forward.Send](t, r.arrive(2, bookings))
+		only[forward.Send](t, r.arrive(1, nonIdempotentCall))
+		only[forward.Send](t, r.arrive(2, nonIdempotentCall))
 		r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Silent})
 		r.step(end)
 		r.now += 400 * time.Millisecond
-		only[forward.Send](t, r.arrive(3, bookings))
+		only[forward.Send](t, r.arrive(3, nonIdempotentCall))
 		r.step(forward.AttemptEnded{ID: 3, Outcome: forward.Silent})
 		r.now += 400 * time.Millisecond
-		require.Empty(t, sentIDs(r.arrive(4, bookings)), "%T: the second time it is avoided twice as long", end)
+		require.Empty(t, sentIDs(r.arrive(4, nonIdempotentCall)), "%T: the second time it is avoided twice as long", end)
 	}
 }
--- a/internal/core/forward/pacer.go
+++ b/internal/core/forward/pacer.go
@@ -27,8 +27,8 @@
 	slotLifetime time.Duration
 }
 
-// setLimit sets the rate limit in requests per second, and the share of it that this entry may use. The random number draw sets the
-// offset of the first slot.
+// setLimit sets the rate limit in requests per second, and the share of it that this entry may use. draw is a random number that
+// sets the offset of the first slot.
 func (p *pacer) setLimit(now time.Time, limit, share float64, draw uint64) {
 	p.limitAt = now
 	interval := slotInterval(limit, share)
--- a/internal/core/forward/pick.go
+++ b/internal/core/forward/pick.go
@@ -25,8 +25,8 @@
 	maxChoices = 4
 )
 
-// availability is the result of the search for an upstream. The values correspond to None, Full and Found in package routing, and are
-// ordered: a larger one is a better result.
+// availability is the result of the search for an upstream. The values correspond to None, Full and Found in package routing. Here a
+// larger value is a better result; the order in package routing is the opposite.
 type availability int
 
 const (
@@ -39,41 +39,42 @@
 )
 
 // pick chooses an upstream with capacity: it samples some of the nearest upstreams at random and takes the one that will answer
-// soonest. Entries see the same loads with a delay; if each of them took the least loaded upstream of all, they would all take the
-// same one.
+// soonest. Entries see the same load reports with a delay; if each of them took the least loaded upstream of all, they would all take
+// the same one.
 //
-// The reported engines come first. The other kinds are used only in these cases:
+// The current upstreams come first: those with a recent load report, those that need none, and those whose first report is still
+// expected. The other kinds are used only in these cases:
 //
-//   - An engine whose version is about to expire: if no reported engine with the required version has capacity; see minVersionIfFull.
-//   - An engine without a load report: if the reported ones are full or unusable. While they are full, there is a pause after an
+//   - An engine whose version is about to expire: if no current engine with the required version has capacity; see minVersionIfFull.
+//   - An engine without a load report: if the current ones are full or unusable. While they are full, there is a pause after an
 //     engine without a report declined a request or was slow to its first event: the whole fleet is then likely to be full; see
 //     maySendUnreported.
-//   - An engine whose report is stale: if every reported engine is unusable, and no unreported one is used. If reported engines are
+//   - An engine whose report is stale: if every current upstream is unusable, and no unreported one is used. If current upstreams are
 //     merely full, the request waits for these: it is answered sooner than at a frozen host. A stale engine that is full itself gets
 //     no request either; the request then waits.
 //
-// Unreported and stale engines are not used if at least minReports engines have a valid report and every reported engine is unusable.
+// Unreported and stale engines are not used if at least minReports engines have a valid report and every current upstream is unusable.
 func (s *State) pick(in step.Input, r *request) (*catalog.Upstream, availability) {
 	p := s.samples(in, r)
 	switch {
-	case p.reported.availability < available && p.withExpiringVersion.availability == available:
+	case p.current.availability < available && p.withExpiringVersion.availability == available:
 		return p.withExpiringVersion.best(in.Now, r)
-	case p.reported.availability == unavailable && p.reports >= minReports:
+	case p.current.availability == unavailable && p.reports >= minReports:
 		return nil, unavailable
-	case p.reported.availability < available && p.unreported.availability > unavailable && s.maySendUnreported(in.Now, &p.reported):
+	case p.current.availability < available && p.unreported.availability > unavailable && s.maySendUnreported(in.Now, &p.current):
 		return p.unreported.best(in.Now, r)
-	case p.reported.availability == unavailable:
+	case p.current.availability == unavailable:
 		return p.stale.best(in.Now, r)
 	}
-	return p.reported.best(in.Now, r)
+	return p.current.best(in.Now, r)
 }
 
 // samples are the samples of the upstreams that could accept a request, one for each state of knowledge about an upstream.
 type samples struct {
-	// reported is the sample of the upstreams with a current load report, those that need none, and those whose first report is still
-	// expected. stale is that of the engines with an old report, and unreported that of the engines without one; see
+	// current is the sample of the upstreams with a recent load report, those that need none, and those whose first report is still
+	// expected. stale is that of the engines with an old report. unreported is that of the engines of which no report is expected; see
 	// upstreamView.unreported.
-	reported, stale, unreported sample
+	current, stale, unreported sample
 	// withExpiringVersion is the sample of the engines whose version the request may start on only for a short time; see
 	// minVersionIfFull.
 	withExpiringVersion sample
@@ -84,11 +85,11 @@
 // samples examines the upstreams that a request may go to, the nearest first. It stops at the distance from which on no upstream can
 // change the choice.
 func (s *State) samples(in step.Input, r *request) samples {
-	p := samples{reported: s.newSample(), stale: s.newSample(), unreported: s.newSample(), withExpiringVersion: s.newSample()}
+	p := samples{current: s.newSample(), stale: s.newSample(), unreported: s.newSample(), withExpiringVersion: s.newSample()}
 	required, ifFull := s.requiredVersion(in.Now, r.model), s.minVersionIfFull(in.Now, r)
 	wait := s.maxWait(r)
 	for _, v := range s.viewsFor(in.Now, r) {
-		if p.reported.settled(v.distance) {
+		if p.current.settled(v.distance) {
 			break
 		}
 		if v.load.hasReport(in.Now) {
@@ -100,7 +101,7 @@
 		case ifFull < required && !v.stale(in.Now) && v.usable(in.Now, r, ifFull):
 			p.withExpiringVersion.consider(in, v, r)
 		case v.reloading(in.Now, r) || v.backoffEndsWithin(in.Now, wait):
-			p.reported.availability = max(p.reported.availability, full)
+			p.current.availability = max(p.current.availability, full)
 		}
 	}
 	return p
@@ -114,7 +115,7 @@
 	case v.stale(now):
 		return &p.stale
 	}
-	return &p.reported
+	return &p.current
 }
 
 // candidate is an upstream with capacity for a request.
@@ -233,7 +234,7 @@
 
 // describeUpstreams describes, for the log, why no upstream was found.
 func (s *State) describeUpstreams(now time.Time, r *request) string {
-	var registered, evacuated, draining, avoided, loading, backedOff, empty, limited, atCapacity int
+	var registered, evacuated, leaving, avoided, loading, backedOff, empty, limited, atCapacity int
 	required := s.requiredVersion(now, r.model)
 	for _, v := range s.viewsFor(now, r) {
 		registered++
@@ -241,7 +242,7 @@
 		case v.evacuated:
 			evacuated++
 		case v.leaving(now):
-			draining++
+			leaving++
 		case now.Before(v.load.avoidUntil):
 			avoided++
 		case v.reloading(now, r):
@@ -260,8 +261,8 @@
 	if !r.homes.Unrestricted() {
 		homes = fmt.Sprintf("in its homes (%s): ", r.homes)
 	}
-	return homes + fmt.Sprintf("%d registered, %d evacuated, %d draining, %d avoided after failures, %d loading, %d that sent Retry-After, %d without the required weights or already tried, %d at their rate limit, %d full",
-		registered, evacuated, draining, avoided, loading, backedOff, empty, limited, atCapacity)
+	return homes + fmt.Sprintf("%d registered, %d evacuated, %d leaving, %d avoided after failures, %d loading, %d that sent Retry-After, %d without the required weights or already tried, %d at their rate limit, %d full",
+		registered, evacuated, leaving, avoided, loading, backedOff, empty, limited, atCapacity)
 }
 
 func sortedKeys[T any](m map[string]T) []string {
--- a/internal/core/forward/prefill_test.go
+++ b/internal/core/forward/prefill_test.go
@@ -24,7 +24,7 @@
 // arrivePrompt has a request arrive with a prompt of the given number of tokens.
 func (r *rig) arrivePrompt(id uint64, tokens int) []step.Effect {
 	return r.step(forward.Arrived{
-		ID: id, Host: "h", Path: reports + "x", Key: "key-1", Model: "m", Budget: 6 * time.Second, PromptTokens: tokens,
+		ID: id, Host: "h", Path: resumableStream + "x", Key: "key-1", Model: "m", Budget: 6 * time.Second, PromptTokens: tokens,
 	})
 }
 
--- a/internal/core/forward/quarantine.go
+++ b/internal/core/forward/quarantine.go
@@ -176,7 +176,7 @@
 	if r.fingerprint == 0 {
 		return nil
 	}
-	l := s.load(r.instance)
+	l := s.loadState(r.instance)
 	if !l.foundDownAt.Before(r.sentAt) && in.Now.Sub(l.foundDownAt) <= crashWindow {
 		return s.recordCrash(in, r.fingerprint, r.instance)
 	}
@@ -195,7 +195,7 @@
 
 // foundDown attributes the crash of an upstream that was found down to the requests that broke there shortly before.
 func (s *State) foundDown(in step.Input, upstream catalog.Instance) []step.Effect {
-	l := s.load(upstream)
+	l := s.loadState(upstream)
 	l.foundDownAt = in.Now
 	var effects []step.Effect
 	for _, b := range withoutOldRequests(l.brokenRequests, in.Now) {
--- a/internal/core/forward/quarantine_test.go
+++ b/internal/core/forward/quarantine_test.go
@@ -37,7 +37,7 @@
 
 // arriveCopy has a copy of the request with the fingerprint arrive.
 func (r *rig) arriveCopy(id, fingerprint uint64) []step.Effect {
-	return r.step(forward.Arrived{ID: id, Host: "h", Path: reports, Key: "key-1", Model: "m", Fingerprint: fingerprint})
+	return r.step(forward.Arrived{ID: id, Host: "h", Path: resumableStream, Key: "key-1", Model: "m", Fingerprint: fingerprint})
 }
 
 // sentAttempts returns the attempts among effects.
@@ -158,7 +158,7 @@
 	r := newEnginesRig(8)
 	crashed := 0
 	for id := uint64(1); id <= 8; id++ {
-		sent := sentAttempts(r.step(forward.Arrived{ID: id, Host: "h", Path: notes, Key: "key-1", Model: "m", Fingerprint: crashingFingerprint}))
+		sent := sentAttempts(r.step(forward.Arrived{ID: id, Host: "h", Path: nonResumableStream, Key: "key-1", Model: "m", Fingerprint: crashingFingerprint}))
 		if len(sent) == 0 {
 			continue
 		}
@@ -188,7 +188,7 @@
 // arrived. The manifest changes while the request is with an upstream.
 func TestNewestManifestAppliesToEachAttempt(t *testing.T) {
 	route := func(service string, kind catalog.Kind, upstreams int) *catalog.Route {
-		return &catalog.Route{Name: "lookups", Host: "h", Prefix: lookups, Kind: kind, MaxUpstreams: upstreams, Shares: share(service)}
+		return &catalog.Route{Name: "lookups", Host: "h", Prefix: idempotentCall, Kind: kind, MaxUpstreams: upstreams, Shares: share(service)}
 	}
 	accounts := map[string]*catalog.ClientAccount{"key-1": {Name: "karrakin"}}
 	for name, c := range map[string]struct {
@@ -211,7 +211,7 @@
 			r.add("d1", "desk", "perth-a", 6)
 			r.add("d2", "desk", "perth-a", 6)
 			r.add("p1", "portal", "perth-a", 6)
-			only[forward.Send](t, r.arrive(1, lookups))
+			only[forward.Send](t, r.arrive(1, idempotentCall))
 			m := catalog.NewManifest(2, c.routes, c.accounts)
 			m.HasAccounts = true
 			r.applyCatalog(catalog.ManifestRead{Revision: 500, Manifest: m})
@@ -231,7 +231,7 @@
 func TestNewestManifestAppliesToQueuedRequests(t *testing.T) {
 	for want, routes := range map[code.Code][]*catalog.Route{
 		code.NoSuchRoute: nil,
-		code.UnknownKey:  {{Name: "reports", Host: "h", Prefix: reports, Kind: catalog.Streaming, Resumable: true, MaxUpstreams: 2, Shares: share("model")}},
+		code.UnknownKey:  {{Name: "reports", Host: "h", Prefix: resumableStream, Kind: catalog.Streaming, Resumable: true, MaxUpstreams: 2, Shares: share("model")}},
 	} {
 		r := newEnginesRig(1)
 		r.fill()
@@ -277,7 +277,7 @@
 		}
 	}
 	arrive := func(rig *rig, id, fingerprint uint64) []step.Effect {
-		return rig.step(forward.Arrived{ID: id, Host: "h", Path: reports, Key: "key-1", Model: "m", Fingerprint: fingerprint})
+		return rig.step(forward.Arrived{ID: id, Host: "h", Path: resumableStream, Key: "key-1", Model: "m", Fingerprint: fingerprint})
 	}
 	var suspected []step.Effect
 	for id := uint64(1); len(suspected) == 0; id++ {
@@ -313,7 +313,7 @@
 		r.add(fmt.Sprintf("m%d", i), "model", "perth-a", 6)
 	}
 	for id := uint64(1); id < 6; id++ {
-		only[forward.Send](t, r.step(forward.Arrived{ID: id, Host: "h", Path: reports, Key: "key-1", Model: "m", Fingerprint: 7}))
+		only[forward.Send](t, r.step(forward.Arrived{ID: id, Host: "h", Path: resumableStream, Key: "key-1", Model: "m", Fingerprint: 7}))
 		r.step(forward.AttemptEnded{ID: id, Outcome: forward.Broken})
 		r.step(forward.AttemptEnded{ID: id, Outcome: forward.Broken})
 		r.now += time.Second
@@ -328,7 +328,7 @@
 		r.add(fmt.Sprintf("m%d", i), "model", "perth-a", 6)
 	}
 	for id := uint64(1); id < 10; id++ {
-		only[forward.Send](t, r.step(forward.Arrived{ID: id, Host: "h", Path: reports, Key: "key-1", Model: "m", Fingerprint: 7}))
+		only[forward.Send](t, r.step(forward.Arrived{ID: id, Host: "h", Path: resumableStream, Key: "key-1", Model: "m", Fingerprint: 7}))
 		only[forward.Send](t, r.step(forward.AttemptEnded{ID: id, Outcome: forward.Broken}))
 		require.Empty(t, r.step(forward.AttemptEnded{ID: id, Outcome: forward.Answered}))
 		r.now += time.Second
--- a/internal/core/forward/queue_test.go
+++ b/internal/core/forward/queue_test.go
@@ -13,7 +13,7 @@
 
 // arriveWithTimeout has a request to the model arrive whose caller waits for the given timeout.
 func (r *rig) arriveWithTimeout(id uint64, timeout time.Duration) []step.Effect {
-	return r.step(forward.Arrived{ID: id, Host: "h", Path: reports + "x", Key: "key-1", Model: "m", Budget: timeout})
+	return r.step(forward.Arrived{ID: id, Host: "h", Path: resumableStream + "x", Key: "key-1", Model: "m", Budget: timeout})
 }
 
 // newFullRig returns an entry whose only engine has a single slot, taken by request 1.
@@ -37,7 +37,7 @@
 	refuse := only[forward.Refuse](t, r.arriveWithTimeout(2, 4500*time.Millisecond))
 	require.Equal(t, code.Overloaded, refuse.Code)
 	require.Equal(t, code.NotRun, refuse.Ran)
-	only[forward.Admitted](t, r.arriveWithTimeout(3, 5400*time.Millisecond))
+	only[forward.Accepted](t, r.arriveWithTimeout(3, 5400*time.Millisecond))
 	require.Equal(t, uint64(3), r.finish(t, 1))
 	require.Empty(t, r.step(forward.AttemptEnded{ID: 3, Outcome: forward.Answered}))
 	r.now += 100 * time.Millisecond
@@ -50,7 +50,7 @@
 	r := newFullRig(t)
 	for id := uint64(2); id <= 4; id++ {
 		r.now += 20 * time.Millisecond
-		only[forward.Admitted](t, r.arriveWithTimeout(id, 6*time.Second))
+		only[forward.Accepted](t, r.arriveWithTimeout(id, 6*time.Second))
 	}
 	require.Equal(t, uint64(4), r.finish(t, 1))
 	require.Equal(t, uint64(3), r.finish(t, 4))
@@ -62,7 +62,7 @@
 func TestReturningCallersAreRecognizedPerAccount(t *testing.T) {
 	r := newFullRig(t)
 	require.Empty(t, refusals(r.step(forward.Arrived{
-		ID: 2, Host: "h", Path: reports + "x", Key: "key-2", Model: "m", Budget: 2 * time.Second,
+		ID: 2, Host: "h", Path: resumableStream + "x", Key: "key-2", Model: "m", Budget: 2 * time.Second,
 	})))
 	require.Len(t, refusals(r.arriveWithTimeout(3, 4*time.Second)), 1)
 }
@@ -93,7 +93,7 @@
 func TestRetryAfterIsLongEnoughToRecognizeReturningCallers(t *testing.T) {
 	r := newFullRig(t)
 	for id := uint64(2); id < 100; id++ {
-		only[forward.Admitted](t, r.arriveWithTimeout(id, 6*time.Second))
+		only[forward.Accepted](t, r.arriveWithTimeout(id, 6*time.Second))
 		r.now += time.Second
 		refuse := only[forward.Refuse](t, r.step(step.Tick{}))
 		require.GreaterOrEqual(t, refuse.RetryAfter, 950*time.Millisecond)
@@ -107,7 +107,7 @@
 	r := newRig()
 	r.add("m1", "model", "perth-a", 4)
 	r.step(forward.LoadReported{Address: "m1", NotAccepting: true})
-	only[forward.Admitted](t, r.arriveWithTimeout(1, 6*time.Second))
+	only[forward.Accepted](t, r.arriveWithTimeout(1, 6*time.Second))
 	r.now += 100 * time.Millisecond
 	require.Equal(t, []uint64{1}, sentIDs(r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}})))
 	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{}})
@@ -118,7 +118,7 @@
 // when no request is queued.
 func TestFreeCapacityIsReservedForFirstTries(t *testing.T) {
 	r := newFullRig(t)
-	only[forward.Admitted](t, r.arriveWithTimeout(2, 6*time.Second))
+	only[forward.Accepted](t, r.arriveWithTimeout(2, 6*time.Second))
 	require.Equal(t, uint64(2), r.finish(t, 1))
 	require.Empty(t, r.step(forward.AttemptEnded{ID: 2, Outcome: forward.Answered}))
 	r.now += 50 * time.Millisecond
@@ -144,7 +144,7 @@
 		}
 		var refused []forward.Refuse
 		for id := uint64(1); id <= 20; id++ {
-			r.arrive(id, reports)
+			r.arrive(id, resumableStream)
 		}
 		r.now += 250 * time.Millisecond
 		for _, e := range r.step(step.Tick{}) {
--- a/internal/core/forward/rate_limit_test.go
+++ b/internal/core/forward/rate_limit_test.go
@@ -211,7 +211,7 @@
 // TestRateLimitHoldsForAllEntriesTogether guards against entries that send an upstream more than its limit, because they ignore it,
 // because each applies the whole limit to itself, or because they use saved slots at once.
 func TestRateLimitHoldsForAllEntriesTogether(t *testing.T) {
-	for _, service := range []struct{ name, path string }{{"model", reports}, {"desk", lookups}} {
+	for _, service := range []struct{ name, path string }{{"model", resumableStream}, {"desk", idempotentCall}} {
 		for _, size := range []struct {
 			near, far  int
 			unreported bool
@@ -243,7 +243,7 @@
 func TestUpstreamAtItsRateLimitIsUsed(t *testing.T) {
 	for _, size := range []struct{ near, far int }{{1, 0}, {2, 2}, {2, 4}, {3, 12}} {
 		for _, limit := range []float64{2, 8} {
-			f := newLimitedFleet(7, size.near, size.far, false, "model", reports)
+			f := newLimitedFleet(7, size.near, size.far, false, "model", resumableStream)
 			f.limit = limit
 			f.play(4*time.Second, 12)
 			for _, load := range []struct{ near, far float64 }{{40, 40}, {40, 1}} {
@@ -270,9 +270,9 @@
 	next := uint64(0)
 	unlimited := func() bool {
 		next++
-		first := len(sentIDs(r.arrive(next, lookups)))
+		first := len(sentIDs(r.arrive(next, idempotentCall)))
 		next++
-		both := first + len(sentIDs(r.arrive(next, lookups)))
+		both := first + len(sentIDs(r.arrive(next, idempotentCall)))
 		r.step(forward.CallerGone{ID: next - 1})
 		r.step(forward.CallerGone{ID: next})
 		return both == 2
@@ -304,12 +304,12 @@
 	r.step(report)
 	withLimit := forward.AnswerHeadReceived{Upstream: first.Instance(), Outcome: forward.Answered, Notice: catalog.Notice{Limited: true, RateLimit: 1}}
 	r.step(withLimit)
-	require.Empty(t, sentIDs(r.arrive(1, reports)))
+	require.Empty(t, sentIDs(r.arrive(1, resumableStream)))
 	report.StartedAt = 2000
 	require.Len(t, sentIDs(r.step(report)), 1)
 	r.step(withLimit)
 	r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Answered})
-	require.Len(t, sentIDs(r.arrive(2, reports)), 1)
+	require.Len(t, sentIDs(r.arrive(2, resumableStream)), 1)
 }
 
 // TestRateLimitReportedByTheAgentIsKept guards against an entry that has just started, or was disconnected, and sends an engine any
@@ -323,7 +323,7 @@
 	for id := range uint64(200) {
 		r.now += 20 * time.Millisecond
 		sent += len(sentIDs(r.step(report)))
-		sent += len(sentIDs(r.arrive(id+1, reports)))
+		sent += len(sentIDs(r.arrive(id+1, resumableStream)))
 		r.step(forward.AttemptEnded{ID: id + 1, Outcome: forward.Answered})
 	}
 	require.LessOrEqual(t, sent, 11)
@@ -332,8 +332,8 @@
 		r.add("m1", "model", "perth-a", 12)
 		report.RateLimit = &invalid
 		r.step(report)
-		require.Len(t, sentIDs(r.arrive(1, reports)), 1)
-		require.Len(t, sentIDs(r.arrive(2, reports)), 1, "an invalid limit is ignored")
+		require.Len(t, sentIDs(r.arrive(1, resumableStream)), 1)
+		require.Len(t, sentIDs(r.arrive(2, resumableStream)), 1, "an invalid limit is ignored")
 	}
 }
 
@@ -350,7 +350,7 @@
 	r.now = 5 * time.Second
 	r.step(step.Tick{})
 	r.add("d1", "desk", "perth-a", 6)
-	sent := len(sentIDs(r.arrive(1, lookups))) + len(sentIDs(r.arrive(2, lookups)))
+	sent := len(sentIDs(r.arrive(1, idempotentCall))) + len(sentIDs(r.arrive(2, idempotentCall)))
 	require.LessOrEqual(t, sent, 1)
 }
 
@@ -365,6 +365,6 @@
 	r.applyCatalog(catalog.UpstreamRemoved{ID: "d1", Revision: int64(r.next)})
 	r.step(forward.AnswerHeadReceived{Upstream: instance, Outcome: forward.Answered, Notice: catalog.Notice{Limited: true, RateLimit: 1}})
 	r.add("d1", "desk", "perth-a", 6)
-	sent := len(sentIDs(r.arrive(1, lookups))) + len(sentIDs(r.arrive(2, lookups)))
+	sent := len(sentIDs(r.arrive(1, idempotentCall))) + len(sentIDs(r.arrive(2, idempotentCall)))
 	require.LessOrEqual(t, sent, 1)
 }
--- a/internal/core/forward/reduce.go
+++ b/internal/core/forward/reduce.go
@@ -14,8 +14,9 @@
 	defaultRequestTimeout = 30 * time.Second
 	// maxAttempts limits the attempts of one request, including those that upstreams declined, which Route.MaxUpstreams does not count.
 	maxAttempts = 4
-	// firstEventTimeout is the timeout for the first event of a stream that may be retried. It is three to four times the objective
-	// of the users' streams, and less than the two seconds that their callers wait.
+	// firstEventTimeout is the timeout for the first event of a stream that may be retried, counted from the sending of the attempt. It
+	// is three to four times the objective of the users' streams. It is also less than the two seconds that their callers wait at
+	// least, counted from the caller's request or from the last event that was passed on; see attemptTimeouts.
 	firstEventTimeout = 1500 * time.Millisecond
 	// gapTimeout is the timeout between two events of a stream that may be resumed at another upstream. It is three times the
 	// users' objective for gaps.
@@ -56,7 +57,7 @@
 	r.returning = s.callerTimeouts.returning(in.Now, r, ev.Budget)
 	s.requests[r.id] = r
 	s.retryBudget(r.service).addRequest(in.Now)
-	effects := []step.Effect{Admitted{ID: r.id, Route: r.route, Deadline: r.deadline}}
+	effects := []step.Effect{Accepted{ID: r.id, Route: r.route, Deadline: r.deadline}}
 	return append(effects, s.dispatch(in, r)...)
 }
 
@@ -74,7 +75,7 @@
 
 // dispatch sends a request to an upstream, queues it until there is capacity, or refuses it.
 func (s *State) dispatch(in step.Input, r *request) []step.Effect {
-	if end, forbidden := s.mustNotSend(in, r); forbidden {
+	if end, forbidden := s.refreshAndCheck(in, r); forbidden {
 		return s.endRequest(in, r, end)
 	}
 	u, found := s.pick(in, r)
@@ -96,13 +97,13 @@
 	r.attempts++
 	r.instance, r.sentAt = u.Instance(), in.Now
 	r.tried[r.instance] = true
-	s.load(r.instance).inFlight++
-	s.load(r.instance).remainingSends--
-	s.load(r.instance).pendingPromptTokens += r.prompt
-	s.load(r.instance).tokens += r.tokens
-	s.load(r.instance).limitPacer.used()
-	s.load(r.instance).coldPacer.used()
-	s.load(r.instance).backoff.attempted(in.Now)
+	s.loadState(r.instance).inFlight++
+	s.loadState(r.instance).remainingSends--
+	s.loadState(r.instance).pendingPromptTokens += r.prompt
+	s.loadState(r.instance).tokens += r.tokens
+	s.loadState(r.instance).limitPacer.used()
+	s.loadState(r.instance).coldPacer.used()
+	s.loadState(r.instance).backoff.attempted(in.Now)
 	r.awaitingFirstEvent, r.firstEventLate = true, false
 	r.unreported = s.view(u).unreported()
 	if r.unreported {
@@ -146,11 +147,12 @@
 	return append(effects, s.serveQueue(in, r.service)...)
 }
 
-// markStarted records that the prompt of a request is no longer pending at its upstream.
-func (s *State) markStarted(id uint64) {
+// clearPendingPrompt records that the prompt of a request is no longer pending at its upstream: the upstream started the request, or the
+// attempt ended.
+func (s *State) clearPendingPrompt(id uint64) {
 	if r := s.requests[id]; r != nil && r.awaitingFirstEvent {
 		r.awaitingFirstEvent = false
-		s.load(r.instance).pendingPromptTokens -= r.prompt
+		s.loadState(r.instance).pendingPromptTokens -= r.prompt
 		if r.unreported {
 			s.unreportedWaiting--
 		}
@@ -163,12 +165,13 @@
 	if r.instance == (catalog.Instance{}) {
 		return
 	}
-	s.markStarted(r.id) // Even if the upstream never started the request, its prompt is no longer pending there.
-	l := s.load(r.instance)
+	s.clearPendingPrompt(r.id)
+	l := s.loadState(r.instance)
 	l.inFlight--
 	l.tokens -= r.tokens
 	l.remainingSends++
-	// A misdirected attempt that required a version is no failure (see recordOutcome): the engine is healthy, but holds another version.
+	// A misdirected attempt that required a version does not count as a failure (see recordOutcome): the engine may be healthy and hold
+	// another version.
 	if o != Misdirected || r.version == 0 {
 		l.recordOutcome(in.Now, o)
 	}
@@ -181,7 +184,7 @@
 		delete(s.requests, r.id)
 		return nil
 	}
-	end, forbidden := s.mustNotSend(in, r)
+	end, forbidden := s.refreshAndCheck(in, r)
 	switch {
 	case !forbidden && s.mayRetry(in, r, ev.Outcome):
 		return s.retry(in, r, ev.Outcome)
@@ -240,8 +243,13 @@
 	return s.endRequest(in, r, ending{code: c, reason: why, retryAfter: s.retryAfterFor(in, r)})
 }
 
-// endRequest ends a request that was admitted. What its caller gets depends on what has happened. A partial answer is aborted. If the
-// request may have run, the refusal does not invite a retry; if it did not run, it does so where a retry is of use.
+// endRequest ends a request that was accepted. There are three cases:
+//
+//   - Part of the answer was passed on: the answer is aborted.
+//   - The request may have run: it is refused as code.Unknown, without a delay for a retry. code.DeadlinePassed stays;
+//     code.RetriesExhausted replaces every other code.
+//   - The request did not run: it is refused as code.NotRun, with the delay for a retry if there is one. code.Overloaded replaces
+//     code.RetriesExhausted and code.DeadlinePassed; every other code stays.
 func (s *State) endRequest(in step.Input, r *request, end ending) []step.Effect {
 	delete(s.requests, r.id)
 	if r.partial {
@@ -269,7 +277,7 @@
 	return s.serveQueue(in, r.service)
 }
 
-// refuseArrival refuses a request that is not admitted, so that no state of it exists. Nothing of it was sent.
+// refuseArrival refuses a request that was not accepted, so that no state of it exists. Nothing of it was sent.
 func refuseArrival(id uint64, c code.Code, why string, after time.Duration) []step.Effect {
 	return []step.Effect{Refuse{ID: id, Code: c, Ran: code.NotRun, Reason: why, RetryAfter: after}}
 }
--- a/internal/core/forward/refill_test.go
+++ b/internal/core/forward/refill_test.go
@@ -112,7 +112,7 @@
 	for _, u := range r.state.ChooseHeartbeatTargets() {
 		r.step(forward.LoadReported{Address: u.Address, Entries: 35, NearEntries: 35})
 	}
-	refuse := only[forward.Refuse](t, r.arrive(1, notes))
+	refuse := only[forward.Refuse](t, r.arrive(1, nonResumableStream))
 	require.GreaterOrEqual(t, refuse.RetryAfter, 2*time.Second)
 }
 
@@ -128,7 +128,7 @@
 	}
 	sent := 0
 	for id := range uint64(5) {
-		sent += len(sentIDs(r.arrive(id+1, notes)))
+		sent += len(sentIDs(r.arrive(id+1, nonResumableStream)))
 	}
 	require.Equal(t, 1, sent)
 }
--- a/internal/core/forward/slow_engine_test.go
+++ b/internal/core/forward/slow_engine_test.go
@@ -26,16 +26,16 @@
 // slowdown of 2.5, at least half of the requests were late.
 func TestSlowEngineIsUsedLast(t *testing.T) {
 	r := newSlowFleet(2.5)
-	require.Equal(t, "far", only[forward.Send](t, r.arrive(1, reports)).Upstream.ID)
+	require.Equal(t, "far", only[forward.Send](t, r.arrive(1, resumableStream)).Upstream.ID)
 	var used []string
 	for id := uint64(2); id < 5; id++ {
-		for _, send := range sentAttempts(r.arrive(id, reports)) {
+		for _, send := range sentAttempts(r.arrive(id, resumableStream)) {
 			used = append(used, send.Upstream.ID)
 		}
 	}
 	require.Contains(t, used, "slow", "it is used once the others are full")
 	r = newSlowFleet(1.1)
-	require.Equal(t, "slow", only[forward.Send](t, r.arrive(1, reports)).Upstream.ID, "a small slowdown does not outweigh the distance")
+	require.Equal(t, "slow", only[forward.Send](t, r.arrive(1, resumableStream)).Upstream.ID, "a small slowdown does not outweigh the distance")
 }
 
 // TestSlowEngineGetsFewerPromptTokens guards against prompts that wait for each other at an engine whose prefill is slower than its
@@ -48,7 +48,7 @@
 		n := 0
 		for id := range uint64(20) {
 			r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 1}, Entries: 1, NearEntries: 1, Slowdown: slowdown, RequestCount: n})
-			ev := forward.Arrived{ID: id + 1, Host: "h", Path: reports, Key: "key-1", Model: "m", PromptTokens: 1000}
+			ev := forward.Arrived{ID: id + 1, Host: "h", Path: resumableStream, Key: "key-1", Model: "m", PromptTokens: 1000}
 			n += len(sentIDs(r.step(ev)))
 		}
 		return n
@@ -64,5 +64,5 @@
 	r := newSlowFleet(2.5)
 	r.now = 200 * time.Millisecond
 	r.step(forward.LoadReported{Address: "slow", Versions: map[string]int64{"m": 1}, Entries: 2, NearEntries: 1, Slowdown: 1})
-	require.Equal(t, "slow", only[forward.Send](t, r.arrive(1, reports)).Upstream.ID, fmt.Sprint(r.now))
+	require.Equal(t, "slow", only[forward.Send](t, r.arrive(1, resumableStream)).Upstream.ID, fmt.Sprint(r.now))
 }
--- a/internal/core/forward/timeouts_test.go
+++ b/internal/core/forward/timeouts_test.go
@@ -13,7 +13,7 @@
 // newTimeoutRig returns a rig with two engines. The callers of its streams wait 2.4 s for an event.
 func newTimeoutRig() *rig {
 	r := newRig()
-	for _, path := range []string{reports, notes} {
+	for _, path := range []string{resumableStream, nonResumableStream} {
 		r.state.Catalog.Manifest.Route("h", path).CallerTimeout = 2400 * time.Millisecond
 	}
 	r.add("m1", "model", "perth-a", 6)
@@ -25,7 +25,7 @@
 // its route allows are silent.
 func TestLastAttemptTimesOutBeforeTheCallerLeaves(t *testing.T) {
 	r := newTimeoutRig()
-	require.Equal(t, 1500*time.Millisecond, only[forward.Send](t, r.arrive(1, reports)).FirstEventTimeout)
+	require.Equal(t, 1500*time.Millisecond, only[forward.Send](t, r.arrive(1, resumableStream)).FirstEventTimeout)
 	r.now = 1500 * time.Millisecond
 	last := only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Silent}))
 	require.Equal(t, 750*time.Millisecond, last.FirstEventTimeout)
@@ -39,7 +39,7 @@
 // left.
 func TestNonResumableStreamTimesOutBeforeTheCallerLeaves(t *testing.T) {
 	r := newTimeoutRig()
-	send := only[forward.Send](t, r.arrive(1, notes))
+	send := only[forward.Send](t, r.arrive(1, nonResumableStream))
 	require.Equal(t, 2250*time.Millisecond, send.FirstEventTimeout)
 	require.Equal(t, 2250*time.Millisecond, send.GapTimeout)
 }
@@ -48,7 +48,7 @@
 // s after its last event.
 func TestCallerTimeoutCountsFromTheLastEventPassedOn(t *testing.T) {
 	r := newTimeoutRig()
-	only[forward.Send](t, r.arrive(1, reports))
+	only[forward.Send](t, r.arrive(1, resumableStream))
 	r.now = 4 * time.Second
 	resumed := only[forward.Send](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Silent, Partial: true, SinceLastPart: 1200 * time.Millisecond}))
 	require.True(t, resumed.Resume)
--- a/internal/core/forward/unreported.go
+++ b/internal/core/forward/unreported.go
@@ -5,20 +5,19 @@
 const (
 	// unreportedPauseInitial and unreportedPauseMax bound the pause in which an entry sends nothing to engines without a load
 	// report, after one of them declined a request or was slow to its first event. The pause doubles until one of them answers in
-	// time. When the reported engines are full, the unreported ones usually are, too.
+	// time. When the engines with a report are full, those without one usually are, too.
 	unreportedPauseInitial = time.Second
 	unreportedPauseMax     = 8 * time.Second
 	// unreportedWaitShare is the part of the latency objective within which an unreported engine must send the first event.
 	unreportedWaitShare = 0.5
 )
 
-// maySendUnreported reports whether a request may go to an engine without a load report. reported is the sample of the engines with a
-// report.
-func (s *State) maySendUnreported(now time.Time, reported *sample) bool {
-	if reported.availability == unavailable {
+// maySendUnreported reports whether a request may go to an engine without a load report. current is as in samples.
+func (s *State) maySendUnreported(now time.Time, current *sample) bool {
+	if current.availability == unavailable {
 		return true
 	}
-	return !now.Before(s.unreportedPauseEnd) && (!reported.anyFull || s.unreportedWaiting < s.Self.Policy.MaxUnreported)
+	return !now.Before(s.unreportedPauseEnd) && (!current.anyFull || s.unreportedWaiting < s.Self.Policy.MaxUnreported)
 }
 
 // unreportedStarted handles the first event of an attempt at an engine without a load report.
--- a/internal/core/forward/upstream_view.go
+++ b/internal/core/forward/upstream_view.go
@@ -12,7 +12,7 @@
 // upstreamView is an upstream as this entry sees it: its registration, its load, and what the manifest declares for it.
 type upstreamView struct {
 	*catalog.Upstream
-	load *load
+	load *loadState
 	// engine is what the manifest declares for the engine; nil for an upstream of a plain service.
 	engine *catalog.Engine
 	// region is the region of its data centre; empty if the settings don't name the data centre.
@@ -81,7 +81,7 @@
 
 // view returns the view of an upstream with its present values.
 func (s *State) view(u *catalog.Upstream) *upstreamView {
-	v := &upstreamView{Upstream: u, load: s.load(u.Instance()), distance: s.distance(u), prefillAhead: s.Self.Policy.PrefillAhead, hash: step.Score(u.ID, "")}
+	v := &upstreamView{Upstream: u, load: s.loadState(u.Instance()), distance: s.distance(u), prefillAhead: s.Self.Policy.PrefillAhead, hash: step.Score(u.ID, "")}
 	v.region = s.Self.Regions[u.DataCentre]
 	v.entries = s.estimatedEntries
 	if service := s.service(u); service != nil {
@@ -116,8 +116,10 @@
 // engine's agent no heartbeats.
 func (v *upstreamView) unreported() bool { return v.noHeartbeat && v.load.reportedAt.IsZero() }
 
-// leaving reports whether the upstream is shutting down, according to the store or to itself, whichever says so first. An upstream
-// without a start time may be a new instance under the same ID after a while, so it is tried again.
+// leaving reports whether the upstream is shutting down. The store or the upstream itself may report that first. In this package,
+// "leaving" is said of an upstream and "shutting down" of this process; "draining" is only the store's field for a leaving upstream.
+//
+// An upstream without a start time may be a new instance under the same ID after a while, so it is tried again.
 func (v *upstreamView) leaving(now time.Time) bool {
 	if v.Draining {
 		return true
--- a/internal/core/forward/version_test.go
+++ b/internal/core/forward/version_test.go
@@ -19,9 +19,9 @@
 	r.add("m1", "model", "perth-a", 6)
 	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50})
 	r.now = 6 * time.Second
-	only[forward.Send](t, r.arrive(1, reports))
-	only[forward.Send](t, r.arrive(2, reports))
-	only[forward.Send](t, r.arrive(3, reports))
+	only[forward.Send](t, r.arrive(1, resumableStream))
+	only[forward.Send](t, r.arrive(2, resumableStream))
+	only[forward.Send](t, r.arrive(3, resumableStream))
 	r.now = 7900 * time.Millisecond
 	require.Empty(t, r.step(forward.Started{ID: 1, Version: 1}))
 	r.now = 8250 * time.Millisecond
@@ -49,7 +49,7 @@
 // TestUnstartedRequestIsWithdrawnBeforeItsVersionExpires guards against a request that starts on an expired version because it
 // waited in its engine's queue.
 func TestUnstartedRequestIsWithdrawnBeforeItsVersionExpires(t *testing.T) {
-	r := newUnstartedRig(t, reports)
+	r := newUnstartedRig(t, resumableStream)
 	r.step(forward.LoadReported{Address: "m1", RequestCount: 1, Versions: map[string]int64{"m": 1}})
 	require.Equal(t, forward.Withdraw{ID: 1, Attempt: 1}, only[forward.Withdraw](t, r.step(step.Tick{})))
 	r.add("m2", "model", "perth-a", 6)
@@ -63,7 +63,7 @@
 // TestWithdrawnRequestIsAnsweredAtOnceWhenNoEngineIsLeft guards against a withdrawn request that waits until its deadline although
 // it can not be retried.
 func TestWithdrawnRequestIsAnsweredAtOnceWhenNoEngineIsLeft(t *testing.T) {
-	for _, path := range []string{reports, notes} {
+	for _, path := range []string{resumableStream, nonResumableStream} {
 		r := newUnstartedRig(t, path)
 		only[forward.Withdraw](t, r.step(step.Tick{}))
 		refusal := only[forward.Refuse](t, r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Withdrawn}))
@@ -73,14 +73,14 @@
 
 // TestStartedRequestIsNotWithdrawn guards against withdrawing a request that started in time.
 func TestStartedRequestIsNotWithdrawn(t *testing.T) {
-	r := newUnstartedRig(t, reports)
+	r := newUnstartedRig(t, resumableStream)
 	r.step(forward.Started{ID: 1, Version: 1})
 	require.Empty(t, r.step(step.Tick{}))
 }
 
 // TestRequestIsNotWithdrawnFromAnUpdatedEngine guards against withdrawing a request whose engine holds the new version by now.
 func TestRequestIsNotWithdrawnFromAnUpdatedEngine(t *testing.T) {
-	r := newUnstartedRig(t, reports)
+	r := newUnstartedRig(t, resumableStream)
 	r.step(forward.LoadReported{Address: "m1", RequestCount: 1, Versions: map[string]int64{"m": 2}})
 	require.Empty(t, r.step(step.Tick{}))
 }
@@ -95,7 +95,7 @@
 	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 3, Revision: 51})
 	r.now = 7500 * time.Millisecond
 	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 2}})
-	require.Equal(t, int64(2), only[forward.Send](t, r.arrive(1, reports)).Version)
+	require.Equal(t, int64(2), only[forward.Send](t, r.arrive(1, resumableStream)).Version)
 	r.now = 8300 * time.Millisecond
 	require.Empty(t, r.step(step.Tick{}))
 	r.now = 8400 * time.Millisecond
@@ -111,14 +111,14 @@
 	r.now = 5700 * time.Millisecond
 	const failures = 3
 	for id := uint64(1); id <= failures; id++ {
-		only[forward.Send](t, r.arrive(id, reports))
+		only[forward.Send](t, r.arrive(id, resumableStream))
 	}
 	r.now = 7400 * time.Millisecond
 	for id := uint64(1); id <= failures; id++ {
 		r.step(forward.AttemptEnded{ID: id, Outcome: forward.Withdrawn})
 	}
 	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 2}})
-	only[forward.Send](t, r.arrive(failures+1, reports))
+	only[forward.Send](t, r.arrive(failures+1, resumableStream))
 }
 
 // TestWithdrawalWithoutRetryDoesNotUseTheRetryBudget guards against withdrawals that use up the retry budget while no engine holds
@@ -132,7 +132,7 @@
 	r.step(forward.LoadReported{Address: "m1", Entries: 1, NearEntries: 1, Versions: map[string]int64{"m": 1}})
 	const requests = 20
 	for id := uint64(1); id <= requests; id++ {
-		only[forward.Send](t, r.arrive(id, reports))
+		only[forward.Send](t, r.arrive(id, resumableStream))
 	}
 	r.now = 7400 * time.Millisecond
 	for id := uint64(1); id <= requests; id++ {
@@ -142,7 +142,7 @@
 	for _, engine := range []string{"m1", "m2"} {
 		r.step(forward.LoadReported{Address: engine, Entries: 1, NearEntries: 1, Versions: map[string]int64{"m": 2}})
 	}
-	only[forward.Send](t, r.arrive(requests+1, reports))
+	only[forward.Send](t, r.arrive(requests+1, resumableStream))
 	only[forward.Send](t, r.step(forward.AttemptEnded{ID: requests + 1, Outcome: forward.Declined}))
 }
 
@@ -153,7 +153,7 @@
 	r.state.Catalog.Manifest.Services["model"] = &catalog.Service{Name: "model", Engine: &catalog.Engine{Slots: 2, Models: []string{"m"}}}
 	r.add("m1", "model", "perth-a", 2)
 	arrive := func(id uint64) []step.Effect {
-		return r.step(forward.Arrived{ID: id, Host: "h", Path: reports + "x", Key: "key-1"})
+		return r.step(forward.Arrived{ID: id, Host: "h", Path: resumableStream + "x", Key: "key-1"})
 	}
 	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50})
 	r.now = 7200 * time.Millisecond
@@ -175,23 +175,23 @@
 		return r
 	}
 	r := newFleet()
-	send := only[forward.Send](t, r.arrive(1, reports))
+	send := only[forward.Send](t, r.arrive(1, resumableStream))
 	require.Equal(t, "m1", send.Upstream.ID)
 	require.Zero(t, send.Version, "an engine that changes its version in the meantime is also valid")
-	require.Equal(t, code.NoUpstream, only[forward.Refuse](t, r.arrive(9, notes)).Code, "a request that can not be retried must not be withdrawn")
+	require.Equal(t, code.NoUpstream, only[forward.Refuse](t, r.arrive(9, nonResumableStream)).Code, "a request that can not be retried must not be withdrawn")
 	r.now = 7200 * time.Millisecond
-	require.Equal(t, code.NoUpstream, only[forward.Refuse](t, r.arrive(2, reports)).Code, "it is unlikely to start in time")
+	require.Equal(t, code.NoUpstream, only[forward.Refuse](t, r.arrive(2, resumableStream)).Code, "it is unlikely to start in time")
 	r.now = 7400 * time.Millisecond
 	only[forward.Withdraw](t, r.step(step.Tick{}))
 
 	r = newFleet()
 	r.add("m2", "model", "bunbury-a", 6)
 	r.step(forward.LoadReported{Address: "m2", Versions: map[string]int64{"m": 2}, Entries: 1})
-	send = only[forward.Send](t, r.arrive(1, reports))
+	send = only[forward.Send](t, r.arrive(1, resumableStream))
 	require.Equal(t, "m2", send.Upstream.ID, "an engine with the new version and capacity is preferred, wherever it is")
 	require.Equal(t, int64(2), send.Version)
 	r.step(forward.LoadReported{Address: "m2", Versions: map[string]int64{"m": 2}, Entries: 1, RequestCount: 6})
-	require.Equal(t, "m1", only[forward.Send](t, r.arrive(2, reports)).Upstream.ID, "a full engine with the new version is no reason to refuse")
+	require.Equal(t, "m1", only[forward.Send](t, r.arrive(2, resumableStream)).Upstream.ID, "a full engine with the new version is no reason to refuse")
 }
 
 // TestRequiredVersionIsEnforced guards against requests that start on an expired version.
@@ -200,11 +200,11 @@
 	r.add("m1", "model", "perth-a", 6)
 	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 2, Revision: 50})
 	r.now = 6 * time.Second
-	require.Zero(t, only[forward.Send](t, r.arrive(1, reports)).Version)
+	require.Zero(t, only[forward.Send](t, r.arrive(1, resumableStream)).Version)
 	r.now = 7200 * time.Millisecond
-	require.Equal(t, code.NoUpstream, only[forward.Refuse](t, r.arrive(2, reports)).Code)
+	require.Equal(t, code.NoUpstream, only[forward.Refuse](t, r.arrive(2, resumableStream)).Code)
 	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 2}})
-	require.Equal(t, int64(2), only[forward.Send](t, r.arrive(3, reports)).Version)
+	require.Equal(t, int64(2), only[forward.Send](t, r.arrive(3, resumableStream)).Version)
 }
 
 // TestNewerHeldVersionIsRequestedExactly guards against an engine that declines every request because it holds a newer version than
@@ -217,7 +217,7 @@
 	r.applyCatalog(catalog.VersionActivated{Model: "m", Version: 3, Revision: 51})
 	r.now = 7 * time.Second
 	r.step(forward.LoadReported{Address: "m1", Versions: map[string]int64{"m": 3}})
-	require.Equal(t, int64(3), only[forward.Send](t, r.arrive(1, reports)).Version)
+	require.Equal(t, int64(3), only[forward.Send](t, r.arrive(1, resumableStream)).Version)
 	r.step(forward.AttemptEnded{ID: 1, Outcome: forward.Misdirected})
-	only[forward.Send](t, r.arrive(2, reports))
+	only[forward.Send](t, r.arrive(2, resumableStream))
 }
--- a/internal/emulator/entry.go
+++ b/internal/emulator/entry.go
@@ -55,7 +55,7 @@
 
 func (e *entry) carryOut(eff step.Effect) {
 	switch eff := eff.(type) {
-	case forward.Admitted:
+	case forward.Accepted:
 		if x := e.inFlight[eff.ID]; x != nil {
 			e.fleet.simulation.after(eff.Deadline.Sub(e.fleet.simulation.time()), func() { x.timedOut() })
 		}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -177,7 +177,7 @@
 }
 
 func (a *attempt) isStream(resp *http.Response) bool {
-	return a.x.admission.Route.Kind == catalog.Streaming && resp.StatusCode == http.StatusOK &&
+	return a.x.accepted.Route.Kind == catalog.Streaming && resp.StatusCode == http.StatusOK &&
 		strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
--- a/internal/gateway/draining_test.go
+++ b/internal/gateway/draining_test.go
@@ -9,16 +9,16 @@
 	"samphireweir.example/samphireweir/platform/standin"
 )
 
-// TestNoNewRequestsForUpstreamThatSignalsDraining guards against an entry that learns only from the store that an upstream drains. Here
-// the store is down, and the upstream says in each response that it shuts down.
-func TestNoNewRequestsForUpstreamThatSignalsDraining(t *testing.T) {
+// TestNoNewRequestsForUpstreamThatReportsLeaving guards against an entry that learns only from the store that an upstream is leaving.
+// Here the store is down, and the upstream reports in each response that it is leaving.
+func TestNoNewRequestsForUpstreamThatReportsLeaving(t *testing.T) {
 	t.Parallel()
 	const drainTime = 2 * time.Second // The limit of the users' platform.
 	fleet := standin.NewFleet(t)
-	draining, other := fleet.AddService("i-leaving"), fleet.AddService("i-other")
+	leaving, other := fleet.AddService("i-leaving"), fleet.AddService("i-other")
 	e := start(t, fleet)
 	fleet.Store.SetDown(true)
-	draining.SetNotice(standin.Notice{Leaving: true})
+	leaving.SetNotice(standin.Notice{Leaving: true})
 	require.Eventually(t, func() bool {
 		return e.Post("/once/1").Seal == "seal-of-i-leaving"
 	}, testTimeout, pollInterval)
@@ -27,7 +27,7 @@
 		require.Equal(t, 200, e.Post("/once/1").Status)
 		time.Sleep(20 * time.Millisecond)
 	}
-	for _, a := range draining.Arrivals() {
+	for _, a := range leaving.Arrivals() {
 		require.Less(t, a.At.Sub(notifiedAt), drainTime)
 	}
 	require.Positive(t, other.ArrivalCount())
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -21,8 +21,8 @@
 	"samphireweir.example/samphireweir/platform"
 )
 
-// maxEffects is the capacity of a request's effect channel. A request has one effect for its admission, one for each attempt and one for
-// its end.
+// maxEffects is the capacity of a request's effect channel. A request has one forward.Accepted, one effect for each attempt and
+// one for its end.
 const maxEffects = 8
 
 const (
@@ -50,8 +50,8 @@
 	fingerprint uint64
 	effects     chan step.Effect
 
-	// admission holds the terms on which the request was admitted.
-	admission forward.Admitted
+	// accepted holds the deadline and the route of the request, once the reducer has accepted it.
+	accepted forward.Accepted
 	// ctx ends when the caller leaves or the request's deadline passes.
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -173,8 +173,8 @@
 // execute carries out one effect and reports whether it ended the request.
 func (x *exchange) execute(e step.Effect) bool {
 	switch e := e.(type) {
-	case forward.Admitted:
-		x.admission = e
+	case forward.Accepted:
+		x.accepted = e
 		x.ctx, x.cancel = context.WithDeadline(x.r.Context(), e.Deadline)
 	case forward.Send:
 		return x.runAttempt(e)
@@ -265,18 +265,18 @@
 
 // objective returns the latency objective of the request's route; 0 if no route was found.
 func (x *exchange) objective() time.Duration {
-	if x.admission.Route == nil {
+	if x.accepted.Route == nil {
 		return 0
 	}
-	return x.admission.Route.Objective
+	return x.accepted.Route.Objective
 }
 
 // gapObjective returns the longest pause between two events of a stream that still meets the route's objective; 0 if the route sets none.
 func (x *exchange) gapObjective() time.Duration {
-	if x.admission.Route == nil {
+	if x.accepted.Route == nil {
 		return 0
 	}
-	return x.admission.Route.GapObjective
+	return x.accepted.Route.GapObjective
 }
 
 // timeToFirstByte returns how long the caller waited for the first byte of an upstream's response; 0 if there was none.
@@ -292,10 +292,10 @@
 }
 
 func (x *exchange) routeName() string {
-	if x.admission.Route == nil {
+	if x.accepted.Route == nil {
 		return ""
 	}
-	return x.admission.Route.Name
+	return x.accepted.Route.Name
 }
 
 // reportAttemptEnd reports the outcome of an attempt to the reducer.
--- a/internal/gateway/expiry_test.go
+++ b/internal/gateway/expiry_test.go
@@ -18,10 +18,11 @@
 // TestNoRequestStartsOnAnExpiredVersion guards against engines that start a request on a version of the weights that has expired.
 //
 // An entry compares versions when it sends a request, but the engine starts the request with the first event of the response. An entry
-// that takes this delay to be under 1.3 s, and does not limit it, lets requests start late. With the origin down and all engines full,
-// two requests were sent just before entries require version 2, within 9.0 s of its activation. They were queued at their engines
-// for 1.45 and 1.61 s and started on version 1 134 and 173 ms after it had expired. One of them was at its second engine, after
-// the first had sent nothing for 1.5 s, and the last attempt had no timeout for the first event.
+// that takes this delay to be under 1.3 s, and does not limit it, lets requests start late.
+//
+// With the origin down and all engines full, two requests were sent just before entries require version 2, within 9.0 s of its
+// activation. They were queued at their engines for 1.45 and 1.61 s. They then started on version 1, 134 ms and 173 ms late. One of
+// them was at its second engine, after the first had sent nothing for 1.5 s. That last attempt had no timeout for the first event.
 //
 // Here an engine keeps a request in its queue until the version has expired.
 func TestNoRequestStartsOnAnExpiredVersion(t *testing.T) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -2,8 +2,8 @@
 // registered upstream and passes the response on. The reducers in core/catalog and core/forward make the decisions; the shell carries
 // out their effects.
 //
-// Packages hostagent and core/install are the agent's side on the same platform. The first product's path is separate: package entry
-// with core/request and core/routing.
+// The process is called an entry. Package entry is the entry of the first product's path, which is separate and uses core/request and
+// core/routing. Packages hostagent and core/install are the agent's side on the users' platform.
 package gateway
 
 import (
@@ -167,7 +167,7 @@
 		if x := g.exchanges[e.ID]; x != nil {
 			x.withdraw(e)
 		}
-	case forward.Admitted:
+	case forward.Accepted:
 		g.dispatch(e.ID, e)
 	case forward.Send:
 		g.dispatch(e.ID, e)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -85,8 +85,8 @@
 	require.LessOrEqual(t, seen.DeadlineMS, 2000, "the route's limit is below the caller's")
 }
 
-// TestEntryRefusals guards against refusals that do not say whether the request ran and when to retry.
-func TestEntryRefusals(t *testing.T) {
+// TestRefusalStatesRunStatusAndRetryAfter guards against refusals that do not say whether the request ran and when to retry.
+func TestRefusalStatesRunStatusAndRetryAfter(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
 	e := start(t, fleet)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// headTimeout limits reading a request's head. It is longer than the about three seconds that the manifest allows callers.
+	// headTimeout limits reading a request's head. The manifest allows callers about three seconds; this is longer.
 	headTimeout = 10 * time.Second
 	// idleTimeout is how long an idle connection of a caller is kept. It is far longer than manifests promise callers.
 	idleTimeout = 2 * time.Minute
--- a/internal/gateway/unsent_test.go
+++ b/internal/gateway/unsent_test.go
@@ -37,8 +37,8 @@
 	require.Zero(t, desk.Runs(r.ID))
 }
 
-// TestRequestWithdrawnBeforeItIsSentIsReportedNotRun guards against the same report for a request that is withdrawn before its
-// connection was made, because the engine's version is about to expire.
+// TestRequestWithdrawnBeforeItIsSentIsReportedNotRun guards against reporting to a caller that its request may have run, although it
+// was withdrawn before its connection was made. It is withdrawn because the engine's version is about to expire.
 func TestRequestWithdrawnBeforeItIsSentIsReportedNotRun(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
