--- a/internal/core/forward/backoff_test.go
+++ b/internal/core/forward/backoff_test.go
@@ -11,8 +11,8 @@
 	"samphireweir.example/samphireweir/internal/core/forward"
 )
 
-// The platform's users require that from backoffGrace after an upstream requested a backoff until the end of the backoff at most
-// backoffProbes requests reach it.
+// The platform's users require that at most backoffProbes requests reach an upstream during its backoff. Requests that reach it within
+// backoffGrace of its request for the backoff don't count.
 const (
 	backoffGrace  = 500 * time.Millisecond
 	backoffProbes = 2
@@ -102,7 +102,7 @@
 	require.Len(t, sentIDs(r.arrive(2, idempotentCall)), 1)
 }
 
-// TestExcessiveBackoffIsProbed guards against an upstream that stays out of use forever because it requested an absurdly long
+// TestExcessiveBackoffIsProbed guards against an upstream that stays out of use forever because it requested far too long a
 // backoff. It gets at most two probes in the first three minutes, and is used normally once it has answered one.
 func TestExcessiveBackoffIsProbed(t *testing.T) {
 	r := newRig()
--- a/internal/gateway/expiry_test.go
+++ b/internal/gateway/expiry_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestStreamStartedBeforeVersionExpiryRunsToCompletion guards against streams that are cut when the version on which they started expires. The
-// stream here lasts longer than version 1 may still be started on.
+// TestStreamStartedBeforeVersionExpiryRunsToCompletion guards against streams that are aborted when the version on which they
+// started expires. Requests may still start on version 1 for a shorter time than the stream here lasts.
 func TestStreamStartedBeforeVersionExpiryRunsToCompletion(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -206,8 +206,8 @@
 	require.Eventually(t, func() bool { return e.Post("/stream/1").Status == http.StatusServiceUnavailable }, testTimeout, 100*time.Millisecond)
 }
 
-// TestConfigChangesApplyDespiteWatchFailures guards against changes that are missed because a watch was compacted, went silent or broke
-// while the store was down.
+// TestConfigChangesApplyDespiteWatchFailures guards against changes that are missed because the store compacted its history,
+// sent nothing on a watch, or was down.
 func TestConfigChangesApplyDespiteWatchFailures(t *testing.T) {
 	t.Parallel()
 	for name, inject := range map[string]func(s *standin.Store) (restore func()){
