--- a/internal/core/forward/version_test.go
+++ b/internal/core/forward/version_test.go
@@ -102,8 +102,8 @@
 	only[forward.Withdraw](t, r.step(step.Tick{}))
 }
 
-// TestWithdrawalsDoNotCountAsFailures guards against avoiding an engine because as many requests were withdrawn from it as failures
-// put it out of use.
+// TestWithdrawalsDoNotCountAsFailures guards against avoiding an engine because requests were withdrawn from it. As many are withdrawn
+// here as the number of failures after which an engine is avoided.
 func TestWithdrawalsDoNotCountAsFailures(t *testing.T) {
 	r := newRig()
 	r.add("m1", "model", "perth-a", 6)
--- a/internal/core/install/install_test.go
+++ b/internal/core/install/install_test.go
@@ -38,7 +38,7 @@
 
 func (h *harness) read() []step.Effect { return h.step(h.engine) }
 
-// pass advances time, with a reading every 100 ms, and returns the effects other than PhaseChanged and Fetch.
+// pass advances time, with a reading every 100 ms, and returns the effects other than PhaseChanged and WantedChanged.
 func (h *harness) pass(d time.Duration) []step.Effect {
 	var effects []step.Effect
 	for range int(d / (100 * time.Millisecond)) {
@@ -48,7 +48,7 @@
 	return actions(effects)
 }
 
-// actions returns the effects other than PhaseChanged, which is only logged, and Fetch.
+// actions returns the effects other than PhaseChanged, which is only logged, and WantedChanged.
 func actions(effects []step.Effect) []step.Effect {
 	var list []step.Effect
 	for _, e := range effects {
