--- a/internal/core/install/install_test.go
+++ b/internal/core/install/install_test.go
@@ -38,7 +38,7 @@
 
 func (h *harness) read() []step.Effect { return h.step(h.engine) }
 
-// pass advances time, with a reading every 100 ms, and returns the effects other than PhaseChanged and Fetch.
+// pass advances time, with a reading every 100 ms, and returns the effects other than PhaseChanged and WantedChanged.
 func (h *harness) pass(d time.Duration) []step.Effect {
 	var effects []step.Effect
 	for range int(d / (100 * time.Millisecond)) {
@@ -48,7 +48,7 @@
 	return actions(effects)
 }
 
-// actions returns the effects other than PhaseChanged, which is only logged, and Fetch.
+// actions returns the effects other than PhaseChanged, which is only logged, and WantedChanged.
 func actions(effects []step.Effect) []step.Effect {
 	var list []step.Effect
 	for _, e := range effects {
@@ -220,9 +220,9 @@
 	require.Equal(t, []install.Want{{Model: "m", Version: 3, Digest: "d3"}}, h.state.Wanted())
 }
 
-// turns returns when each of n hosts prepares version 2, which is activated at 0 and complete on every host at 3 s. With superseded,
-// version 3 is activated 600 ms after that.
-func turns(t *testing.T, n int, superseded bool) []time.Duration {
+// turns returns when each of n hosts prepares version 2, which is activated at 0 and complete on every host at 3 s. With
+// supersededVersion, version 3 is activated 600 ms after that.
+func turns(t *testing.T, n int, supersededVersion bool) []time.Duration {
 	t.Helper()
 	var hosts []string
 	for i := range n {
@@ -237,7 +237,7 @@
 		h.step(install.Resolved{Model: "m", Version: 2, Digest: "d2"})
 		h.pass(3 * time.Second)
 		done := hasPrepare(h.step(install.ContentComplete{Digest: "d2"}))
-		if superseded {
+		if supersededVersion {
 			done = hasPrepare(h.pass(600*time.Millisecond)) || done
 			done = hasPrepare(h.step(install.VersionActivated{Model: "m", Version: 3})) || done
 		}
