--- a/internal/agent/env_test.go
+++ b/internal/agent/env_test.go
@@ -48,7 +48,7 @@
 	return rollout.Timing{
 		Poll: 20 * time.Millisecond, MaxPoll: 100 * time.Millisecond, RetryDelay: 20 * time.Millisecond,
 		MaxRetryDelay: 100 * time.Millisecond, OrderTimeout: 300 * time.Millisecond, DrainWarning: 200 * time.Millisecond,
-		Incarnation: incarnation.Timing{Lease: 600 * time.Millisecond, OrderDrain: 100 * time.Millisecond, Retry: 20 * time.Millisecond},
+		Incarnation: incarnation.Timing{Lease: 600 * time.Millisecond, OrderDrain: 100 * time.Millisecond, MinRetryDelay: 20 * time.Millisecond},
 		Slots:       slot.Timing{Expiry: 900 * time.Millisecond, PollInterval: 20 * time.Millisecond, TurnTimeout: 300 * time.Millisecond},
 	}
 }
--- a/internal/core/entries.go
+++ b/internal/core/entries.go
@@ -11,7 +11,7 @@
 	found := []string{s.Self.Address}
 	for _, address := range s.Members.Peers() {
 		h := s.Members.Hosts[address]
-		if h.Role == member.Entry && h.State != member.Leaving && !now.Before(h.SuspectUntil) {
+		if h.Role == member.Entry && h.State != member.Leaving && !now.Before(h.UnreachableUntil) {
 			found = append(found, address)
 		}
 	}
--- a/internal/core/incarnation/incarnation.go
+++ b/internal/core/incarnation/incarnation.go
@@ -23,8 +23,8 @@
 	DefaultLease = 15 * time.Second
 	// DefaultOrderDrain is the maximum time for which an order can stay in flight after its holder cancelled it.
 	DefaultOrderDrain = 5 * time.Second
-	// DefaultRetry is the minimum delay after a failed call. A random part of up to the same length is added.
-	DefaultRetry = 500 * time.Millisecond
+	// DefaultMinRetryDelay is the minimum delay after a failed call. A random part of up to the same length is added.
+	DefaultMinRetryDelay = 500 * time.Millisecond
 )
 
 // leaseMarginDivisor sets the safety margin: the holder leaves 1/10 of the lease unused. The clock rates of two hosts
@@ -40,8 +40,8 @@
 	Lease time.Duration
 	// OrderDrain is the maximum time for which an order can stay in flight after its holder cancelled it.
 	OrderDrain time.Duration
-	// Retry is the minimum delay after a failed call.
-	Retry time.Duration
+	// MinRetryDelay is the minimum delay after a failed call.
+	MinRetryDelay time.Duration
 }
 
 func (t Timing) withDefaults() Timing {
@@ -51,8 +51,8 @@
 	if t.OrderDrain == 0 {
 		t.OrderDrain = DefaultOrderDrain
 	}
-	if t.Retry == 0 {
-		t.Retry = DefaultRetry
+	if t.MinRetryDelay == 0 {
+		t.MinRetryDelay = DefaultMinRetryDelay
 	}
 	return t
 }
@@ -159,8 +159,8 @@
 	return &State{key: Prefix + host, holder: holder, timing: t.withDefaults()}
 }
 
-// Retry returns the minimum delay after a failed call.
-func (s *State) Retry() time.Duration { return s.timing.Retry }
+// MinRetryDelay returns the minimum delay after a failed call.
+func (s *State) MinRetryDelay() time.Duration { return s.timing.MinRetryDelay }
 
 // everHeld reports whether this process has ever held the incarnation.
 func (s *State) everHeld() bool { return !s.acquiredAt.IsZero() }
@@ -236,9 +236,10 @@
 	return nil
 }
 
-// delayNextCall delays the next call by Retry plus random jitter, so that processes do not retry at the same time.
+// delayNextCall delays the next call by MinRetryDelay plus random jitter of up to the same length, so that processes do not
+// retry at the same time.
 func (s *State) delayNextCall(in step.Input) {
-	s.nextCallAt = in.Now.Add(s.timing.Retry + time.Duration(in.Rand%uint64(s.timing.Retry)))
+	s.nextCallAt = in.Now.Add(s.timing.MinRetryDelay + time.Duration(in.Rand%uint64(s.timing.MinRetryDelay)))
 }
 
 // handlePresent handles the object's current state.
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -102,9 +102,9 @@
 	Listed
 	// Advert is the host's advertisement, nil until its fixed part is received.
 	Advert *Advert
-	// SuspectUntil is the time until which the host counts as unreachable after a failed call. A successful call resets it to
+	// UnreachableUntil is the time until which the host counts as unreachable after a failed call. A successful call resets it to
 	// zero. It has nothing to do with suspect requests (see package suspect).
-	SuspectUntil time.Time
+	UnreachableUntil time.Time
 	// skipUntil is the end of the backoff in which this process does not choose the host for exchanges. It starts with
 	// UnreachableDuration and doubles with each failure. failures counts the consecutive failed calls.
 	skipUntil time.Time
@@ -163,12 +163,12 @@
 	case CallFailed:
 		if h := s.Hosts[ev.Address]; h != nil {
 			h.recordFailure(in.Now)
-			s.index.setUnreachable(ev.Address, h.SuspectUntil)
+			s.index.setUnreachable(ev.Address, h.UnreachableUntil)
 		}
 	case CallSucceeded:
 		if h := s.Hosts[ev.Address]; h != nil {
 			h.recordSuccess()
-			s.index.setUnreachable(ev.Address, h.SuspectUntil)
+			s.index.setUnreachable(ev.Address, h.UnreachableUntil)
 		}
 	}
 }
--- a/internal/core/member/peers.go
+++ b/internal/core/member/peers.go
@@ -22,14 +22,14 @@
 
 // recordFailure marks the host as unreachable after a failed call and doubles its backoff.
 func (h *Host) recordFailure(now time.Time) {
-	h.SuspectUntil = now.Add(UnreachableDuration)
+	h.UnreachableUntil = now.Add(UnreachableDuration)
 	h.failures++
 	h.skipUntil = now.Add(min(UnreachableDuration<<min(h.failures-1, 8), maxSkip))
 }
 
 // recordSuccess resets the failure state of a host that answered.
 func (h *Host) recordSuccess() {
-	h.SuspectUntil = time.Time{}
+	h.UnreachableUntil = time.Time{}
 	h.skipUntil = time.Time{}
 	h.failures = 0
 }
--- a/internal/core/request/admit.go
+++ b/internal/core/request/admit.go
@@ -43,7 +43,7 @@
 func (r *Request) serviceKey() string { return setting.Key(r.Team, r.Service) }
 
 func (r *Request) query() routing.Query {
-	return routing.Query{Service: r.serviceKey(), Prefix: r.terms.Prefix, Tried: r.tried, OverLimit: r.digest != "" || r.failed}
+	return routing.Query{Service: r.serviceKey(), Prefix: r.terms.Prefix, Tried: r.tried, OverLimit: r.digest != "" || r.failedOtherwise}
 }
 
 func (s *State) gate(key string) *admission.Gate {
@@ -145,8 +145,8 @@
 }
 
 // noCapacity handles a request that was admitted but found no upstream with free capacity. It requeues the request if
-// upstreams are merely full. Otherwise it refuses the request. It also refuses at-most-once calls, requests with a failed
-// attempt, and every request during a shutdown.
+// upstreams are merely full. Otherwise it refuses the request. It also refuses at-most-once calls, requests with an attempt
+// that failed for another reason than a full or reserved upstream, and every request during a shutdown.
 func (s *State) noCapacity(in step.Input, r *Request, availability routing.Availability) []step.Effect {
 	g := s.gate(r.serviceKey())
 	switch {
@@ -154,7 +154,7 @@
 		return s.refuse(r, code.NoUpstream, code.NotRun, DefaultRetryAfter)
 	case availability == routing.None:
 		return s.refuse(r, r.lastCode, r.Ran, resendDelay(r.Ran))
-	case s.stopping || r.AtMostOnce || r.failed:
+	case s.stopping || r.AtMostOnce || r.failedOtherwise:
 		return s.refuse(r, code.Overloaded, r.Ran, g.RetryAfter())
 	}
 	s.requeue(in, r)
@@ -165,7 +165,7 @@
 // to another upstream at once. It should when other requests wait too: free capacity then goes to the request that fits
 // the upstream best.
 func (s *State) shouldRequeue(r *Request, why code.Code) bool {
-	return why == code.Overloaded && !r.failed && !r.AtMostOnce && !s.stopping && s.gate(r.serviceKey()).Waiting() > 0
+	return why == code.Overloaded && !r.failedOtherwise && !r.AtMostOnce && !s.stopping && s.gate(r.serviceKey()).Waiting() > 0
 }
 
 // requeue puts a request that was admitted back at the front of its account's queue. The upstreams that it tried may be
--- a/internal/core/request/attempt.go
+++ b/internal/core/request/attempt.go
@@ -63,13 +63,13 @@
 func (s *State) recordOutcome(r *Request, c code.Code, ran code.Ran) {
 	r.Ran = CombineRan(r.Ran, ran)
 	r.lastCode = c
-	r.failed = r.failed || (c != code.Overloaded && c != code.UpstreamReserved)
+	r.failedOtherwise = r.failedOtherwise || (c != code.Overloaded && c != code.UpstreamReserved)
 	if ran != code.NotRun {
 		r.executed++
 		return
 	}
-	if r.declinedAfterRun(c) {
-		r.declined++
+	if r.isDeclineAfterRun(c) {
+		r.declinesAfterRun++
 		r.retryable = append(r.retryable, routing.Key(r.upstream))
 		return
 	}
@@ -80,17 +80,17 @@
 	}
 }
 
-// declinedAfterRun reports whether an attempt found an upstream full or reserved after an earlier attempt may have run.
+// isDeclineAfterRun reports whether an attempt found an upstream full or reserved after an earlier attempt may have run.
 // The lack of capacity is temporary, but a refusal would leave the caller without an answer and with an unknown
 // outcome. Such a request is therefore retried until its deadline.
-func (r *Request) declinedAfterRun(c code.Code) bool {
+func (r *Request) isDeclineAfterRun(c code.Code) bool {
 	return r.Ran != code.NotRun && (c == code.Overloaded || c == code.UpstreamReserved)
 }
 
 // mayRetry reports whether the limits on attempts and the at-most-once guarantee allow another attempt. Requests that
 // are not replayable get none.
 func (s *State) mayRetry(r *Request, ran code.Ran) bool {
-	if !r.replayable || r.executed >= MaxExecutedAttempts || r.Attempt-r.declined >= MaxTotalAttempts {
+	if !r.replayable || r.executed >= MaxExecutedAttempts || r.Attempt-r.declinesAfterRun >= MaxTotalAttempts {
 		return false
 	}
 	return ran == code.NotRun || !r.AtMostOnce
--- a/internal/core/request/reduce.go
+++ b/internal/core/request/reduce.go
@@ -109,7 +109,7 @@
 // cause other than the upstream. It sets the delay of the next attempt.
 func (s *State) choose(in step.Input, r *Request, candidates []member.Candidate, statuses SuspectStatuses) (member.Candidate, routing.Availability) {
 	r.delay = 0
-	if r.declined >= MaxTotalAttempts {
+	if r.declinesAfterRun >= MaxTotalAttempts {
 		r.delay = MaxRetryDelay
 	}
 	upstream, availability := s.untried(in, r, candidates, statuses)
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -91,15 +91,15 @@
 	Ran code.Ran
 	// executed counts the attempts that may have run.
 	executed int
-	// declined counts the attempts that found an upstream full or reserved after an earlier one may have run.
-	declined int
+	// declinesAfterRun counts the attempts that found an upstream full or reserved after an earlier one may have run.
+	declinesAfterRun int
 	// lastCode is the result code of the last failed attempt.
 	lastCode code.Code
 	upstream member.Candidate
 	sentAt   time.Time
 	terms    Terms
-	// failed is set once an attempt failed for another reason than a full or reserved upstream.
-	failed bool
+	// failedOtherwise is set once an attempt failed for another reason than a full or reserved upstream.
+	failedOtherwise bool
 	// sequence is the sequence number of the current attempt at this entry.
 	sequence uint64
 	// queueDeadline is when a request that was requeued stops waiting; zero if it was never requeued.
--- a/internal/core/request/request_test.go
+++ b/internal/core/request/request_test.go
@@ -65,10 +65,10 @@
 	attempt  int
 	began    bool
 	executed int
-	// declined counts the attempts that found an upstream full or reserved after an earlier one may have run.
-	declined int
-	settled  bool
-	resumes  int
+	// declinesAfterRun counts the attempts that found an upstream full or reserved after an earlier one may have run.
+	declinesAfterRun int
+	settled          bool
+	resumes          int
 }
 
 func receive(t require.TestingT, env *environment, atMostOnce bool) *lifecycle {
@@ -99,9 +99,9 @@
 		require.NotEqual(l.t, suspect.Quarantined, l.env.status)
 		require.Equal(l.t, l.env.status == suspect.Suspect, e.Exclusive)
 		require.Less(l.t, l.executed, MaxExecutedAttempts)
-		require.LessOrEqual(l.t, e.Number-l.declined, MaxTotalAttempts)
+		require.LessOrEqual(l.t, e.Number-l.declinesAfterRun, MaxTotalAttempts)
 		require.LessOrEqual(l.t, e.Delay, MaxRetryDelay)
-		require.True(l.t, l.declined < MaxTotalAttempts || e.Delay == MaxRetryDelay, "too many attempts in a short time")
+		require.True(l.t, l.declinesAfterRun < MaxTotalAttempts || e.Delay == MaxRetryDelay, "too many attempts in a short time")
 		require.False(l.t, l.atMostOnce && l.combinedRan() != code.NotRun, "a call that may have run was sent again")
 	case Resume:
 		l.resumes++
@@ -128,7 +128,7 @@
 
 func (l *lifecycle) fail(c code.Code, ran code.Ran) {
 	if ran == code.NotRun && l.combinedRan() != code.NotRun && (c == code.Overloaded || c == code.UpstreamReserved) {
-		l.declined++
+		l.declinesAfterRun++
 	}
 	l.ran = append(l.ran, ran)
 	if ran != code.NotRun {
--- a/internal/core/rollout/decide.go
+++ b/internal/core/rollout/decide.go
@@ -15,7 +15,7 @@
 		return s.checkOrder(in, u)
 	}
 	if u.Phase == member.Idle && !u.draining {
-		if effects := s.takeIn(in, u); effects != nil {
+		if effects := s.adopt(in, u); effects != nil {
 			return effects
 		}
 	}
@@ -96,7 +96,7 @@
 	}
 	if u.Phase == member.Idle && !u.draining && u.observed.loaded() && u.target.accepts(u.observed.Digest) {
 		// The engine already holds a version that its service may serve, but must not serve it yet (see mayServe). If it checks
-		// fencing numbers, it is sent the present one first. Once it has obeyed that order, takeIn takes it into service with
+		// fencing numbers, it is sent the present one first. Once it has obeyed that order, adopt takes it into service with
 		// the version that it holds.
 		return s.announceNumber(in, u)
 	}
--- a/internal/core/rollout/observe.go
+++ b/internal/core/rollout/observe.go
@@ -59,9 +59,9 @@
 			u.Role = u.observed.Role
 			return nil
 		}
-		return append(u.takeOut(ReasonChanged), s.takeIn(in, u)...)
+		return append(u.takeOut(ReasonChanged), s.adopt(in, u)...)
 	}
-	return s.takeIn(in, u)
+	return s.adopt(in, u)
 }
 
 // servesOrDrains reports whether the engine has a pin under which requests may run: it serves, or it drains and may still run earlier
@@ -88,9 +88,9 @@
 	return []step.Effect{OutOfService{Upstream: u.Name, Reason: why}}
 }
 
-// takeIn takes an engine into service if it already holds a version that its service may serve. What it holds becomes its pin. It makes
+// adopt takes an engine into service if it already holds a version that its service may serve. What it holds becomes its pin. It makes
 // no difference whether an order of this agent loaded that version.
-func (s *State) takeIn(in step.Input, u *Upstream) []step.Effect {
+func (s *State) adopt(in step.Input, u *Upstream) []step.Effect {
 	r := u.observed
 	if !u.fresh || !r.loaded() || u.Phase != member.Idle || !u.target.accepts(r.Digest) || !s.mayServe(in.Now, u) {
 		return nil
--- a/internal/entry/isolation_test.go
+++ b/internal/entry/isolation_test.go
@@ -26,7 +26,7 @@
 		refused := 0
 		own.entries[0].Loop.View(func(s *core.State) {
 			for _, address := range foreign {
-				if h := s.Members.Hosts[address]; h != nil && !h.SuspectUntil.IsZero() {
+				if h := s.Members.Hosts[address]; h != nil && !h.UnreachableUntil.IsZero() {
 					refused++
 				}
 			}
