--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -167,7 +167,7 @@
 			formatNumber(burst), formatNumber(TargetBudget.BytesPerSecond), formatNumber(2*rates.burstPhases*float64(b.Phase))),
 		fmt.Sprintf("The watchers' reading of the list of hosts, %d KB each time: at ten times the hosts the interval grows to %.0f s, which is slow for a departed host; local evidence carries until then.",
 			size.Nodes*listedHostBytes/1000, 10*float64(size.Nodes*listedHostBytes)/watch.HostsBytesPerSecond),
-		"With all watchers of the fleet dead at once, a change waits for the silence limit (9 s) and the next in rank; see TestAllWatchersDie.",
+		"With all watchers of the fleet dead at once, a change waits for the silence limit (9 s) and the next in rank; see TestChangesPropagateAfterAllWatchersFail.",
 	}
 	if v, ok := estimate(all, "resident_mib_mean", size); ok {
 		lines = append(lines, fmt.Sprintf("Memory: %s MiB of %s by the line through the measurements.", formatNumber(v), formatNumber(TargetBudget.MiB)))
