--- a/internal/core/catalog/catalog_test.go
+++ b/internal/core/catalog/catalog_test.go
@@ -75,9 +75,9 @@
 	require.Empty(t, s.Upstreams)
 }
 
-// TestEntriesExpiredInAnOutageHaveAGracePeriod guards against dropping all upstreams after an outage of the store, in which their entries
-// expired because nobody could renew them.
-func TestEntriesExpiredInAnOutageHaveAGracePeriod(t *testing.T) {
+// TestRegistrationsExpiredInAnOutageHaveAGracePeriod guards against dropping all upstreams after an outage of the store, in which their
+// registrations expired because nobody could renew them.
+func TestRegistrationsExpiredInAnOutageHaveAGracePeriod(t *testing.T) {
 	s := catalog.NewState()
 	s.Reduce(at(0, catalog.UpstreamsListed{Revision: 10, Upstreams: []*catalog.Upstream{upstream("a", 4), upstream("b", 5)}}))
 	s.Reduce(at(time.Second, catalog.StoreFailed{}))
--- a/internal/core/catalog/instances_test.go
+++ b/internal/core/catalog/instances_test.go
@@ -18,9 +18,9 @@
 	return u
 }
 
-// TestEntryOfAnEarlierInstanceIsIgnored covers an upstream that restarts under its ID while a write of its earlier instance is still in
+// TestRegistrationOfAnEarlierInstanceIsIgnored covers an upstream that restarts under its ID while a write of its earlier instance is still in
 // flight: the delayed write must not replace the registration of the new instance.
-func TestEntryOfAnEarlierInstanceIsIgnored(t *testing.T) {
+func TestRegistrationOfAnEarlierInstanceIsIgnored(t *testing.T) {
 	s := catalog.NewState()
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(100, 4)}))
 	require.NotEmpty(t, s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(200, 5)})), "a new instance is a change")
@@ -41,18 +41,18 @@
 	require.Equal(t, int64(200), s.Upstreams["a"].StartedAt)
 }
 
-// TestEntryWithoutTheKnownStartTimeIsRejected covers a registration that lacks the start time which the upstream has already given, so that
+// TestRegistrationWithoutTheKnownStartTimeIsRejected covers a registration that lacks the start time which the upstream has already given, so that
 // another process must have written it.
-func TestEntryWithoutTheKnownStartTimeIsRejected(t *testing.T) {
+func TestRegistrationWithoutTheKnownStartTimeIsRejected(t *testing.T) {
 	s := catalog.NewState()
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(100, 4)}))
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(0, 5)}))
 	require.Empty(t, s.Upstreams)
 }
 
-// TestAddressInTwoEntriesBelongsToTheOneWithTheReportedStart covers a second registration with the address of a running engine:
+// TestAddressInTwoRegistrationsBelongsToTheOneWithTheReportedStart covers a second registration with the address of a running engine:
 // reports of the engine's agent must still apply to the engine's own registration.
-func TestAddressInTwoEntriesBelongsToTheOneWithTheReportedStart(t *testing.T) {
+func TestAddressInTwoRegistrationsBelongsToTheOneWithTheReportedStart(t *testing.T) {
 	s := catalog.NewState()
 	s.Reduce(at(0, catalog.UpstreamChanged{Upstream: instance(100, 4)}))
 	other := upstream("b", 9)
--- a/internal/proof/platform.go
+++ b/internal/proof/platform.go
@@ -25,7 +25,7 @@
 	{Concern: Platform, Fault: "the origin is away, and a version comes seconds before the next is due", Step: "engines that serve nobody", Tests: []string{"TestEngineWithoutAUsableVersionLoadsOneForItsLastSeconds"}},
 	{Concern: Platform, Fault: "a watch is cut, silent or without history; the store is away", Step: "manifest and upstreams at an entry", Tests: []string{"TestConfigChangesApplyDespiteWatchFailures", "TestWatchGivesUpOnASilentConnection", "TestSlowResponseIsReadCompletely"}},
 	{Concern: Platform, Fault: "news arrive in another order, or twice", Step: "beliefs", Tests: []string{"TestLatestRevisionWinsInAnyEventOrder", "TestOlderManifestIsIgnored", "TestRemovedUpstreamIsNotRestoredByAnOlderList"}},
-	{Concern: Platform, Fault: "entries lapse in an outage of the store", Step: "its return", Tests: []string{"TestEntriesExpiredInAnOutageHaveAGracePeriod", "TestIdleStoreIsNotAnOutage", "TestDrainingUpstreamIsDroppedWithoutGracePeriod"}},
+	{Concern: Platform, Fault: "entries lapse in an outage of the store", Step: "its return", Tests: []string{"TestRegistrationsExpiredInAnOutageHaveAGracePeriod", "TestIdleStoreIsNotAnOutage", "TestDrainingUpstreamIsDroppedWithoutGracePeriod"}},
 	{Concern: Platform, Fault: "a process starts while the store is away", Step: "readiness", Tests: []string{"TestEntryIsNotReadyWithoutConfig"}},
 	{Concern: Platform, Fault: "a planned stop", Step: "open streams and new requests", Tests: []string{"TestGracefulShutdownCompletesOpenRequests"}},
 	{Concern: Platform, Fault: "versions in quick succession", Step: "which one a request may begin on", Tests: []string{"TestEachVersionIsRequiredAtItsOwnTime", "TestRequiredVersionIsEnforced", "TestNewerHeldVersionIsRequestedExactly"}},
