--- a/internal/core/install/install.go
+++ b/internal/core/install/install.go
@@ -1,4 +1,4 @@
-// Package install holds the agent's reducer that brings one engine to the versions of weights in force. It resolves a version to its
+// Package install holds the agent's reducer that brings one engine to the active versions of weights. It resolves a version to its
 // content digest, waits until every chunk is on this host, has the chunks staged for the engine and read back, and orders the engine
 // to load them, in turn with the other engines of its service. The reducer is pure: see package step.
 //
@@ -67,7 +67,7 @@
 type VersionActivated struct {
 	Model   string
 	Version int64
-	// Age is the minimum time for which the version has been in force.
+	// Age is the minimum time for which the version has been active.
 	Age time.Duration
 }
 
--- a/internal/core/install/restart_test.go
+++ b/internal/core/install/restart_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// lists returns what a starting process reads from the store besides the version in force: the manifest, and the engines, which
+// lists returns what a starting process reads from the store besides the active version: the manifest, and the engines, which
 // started an hour ago.
 func (f *fleet) lists() []step.Event {
 	route := &catalog.Route{
@@ -160,7 +160,7 @@
 	return storewatch.Decoder{Step: handle, Log: zerolog.Nop()}.Follower(nil, platform.VersionKind)
 }
 
-// object returns the store's object of the version in force, with the store revision.
+// object returns the store's object of the active version, with the store revision.
 func (f *fleet) object() (revision int64, objects []platform.Object) {
 	revision = 100 + f.version
 	spec := json.RawMessage(fmt.Sprintf(`{"model":%q,"version":%d}`, fleetModel, f.version))
@@ -179,7 +179,7 @@
 	}
 }
 
-// completeAll completes the version in force on every host.
+// completeAll completes the active version on every host.
 func (f *fleet) completeAll(version int64) {
 	for _, a := range f.agents {
 		a.complete = true
--- a/internal/hostconfig/hostconfig.go
+++ b/internal/hostconfig/hostconfig.go
@@ -40,22 +40,22 @@
 	ShutdownGrace time.Duration
 	// VersionTime is how long after the activation of a version requests may still start on an older one.
 	VersionTime time.Duration
-	// ManifestTime is the maximum time from a write of the manifest to the store until the change is in force on every host.
+	// ManifestTime is the maximum time from a write of the manifest to the store until every host applies the change.
 	// DrainTime is the maximum time from the write of an upstream's drain to the store until the upstream gets no more
 	// requests. Each is 0 when the platform does not specify it.
 	ManifestTime, DrainTime time.Duration
-	// EvacuationTime is the maximum time from a write of the evacuation of a data centre to the store until it is in force on
-	// every host; 0 when the platform has no evacuations.
+	// EvacuationTime is the maximum time from a write of the evacuation of a data centre to the store until every host
+	// applies it; 0 when the platform has no evacuations.
 	EvacuationTime time.Duration
-	// SettleTime is the maximum time after its start or a disturbance during which a host may not know what is in force; 0 when
-	// the platform does not specify it.
+	// SettleTime is the maximum time after its start or a disturbance during which a host need not know the active
+	// versions, and the maximum times above do not apply to it; 0 when the platform does not specify it.
 	SettleTime time.Duration
 	// Retries is the retry budget of a service.
 	Retries RetryBudget
 }
 
 // AssumedVersionAge returns the age that a process assumes at its start for a version of weights that it finds in the store. With
-// this age, the version becomes required when the host must know what is in force, SettleTime after the start. A version that
+// this age, the version becomes required SettleTime after the start, when the host must know the active versions. A version that
 // was activated long ago is then required in time, even if no other process can report when it was activated. A version
 // that was activated a moment ago is required up to VersionTime - SettleTime too early, until a process reports its age.
 func (h Host) AssumedVersionAge() time.Duration {
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,6 +1,6 @@
-// Package loadreport sends and receives small UDP datagrams between entries and the agents beside engines. An entry sends
+// Package loadreport sends and receives small UDP datagrams between entries and the agents of engines. An entry sends
 // heartbeats to the agents whose engines it uses, and each agent reports the load of its engine to the entries whose
-// heartbeats it received. Both also report which versions of weights they know to be in force, so that one process that
+// heartbeats it received. Both also report which versions of weights they know to be active, so that one process that
 // reaches the store is enough for its peers. Datagrams are neither acknowledged nor retried: each one is complete and
 // replaces the one before, so a lost datagram only delays the information until the next.
 package loadreport
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -87,7 +87,7 @@
 	return true
 }
 
-// endLoad puts the new weights in force if readErr, the error of reading the body, is nil. It returns the outcome of the load.
+// endLoad switches to the new weights if readErr, the error of reading the body, is nil. It returns the outcome of the load.
 func (e *engine) endLoad(o *loadOrder, readErr error) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
