--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// resumeWindow is how long a run goes on without a connection, and how long its response is kept after its end, so
+	// resumeWindow is how long a run continues without a connection, and how long its response is kept after its end, so
 	// that the entry can resume it.
 	resumeWindow = 5 * time.Second
 	// defaultRunTimeout bounds a run for which the entry set no deadline.
@@ -274,7 +274,7 @@
 }
 
 // relay writes the response to one connection, with heartbeats while the upstream sends nothing. If the connection
-// breaks, the run goes on for resumeWindow, so that the entry can resume it.
+// breaks, the run continues for resumeWindow, so that the entry can resume it.
 func (a *Agent) relay(w http.ResponseWriter, r *http.Request, x *execution, reader int, withHead bool) {
 	x.stopResumeTimer()
 	if !a.relayFrames(w, r, x, reader, withHead) {
--- a/internal/core/forward/load.go
+++ b/internal/core/forward/load.go
@@ -15,7 +15,7 @@
 	// further one.
 	avoidInitial = 300 * time.Millisecond
 	avoidMax     = 4 * time.Second
-	// failuresToAvoid is how many consecutive failures put an upstream out of use for a while.
+	// failuresToAvoid is the number of consecutive failures after which an upstream is avoided for some time.
 	failuresToAvoid = 3
 )
 
--- a/internal/core/forward/rate_limit_test.go
+++ b/internal/core/forward/rate_limit_test.go
@@ -101,7 +101,7 @@
 	return f
 }
 
-// play has the given number of requests per second arrive at each entry for a while.
+// play has perSecond requests per second arrive at each entry for the duration d.
 func (f *limitedFleet) play(d time.Duration, perSecond float64) {
 	f.playUneven(d, perSecond, perSecond)
 }
--- a/internal/core/source/source_test.go
+++ b/internal/core/source/source_test.go
@@ -152,7 +152,7 @@
 }
 
 // TestLowCountOfANewProcessDoesNotLowerTheCount covers a process that has received heartbeats of only two entries so far and reports that
-// count, beside one that reports all of them.
+// count, while another one reports all of them.
 func TestLowCountOfANewProcessDoesNotLowerTheCount(t *testing.T) {
 	p := newProcess("10.0.0.99:7700", false)
 	p.after(0, report(20))
--- a/internal/core/weights/mesh.go
+++ b/internal/core/weights/mesh.go
@@ -12,7 +12,7 @@
 const (
 	// chosenLinks is how many peers a host links to by its own choice. Further peers link to it.
 	chosenLinks = 5
-	// maxLinks bounds the linked peers, whoever chose the link.
+	// maxLinks bounds the linked peers, both those that this host chose and those that chose this host.
 	maxLinks = 16
 	// helloRetryInterval is the wait before a hello is repeated to a peer that did not answer.
 	helloRetryInterval = time.Second
@@ -255,7 +255,7 @@
 	return true
 }
 
-// peerSilent stops asking a peer for a while. A linked peer gets another hello, because it may have
+// peerSilent stops asking a peer for some time. A linked peer gets another hello, because it may have
 // restarted.
 func (b *Burst) peerSilent(in step.Input, address string) []step.Effect {
 	i, known := b.index[address]
--- a/internal/core/weights/origin.go
+++ b/internal/core/weights/origin.go
@@ -101,7 +101,7 @@
 	chunk := &b.chunks[c]
 	inFlight := chunk.inFlight
 	if inFlight == 1 && b.stalled.has(c) {
-		inFlight = 0 // The fetch goes on, because it may only be slow.
+		inFlight = 0 // The stalled fetch is not cancelled, because it may only be slow.
 	}
 	if chunk.have || inFlight > 0 || in.Now.Before(chunk.retryAt) {
 		return false
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -21,7 +21,7 @@
 const (
 	warmUpPeriod     = time.Second     // lookups at the start that are not measured
 	baselinePeriod   = 4 * time.Second // lookups only, for their p95 before the first spread
-	postSpreadPeriod = 3 * time.Second // requests go on for this time after each spread
+	postSpreadPeriod = 3 * time.Second // requests are still sent for this time after each spread
 	probeTimeout     = 20 * time.Second
 	probePath        = "/" + layout.Team + "/" + layout.PlainService + "/vendors/0"
 )
--- a/internal/emulator/plot.go
+++ b/internal/emulator/plot.go
@@ -13,7 +13,7 @@
 	plotHeight = 14 * vg.Centimeter
 )
 
-// drawRows plots the fraction that each variant answers in time on each pattern, beside the bound.
+// drawRows plots the fraction that each variant answers in time on each pattern, and the upper bound.
 func drawRows(rows []Row, path string) error {
 	p := plot.New()
 	p.Title.Text = "Fraction of requests answered in time"
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -1,6 +1,6 @@
 // Package emulator simulates a fleet of entries and engines in virtual time, without a network. Entries run the product's own reducer, engines work
-// by a formula, and callers have objectives, time limits and one retry. The emulator compares policy variants on named load patterns, beside an upper
-// bound that assumes knowledge of the future. It is a tool that the product itself doesn't use.
+// by a formula, and callers have objectives, time limits and one retry. The emulator compares policy variants with one another and with an upper
+// bound, on named load patterns. The bound assumes knowledge of the future. The emulator is a tool that the product itself doesn't use.
 package emulator
 
 import (
--- a/internal/experiment/scenarios.go
+++ b/internal/experiment/scenarios.go
@@ -145,7 +145,7 @@
 	a.Loop.View(func(s *core.State) { s.Runs.Load.Unlimited = true })
 }
 
-// flood sends three times the capacity from one client account, beside nine small accounts that stay within their shares.
+// flood sends three times the capacity from one client account, while nine small accounts stay within their shares.
 func flood(o options, out func(Row)) error {
 	const small = 9
 	smallRate := nominalRate() * 0.7 / (small + 1) / 2
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -167,7 +167,7 @@
 	require.Equal(t, strings.TrimPrefix(streamBody(6), streamBody(4)), r.Body)
 }
 
-// TestUpstreamRequestIsCancelledWhenCallerLeaves guards against engines that go on generating for a caller that has closed its connection.
+// TestUpstreamRequestIsCancelledWhenCallerLeaves guards against engines that continue to generate for a caller that has closed its connection.
 func TestUpstreamRequestIsCancelledWhenCallerLeaves(t *testing.T) {
 	t.Parallel()
 	fleet := standin.NewFleet(t)
--- a/internal/hostagent/hostagent.go
+++ b/internal/hostagent/hostagent.go
@@ -1,5 +1,5 @@
-// Package hostagent is the shell of the agent beside a model engine on the platform: it brings the active weights to the engine, spreads
-// them to the other hosts, and reports the engine's load to the entries. The reducers catalog, weights and install make the
+// Package hostagent is the shell of the agent on the host of a model engine on the platform. The agent brings the active weights to the
+// engine, spreads them to the other hosts, and reports the engine's load to the entries. The reducers catalog, weights and install make the
 // decisions; the shell carries out their effects.
 package hostagent
 
@@ -56,7 +56,7 @@
 	headTimeout = 5 * time.Second
 )
 
-// Agent is the process beside one engine.
+// Agent is the process that serves one engine, on the engine's host.
 type Agent struct {
 	host    hostconfig.Host
 	self    string
--- a/internal/hostagent/hostagent_test.go
+++ b/internal/hostagent/hostagent_test.go
@@ -15,7 +15,7 @@
 // testTimeout limits how long a test waits for a condition. It is far longer than needed, since test machines can be busy.
 const testTimeout = 60 * time.Second
 
-// start runs n engines that hold a version, and an agent beside each.
+// start runs n engines that hold a version, and an agent for each.
 func start(t *testing.T, fleet *standin.Fleet, n int, version int64) (engines []*standin.Upstream, stops []func()) {
 	t.Helper()
 	for i := range n {
--- a/internal/storefeed/reader_test.go
+++ b/internal/storefeed/reader_test.go
@@ -208,7 +208,7 @@
 	_, _, err = agent.List(context.Background(), kind, false)
 	require.Error(t, err)
 	require.Zero(t, s.callCount())
-	agent.Source.Set(first.address) // The reducer does the same after a while.
+	agent.Source.Set(first.address) // The reducer does the same after some time.
 	_, _, err = first.List(context.Background(), kind, false)
 	require.NoError(t, err)
 	objects, _, err := agent.List(context.Background(), kind, false)
--- a/internal/transfer/fetcher_test.go
+++ b/internal/transfer/fetcher_test.go
@@ -125,7 +125,7 @@
 	require.Equal(t, []byte("aaaa"), f.Memory.Chunk(m.Chunks[0].SHA256))
 }
 
-// TestRateLimitedStoreFallsBackToTheOrigin checks that a fetcher goes on to the origin when the
+// TestRateLimitedStoreFallsBackToTheOrigin checks that a fetcher turns to the origin when the
 // weight store limits the rate, and does not ask the store again before its Retry-After delay.
 // Without an origin, it reports the delay.
 func TestRateLimitedStoreFallsBackToTheOrigin(t *testing.T) {
