--- a/internal/hostagent/hostagent.go
+++ b/internal/hostagent/hostagent.go
@@ -237,7 +237,7 @@
 		}
 		ip, err := platform.HostIP(u.Address)
 		if err != nil || ip == a.host.IP {
-			continue // Can't fail: addresses are validated when the store's entry is read.
+			continue // Can't fail: addresses are validated when the registration is read from the store.
 		}
 		list = append(list, weights.Peer{
 			Address: net.JoinHostPort(ip, strconv.Itoa(a.host.PeerPort)), Place: u.DataCentre, Region: a.host.Regions[u.DataCentre],
