--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -428,14 +428,14 @@
 	return u.Revision > other.Revision
 }
 
-// reportedStart is the start time of an upstream by its host's clock, in milliseconds since 1970, and when it was last reported.
+// reportedStart holds the start time of an upstream by its own clock, in milliseconds since 1970, and when it was last reported.
 type reportedStart struct {
 	startedAt  int64
 	receivedAt time.Time
 }
 
-// staleStartWindow is how long after a report a report of an earlier start time is ignored as delayed. A later one means that the host's
-// clock has been set back. It is longer than the interval between two reports of an agent.
+// staleStartWindow is how long after a report another one with an earlier start time is ignored as delayed. If such a report arrives
+// later, the host's clock has been set back. It is longer than the interval between two reports of an agent.
 const staleStartWindow = 2500 * time.Millisecond
 
 // RecordStart records the start time that an agent reports for the upstream at an address, in milliseconds since 1970.
@@ -451,7 +451,7 @@
 }
 
 // Superseded reports whether an upstream's registration is superseded: it remains in the store although its instance has ended. That is
-// so if the agent at the address reports a later start, or if a later registration at the same address has the same start time.
+// so if the agent at the address reports a later start time, or if a later registration at the same address has the same start time.
 func (s *State) Superseded(u *Upstream) bool {
 	if u.StartedAt <= 0 {
 		return false
--- a/internal/core/forward/backoff.go
+++ b/internal/core/forward/backoff.go
@@ -3,7 +3,7 @@
 import "time"
 
 // backoffProbeInitial is how long a requested backoff is obeyed before the first probe. A longer backoff is probed with single
-// requests now and then, so that an upstream that asks for an absurd time does not stay out of use forever.
+// requests from time to time, so that an upstream that asks for an absurdly long time does not stay out of use forever.
 const backoffProbeInitial = 30 * time.Second
 
 // backoff is a time in which an upstream wants no requests from this entry. The upstream requests it in the Retry-After header of
--- a/internal/core/forward/backoff_test.go
+++ b/internal/core/forward/backoff_test.go
@@ -24,7 +24,7 @@
 	r.step(forward.AnswerHeadReceived{Upstream: instance, Sent: begin.Add(r.now), Outcome: forward.Declined, Notice: catalog.Notice{RetryAfter: duration}})
 }
 
-// TestUpstreamInBackoffGetsNoRequests guards against an entry that ignores the Retry-After of a declined request and counts it as
+// TestUpstreamInBackoffGetsNoRequests guards against an entry that ignores the Retry-After header of a declined request and counts it as
 // one more failure. Then 11 requests from one entry reached an upstream within a backoff of three seconds.
 func TestUpstreamInBackoffGetsNoRequests(t *testing.T) {
 	for _, service := range []struct{ name, path string }{{"desk", lookups}, {"model", reports}} {
@@ -53,7 +53,7 @@
 }
 
 // TestRequestIsRefusedAtOnceWhileAllUpstreamsAreInBackoff guards against a caller who waits although no upstream will accept a
-// request in time, and against a Retry-After that ends before the shortest backoff.
+// request in time, and against a Retry-After delay that ends before the shortest backoff.
 func TestRequestIsRefusedAtOnceWhileAllUpstreamsAreInBackoff(t *testing.T) {
 	r := newRig()
 	r.add("u1", "desk", "perth-a", 6)
@@ -71,7 +71,7 @@
 }
 
 // TestBackoffIsNotShortened guards against a backoff that is ended early by the answer to an earlier request, by a later request
-// for a shorter backoff, by a new registration of the upstream, or by a declined request without a Retry-After.
+// for a shorter backoff, by a new registration of the upstream, or by a declined request without a Retry-After header.
 func TestBackoffIsNotShortened(t *testing.T) {
 	r := newRig()
 	r.add("u1", "desk", "perth-a", 6)
@@ -137,7 +137,7 @@
 	require.Less(t, only[forward.Refuse](t, r.arrive(1, bookings)).RetryAfter, 35*time.Second)
 }
 
-// TestRetryAfterFollowsTheUpstreamThatIsUsableFirst guards against a Retry-After as long as one upstream's backoff, while another
+// TestRetryAfterFollowsTheUpstreamThatIsUsableFirst guards against a Retry-After delay as long as one upstream's backoff, while another
 // upstream that is avoided briefly after a failure is usable sooner.
 func TestRetryAfterFollowsTheUpstreamThatIsUsableFirst(t *testing.T) {
 	r := newRig()
@@ -149,8 +149,8 @@
 	require.Less(t, only[forward.Refuse](t, r.arrive(2, bookings)).RetryAfter, 3*time.Second)
 }
 
-// TestRetryAfterIgnoresTheBackoffOfALeavingUpstream guards against a Retry-After that is based on an upstream which will be gone by
-// then.
+// TestRetryAfterIgnoresTheBackoffOfALeavingUpstream guards against a Retry-After delay that is based on the backoff of an upstream
+// which will be gone by then.
 func TestRetryAfterIgnoresTheBackoffOfALeavingUpstream(t *testing.T) {
 	r := newRig()
 	r.add("u1", "desk", "perth-a", 6)
--- a/internal/core/forward/homes_test.go
+++ b/internal/core/forward/homes_test.go
@@ -104,7 +104,7 @@
 }
 
 // TestRequestIsRefusedAtOnceWhileItsHomeHasNoUpstream guards against a request that is sent elsewhere, or waits until its deadline,
-// while its only home has no upstream. The refusal must carry a Retry-After.
+// while its only home has no upstream. The refusal must carry a Retry-After delay.
 func TestRequestIsRefusedAtOnceWhileItsHomeHasNoUpstream(t *testing.T) {
 	r := newRig()
 	r.add("d1", "desk", "perth-a", 6)
--- a/internal/core/forward/refill_test.go
+++ b/internal/core/forward/refill_test.go
@@ -106,7 +106,7 @@
 
 // TestUnreportedEnginesAreNotUsedWhileReportedOnesAreEmpty guards against requests to unreported engines after all hosts lost
 // power. The store still lists the engines as before, but all load reports say that they hold nothing. Requests must be refused at
-// once with a long Retry-After.
+// once with a long Retry-After delay.
 func TestUnreportedEnginesAreNotUsedWhileReportedOnesAreEmpty(t *testing.T) {
 	r := newFleetRig("entry-1", 80, 0)
 	for _, u := range r.state.ChooseHeartbeatTargets() {
--- a/internal/standin/serve/json.go
+++ b/internal/standin/serve/json.go
@@ -30,7 +30,7 @@
 	WriteJSON(w, status, Error{Error: message})
 }
 
-// Refuse responds with status 429 and a Retry-After of 1 second.
+// Refuse responds with status 429 and a Retry-After delay of 1 second.
 func Refuse(w http.ResponseWriter) {
 	w.Header().Set("Retry-After", "1")
 	Fail(w, http.StatusTooManyRequests, "over the rate")
