--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -103,7 +103,7 @@
 	// Advert is the host's advertisement, nil until its fixed part is received.
 	Advert *Advert
 	// UnreachableUntil is the time until which the host counts as unreachable after a failed call. A successful call resets it to
-	// zero. It has nothing to do with suspect requests (see package suspect).
+	// zero.
 	UnreachableUntil time.Time
 	// skipUntil is the end of the backoff in which this process does not choose the host for exchanges. It starts with
 	// UnreachableDuration and doubles with each failure. failures counts the consecutive failed calls.
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -310,7 +310,7 @@
 	require.Equal(t, CachePosition{BootID: "b", Seq: 600}, d.s.CachePosition(svcKey, other))
 }
 
-// TestPrefixHolderExpires guards against a holder that is kept for ever because the event of its eviction was lost.
+// TestPrefixHolderExpires guards against a holder that is kept forever because the event of its eviction was lost.
 func TestPrefixHolderExpires(t *testing.T) {
 	d := newDriver(t, candidates("perth-a", "west", 6))
 	owner := d.send(9, steady)
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -202,7 +202,7 @@
 	}
 }
 
-// TestProcessesRecoverFromHangingPlatform guards against calls that wait for ever: the platform answers no call for 1 s,
+// TestProcessesRecoverFromHangingPlatform guards against calls that wait forever: the platform answers no call for 1 s,
 // open watches included, and a later change must still come into force.
 func TestProcessesRecoverFromHangingPlatform(t *testing.T) {
 	s := newSite(t, 4)
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -22,7 +22,7 @@
 // not limit the duration of a whole answer.
 const WriteTimeout = 30 * time.Second
 
-// newServer returns a server whose reads and writes can't block for ever. A panic in a handler ends only its request.
+// newServer returns a server whose reads and writes can't block forever. A panic in a handler ends only its request.
 func (p *Process) newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler: p.guard(h), ReadHeaderTimeout: HeaderTimeout, IdleTimeout: IdleTimeout, WriteTimeout: WriteTimeout,
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -44,7 +44,7 @@
 	return conn
 }
 
-// TestStalledBodyFailsWithCode guards against a handler that waits for ever for a body that stops in the middle: its reads
+// TestStalledBodyFailsWithCode guards against a handler that waits forever for a body that stops in the middle: its reads
 // fail with a result code, and it can still answer.
 func TestStalledBodyFailsWithCode(t *testing.T) {
 	address := serveTest(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -78,7 +78,7 @@
 	require.Contains(t, string(answer), "ghijkl")
 }
 
-// TestWriteToStalledReaderTimesOut guards against a handler that blocks for ever on a caller that reads nothing of its
+// TestWriteToStalledReaderTimesOut guards against a handler that blocks forever on a caller that reads nothing of its
 // answer.
 func TestWriteToStalledReaderTimesOut(t *testing.T) {
 	ended := make(chan error, 1)
